--- a/Makefile
+++ b/Makefile
@@ -1,5 +1,5 @@
 # What developers do, by name.
-.PHONY: build test lint run fleet scale
+.PHONY: build test lint run fleet scale figures
 
 build:
 	cargo build --release --locked
@@ -22,3 +22,7 @@
 # The whole installation at a quarter of its size: hollow balancers, real ones under load, stewards, faults. Some minutes.
 scale: build
 	target/release/fernroute-lab scale lab/scale/whole.toml --factor 0.25 --json scale.json
+
+# The scenarios in virtual time against the figures that they gave before: what differs is printed, and ends it with 1.
+figures: build
+	target/release/fernroute-lab figures lab/figures.txt
--- a/crates/fernroute-lab/src/experiment.rs
+++ b/crates/fernroute-lab/src/experiment.rs
@@ -2,6 +2,7 @@
 
 pub mod cold;
 pub mod depth;
+pub mod figures;
 
 use crate::player::Variant;
 use crate::referee::Rule;
--- /dev/null
+++ b/crates/fernroute-lab/src/experiment/figures.rs
@@ -0,0 +1,99 @@
+//! The figures of scenarios in virtual time, as lines of text that are held against a file: they depend on the decisions and
+//! the simulator alone, so a change that is to leave behaviour as it is leaves every line as it is.
+
+use crate::player::Variant;
+use crate::run::run;
+use crate::scenario::Scenario;
+use rayon::prelude::*;
+use std::path::{Path, PathBuf};
+
+/// The seeds that each scenario is played with.
+const SEEDS: std::ops::RangeInclusive<u64> = 1..=3;
+
+/// One scenario played by one variant with one seed.
+struct Play {
+    file: String,
+    scenario: Scenario,
+    variant: Variant,
+    seed: u64,
+}
+
+/// The figures of all scenarios of a folder, a line for each play, ordered by file, variant and seed.
+pub fn of_folder(folder: &Path) -> Result<Vec<String>, String> {
+    let mut plays = Vec::new();
+    for path in scenario_files(folder)? {
+        plays.extend(plays_of(&path)?);
+    }
+    Ok(plays.par_iter().map(line).collect())
+}
+
+/// The figures of one scenario file, a line for each variant and seed.
+pub fn of_file(path: &Path) -> Result<Vec<String>, String> {
+    Ok(plays_of(path)?.par_iter().map(line).collect())
+}
+
+/// The lines that differ, as `- expected` and `+ found`.
+pub fn differences(expected: &[String], found: &[String]) -> Vec<String> {
+    let missing = expected.iter().filter(|line| !found.contains(line)).map(|line| format!("- {line}"));
+    let new = found.iter().filter(|line| !expected.contains(line)).map(|line| format!("+ {line}"));
+    missing.chain(new).collect()
+}
+
+fn scenario_files(folder: &Path) -> Result<Vec<PathBuf>, String> {
+    let unreadable = |error: std::io::Error| format!("{}: {error}", folder.display());
+    let mut files = Vec::new();
+    for entry in std::fs::read_dir(folder).map_err(unreadable)? {
+        files.push(entry.map_err(unreadable)?.path());
+    }
+    files.retain(|path| path.extension().is_some_and(|extension| extension == "toml"));
+    files.sort();
+    Ok(files)
+}
+
+/// Scenarios with tenants are played with a fleet's shared budgets too.
+fn plays_of(path: &Path) -> Result<Vec<Play>, String> {
+    let scenario = Scenario::read(path)?;
+    let file = path.file_name().map(|name| name.to_string_lossy().into_owned()).unwrap_or_default();
+    let variants: &[Variant] = if scenario.tenant.is_empty() {
+        &[Variant::Fernroute]
+    } else {
+        &[Variant::Fernroute, Variant::Fleet]
+    };
+    let mut plays = Vec::new();
+    for variant in variants {
+        for seed in SEEDS {
+            plays.push(Play { file: file.clone(), scenario: scenario.clone(), variant: *variant, seed });
+        }
+    }
+    Ok(plays)
+}
+
+fn line(play: &Play) -> String {
+    let Play { file, scenario, variant, seed } = play;
+    let result = run(scenario, *variant, *seed);
+    let (books, ends) = (&result.books, &result.books.ends);
+    let methods: Vec<String> =
+        books.methods.iter().map(|m| format!("{}:{}/{}", m.name, m.served, m.offered)).collect();
+    let tenants: Vec<String> = books.tenants.iter().map(|t| format!("{}:{:?}", t.name, t.used())).collect();
+    format!(
+        "{file} {} seed={seed} service={:?} worst_ten={:?} methods={} tenants={} median={} p99={} arrived={} completed={} \
+         rejected={} failed={} abandoned={} lost={} open={} attempts={} time_in_system={} violations={}",
+        variant.name(),
+        books.service(),
+        books.worst_ten(),
+        methods.join(","),
+        tenants.join(","),
+        books.times.value_at_quantile(0.5),
+        books.times.value_at_quantile(0.99),
+        ends.arrived,
+        ends.completed,
+        ends.exhausted,
+        ends.errored,
+        ends.abandoned,
+        ends.lost,
+        ends.open,
+        books.transmissions,
+        books.in_system,
+        result.breaches.len(),
+    )
+}
--- a/crates/fernroute-lab/src/main.rs
+++ b/crates/fernroute-lab/src/main.rs
@@ -32,6 +32,7 @@
     Experiment(Compare),
     Cold(CountCold),
     Depth(MeasureDepth),
+    Figures(CompareFigures),
     Live(Live),
     Balancer(RealOne),
     Beside(Beside),
@@ -106,6 +107,21 @@
     seeds: u64,
 }
 
+/// Play all scenarios in virtual time and print the figures that differ from those of a file; ends with 1 where any does.
+#[derive(FromArgs)]
+#[argh(subcommand, name = "figures")]
+struct CompareFigures {
+    /// file of the expected figures
+    #[argh(positional)]
+    file: PathBuf,
+    /// folder of the scenarios (default: lab/scenarios)
+    #[argh(option, default = "PathBuf::from(\"lab/scenarios\")")]
+    scenarios: PathBuf,
+    /// write the figures to the file instead
+    #[argh(switch)]
+    write: bool,
+}
+
 /// Play one scenario against real processes on loopback, in real time; ends with 1 where a rule was broken, with 3
 /// where the load was not kept.
 #[derive(FromArgs)]
@@ -279,6 +295,10 @@
         Command::Depth(of) => Scenario::read(&of.scenario).map(|scenario| {
             print!("{}", experiment::depth::table(&scenario, of.seeds));
         }),
+        Command::Figures(of) => match compare_figures(&of) {
+            Ok(code) => return code,
+            Err(why) => Err(why),
+        },
         Command::Live(one) => match play_live(&one) {
             Ok(code) => return ExitCode::from(code),
             Err(why) => Err(why),
@@ -326,6 +346,23 @@
     done.map_or_else(|why| commands::refuse(NAME, &why), |()| ExitCode::SUCCESS)
 }
 
+fn compare_figures(of: &CompareFigures) -> Result<ExitCode, String> {
+    let found = experiment::figures::of_folder(&of.scenarios)?;
+    let unusable = |error: std::io::Error| format!("{}: {error}", of.file.display());
+    if of.write {
+        std::fs::write(&of.file, found.join("\n") + "\n").map_err(unusable)?;
+        return Ok(ExitCode::SUCCESS);
+    }
+    let expected: Vec<String> =
+        std::fs::read_to_string(&of.file).map_err(unusable)?.lines().map(str::to_owned).collect();
+    let differences = experiment::figures::differences(&expected, &found);
+    for line in &differences {
+        println!("{line}");
+    }
+    println!("{} lines expected, {} found, {} differ", expected.len(), found.len(), differences.len());
+    Ok(if differences.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+}
+
 /// Tells whether all rules were kept.
 fn play(one: &RunOne) -> Result<bool, String> {
     let (scenario, variant) = (Scenario::read(&one.scenario)?, Variant::named(&one.variant)?);
--- /dev/null
+++ b/crates/fernroute-lab/tests/figures.rs
@@ -0,0 +1,15 @@
+//! The decisions decide as they did: all scenarios give the very figures that stand in `lab/figures.txt`. `make figures` says the
+//! same, and which lines differ.
+
+use fernroute_lab::experiment::figures;
+use std::path::Path;
+
+#[test]
+fn all_scenarios_in_virtual_time_give_the_very_same_figures() {
+    let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../lab");
+    let expected = std::fs::read_to_string(root.join("figures.txt")).expect("the figures are there");
+    let expected: Vec<String> = expected.lines().map(str::to_owned).collect();
+    let found = figures::of_folder(&root.join("scenarios")).expect("the scenarios are read");
+    assert_eq!(found.len(), 87);
+    assert_eq!(figures::differences(&expected, &found), Vec::<String>::new());
+}
--- a/crates/fernroute-steward/tests/configuration.rs
+++ b/crates/fernroute-steward/tests/configuration.rs
@@ -213,6 +213,8 @@
         stewards.start();
         let full = stewards.leader(None).await;
         let balancers = [Balancer::new(&stewards, 1, "n0", "web", "a", full)];
+        // Until it is a member `--wait` has nobody to wait for.
+        until_beats(&balancers).await;
         put(&stewards, "all", &content(1), &["--wait", "30"]).await;
         stewards.places[full].process().fill_disk().expect("it has a limit");
         let version = put(&stewards, "all", &content(2), &["--wait", "30"]).await;
--- /dev/null
+++ b/crates/fernroute-steward/tests/wire_format.rs
@@ -0,0 +1,133 @@
+//! The JSON between coordinators, and from them to operators: fixed texts, read and written again without a change.
+
+use fernroute_steward::configuration::{Latest, NotDone, ScopeLine, Standings, Wish};
+use fernroute_steward::duties::{DutyStatus, Released};
+use fernroute_steward::keep::Status;
+use fernroute_steward::peers::Who;
+use fernroute_steward::store::{Kept, Mark, Own};
+use fernroute_steward::{Applied, Kinds};
+use openraft::raft::{
+    AppendEntriesRequest, AppendEntriesResponse, InstallSnapshotRequest, InstallSnapshotResponse,
+    VoteRequest, VoteResponse,
+};
+use serde::de::DeserializeOwned;
+use serde::Serialize;
+
+/// The text is read as this type, and written again as the very same text.
+fn assert_unchanged<T: Serialize + DeserializeOwned>(text: &str) {
+    let value: T = serde_json::from_str(text).unwrap_or_else(|error| panic!("{error}: {text}"));
+    assert_eq!(serde_json::to_string(&value).expect("it is written"), text);
+}
+
+const VOTE: &str = r#"{"leader_id":{"term":3,"node_id":42},"committed":true}"#;
+
+fn log_id(index: u64) -> String {
+    format!(r#"{{"leader_id":{{"term":3,"node_id":42}},"index":{index}}}"#)
+}
+
+#[test]
+fn messages_of_the_consensus_keep_their_keys() {
+    let entries = [
+        r#""Blank""#,
+        r#"{"Normal":{"Budgets":{"acme":{"whole":200000,"floor":40}}}}"#,
+        r#"{"Normal":{"Step":{"base":1,"joins":[[7,"n0"]],"accepted":[],"lapsed":[],"gone":[],"offers":{}}}}"#,
+        r#"{"Normal":{"Configuration":{"scope":"all","base":0,"hash":"a1","content":"","who":"ann","when_ms":1,"above":0}}}"#,
+        r#"{"Normal":{"Duties":{"Names":["sweep"]}}}"#,
+        r#"{"Membership":{"configs":[[42,43]],"nodes":{"42":{"addr":"s0"},"43":{"addr":"s1"}}}}"#,
+    ];
+    let entries: Vec<String> = (5..)
+        .zip(entries)
+        .map(|(index, payload)| format!(r#"{{"log_id":{},"payload":{payload}}}"#, log_id(index)))
+        .collect();
+    assert_unchanged::<AppendEntriesRequest<Kinds>>(&format!(
+        r#"{{"vote":{VOTE},"prev_log_id":{},"entries":[{}],"leader_commit":{}}}"#,
+        log_id(4),
+        entries.join(","),
+        log_id(5)
+    ));
+    assert_unchanged::<AppendEntriesResponse<u64>>(r#""Success""#);
+    assert_unchanged::<VoteRequest<u64>>(&format!(r#"{{"vote":{VOTE},"last_log_id":{}}}"#, log_id(4)));
+    assert_unchanged::<VoteResponse<u64>>(&format!(
+        r#"{{"vote":{VOTE},"vote_granted":true,"last_log_id":{}}}"#,
+        log_id(4)
+    ));
+    assert_unchanged::<InstallSnapshotRequest<Kinds>>(&format!(
+        r#"{{"vote":{VOTE},"meta":{{"last_log_id":{},"last_membership":{{"log_id":null,"membership":{{"configs":[],"nodes":{{}}}}}},"snapshot_id":"3-42-4"}},"offset":0,"data":[123,125],"done":true}}"#,
+        log_id(4)
+    ));
+    assert_unchanged::<InstallSnapshotResponse<u64>>(&format!(r#"{{"vote":{VOTE}}}"#));
+}
+
+#[test]
+fn what_coordinators_say_of_themselves_keeps_its_keys() {
+    assert_unchanged::<Who>(
+        r#"{"cluster":"shop","name":"s0","id":42,"blank":false,"heard":{"43":{"vote":[3,42],"entry":[3,42,5]}}}"#,
+    );
+    assert_unchanged::<Own>(r#"{"cluster":"shop","id":42}"#);
+    assert_unchanged::<Mark>(r#"{"vote":[3,42],"entry":[3,42,5]}"#);
+    assert_unchanged::<Kept>(&format!(
+        r#"{{"ledger":{{"epoch":0,"budgets":{{}},"holders":{{}}}},"register":{{"version":0,"parts":{{}},"history":[]}},"duties":{{"version":0,"highest":0,"duties":{{}}}},"applied":{},"membership":{{"log_id":null,"membership":{{"configs":[],"nodes":{{}}}}}}}}"#,
+        log_id(4)
+    ));
+}
+
+#[test]
+fn what_an_operator_sends_and_is_answered_keeps_its_keys() {
+    let line = r#"{"version":1,"scope":"all","base":0,"hash":"a1","bytes":6,"who":"ann","when_ms":1}"#;
+    assert_unchanged::<Wish>(
+        r#"{"scope":"service/web","base":0,"hash":"a1","content":"a = 1\n","who":"ann"}"#,
+    );
+    for answer in [
+        r#"{"Ok":7}"#.to_owned(),
+        r#"{"Err":{"elsewhere":"127.0.0.1:7001"}}"#.to_owned(),
+        r#"{"Err":{"elsewhere":null}}"#.to_owned(),
+        format!(r#"{{"Err":{{"out_of_date":{line}}}}}"#),
+        r#"{"Err":{"out_of_date":null}}"#.to_owned(),
+        r#"{"Err":{"refused":"why"}}"#.to_owned(),
+        r#"{"Err":{"unknown":"why"}}"#.to_owned(),
+    ] {
+        assert_unchanged::<Result<u64, NotDone>>(&answer);
+    }
+    assert_unchanged::<Applied>(r#"{"Ok":7}"#);
+    assert_unchanged::<Applied>(r#"{"Err":{"why":"the scope is at version 1","latest":1}}"#);
+    assert_unchanged::<Latest>(&format!(
+        r#"{{"part":{{"scope":"all","version":1,"hash":"a1","content":"a = 1\n"}},"line":{line}}}"#
+    ));
+    assert_unchanged::<Released>(r#"{"holder":"n0","term":4,"lapses_after_ms":1500}"#);
+}
+
+#[test]
+fn what_operators_read_as_json_keeps_its_keys() {
+    assert_unchanged::<ScopeLine>(r#"{"scope":"all","version":1,"hash":"a1","bytes":6}"#);
+    assert_unchanged::<Standings>(
+        r#"{"cluster":"shop","leader":"s0","version":2,"settled":true,"scopes":[{"scope":"all","version":1,"hash":"a1","bytes":6}],"summary":{"in_force":1,"on_its_way":0,"refused":0,"ahead":0,"not_heard_of":0,"follows_none":0},"members":[{"name":"n0","service":"web","zone":"a","wanted":2,"in_force":2,"refused":null,"standing":"in_force"}]}"#,
+    );
+    assert_unchanged::<DutyStatus>(
+        r#"{"cluster":"shop","leader":"s0","highest_term":6,"ended":{"drained":1,"lapsed":2},"duties":[{"duty":"sweep","holder":{"name":"n0","term":5,"held_for_s":1.5,"at_least":true,"left_s":0.5,"note":"half way"},"before":["n1","operator"]},{"duty":"tidy","holder":null,"before":null}]}"#,
+    );
+    assert_unchanged::<Status>(
+        r#"{"cluster":"shop","steward":"s0","id":42,"state":"leader","trouble":null,"stewards":[{"name":"s0","id":42,"votes":true}],"unread":1,"leader":"s0","term":3,"epoch":8,"budgets":{"acme":{"whole":200.0,"floor":2.0,"held":104.0}},"members":[{"name":"n0","epoch":6,"holds":{"acme":92.0}}]}"#,
+    );
+}
+
+#[test]
+fn paths_stay_as_they_are() {
+    use fernroute_steward::{configuration, duties, peers};
+    assert_eq!(
+        [peers::APPEND, peers::VOTE, peers::SNAPSHOT, peers::WHO, peers::STATUS, peers::CHANGE],
+        ["/-/append", "/-/vote", "/-/snapshot", "/-/who", "/-/status", "/-/change"]
+    );
+    assert_eq!(
+        [configuration::PUT, configuration::GET, configuration::HISTORY, configuration::STATUS],
+        [
+            "/-/configuration/put",
+            "/-/configuration/get",
+            "/-/configuration/history",
+            "/-/configuration/status"
+        ]
+    );
+    assert_eq!(
+        [duties::STATUS, duties::RELEASE, duties::NOTE],
+        ["/-/duties/status", "/-/duties/release", "/-/duties/note"]
+    );
+}
