--- a/Makefile
+++ b/Makefile
@@ -13,16 +13,16 @@
 
 # A balancer on this machine's loopback, with stand-ins for the upstream and the discovery that the example names.
 run: build
-	target/release/fernroute-lab beside --config deploy/example.json --program "target/release/fernroute serve"
+	target/release/fernroute-testbed beside --config deploy/example.json --program "target/release/fernroute serve"
 
 # Three stewards, four balancers, stand-ins and a load on loopback; the ledger's status until Ctrl-C.
 fleet: build
-	target/release/fernroute-lab fleet
+	target/release/fernroute-testbed fleet
 
 # The whole installation at a quarter of its size: hollow balancers, real ones under load, stewards, faults. Some minutes.
 scale: build
-	target/release/fernroute-lab scale lab/scale/whole.toml --factor 0.25 --json scale.json
+	target/release/fernroute-testbed scale lab/scale/whole.toml --factor 0.25 --json scale.json
 
 # The scenarios in virtual time against the figures that they gave before: what differs is printed, and ends it with 1.
 figures: build
-	target/release/fernroute-lab figures lab/figures.txt
+	target/release/fernroute-testbed figures lab/figures.txt
--- a/crates/fernroute-benchlink/src/main.rs
+++ b/crates/fernroute-bench-adapter/src/main.rs
@@ -11,7 +11,7 @@
         Ok(()) => ExitCode::SUCCESS,
         Err(trouble) => {
             let _ = out.flush();
-            eprintln!("fernroute-benchlink: {trouble}");
+            eprintln!("fernroute-bench-adapter: {trouble}");
             ExitCode::from(2)
         }
     }
--- a/crates/fernroute-benchlink/src/wire.rs
+++ b/crates/fernroute-bench-adapter/src/wire.rs
@@ -2,7 +2,7 @@
 
 use fernroute::host::{Host, Outcome, Terms, Time};
 use fernroute::Balancer;
-use fernroute_terms::{path, seconds, term, time};
+use fernroute_settings::{path, seconds, term, time};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
--- a/crates/fernroute-steward/src/commands.rs
+++ b/crates/fernroute-coordinator/src/commands.rs
@@ -22,7 +22,7 @@
 use tracing_subscriber::layer::{Layer as _, SubscriberExt as _};
 use tracing_subscriber::util::SubscriberInitExt as _;
 
-const NAME: &str = "fernroute-steward";
+const NAME: &str = "fernroute-coordinator";
 
 /// How long a steward may take to say how it is.
 const WITHIN: Duration = Duration::from_secs(2);
--- a/crates/fernroute-steward/src/commands/configuration.rs
+++ b/crates/fernroute-coordinator/src/commands/configuration.rs
@@ -1,4 +1,4 @@
-//! `fernroute-steward configuration`: what the balancers of a fleet go by.
+//! `fernroute-coordinator configuration`: what the balancers of a fleet go by.
 
 use super::operator::{print, Operator, Said, AGAIN};
 use super::{end, refuse, run_on_one_thread};
--- a/crates/fernroute-steward/src/commands/duties.rs
+++ b/crates/fernroute-coordinator/src/commands/duties.rs
@@ -1,4 +1,4 @@
-//! `fernroute-steward duties`: who holds which duty.
+//! `fernroute-coordinator duties`: who holds which duty.
 
 use super::operator::{print, Operator, AGAIN};
 use super::{end, refuse, run_on_one_thread};
--- a/crates/fernroute-steward/tests/common/balancer.rs
+++ b/crates/fernroute-coordinator/tests/common/balancer.rs
@@ -1,10 +1,10 @@
 //! Balancers played by the parts that decide in real ones, beating on a task of their own.
 
 use super::{Asks, Stewards, WITHIN};
+use fernroute_coordinator::keep::now;
+use fernroute_coordinator::peers::Peers;
 use fernroute_fleet::configuration::follower::Follower;
 use fernroute_fleet::configuration::{Fetched, Place, Version, FETCH};
-use fernroute_steward::keep::now;
-use fernroute_steward::peers::Peers;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/crates/fernroute-steward/tests/common/mod.rs
+++ b/crates/fernroute-coordinator/tests/common/mod.rs
@@ -6,14 +6,14 @@
 pub mod balancer;
 pub mod operator;
 
+use fernroute_coordinator::keep::{now, Status};
+use fernroute_coordinator::peers::{Peers, STATUS};
 use fernroute_fleet::configuration::{Report, Version};
 use fernroute_fleet::duties::holder::Duties;
 use fernroute_fleet::member::Member;
 use fernroute_fleet::message::{Answer, Unanswered, BEAT};
 use fernroute_fleet::{Shares, Units};
-use fernroute_rig::process::{addresses, ignoring_limits, Disk, Process};
-use fernroute_steward::keep::{now, Status};
-use fernroute_steward::peers::{Peers, STATUS};
+use fernroute_test_support::process::{addresses, ignoring_limits, Disk, Process};
 use std::cell::Cell;
 use std::future::Future;
 use std::net::SocketAddr;
@@ -48,7 +48,7 @@
 
 impl Place {
     pub fn start(&mut self) {
-        let mut command = Command::new(env!("CARGO_BIN_EXE_fernroute-steward"));
+        let mut command = Command::new(env!("CARGO_BIN_EXE_fernroute-coordinator"));
         command.args(["serve", "--first", "--config"]).arg(&self.page).env_remove("FERNROUTE_LOG");
         self.process = Some(Process::launch(ignoring_limits(&command)).expect("it starts"));
     }
@@ -87,7 +87,8 @@
 
 impl Stewards {
     pub fn new(name: &str, cluster: &str, count: usize) -> Self {
-        let folder = std::env::temp_dir().join(format!("fernroute-steward-{name}-{}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("fernroute-coordinator-{name}-{}", std::process::id()));
         let addresses = addresses(count).expect("ports");
         let place = |(n, address): (usize, &SocketAddr)| {
             let disk = Disk::new(folder.join(format!("s{n}"))).expect("a folder");
@@ -114,7 +115,7 @@
 
     /// A command, and each steward's address with `--at`; its exit code, and what it said on either way.
     pub async fn command(&self, words: &[&str]) -> (i32, String, String) {
-        let mut command = Command::new(env!("CARGO_BIN_EXE_fernroute-steward"));
+        let mut command = Command::new(env!("CARGO_BIN_EXE_fernroute-coordinator"));
         command.args(words).env("USER", "ann");
         for place in &self.places {
             command.args(["--at".to_owned(), place.address.to_string()]);
@@ -124,7 +125,7 @@
 
     /// The command that takes in who is new; its exit code and all that it said.
     pub fn change(&self, n: usize) -> (Option<i32>, String) {
-        let mut command = Command::new(env!("CARGO_BIN_EXE_fernroute-steward"));
+        let mut command = Command::new(env!("CARGO_BIN_EXE_fernroute-coordinator"));
         let said = command.args(["change", "--config"]).arg(&self.places[n].page).output().expect("it runs");
         let text = [said.stdout, said.stderr].concat();
         (said.status.code(), String::from_utf8_lossy(&text).into_owned())
--- a/crates/fernroute-steward/tests/common/operator.rs
+++ b/crates/fernroute-coordinator/tests/common/operator.rs
@@ -2,9 +2,9 @@
 
 use super::balancer::Balancer;
 use super::{until, Stewards, WITHIN};
+use fernroute_coordinator::configuration::{NotDone, Wish, HISTORY, PUT};
 use fernroute_fleet::configuration::register::Line;
 use fernroute_fleet::configuration::{hash, Fetch, Fetched, Place, Scope, Version, FETCH};
-use fernroute_steward::configuration::{NotDone, Wish, HISTORY, PUT};
 use std::path::PathBuf;
 
 /// A content that loads, told from others by its number.
--- a/crates/fernroute-steward/tests/configuration.rs
+++ b/crates/fernroute-coordinator/tests/configuration.rs
@@ -8,12 +8,12 @@
     content, enter, fetch, get, history, put, until_beats, until_hands_out, until_in_force, write,
 };
 use common::{run, until, Place, Stewards};
+use fernroute_coordinator::store::{Book, Disk};
+use fernroute_coordinator::Kinds;
 use fernroute_fleet::configuration::register::Put;
 use fernroute_fleet::configuration::{hash, Fetched, Scope, Version};
 use fernroute_fleet::ledger::Entry;
-use fernroute_rig::link::Link;
-use fernroute_steward::store::{Book, Disk};
-use fernroute_steward::Kinds;
+use fernroute_test_support::link::Link;
 use openraft::storage::{RaftLogStorage as _, RaftSnapshotBuilder as _, RaftStateMachine as _};
 use openraft::{BasicNode, CommittedLeaderId, EntryPayload, LogId, Membership, Vote};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/fernroute-steward/tests/configuration_commands.rs
+++ b/crates/fernroute-coordinator/tests/configuration_commands.rs
@@ -1,14 +1,14 @@
-//! `fernroute-steward configuration` at real stewards: what it prints, what it refuses, and how it ends.
+//! `fernroute-coordinator configuration` at real stewards: what it prints, what it refuses, and how it ends.
 
 mod common;
 
 use common::balancer::Balancer;
 use common::operator::{content, get, history, put, until_beats, until_in_force, write};
 use common::{run, said, until, Stewards};
+use fernroute_coordinator::configuration::Standings;
 use fernroute_fleet::configuration::standing::Standing;
 use fernroute_fleet::configuration::Scope;
-use fernroute_rig::link::Link;
-use fernroute_steward::configuration::Standings;
+use fernroute_test_support::link::Link;
 use std::process::Command;
 
 /// One line, and the code of a refusal.
@@ -56,7 +56,7 @@
         let link = Link::to(stewards.places[0].address).await.expect("a link");
         let file = write(&stewards, "part.toml", &content(1));
         let command = |who: &str| {
-            let mut command = Command::new(env!("CARGO_BIN_EXE_fernroute-steward"));
+            let mut command = Command::new(env!("CARGO_BIN_EXE_fernroute-coordinator"));
             command.args(["configuration", "put", &file, "--scope", "all", "--who", who, "--at"]);
             command.arg(link.address.to_string());
             command
@@ -111,7 +111,7 @@
         assert_eq!((code, out.as_str()), (1, "version 2\n"), "{why}");
         assert_eq!(
             why,
-            "fernroute-steward: version 2 is in force at 2 of 3; refused by n1: retry_after_s = 2 will not do here\n"
+            "fernroute-coordinator: version 2 is in force at 2 of 3; refused by n1: retry_after_s = 2 will not do here\n"
         );
         let (_, out, _) = stewards.command(&["configuration", "status"]).await;
         let line = |name: &str| out.lines().find(|line| line.starts_with(name)).unwrap_or_default();
@@ -188,12 +188,12 @@
             (long, "over 65536"),
             (part("none.toml", "") + "x", "No such file"),
         ] {
-            let mut check = Command::new(env!("CARGO_BIN_EXE_fernroute-steward"));
+            let mut check = Command::new(env!("CARGO_BIN_EXE_fernroute-coordinator"));
             check.args(["configuration", "check", &file]);
             is_refused(&said(check).await, what);
             is_refused(&stewards.command(&["configuration", "put", &file, "--scope", "all"]).await, what);
         }
-        let mut check = Command::new(env!("CARGO_BIN_EXE_fernroute-steward"));
+        let mut check = Command::new(env!("CARGO_BIN_EXE_fernroute-coordinator"));
         check.args(["configuration", "check", &good]);
         let (code, out, _) = said(check).await;
         assert!(code == 0 && out.contains("good.toml: will do: 27 bytes, "), "{out}");
@@ -224,10 +224,10 @@
         for words in
             [&["status"][..], &["history"], &["get", "--scope", "all"], &["put", &good, "--scope", "all"]]
         {
-            let mut nowhere = Command::new(env!("CARGO_BIN_EXE_fernroute-steward"));
+            let mut nowhere = Command::new(env!("CARGO_BIN_EXE_fernroute-coordinator"));
             nowhere.arg("configuration").args(words).env("USER", "ann");
             is_refused(&said(nowhere).await, "--at");
-            let mut dead = Command::new(env!("CARGO_BIN_EXE_fernroute-steward"));
+            let mut dead = Command::new(env!("CARGO_BIN_EXE_fernroute-coordinator"));
             dead.arg("configuration").args(words).args(["--at", "127.0.0.1:1"]).env("USER", "ann");
             is_refused(&said(dead).await, "127.0.0.1:1");
         }
--- a/crates/fernroute-steward/tests/duties.rs
+++ b/crates/fernroute-coordinator/tests/duties.rs
@@ -3,10 +3,10 @@
 mod common;
 
 use common::{run, until, Asks, Stewards};
+use fernroute_coordinator::duties::DutyStatus;
+use fernroute_coordinator::keep::now;
 use fernroute_fleet::duties::holder::Duties;
 use fernroute_fleet::duties::EndReason;
-use fernroute_steward::duties::DutyStatus;
-use fernroute_steward::keep::now;
 use std::cell::RefCell;
 use std::process::Command;
 use std::rc::Rc;
@@ -152,7 +152,7 @@
     let good = std::fs::read_to_string(&stewards.places[0].page).expect("a file");
     let check = |text: &str| {
         std::fs::write(&stewards.places[0].page, text).expect("a file");
-        let mut command = Command::new(env!("CARGO_BIN_EXE_fernroute-steward"));
+        let mut command = Command::new(env!("CARGO_BIN_EXE_fernroute-coordinator"));
         let said =
             command.args(["check", "--config"]).arg(&stewards.places[0].page).output().expect("it runs");
         let text = String::from_utf8_lossy(&[said.stdout, said.stderr].concat()).into_owned();
--- a/crates/fernroute-steward/tests/fleet.rs
+++ b/crates/fernroute-coordinator/tests/fleet.rs
@@ -3,9 +3,9 @@
 mod common;
 
 use common::{beat_until, near_all, run, until, Asks, Stewards, WHOLE};
+use fernroute_coordinator::door::MOST_BEAT;
+use fernroute_coordinator::keep::Status;
 use fernroute_fleet::message::BEAT;
-use fernroute_steward::door::MOST_BEAT;
-use fernroute_steward::keep::Status;
 use std::process::Command;
 
 /// Guards against grants that lapse because a leader was killed, and against a ledger that forgets them.
@@ -125,7 +125,7 @@
             ("/-/vote", envelope("c", 1, "{}"), 409, "this is the steward"),
             ("/-/none", String::new(), 404, "nothing"),
         ] {
-            let answer = fernroute_rig::caller::ask(at, say(path, &body)).await;
+            let answer = fernroute_test_support::caller::ask(at, say(path, &body)).await;
             let text = String::from_utf8_lossy(&answer.body).into_owned();
             assert!(answer.status() == status && text.contains(what), "{path}: {} {text}", answer.status());
         }
@@ -133,7 +133,7 @@
         beat_until(&stewards, &mut members, near_all).await;
         // Five were no messages; those for another cluster or steward were.
         assert_eq!(stewards.status(leader).await.expect("its word").unread, 5);
-        let mut command = Command::new(env!("CARGO_BIN_EXE_fernroute-steward"));
+        let mut command = Command::new(env!("CARGO_BIN_EXE_fernroute-coordinator"));
         let said = command.args(["status", &at.to_string()]).output().expect("it runs");
         let text = String::from_utf8_lossy(&said.stdout).into_owned();
         for what in ["s0 is leader, s0 leads", "acme", "200.000", "n0"] {
--- a/crates/fernroute-steward/tests/public_interface.rs
+++ b/crates/fernroute-coordinator/tests/public_interface.rs
@@ -24,7 +24,7 @@
     ("cluster = \"c\"", "cluster = c", "PROGRAM: FILE: line 1: string values must be quoted, expected literal string\n"),
 ];
 
-const PROGRAM: &str = env!("CARGO_BIN_EXE_fernroute-steward");
+const PROGRAM: &str = env!("CARGO_BIN_EXE_fernroute-coordinator");
 
 fn run(folder: &Path, text: &str) -> (Option<i32>, String, String) {
     let path = folder.join("steward.toml");
@@ -39,7 +39,7 @@
 
 #[test]
 fn a_bad_file_is_one_known_line_and_exit_code_2() {
-    let folder = std::env::temp_dir().join(format!("fernroute-steward-errors-{}", std::process::id()));
+    let folder = std::env::temp_dir().join(format!("fernroute-coordinator-errors-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     let (code, _, error) = run(&folder, CONFIG);
     assert_eq!((code, error.as_str()), (Some(0), ""));
--- a/crates/fernroute-steward/tests/store.rs
+++ b/crates/fernroute-coordinator/tests/store.rs
@@ -1,10 +1,10 @@
 //! What a steward keeps on its disk.
 
+use fernroute_coordinator::store::{Book, Disk};
+use fernroute_coordinator::Kinds;
 use fernroute_fleet::configuration::register::Put;
 use fernroute_fleet::configuration::{hash, Scope};
 use fernroute_fleet::ledger::Entry;
-use fernroute_steward::store::{Book, Disk};
-use fernroute_steward::Kinds;
 use openraft::storage::{RaftSnapshotBuilder as _, RaftStateMachine as _};
 use openraft::{CommittedLeaderId, EntryPayload, LogId, RaftLogReader as _};
 use redb::{Database, ReadableDatabase as _, TableDefinition};
--- a/crates/fernroute-steward/tests/stored_data.rs
+++ b/crates/fernroute-coordinator/tests/stored_data.rs
@@ -6,9 +6,9 @@
 mod common;
 
 use common::{run, until, Stewards};
+use fernroute_coordinator::duties::DutyStatus;
+use fernroute_coordinator::store::{Book, Disk};
 use fernroute_fleet::configuration::register::Line;
-use fernroute_steward::duties::DutyStatus;
-use fernroute_steward::store::{Book, Disk};
 use openraft::storage::{RaftLogStorage as _, RaftSnapshotBuilder as _, RaftStateMachine as _};
 use openraft::{RaftLogReader as _, Vote};
 use std::path::{Path, PathBuf};
--- a/crates/fernroute-steward/tests/wire_format.rs
+++ b/crates/fernroute-coordinator/tests/wire_format.rs
@@ -1,11 +1,11 @@
 //! The JSON between coordinators, and from them to operators: fixed texts, read and written again without a change.
 
-use fernroute_steward::configuration::{Latest, NotDone, ScopeLine, Standings, Wish};
-use fernroute_steward::duties::{DutyStatus, Released};
-use fernroute_steward::keep::Status;
-use fernroute_steward::peers::Who;
-use fernroute_steward::store::{Kept, Mark, Own};
-use fernroute_steward::{Applied, Kinds};
+use fernroute_coordinator::configuration::{Latest, NotDone, ScopeLine, Standings, Wish};
+use fernroute_coordinator::duties::{DutyStatus, Released};
+use fernroute_coordinator::keep::Status;
+use fernroute_coordinator::peers::Who;
+use fernroute_coordinator::store::{Kept, Mark, Own};
+use fernroute_coordinator::{Applied, Kinds};
 use openraft::raft::{
     AppendEntriesRequest, AppendEntriesResponse, InstallSnapshotRequest, InstallSnapshotResponse,
     VoteRequest, VoteResponse,
@@ -112,7 +112,7 @@
 
 #[test]
 fn paths_stay_as_they_are() {
-    use fernroute_steward::{configuration, duties, peers};
+    use fernroute_coordinator::{configuration, duties, peers};
     assert_eq!(
         [peers::APPEND, peers::VOTE, peers::SNAPSHOT, peers::WHO, peers::STATUS, peers::CHANGE],
         ["/-/append", "/-/vote", "/-/snapshot", "/-/who", "/-/status", "/-/change"]
--- a/crates/fernroute-server/src/protocol/terms.rs
+++ b/crates/fernroute-server/src/protocol/terms.rs
@@ -29,5 +29,5 @@
 pub fn decode(settings: &Value) -> Terms {
     let mut pairs = Vec::new();
     flatten("", settings, &mut pairs);
-    pairs.iter().filter_map(|(path, value)| fernroute_terms::term(path, value)).collect()
+    pairs.iter().filter_map(|(path, value)| fernroute_settings::term(path, value)).collect()
 }
--- a/crates/fernroute-server/tests/common/mod.rs
+++ b/crates/fernroute-server/tests/common/mod.rs
@@ -3,10 +3,10 @@
 // Each file of tests uses a part of these.
 #![allow(dead_code, unused_imports)]
 
-pub use fernroute_rig::caller::{ask, connect, is_ready, rpc, send, told, until_ready, Load};
-pub use fernroute_rig::http::{read, Message};
-pub use fernroute_rig::stand_in::{entry, ok, say, stand_in, Deed, StandIn};
-pub use fernroute_rig::until;
+pub use fernroute_test_support::caller::{ask, connect, is_ready, rpc, send, told, until_ready, Load};
+pub use fernroute_test_support::http::{read, Message};
+pub use fernroute_test_support::stand_in::{entry, ok, say, stand_in, Deed, StandIn};
+pub use fernroute_test_support::until;
 
 use actix_http::header::HeaderName;
 use actix_http::{Method, RequestHead};
--- a/crates/fernroute-server/tests/common/process.rs
+++ b/crates/fernroute-server/tests/common/process.rs
@@ -2,7 +2,7 @@
 
 #![allow(dead_code)]
 
-use fernroute_rig::process::{with_descriptors, Process};
+use fernroute_test_support::process::{with_descriptors, Process};
 use std::net::SocketAddr;
 use std::ops::Deref;
 use std::path::{Path, PathBuf};
--- a/crates/fernroute-server/tests/configuration.rs
+++ b/crates/fernroute-server/tests/configuration.rs
@@ -8,7 +8,7 @@
 use fernroute_fleet::configuration::register::{Put, Register};
 use fernroute_fleet::configuration::{hash, Fetch, Fetched, Place, Report, Scope, FETCH};
 use fernroute_fleet::message::{Answer, Beat, Envelope, Grant, Unanswered};
-use fernroute_rig::http::answer;
+use fernroute_test_support::http::answer;
 use process::{folder, Program};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
--- a/crates/fernroute-server/tests/crowds.rs
+++ b/crates/fernroute-server/tests/crowds.rs
@@ -6,8 +6,8 @@
 mod process;
 
 use common::{balancer, entry, is_ready, ok, page, read, rpc, run, stand_in, until, Deed};
-use fernroute_rig::process::addresses;
-use fernroute_rig::stand_in::Discovery;
+use fernroute_test_support::process::addresses;
+use fernroute_test_support::stand_in::Discovery;
 use process::{folder, Program};
 use std::cell::Cell;
 use std::net::SocketAddr;
--- a/crates/fernroute-server/tests/departures.rs
+++ b/crates/fernroute-server/tests/departures.rs
@@ -6,9 +6,9 @@
 use common::{
     ask, balancer, balancer_at, connect, entry, list, ok, rested, rpc, run, send, stand_in, until, Deed,
 };
-use fernroute_rig::http::{answer, take};
-use fernroute_rig::stand_in::Held;
 use fernroute_server::program::serve::Running;
+use fernroute_test_support::http::{answer, take};
+use fernroute_test_support::stand_in::Held;
 use std::io::{ErrorKind, Read as _, Write as _};
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/fernroute-server/tests/endings.rs
+++ b/crates/fernroute-server/tests/endings.rs
@@ -7,10 +7,10 @@
     ask, balancer, balancer_at, connect, entry, id_of, list, ok, read, request, rested, rpc, run, send,
     stand_in, until, Deed,
 };
-use fernroute_rig::http::{answer, Peer};
-use fernroute_rig::stand_in::Held;
 use fernroute_server::program::serve::Running;
 use fernroute_server::protocol::answer::Final;
+use fernroute_test_support::http::{answer, Peer};
+use fernroute_test_support::stand_in::Held;
 use futures_util::FutureExt as _;
 use std::cell::{Cell, RefCell};
 use std::io::Write as _;
--- a/crates/fernroute-server/tests/public_interface.rs
+++ b/crates/fernroute-server/tests/public_interface.rs
@@ -160,7 +160,7 @@
             let is_eligible = heartbeat["message"]["duties"]["eligible"] == true;
             let terms = if is_eligible { r#"{"sweep":4}"# } else { "{}" };
             received.borrow_mut().push((message.target.clone(), heartbeat));
-            Deed::Say(fernroute_rig::http::answer(
+            Deed::Say(fernroute_test_support::http::answer(
                 200,
                 "",
                 &format!(
--- a/crates/fernroute-server/tests/ready.rs
+++ b/crates/fernroute-server/tests/ready.rs
@@ -6,8 +6,8 @@
 mod process;
 
 use common::{ask, is_ready, ok, page, rpc, run, stand_in, until, Deed, StandIn};
-use fernroute_rig::process::addresses;
-use fernroute_rig::stand_in::Held;
+use fernroute_test_support::process::addresses;
+use fernroute_test_support::stand_in::Held;
 use futures_util::future::join_all;
 use process::{folder, Program};
 use std::fs::File;
--- a/crates/fernroute-server/tests/rolling.rs
+++ b/crates/fernroute-server/tests/rolling.rs
@@ -98,7 +98,9 @@
         let mut upstreams = Vec::new();
         for n in 0..4 {
             let hangs = Rc::clone(&hangs);
-            let script = move |_: usize, message: &fernroute_rig::http::Message| match n == 0 && hangs.get() {
+            let script = move |_: usize, message: &fernroute_test_support::http::Message| match n == 0
+                && hangs.get()
+            {
                 true => Deed::Silence,
                 false => ok(message.header("req-id").unwrap_or("")),
             };
--- a/crates/fernroute-server/tests/schedules.rs
+++ b/crates/fernroute-server/tests/schedules.rs
@@ -8,9 +8,9 @@
 mod common;
 
 use common::{balancer_at, connect, entry, id_of, list, request, rested, rpc, run, until};
-use fernroute_rig::http::{answer, Message, Peer};
 use fernroute_server::program::serve::Running;
 use fernroute_server::program::station::Station;
+use fernroute_test_support::http::{answer, Message, Peer};
 use proptest::collection::vec;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestCaseError, TestRng, TestRunner};
--- a/crates/fernroute-server/tests/sizes.rs
+++ b/crates/fernroute-server/tests/sizes.rs
@@ -3,9 +3,9 @@
 mod common;
 
 use common::{balancer_at, entry, list, run, until};
-use fernroute_rig::stand_in::Discovery;
 use fernroute_server::program::serve;
 use fernroute_server::protocol::handover::{decode, encode, Known, MOST_LINE};
+use fernroute_test_support::stand_in::Discovery;
 use std::net::SocketAddr;
 
 const MANY: usize = 1_024;
--- a/crates/fernroute-server/tests/told.rs
+++ b/crates/fernroute-server/tests/told.rs
@@ -5,9 +5,9 @@
 mod common;
 
 use common::{entry, run, station, until};
-use fernroute_rig::http::{answer, Message, Peer};
-use fernroute_rig::stand_in::{Deed, Held};
 use fernroute_server::program::serve::{self, Running};
+use fernroute_test_support::http::{answer, Message, Peer};
+use fernroute_test_support::stand_in::{Deed, Held};
 use futures_util::future::join_all;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
--- a/crates/fernroute-server/tests/watches.rs
+++ b/crates/fernroute-server/tests/watches.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{ask, entry, ok, rpc, run, send, stand_in, station, until, Deed};
-use fernroute_rig::http::{answer, Peer};
 use fernroute_server::program::serve::{self, Running};
+use fernroute_test_support::http::{answer, Peer};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/crates/fernroute-rig/tests/link.rs
+++ b/crates/fernroute-test-support/tests/link.rs
@@ -1,10 +1,10 @@
 //! Each trouble that a link can make, seen from both of its ends.
 
-use fernroute_rig::caller::{ask, rpc, send};
-use fernroute_rig::http::read;
-use fernroute_rig::link::{Link, Way};
-use fernroute_rig::stand_in::{ok, stand_in, Deed, StandIn};
-use fernroute_rig::until;
+use fernroute_test_support::caller::{ask, rpc, send};
+use fernroute_test_support::http::read;
+use fernroute_test_support::link::{Link, Way};
+use fernroute_test_support::stand_in::{ok, stand_in, Deed, StandIn};
+use fernroute_test_support::until;
 use std::future::Future;
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/fernroute-lab/src/beside.rs
+++ b/crates/fernroute-testbed/src/beside.rs
@@ -2,9 +2,9 @@
 //! its file names, at the addresses that it names.
 
 use crate::processes::{Fleet, Shape};
-use fernroute_rig::http::answer;
-use fernroute_rig::stand_in::{entry, serve, Deed, Discovery};
 use fernroute_server::program::station::Station;
+use fernroute_test_support::http::answer;
+use fernroute_test_support::stand_in::{entry, serve, Deed, Discovery};
 use std::path::Path;
 use std::process::Command;
 use std::time::Duration;
--- a/crates/fernroute-lab/src/live/fleet.rs
+++ b/crates/fernroute-testbed/src/live/fleet.rs
@@ -4,8 +4,8 @@
 use crate::player::Post;
 use crate::processes::status;
 use crate::scenario::{zone_name, Effect, Group, Scenario};
-use fernroute_rig::link::Link;
-use fernroute_rig::process::{addresses, Process};
+use fernroute_test_support::link::Link;
+use fernroute_test_support::process::{addresses, Process};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
--- a/crates/fernroute-lab/src/main.rs
+++ b/crates/fernroute-testbed/src/main.rs
@@ -1,21 +1,21 @@
-//! The program `fernroute-lab`.
+//! The program `fernroute-testbed`.
 
 use argh::FromArgs;
-use fernroute_lab::beside;
-use fernroute_lab::books::Books;
-use fernroute_lab::experiment::{self, Experiment};
-use fernroute_lab::live;
-use fernroute_lab::measure;
-use fernroute_lab::player::Variant;
-use fernroute_lab::referee::Breach;
-use fernroute_lab::run;
-use fernroute_lab::scale;
-use fernroute_lab::scenario::Scenario;
 use fernroute_server::program::commands;
+use fernroute_testbed::beside;
+use fernroute_testbed::books::Books;
+use fernroute_testbed::experiment::{self, Experiment};
+use fernroute_testbed::live;
+use fernroute_testbed::measure;
+use fernroute_testbed::player::Variant;
+use fernroute_testbed::referee::Breach;
+use fernroute_testbed::run;
+use fernroute_testbed::scale;
+use fernroute_testbed::scenario::Scenario;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-const NAME: &str = "fernroute-lab";
+const NAME: &str = "fernroute-testbed";
 
 /// Plays fleets of fernroute balancers in virtual time.
 #[derive(FromArgs)]
@@ -165,7 +165,7 @@
     program: Option<String>,
 }
 
-/// Serve as a real steward, as `fernroute-steward serve --first` does.
+/// Serve as a real steward, as `fernroute-coordinator serve --first` does.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "steward")]
 struct RealSteward {
@@ -174,7 +174,7 @@
     config: String,
 }
 
-/// Print what a steward knows, as `fernroute-steward status` does.
+/// Print what a steward knows, as `fernroute-coordinator status` does.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "steward-status")]
 struct AskSteward {
@@ -243,7 +243,7 @@
     config: PathBuf,
 }
 
-/// Change which stewards there are, as `fernroute-steward change` does.
+/// Change which stewards there are, as `fernroute-coordinator change` does.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "steward-change")]
 struct ChangeStewards {
@@ -310,12 +310,12 @@
             }
         }
         Command::Steward(one) => {
-            let words = ["fernroute-steward", "serve", "--first", "--config", &one.config];
-            return fernroute_steward::commands::run(&words.map(str::to_owned));
+            let words = ["fernroute-coordinator", "serve", "--first", "--config", &one.config];
+            return fernroute_coordinator::commands::run(&words.map(str::to_owned));
         }
         Command::StewardStatus(ask) => {
-            return fernroute_steward::commands::run(
-                &["fernroute-steward", "status", &ask.at].map(str::to_owned),
+            return fernroute_coordinator::commands::run(
+                &["fernroute-coordinator", "status", &ask.at].map(str::to_owned),
             );
         }
         Command::Fleet(RunFleet {}) => own_program().and_then(|program| beside::fleet(&program)),
@@ -335,8 +335,8 @@
         Command::Hollow(one) => scale::hollow::run(&one.folder),
         Command::ScaleStand(one) => scale::stand::run(&one.config),
         Command::StewardChange(change) => {
-            let words = ["fernroute-steward", "change", "--config", &change.config];
-            return fernroute_steward::commands::run(&words.map(str::to_owned));
+            let words = ["fernroute-coordinator", "change", "--config", &change.config];
+            return fernroute_coordinator::commands::run(&words.map(str::to_owned));
         }
         Command::Balancer(one) => {
             let words = ["fernroute", "serve", "--config", &one.config];
@@ -420,7 +420,7 @@
     let folder = one
         .keep
         .clone()
-        .unwrap_or_else(|| std::env::temp_dir().join(format!("fernroute-lab-{}", std::process::id())));
+        .unwrap_or_else(|| std::env::temp_dir().join(format!("fernroute-testbed-{}", std::process::id())));
     experiment::claim(&folder)?;
     let steward = match &one.steward {
         Some(words) => words.split_whitespace().map(str::to_owned).collect(),
--- a/crates/fernroute-lab/src/measure.rs
+++ b/crates/fernroute-testbed/src/measure.rs
@@ -3,6 +3,7 @@
 
 use crate::processes::{Fleet, Shape};
 use fernroute::host::SECOND;
+use fernroute_coordinator::keep::now;
 use fernroute_fleet::configuration::register::Register;
 use fernroute_fleet::leader::Leader;
 use fernroute_fleet::lease::Lease;
@@ -10,8 +11,7 @@
 use fernroute_fleet::member::Member;
 use fernroute_fleet::message::{Envelope, Unanswered, BEAT, VERSION};
 use fernroute_fleet::{Shares, Units};
-use fernroute_rig::http::Peer;
-use fernroute_steward::keep::now;
+use fernroute_test_support::http::Peer;
 use std::cell::{Cell, RefCell};
 use std::path::Path;
 use std::rc::Rc;
@@ -137,7 +137,7 @@
         sleep(Duration::from_millis(100)).await;
     }
     sleep(Duration::from_secs(5)).await;
-    let epoch = |status: Option<fernroute_steward::keep::Status>| status.map_or(0, |s| s.epoch);
+    let epoch = |status: Option<fernroute_coordinator::keep::Status>| status.map_or(0, |s| s.epoch);
     let (cpu, at, first) =
         (fleet.stewards[leader].processor_ms(), bytes.get(), epoch(fleet.status(leader).await));
     let from = Instant::now();
--- a/crates/fernroute-lab/src/processes.rs
+++ b/crates/fernroute-testbed/src/processes.rs
@@ -4,13 +4,13 @@
 pub mod configuration;
 
 use fernroute::{FURTHER, TRIALS};
-use fernroute_rig::caller::rpc;
-use fernroute_rig::http::{answer, read};
-use fernroute_rig::link::Link;
-use fernroute_rig::process::{addresses, Process};
-use fernroute_rig::stand_in::{entry, ok, serve, Deed, Discovery};
-use fernroute_rig::until;
-use fernroute_steward::keep::Status;
+use fernroute_coordinator::keep::Status;
+use fernroute_test_support::caller::rpc;
+use fernroute_test_support::http::{answer, read};
+use fernroute_test_support::link::Link;
+use fernroute_test_support::process::{addresses, Process};
+use fernroute_test_support::stand_in::{entry, ok, serve, Deed, Discovery};
+use fernroute_test_support::until;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
--- a/crates/fernroute-lab/src/processes/configuration.rs
+++ b/crates/fernroute-testbed/src/processes/configuration.rs
@@ -1,13 +1,13 @@
 //! What operators do to the configuration of a fleet of real processes, and how far its balancers are with it.
 
 use super::{launch, Fleet, START};
+use fernroute_coordinator::configuration::{Latest, NotDone, Standings, Wish, GET, PUT, STATUS};
 use fernroute_fleet::configuration::standing::MemberStanding;
 use fernroute_fleet::configuration::{hash, Scope, Version};
 use fernroute_fleet::message::{Envelope, VERSION};
-use fernroute_rig::caller::rpc;
-use fernroute_rig::http::read;
-use fernroute_rig::process::{ignoring_limits, Process};
-use fernroute_steward::configuration::{Latest, NotDone, Standings, Wish, GET, PUT, STATUS};
+use fernroute_test_support::caller::rpc;
+use fernroute_test_support::http::read;
+use fernroute_test_support::process::{ignoring_limits, Process};
 use rustix::process::Signal;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
--- a/crates/fernroute-lab/src/scale/changes.rs
+++ b/crates/fernroute-testbed/src/scale/changes.rs
@@ -4,8 +4,8 @@
 use super::fleet::Fleet;
 use super::layout::CLUSTER;
 use crate::processes::configuration::say;
+use fernroute_coordinator::configuration::{Latest, NotDone, Standings, Wish, GET, PUT, STATUS};
 use fernroute_fleet::configuration::{hash, Scope, Version};
-use fernroute_steward::configuration::{Latest, NotDone, Standings, Wish, GET, PUT, STATUS};
 use serde::Serialize;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
--- a/crates/fernroute-lab/src/scale/figures.rs
+++ b/crates/fernroute-testbed/src/scale/figures.rs
@@ -1,6 +1,6 @@
 //! What each role costs, a line for each second: processor from `/proc`, bytes and messages from where connections end.
 
-use fernroute_rig::Counted;
+use fernroute_test_support::Counted;
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::fs;
--- a/crates/fernroute-lab/src/scale/load.rs
+++ b/crates/fernroute-testbed/src/scale/load.rs
@@ -2,7 +2,7 @@
 //! thread says when, another does it.
 
 use super::layout::TENANT;
-use fernroute_rig::http::Peer;
+use fernroute_test_support::http::Peer;
 use hdrhistogram::Histogram;
 use std::cell::RefCell;
 use std::cmp::Reverse;
--- a/crates/fernroute-lab/src/scale/stand.rs
+++ b/crates/fernroute-testbed/src/scale/stand.rs
@@ -2,9 +2,9 @@
 //! to do.
 
 use super::whole::Whole;
-use fernroute_rig::http::{answer, Message, Peer};
-use fernroute_rig::stand_in::{entry, serve, Deed, Discovery};
-use fernroute_rig::Counted;
+use fernroute_test_support::http::{answer, Message, Peer};
+use fernroute_test_support::stand_in::{entry, serve, Deed, Discovery};
+use fernroute_test_support::Counted;
 use serde::{Deserialize, Serialize};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
--- a/crates/fernroute-lab/tests/cold.rs
+++ b/crates/fernroute-testbed/tests/cold.rs
@@ -4,12 +4,12 @@
 
 use common::{folder, Folder};
 use fernroute::Time;
-use fernroute_lab::experiment::cold::{row, with_fleet};
-use fernroute_lab::live;
-use fernroute_lab::referee::cold::{bound, Worst};
-use fernroute_lab::referee::{Referee, Rule};
-use fernroute_lab::scenario::{seconds, Scenario};
-use fernroute_lab::trace::{Event, Told, Witness as _};
+use fernroute_testbed::experiment::cold::{row, with_fleet};
+use fernroute_testbed::live;
+use fernroute_testbed::referee::cold::{bound, Worst};
+use fernroute_testbed::referee::{Referee, Rule};
+use fernroute_testbed::scenario::{seconds, Scenario};
+use fernroute_testbed::trace::{Event, Told, Witness as _};
 use std::rc::Rc;
 
 fn scenario(name: &str) -> Scenario {
@@ -81,7 +81,7 @@
 #[test]
 fn twenty_real_balancers_push_no_cold_upstream_over() {
     let files = Folder::new("cold-live");
-    let own = env!("CARGO_BIN_EXE_fernroute-lab");
+    let own = env!("CARGO_BIN_EXE_fernroute-testbed");
     let [program, steward] = ["balancer", "steward"].map(|role| [own.to_owned(), role.to_owned()]);
     let scenario = common::decode(
         "name = \"cold-live\"\nseconds = 13\nload = { rate = 50, retries = 1 }\n\
--- a/crates/fernroute-lab/tests/common/mod.rs
+++ b/crates/fernroute-testbed/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! Scenarios of the tests' own, and where the shipped ones are.
 #![allow(dead_code)]
 
-use fernroute_lab::scenario::Scenario;
+use fernroute_testbed::scenario::Scenario;
 use std::path::PathBuf;
 
 /// One tier behind one balancer or more; no delays, no early ends.
@@ -48,7 +48,7 @@
 
 impl Folder {
     pub fn new(name: &str) -> Self {
-        let path = std::env::temp_dir().join(format!("fernroute-lab-{}-{name}", std::process::id()));
+        let path = std::env::temp_dir().join(format!("fernroute-testbed-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&path).expect("a folder");
         Folder(path)
     }
--- a/crates/fernroute-lab/tests/configuration.rs
+++ b/crates/fernroute-testbed/tests/configuration.rs
@@ -1,10 +1,10 @@
 //! Configuration of a fleet of real balancers and real stewards on loopback: what reaches whom, through all that goes wrong.
 
 use fernroute_fleet::configuration::standing::Standing;
-use fernroute_lab::processes::{Fleet, Shape};
-use fernroute_rig::link::Way;
-use fernroute_rig::process::Process;
-use fernroute_rig::until;
+use fernroute_test_support::link::Way;
+use fernroute_test_support::process::Process;
+use fernroute_test_support::until;
+use fernroute_testbed::processes::{Fleet, Shape};
 use std::future::Future;
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -22,7 +22,7 @@
 
 async fn start(name: &str, stewards: usize) -> Fleet {
     let folder = std::env::temp_dir().join(format!("fernroute-conf-{name}-{}", std::process::id()));
-    let program = Path::new(env!("CARGO_BIN_EXE_fernroute-lab"));
+    let program = Path::new(env!("CARGO_BIN_EXE_fernroute-testbed"));
     let shape = Shape { follows: true, ..Shape::new(stewards, ALL.len(), 120) };
     Fleet::start(program, folder, shape).await.expect("it starts")
 }
--- a/crates/fernroute-lab/tests/depth.rs
+++ b/crates/fernroute-testbed/tests/depth.rs
@@ -3,10 +3,10 @@
 mod common;
 
 use common::folder;
-use fernroute_lab::experiment::depth::{transmissions, with_errors};
-use fernroute_lab::player::Variant;
-use fernroute_lab::run::run;
-use fernroute_lab::scenario::Scenario;
+use fernroute_testbed::experiment::depth::{transmissions, with_errors};
+use fernroute_testbed::player::Variant;
+use fernroute_testbed::run::run;
+use fernroute_testbed::scenario::Scenario;
 
 /// Guards against further transmissions that multiply from tier to tier, and against a deadline that is not handed down.
 #[test]
--- a/crates/fernroute-lab/tests/duties.rs
+++ b/crates/fernroute-testbed/tests/duties.rs
@@ -1,13 +1,13 @@
 //! Real balancers and real stewards on loopback, duties that one balancer alone holds, and faults between them. An observer that
 //! is no part of what decides asks all balancers, by one clock, what they act on.
 
-use fernroute_lab::processes::{Fleet, Shape};
-use fernroute_rig::caller::told;
-use fernroute_rig::http::read;
-use fernroute_rig::link::Way;
-use fernroute_steward::configuration::NotDone;
-use fernroute_steward::duties::{DutyStatus, NOTE, STATUS};
-use fernroute_steward::peers::Peers;
+use fernroute_coordinator::configuration::NotDone;
+use fernroute_coordinator::duties::{DutyStatus, NOTE, STATUS};
+use fernroute_coordinator::peers::Peers;
+use fernroute_test_support::caller::told;
+use fernroute_test_support::http::read;
+use fernroute_test_support::link::Way;
+use fernroute_testbed::processes::{Fleet, Shape};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -147,7 +147,7 @@
 
 async fn start(name: &str, stewards: usize, balancers: usize, duties: usize) -> (Fleet, Observer) {
     let folder = std::env::temp_dir().join(format!("fernroute-duties-{name}-{}", std::process::id()));
-    let program = Path::new(env!("CARGO_BIN_EXE_fernroute-lab"));
+    let program = Path::new(env!("CARGO_BIN_EXE_fernroute-testbed"));
     let shape = Shape { duties: names(duties), ..Shape::new(stewards, balancers, 120) };
     let fleet = Fleet::start(program, folder, shape).await.expect("it starts");
     let observer = Observer::new(&fleet);
--- a/crates/fernroute-lab/tests/figures.rs
+++ b/crates/fernroute-testbed/tests/figures.rs
@@ -1,7 +1,7 @@
 //! The decisions decide as they did: all scenarios give the very figures that stand in `lab/figures.txt`. `make figures` says the
 //! same, and which lines differ.
 
-use fernroute_lab::experiment::figures;
+use fernroute_testbed::experiment::figures;
 use std::path::Path;
 
 #[test]
--- a/crates/fernroute-lab/tests/files.rs
+++ b/crates/fernroute-testbed/tests/files.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::Folder;
-use fernroute_lab::scenario::Scenario;
+use fernroute_testbed::scenario::Scenario;
 use std::path::Path;
 use std::process::{Command, Output};
 
@@ -57,7 +57,7 @@
 }
 
 fn lab(words: &[&Path]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_fernroute-lab")).args(words).output().expect("it runs")
+    Command::new(env!("CARGO_BIN_EXE_fernroute-testbed")).args(words).output().expect("it runs")
 }
 
 fn refused(output: &Output, what: &str) {
--- a/crates/fernroute-lab/tests/fleet.rs
+++ b/crates/fernroute-testbed/tests/fleet.rs
@@ -1,11 +1,11 @@
 //! Real balancers and real stewards on loopback, a load that one tenant's budget divides, and faults between them.
 
-use fernroute_lab::processes::{beyond, Fleet, Mood, Shape};
-use fernroute_rig::caller::{rpc, send};
-use fernroute_rig::http::read;
-use fernroute_rig::link::Way;
-use fernroute_rig::process::Process;
-use fernroute_rig::until;
+use fernroute_test_support::caller::{rpc, send};
+use fernroute_test_support::http::read;
+use fernroute_test_support::link::Way;
+use fernroute_test_support::process::Process;
+use fernroute_test_support::until;
+use fernroute_testbed::processes::{beyond, Fleet, Mood, Shape};
 use std::future::Future;
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -31,7 +31,7 @@
 
 async fn start_with(name: &str, shape: Shape) -> Fleet {
     let folder = std::env::temp_dir().join(format!("fernroute-fleet-{name}-{}", std::process::id()));
-    let program = Path::new(env!("CARGO_BIN_EXE_fernroute-lab"));
+    let program = Path::new(env!("CARGO_BIN_EXE_fernroute-testbed"));
     Fleet::start(program, folder, shape).await.expect("it starts")
 }
 
--- a/crates/fernroute-lab/tests/live.rs
+++ b/crates/fernroute-testbed/tests/live.rs
@@ -3,9 +3,9 @@
 mod common;
 
 use common::{decode, Folder};
-use fernroute_lab::books::Books;
-use fernroute_lab::live::{run, Report};
-use fernroute_lab::scenario::Scenario;
+use fernroute_testbed::books::Books;
+use fernroute_testbed::live::{run, Report};
+use fernroute_testbed::scenario::Scenario;
 use std::time::Duration;
 
 /// Two tiers, and room enough that a slow machine changes no verdict.
@@ -28,8 +28,8 @@
 
 fn played(name: &str, faults: &str) -> Report {
     let folder = Folder::new(name);
-    let program = [env!("CARGO_BIN_EXE_fernroute-lab").to_owned(), "balancer".to_owned()];
-    let steward = [env!("CARGO_BIN_EXE_fernroute-lab").to_owned(), "steward".to_owned()];
+    let program = [env!("CARGO_BIN_EXE_fernroute-testbed").to_owned(), "balancer".to_owned()];
+    let steward = [env!("CARGO_BIN_EXE_fernroute-testbed").to_owned(), "steward".to_owned()];
     let report = run(&scenario_with(faults), 1, &program, &steward, &folder.0).expect("it plays");
     let ends = report.books.ends;
     assert!(ends.arrived == ends.sum() && ends.completed > 200, "{ends:?}");
@@ -95,7 +95,7 @@
 #[test]
 fn a_fleet_keeps_its_budgets_through_the_loss_of_a_leader_a_cut_and_a_balancer() {
     let folder = Folder::new("live-fleet");
-    let own = env!("CARGO_BIN_EXE_fernroute-lab");
+    let own = env!("CARGO_BIN_EXE_fernroute-testbed");
     let [program, steward] = ["balancer", "steward"].map(|role| [own.to_owned(), role.to_owned()]);
     let scenario = decode(
         "name = \"fleet\"\nseconds = 12\nload = { rate = 130 }\n\
--- a/crates/fernroute-lab/tests/referee.rs
+++ b/crates/fernroute-testbed/tests/referee.rs
@@ -5,11 +5,11 @@
 use common::small;
 use fernroute::desk::Desk;
 use fernroute::{Host as _, Outcome, Time};
-use fernroute_lab::player::{Entry, Player, Variant};
-use fernroute_lab::referee::{Breach, Rule};
-use fernroute_lab::run::{run, run_with, Nobody};
-use fernroute_lab::scenario::{seconds, Scenario};
-use fernroute_lab::trace::Told;
+use fernroute_testbed::player::{Entry, Player, Variant};
+use fernroute_testbed::referee::{Breach, Rule};
+use fernroute_testbed::run::{run, run_with, Nobody};
+use fernroute_testbed::scenario::{seconds, Scenario};
+use fernroute_testbed::trace::Told;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
--- a/crates/fernroute-lab/tests/scale.rs
+++ b/crates/fernroute-testbed/tests/scale.rs
@@ -3,10 +3,10 @@
 mod common;
 
 use common::Folder;
-use fernroute_lab::scale::file::Plan;
-use fernroute_lab::scale::fit::{fits, table, Fit, Line};
-use fernroute_lab::scale::layout::{Layout, MOST_PROCESSES};
-use fernroute_lab::scale::whole::Whole;
+use fernroute_testbed::scale::file::Plan;
+use fernroute_testbed::scale::fit::{fits, table, Fit, Line};
+use fernroute_testbed::scale::layout::{Layout, MOST_PROCESSES};
+use fernroute_testbed::scale::whole::Whole;
 use serde_json::Value;
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -40,7 +40,7 @@
 }
 
 fn scale(arguments: &[&str]) -> Output {
-    let mut command = Command::new(env!("CARGO_BIN_EXE_fernroute-lab"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_fernroute-testbed"));
     command.arg("scale").args(arguments).output().expect("it runs")
 }
 
--- a/crates/fernroute-lab/tests/simulator.rs
+++ b/crates/fernroute-testbed/tests/simulator.rs
@@ -4,13 +4,13 @@
 
 use common::{queue, shipped, small};
 use fernroute::Time;
-use fernroute_lab::experiment::Estimate;
-use fernroute_lab::player::Variant;
-use fernroute_lab::referee::cold::Worst;
-use fernroute_lab::referee::Rule;
-use fernroute_lab::run::{run, run_with};
-use fernroute_lab::scenario::Scenario;
-use fernroute_lab::trace::{Event, Witness};
+use fernroute_testbed::experiment::Estimate;
+use fernroute_testbed::player::Variant;
+use fernroute_testbed::referee::cold::Worst;
+use fernroute_testbed::referee::Rule;
+use fernroute_testbed::run::{run, run_with};
+use fernroute_testbed::scenario::Scenario;
+use fernroute_testbed::trace::{Event, Witness};
 
 /// Erlang's formula: the mean time in an M/M/c system, by the arrivals and the work of one.
 fn time_in_system(rate: f64, work: f64, cores: usize) -> f64 {
