--- a/crates/fernroute-bench-adapter/src/wire.rs
+++ b/crates/fernroute-bench-adapter/src/wire.rs
@@ -1,6 +1,6 @@
 //! The bench's wire: decode a line, rename, convert, call the balancer it is for; flush each reply.
 
-use fernroute::host::{Host, Outcome, Terms, Time};
+use fernroute::host::{Host, Outcome, Settings, Time, Timer};
 use fernroute::Balancer;
 use fernroute_settings::{path, seconds, term, time};
 use std::cell::RefCell;
@@ -12,17 +12,34 @@
 fn outcome(w: &str) -> Outcome {
     match w {
         "success" => Outcome::Completed,
-        "failure" => Outcome::Errored,
-        "overloaded" => Outcome::Exhausted,
+        "failure" => Outcome::Failed,
+        "overloaded" => Outcome::Rejected,
         "timed_out" => Outcome::TimedOut,
         "unreachable" => Outcome::ConnectFailed,
         "broken" => Outcome::Reset,
         "withdrawn" => Outcome::Cancelled,
-        "void" => Outcome::Moot,
+        "void" => Outcome::NotSent,
         _ => Outcome::Unknown,
     }
 }
 
+/// The text under which the wire gives a timer back.
+fn timer_key(timer: &Timer) -> String {
+    match timer {
+        Timer::Queued(rpc) => format!("held:{rpc}"),
+        Timer::EndpointPoll(poll) => format!("ask:{poll}"),
+    }
+}
+
+/// The timer of a text; none for one that no timer of this version has.
+fn timer_of_key(key: &str) -> Option<Timer> {
+    match key.split_once(':')? {
+        ("held", rpc) => Some(Timer::Queued(rpc.into())),
+        ("ask", poll) => poll.parse().ok().map(Timer::EndpointPoll),
+        _ => None,
+    }
+}
+
 /// The members of one line: name and value pairs in any order.
 struct Line<'a> {
     name: &'a str,
@@ -80,23 +97,24 @@
 }
 
 impl Host for Desk {
-    fn transmit(&mut self, rpc: &str, upstream: &str, time_out: Time, _: Option<Time>) {
+    fn start_attempt(&mut self, rpc: &str, upstream: &str, time_out: Time, _: Option<Time>) {
         let cap = seconds(time_out);
         self.put(format_args!("hand_off\tcall={rpc}\tupstream={upstream}\tcap-s={cap}"));
     }
-    fn cancel(&mut self, rpc: &str, tx: usize) {
+    fn cancel_attempt(&mut self, rpc: &str, tx: usize) {
         self.put(format_args!("abort_attempt\tcall={rpc}\thop={tx}"));
     }
-    fn exhaust(&mut self, rpc: &str, stay_away: Time) {
+    fn reject(&mut self, rpc: &str, stay_away: Time) {
         self.put(format_args!("bounce\tcall={rpc}\tpause-s={}", seconds(stay_away)));
     }
-    fn error(&mut self, rpc: &str) {
+    fn fail(&mut self, rpc: &str) {
         self.put(format_args!("surrender\tcall={rpc}"));
     }
-    fn set_timer(&mut self, after: Time, token: &str) {
-        self.put(format_args!("sleep\twait-s={}\tkey-back={token}", seconds(after)));
+    fn set_timer(&mut self, after: Time, timer: Timer) {
+        let key = timer_key(&timer);
+        self.put(format_args!("sleep\twait-s={}\tkey-back={key}", seconds(after)));
     }
-    fn follow_list(&mut self) {
+    fn watch_endpoints(&mut self) {
         self.put(format_args!("keep_informed\twant=1"));
     }
     fn log(&mut self, line: &str) {
@@ -169,10 +187,10 @@
         if l.name == "hello" {
             let seed = l.number::<u64>("random-seed")?;
             let pairs = l.text.split('\t').filter_map(|part| part.split_once('='));
-            let terms: Terms = pairs.filter_map(|(path, value)| term(path, value)).collect();
+            let terms: Settings = pairs.filter_map(|(path, value)| term(path, value)).collect();
             let desk = Desk::default();
             let balancer = Balancer::new(desk.clone(), now, seed, &terms)
-                .map_err(|e| format!("line 'hello': {} '{}'", e.why, path(&e.term)))?;
+                .map_err(|e| format!("line 'hello': {} '{}'", e.why, path(&e.setting)))?;
             self.instances.insert(who, (balancer, desk));
             return Ok(());
         }
@@ -183,11 +201,11 @@
         let Some((b, _)) = self.instances.get_mut(&who) else { return Ok(()) };
         match l.name {
             "update" => match l.number::<u8>("mode")? {
-                3 => b.list_failed(now),
+                3 => b.watch_failed(now),
                 mode @ 0..=2 => {
                     let id = l.number::<u32>("set-id")?;
                     let entries = self.lists.get(&id).ok_or(format!("line 'update': no list {id}"))?;
-                    b.list_begins(now, mode != 2);
+                    b.snapshot_started(now, mode != 2);
                     for entry in entries {
                         let e = Line::new(entry);
                         let (id, state) = (e.need("upstream")?, e.number::<u8>("state")?);
@@ -199,12 +217,12 @@
                                 e.get("kind").unwrap_or(""),
                                 e.maybe_time("up-since-s")?,
                             ),
-                            2 => b.upstream_drains(id),
-                            3 => b.upstream_gone(id),
+                            2 => b.upstream_draining(id),
+                            3 => b.upstream_removed(id),
                             _ => {}
                         }
                     }
-                    b.list_ends(mode != 0);
+                    b.snapshot_complete(mode != 0);
                 }
                 _ => {}
             },
@@ -216,7 +234,7 @@
                 l.get("object").unwrap_or(""),
                 l.time("time-budget-s")?,
             ),
-            "reply" => b.tx_ended(
+            "reply" => b.attempt_ended(
                 now,
                 l.need("call")?,
                 l.number("hop")?,
@@ -226,8 +244,12 @@
                 &l.loads(),
             ),
             "aborted" => b.rpc_abandoned(now, l.need("call")?),
-            "started" => b.stream_started(now, l.need("call")?),
-            "bell" => b.timer(now, l.need("key-back")?),
+            "started" => b.response_started(now, l.need("call")?),
+            "bell" => {
+                if let Some(timer) = timer_of_key(l.need("key-back")?) {
+                    b.timer(now, &timer);
+                }
+            }
             _ => {}
         }
         Ok(())
--- a/crates/fernroute-config/src/fleet.rs
+++ b/crates/fernroute-config/src/fleet.rs
@@ -97,7 +97,7 @@
     Some(Fleet {
         cluster,
         stewards: stewards.split(',').filter_map(|at| at.parse().ok()).collect(),
-        divides: [("further", fernroute::FURTHER), ("trials", fernroute::TRIALS)]
+        divides: [("further", fernroute::RETRY_BUDGET), ("trials", fernroute::TRIAL_BUDGET)]
             .into_iter()
             .filter(|(word, _)| divides.split(',').any(|divided| divided == *word))
             .map(|(_, name)| name)
--- a/crates/fernroute-config/src/lib.rs
+++ b/crates/fernroute-config/src/lib.rs
@@ -6,7 +6,7 @@
 
 pub use fleet::Fleet;
 
-use fernroute::{Terms, Time};
+use fernroute::{Settings, Time};
 use std::collections::BTreeMap;
 use std::fmt;
 use std::net::SocketAddr;
@@ -28,7 +28,7 @@
     pub upstreams: Vec<Upstream>,
     /// Where tenants' shares are divided by a ledger, if they are.
     pub fleet: Option<Fleet>,
-    pub terms: Terms,
+    pub terms: Settings,
 }
 
 /// An upstream that is known before discovery has said anything.
@@ -392,7 +392,7 @@
         for n in 0..self.lists.get("tenant").map_or(0, Vec::len) {
             let place = format!("tenant.{n}.name");
             let Some((name, line)) = of(&place) else { continue };
-            if [fernroute::FURTHER, fernroute::TRIALS].contains(&name.as_str()) {
+            if [fernroute::RETRY_BUDGET, fernroute::TRIAL_BUDGET].contains(&name.as_str()) {
                 found.push((line, place, format!("{name} is what a fleet calls another budget")));
             }
         }
@@ -415,7 +415,7 @@
         let text = |place: &str| self.values.get(place).map(|(v, _)| v.clone());
         let address =
             |place: &str| text(place).and_then(|t| t.parse().ok()).unwrap_or(SocketAddr::from(([0; 4], 0)));
-        let mut terms = Terms::new();
+        let mut terms = Settings::new();
         for (place, (value, _)) in &self.values {
             let shape = pattern(place);
             let term = FIELDS.iter().find(|f| f.0 == shape).map_or("", |f| f.1);
--- a/crates/fernroute-config/tests/files.rs
+++ b/crates/fernroute-config/tests/files.rs
@@ -144,7 +144,7 @@
     assert_eq!((fleet.cluster.as_str(), fleet.stewards.len(), fleet.beat), ("c", 2, 2_500));
     let divides = |text: &str| with(&format!("{both}\n{text}")).expect("it will do").fleet.map(|f| f.divides);
     assert_eq!((fleet.divides, divides("divides = []")), (vec![], Some(vec![])));
-    assert_eq!(divides("divides = [\"trials\"]"), Some(vec![fernroute::TRIALS]));
+    assert_eq!(divides("divides = [\"trials\"]"), Some(vec![fernroute::TRIAL_BUDGET]));
     let follows = format!("{both}\nservice = \"shop\"\nfolder = \"/var/lib/f\"\nwait_ms = 500");
     let follows = with(&follows).expect("it will do").fleet.expect("it is named");
     assert_eq!((follows.service.as_deref(), follows.wait), (Some("shop"), 5_000));
--- a/crates/fernroute-server/src/program/fleet.rs
+++ b/crates/fernroute-server/src/program/fleet.rs
@@ -7,7 +7,7 @@
 use crate::protocol::ops::Control;
 use crate::routing::clock::{duration, tenths, Clock};
 use crate::routing::switchboard::Switchboard;
-use fernroute::{Terms, Time, FURTHER, TRIALS};
+use fernroute::{Settings, Time, RETRY_BUDGET, TRIAL_BUDGET};
 use fernroute_config::Fleet;
 use fernroute_fleet::demand::Meter;
 use fernroute_fleet::member::{Handed, Heard, Member};
@@ -35,7 +35,7 @@
     name: &str,
     place: PathBuf,
     fleet: &Fleet,
-    terms: &Terms,
+    terms: &Settings,
     handed: Option<(Handed, Instant)>,
     followed: Option<Rc<Followed>>,
 ) -> Rc<Part> {
@@ -88,7 +88,7 @@
 impl Part {
     /// What is asked of each tenant of these terms is counted from now on. Guards against a tenant that is new and has an even
     /// part beside what is granted, and against one that is gone and has all grants refused with it.
-    pub fn divide_by(&self, terms: &Terms) {
+    pub fn divide_by(&self, terms: &Settings) {
         let now = self.board.clock.now();
         let count = terms.get("tenants.count").and_then(|n| n.parse().ok()).unwrap_or(0);
         let names = (0..count).filter_map(|i: usize| terms.get(&format!("tenants.{i}.name")).cloned());
@@ -212,7 +212,7 @@
             asked.iter_mut().flatten().map(|(name, meter)| (name.clone(), meter.wants(now))).collect();
         for budget in &self.divides {
             let want = match *budget {
-                TRIALS if self.board.standing().1 > 0 => OF_TRIALS,
+                TRIAL_BUDGET if self.board.standing().1 > 0 => OF_TRIALS,
                 FURTHER => {
                     let (meter, seen) = &mut *self.further.borrow_mut();
                     let wished = self.board.wished();
--- a/crates/fernroute-server/src/program/running.rs
+++ b/crates/fernroute-server/src/program/running.rs
@@ -9,7 +9,7 @@
 use crate::transport::handover;
 use crate::transport::server::Server;
 use actix_rt::task::JoinHandle;
-use fernroute::Terms;
+use fernroute::Settings;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -49,7 +49,7 @@
     }
 
     /// New terms from now on, whole or not at all; connections, breakers and what is open stay.
-    pub fn new_terms(&self, terms: &Terms) -> Result<(), String> {
+    pub fn new_terms(&self, terms: &Settings) -> Result<(), String> {
         self.board.new_terms(terms).map_err(|bad| bad_setting(&bad))?;
         self.part(|part| part.divide_by(terms));
         if self.asks.replace(asks(terms)) != asks(terms) {
@@ -133,6 +133,6 @@
     }
 }
 
-pub(super) fn asks(terms: &Terms) -> bool {
+pub(super) fn asks(terms: &Settings) -> bool {
     terms.get("list_mode").is_some_and(|mode| mode == "ask")
 }
--- a/crates/fernroute-server/src/program/station.rs
+++ b/crates/fernroute-server/src/program/station.rs
@@ -2,8 +2,8 @@
 
 use crate::protocol::list::{self, Entry, List, State};
 use crate::protocol::terms;
-use fernroute::desk::Desk;
-use fernroute::{BadTerm, Balancer, Terms};
+use fernroute::action_queue::ActionQueue;
+use fernroute::{Balancer, InvalidSetting, Settings};
 use fernroute_config::{Fleet, LEAST_DESCRIPTORS, MOST_MEGABYTES, USUAL_DESCRIPTORS, USUAL_MEGABYTES};
 use serde::Deserialize;
 use serde_json::Value;
@@ -32,12 +32,12 @@
     pub since: Option<u64>,
     /// The fleet that it is of, where its tenants' shares are divided by a ledger. The platform's files name none.
     pub fleet: Option<Fleet>,
-    pub terms: Terms,
+    pub terms: Settings,
 }
 
 /// A term that will not do, in the words of the file.
-pub fn bad_setting(bad: &BadTerm) -> String {
-    format!("settings: {} {}", bad.why, fernroute_settings::path(&bad.term))
+pub fn bad_setting(bad: &InvalidSetting) -> String {
+    format!("settings: {} {}", bad.why, fernroute_settings::path(&bad.setting))
 }
 
 /// The file as it is written.
@@ -189,7 +189,7 @@
 
     /// Whether a balancer can start with these terms.
     pub fn check(&self) -> Result<(), String> {
-        let balancer = Balancer::new(Desk::default(), 0, self.seed, &self.terms);
+        let balancer = Balancer::new(ActionQueue::default(), 0, self.seed, &self.terms);
         balancer.map(drop).map_err(|bad| bad_setting(&bad))
     }
 }
--- a/crates/fernroute-server/src/protocol/answer.rs
+++ b/crates/fernroute-server/src/protocol/answer.rs
@@ -105,8 +105,8 @@
         let outcome = match head.status {
             StatusCode::OK => Outcome::Completed,
             // Without the mark it may be the word of something behind the upstream, which may have run it.
-            StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if declined => Outcome::Exhausted,
-            _ => Outcome::Errored,
+            StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if declined => Outcome::Rejected,
+            _ => Outcome::Failed,
         };
         let report = head.headers.get(names::LOAD).and_then(|v| v.to_str().ok());
         let loads = report.map(|text| load::decode(text, gauges)).unwrap_or_default();
--- a/crates/fernroute-server/src/protocol/terms.rs
+++ b/crates/fernroute-server/src/protocol/terms.rs
@@ -1,6 +1,6 @@
 //! The settings, nested JSON, to the plain map that a balancer starts with.
 
-use fernroute::Terms;
+use fernroute::Settings;
 use serde_json::Value;
 
 /// Paths and values as the one table of settings takes them: a list of objects by count and place, a list of
@@ -26,7 +26,7 @@
     value.as_str().map_or_else(|| value.to_string(), str::to_owned)
 }
 
-pub fn decode(settings: &Value) -> Terms {
+pub fn decode(settings: &Value) -> Settings {
     let mut pairs = Vec::new();
     flatten("", settings, &mut pairs);
     pairs.iter().filter_map(|(path, value)| fernroute_settings::term(path, value)).collect()
--- a/crates/fernroute-server/src/routing/book.rs
+++ b/crates/fernroute-server/src/routing/book.rs
@@ -14,7 +14,7 @@
             let out = entry.out.get_mut(&tx);
             out.and_then(|out| out.time_out.take()).iter().for_each(|time_out| self.timers.drop(time_out));
         }
-        self.decide(Some(rpc), |b, now| b.stream_started(now, rpc));
+        self.decide(Some(rpc), |b, now| b.response_started(now, rpc));
         self.give(rpc, Final::Completed(answer))
     }
 
@@ -35,7 +35,7 @@
             self.give(rpc, Final::Completed(answer));
         }
         let ended = self.open.borrow().get(rpc).is_none_or(|entry| entry.answer.is_none());
-        self.decide(Some(rpc), |b, now| b.tx_ended(now, rpc, tx, outcome, took, ended, &loads));
+        self.decide(Some(rpc), |b, now| b.attempt_ended(now, rpc, tx, outcome, took, ended, &loads));
         self.forget(rpc);
     }
 
--- a/crates/fernroute-server/src/routing/route.rs
+++ b/crates/fernroute-server/src/routing/route.rs
@@ -59,7 +59,7 @@
                 out.time_out = Some(self.timers.set(out.lasts, due));
             }
         }
-        self.decide(None, |b, now| b.rpc_whole(now, rpc));
+        self.decide(None, |b, now| b.rpc_complete(now, rpc));
     }
 
     /// Ends a transmission that is out; how it ended is booked by its own task.
@@ -91,7 +91,7 @@
             let left = entry.out.iter().filter(|(_, out)| has_left(out));
             those.extend(left.map(|(tx, _)| (Rc::clone(rpc), *tx)));
         }
-        those.iter().for_each(|(rpc, tx)| self.stop(rpc, *tx, Outcome::Moot));
+        those.iter().for_each(|(rpc, tx)| self.stop(rpc, *tx, Outcome::NotSent));
     }
 
     /// The caller has gone: what is not all written of its RPC never will be, also where what may have run is not to be
--- a/crates/fernroute-server/src/routing/send.rs
+++ b/crates/fernroute-server/src/routing/send.rs
@@ -67,11 +67,11 @@
         AttemptPlan { client, attempt, time_out, stopped }: AttemptPlan,
     ) -> Result<(Answer, Option<Rest>), Outcome> {
         // Left the list after it was drawn: nothing was sent.
-        let Some(client) = client else { return Err(Outcome::Moot) };
+        let Some(client) = client else { return Err(Outcome::NotSent) };
         let (verb, uri, headers) = request.encode(client.address, time_out);
         let body = match &request.upload {
             // What an earlier transmission took of it is nowhere any more: this one can't be made.
-            Some(upload) if upload.gone.get() || upload.broken.get() => return Err(Outcome::Moot),
+            Some(upload) if upload.gone.get() || upload.broken.get() => return Err(Outcome::NotSent),
             Some(upload) => Body::Coming(BoxBody::new(Sent::new(self, request, upload, &attempt))),
             None => Body::Whole(request.body.clone()),
         };
@@ -99,10 +99,10 @@
                 Err(match broken.reached {
                     Reached::Nothing if attempt.is_unwanted() => Outcome::Cancelled,
                     // For want of connections here, of time or of the RPC: that says nothing of the upstream.
-                    Reached::Nothing | Reached::Connected if attempt.held_back() => Outcome::Moot,
-                    Reached::Nothing | Reached::Connected if caller_broke => Outcome::Moot,
+                    Reached::Nothing | Reached::Connected if attempt.held_back() => Outcome::NotSent,
+                    Reached::Nothing | Reached::Connected if caller_broke => Outcome::NotSent,
                     // Turned away before it was there.
-                    Reached::Nothing | Reached::Connected if attempt.early.get() => Outcome::Exhausted,
+                    Reached::Nothing | Reached::Connected if attempt.early.get() => Outcome::Rejected,
                     Reached::Nothing | Reached::Connected => Outcome::ConnectFailed,
                     Reached::Written | Reached::AnswerBegun => Outcome::Reset,
                 })
--- a/crates/fernroute-server/src/routing/switchboard.rs
+++ b/crates/fernroute-server/src/routing/switchboard.rs
@@ -13,8 +13,8 @@
 use crate::transport::client::{Client, UpstreamClient};
 use crate::transport::inbound::Visit;
 use crate::transport::outbound::AttemptState;
-use fernroute::desk::{Act, Desk};
-use fernroute::{BadTerm, Balancer, Outcome, Terms, Time};
+use fernroute::action_queue::{Action, ActionQueue};
+use fernroute::{Balancer, InvalidSetting, Outcome, Settings, Time};
 use fernroute_fleet::demand::Meter;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -58,11 +58,11 @@
     }
 }
 
-fn count(terms: &Terms) -> usize {
+fn count(terms: &Settings) -> usize {
     terms.get("methods.count").and_then(|n| n.parse().ok()).unwrap_or(0)
 }
 
-fn shapes(terms: &Terms) -> Vec<Shape> {
+fn shapes(terms: &Settings) -> Vec<Shape> {
     let method = |i: usize| {
         let term = |what: &str| terms.get(&format!("methods.{i}.{what}"));
         Some(Shape::new(term("name")?.clone(), term("effect")?))
@@ -70,12 +70,12 @@
     (0..count(terms)).filter_map(method).collect()
 }
 
-fn gauges(terms: &Terms) -> Gauges {
+fn gauges(terms: &Settings) -> Gauges {
     Gauges(terms.get("load.names").map_or("", String::as_str).split(',').map(str::to_owned).collect())
 }
 
 /// The longest hard deadline; without end where the terms do not tell.
-fn longest(terms: &Terms) -> Time {
+fn longest(terms: &Settings) -> Time {
     let told = |i: usize| terms.get(&format!("methods.{i}.hard_deadline")).and_then(|t| t.parse().ok());
     (0..count(terms)).map(|i| told(i).unwrap_or(Time::MAX)).max().unwrap_or(Time::MAX)
 }
@@ -85,8 +85,8 @@
 
 pub struct Switchboard {
     pub clock: Clock,
-    balancer: RefCell<Balancer<Desk>>,
-    desk: Desk,
+    balancer: RefCell<Balancer<ActionQueue>>,
+    desk: ActionQueue,
     /// Emptied by the book: an answered RPC leaves with its last transmission.
     pub open: RefCell<BTreeMap<Rc<str>, Open>>,
     /// Emptied by the list.
@@ -116,12 +116,17 @@
 
 impl Switchboard {
     /// `connections` is the most that may be open to upstreams, `memory` what the process may hold, in bytes.
-    pub fn new(terms: &Terms, seed: u64, connections: usize, memory: usize) -> Result<Rc<Self>, BadTerm> {
+    pub fn new(
+        terms: &Settings,
+        seed: u64,
+        connections: usize,
+        memory: usize,
+    ) -> Result<Rc<Self>, InvalidSetting> {
         /// Where the terms do not tell.
         const CONNECT: Duration = Duration::from_secs(1);
         const KEEP: Duration = Duration::from_secs(10);
         let clock = Clock::start();
-        let desk = Desk::default();
+        let desk = ActionQueue::default();
         let balancer = Balancer::new(desk.clone(), clock.now(), seed, terms)?;
         let methods = shapes(terms);
         // One that can't be read has been refused with the terms.
@@ -158,19 +163,19 @@
     }
 
     /// What a fleet grants of tenants' shares, as [`Balancer::new_shares`] takes it.
-    pub fn new_shares(&self, of: &[(&str, [(f64, Time); 2])]) -> Result<(), BadTerm> {
+    pub fn new_shares(&self, of: &[(&str, [(f64, Time); 2])]) -> Result<(), InvalidSetting> {
         let now = self.clock.now();
-        self.balancer.borrow_mut().new_shares(now, of)
+        self.balancer.borrow_mut().set_budget_rates(now, of)
     }
 
     /// As [`Balancer::wished`].
     pub fn wished(&self) -> u64 {
-        self.balancer.borrow().wished()
+        self.balancer.borrow().retries_wanted()
     }
 
     /// New terms, whole or not at all. What is open goes on as it was taken.
-    pub fn new_terms(self: &Rc<Self>, terms: &Terms) -> Result<(), BadTerm> {
-        self.balancer.borrow_mut().new_terms(self.clock.now(), terms)?;
+    pub fn new_terms(self: &Rc<Self>, terms: &Settings) -> Result<(), InvalidSetting> {
+        self.balancer.borrow_mut().update_settings(self.clock.now(), terms)?;
         self.act();
         let methods = shapes(terms);
         self.tally.name(methods.iter().map(|m| &m.name));
@@ -203,7 +208,7 @@
 
     /// As [`Balancer::standing`].
     pub fn standing(&self) -> (usize, usize) {
-        self.balancer.borrow().standing()
+        self.balancer.borrow().upstream_counts()
     }
 
     pub fn figures(&self) -> Figures {
@@ -235,7 +240,7 @@
     }
 
     /// Calls the balancer, then does what it asked for. A panic in there stops at the RPC that met it.
-    pub fn decide(self: &Rc<Self>, rpc: Option<&str>, call: impl FnOnce(&mut Balancer<Desk>, Time)) {
+    pub fn decide(self: &Rc<Self>, rpc: Option<&str>, call: impl FnOnce(&mut Balancer<ActionQueue>, Time)) {
         let now = self.clock.now();
         let decided = catch_unwind(AssertUnwindSafe(|| call(&mut self.balancer.borrow_mut(), now)));
         self.act();
@@ -253,21 +258,21 @@
     fn act(self: &Rc<Self>) {
         while let Some(act) = self.desk.next() {
             match act {
-                Act::Transmit { rpc, upstream, time_out, written_by } => {
-                    self.route(&rpc, &upstream, time_out, written_by);
+                Action::StartAttempt { rpc, upstream, timeout, write_deadline: written_by } => {
+                    self.route(&rpc, &upstream, timeout, written_by);
                 }
-                Act::Cancel { rpc, tx } => self.stop(&rpc, tx, Outcome::Cancelled),
-                Act::Exhaust { rpc, stay_away } => {
-                    self.give(&rpc, Final::Exhausted(stay_away));
+                Action::CancelAttempt { rpc, attempt } => self.stop(&rpc, attempt, Outcome::Cancelled),
+                Action::Reject { rpc, retry_after } => {
+                    self.give(&rpc, Final::Exhausted(retry_after));
                 }
-                Act::Error { rpc } => {
+                Action::Fail { rpc } => {
                     self.give(&rpc, Final::Errored);
                 }
-                Act::Timer { after, token } => {
-                    self.timers.set(after, Due::Token(token));
+                Action::SetTimer { after, timer } => {
+                    self.timers.set(after, Due::Decision(timer));
                 }
-                Act::FollowList => self.follow.notify_one(),
-                Act::Log(line) => tracing::info!("{line}"),
+                Action::WatchEndpoints => self.follow.notify_one(),
+                Action::Log(line) => tracing::info!("{line}"),
             }
         }
     }
@@ -276,7 +281,7 @@
     pub async fn keep_time(self: Rc<Self>) {
         loop {
             match self.timers.next().await {
-                Due::Token(token) => self.decide(None, |b, now| b.timer(now, &token)),
+                Due::Decision(timer) => self.decide(None, |b, now| b.timer(now, &timer)),
                 Due::Transmission { rpc, tx } => self.stop(&rpc, tx, Outcome::TimedOut),
             }
         }
@@ -307,7 +312,7 @@
         }
         self.call_off_to_those_that_left();
         self.decide(None, |b, now| {
-            b.list_begins(now, list.full);
+            b.snapshot_started(now, list.full);
             for entry in &list.entries {
                 match entry.state {
                     State::Ready => {
@@ -319,15 +324,15 @@
                             entry.started_ms * 10,
                         );
                     }
-                    State::Drains => b.upstream_drains(&entry.id),
-                    State::Gone => b.upstream_gone(&entry.id),
+                    State::Drains => b.upstream_draining(&entry.id),
+                    State::Gone => b.upstream_removed(&entry.id),
                 }
             }
-            b.list_ends(fresh);
+            b.snapshot_complete(fresh);
         });
     }
 
     pub fn list_failed(self: &Rc<Self>) {
-        self.decide(None, |b, now| b.list_failed(now));
+        self.decide(None, |b, now| b.watch_failed(now));
     }
 }
--- a/crates/fernroute-server/src/routing/timers.rs
+++ b/crates/fernroute-server/src/routing/timers.rs
@@ -1,7 +1,7 @@
 //! The one queue of timers: the decisions' own, and the ends of transmissions.
 
 use super::clock;
-use fernroute::Time;
+use fernroute::{Time, Timer};
 use futures_util::Stream;
 use std::cell::RefCell;
 use std::future::poll_fn;
@@ -11,12 +11,10 @@
 
 #[derive(Debug)]
 pub enum Due {
-    Token(String),
+    /// A timer of the decisions.
+    Decision(Timer),
     /// A transmission has had its time.
-    Transmission {
-        rpc: Rc<str>,
-        tx: usize,
-    },
+    Transmission { rpc: Rc<str>, tx: usize },
 }
 
 /// Emptied as timers come due, and of a transmission's when it ends.
--- a/crates/fernroute-testbed/src/live/upstreams.rs
+++ b/crates/fernroute-testbed/src/live/upstreams.rs
@@ -155,23 +155,23 @@
             *made += 1;
             (*node, *made - 1)
         });
-        let (balancer, tx) = place.unwrap_or((usize::MAX, 0));
+        let (balancer, attempt) = place.unwrap_or((usize::MAX, 0));
         self.books.borrow_mut().transmissions += 1;
         let means = self.scenario.in_means(work);
-        self.see(&Event::Sent { rpc: Rc::clone(&rpc), tx, balancer, upstream, work: means });
-        let ended = |outcome| self.see(&Event::Ended { rpc: Rc::clone(&rpc), tx, outcome });
+        self.see(&Event::Sent { rpc: Rc::clone(&rpc), attempt, balancer, upstream, work: means });
+        let ended = |outcome| self.see(&Event::Ended { rpc: Rc::clone(&rpc), attempt, outcome });
         let declined = |load: String| {
-            ended(Outcome::Exhausted);
+            ended(Outcome::Rejected);
             answer(503, &format!("Srv-Declined: 1\r\n{load}"), "")
         };
         if stand.model.borrow().hangs() {
-            self.see(&Event::Ran { rpc: Rc::clone(&rpc), tx });
+            self.see(&Event::Ran { rpc: Rc::clone(&rpc), attempt });
             return std::future::pending().await;
         }
         let errors = stand.model.borrow().errors();
         if errors > 0.0 && self.chance.borrow_mut().random::<f64>() < errors {
-            self.see(&Event::Ran { rpc: Rc::clone(&rpc), tx });
-            ended(Outcome::Errored);
+            self.see(&Event::Ran { rpc: Rc::clone(&rpc), attempt });
+            ended(Outcome::Failed);
             return answer(500, &self.load(upstream), "");
         }
         let places = Rc::clone(&stand.places.borrow());
@@ -185,7 +185,7 @@
             return declined(self.load(upstream));
         }
         stand.model.borrow_mut().held += 1;
-        self.see(&Event::Ran { rpc: Rc::clone(&rpc), tx });
+        self.see(&Event::Ran { rpc: Rc::clone(&rpc), attempt });
         self.work(&stand, tier, work as f64 * of.work).await;
         let mut outcome = Outcome::Completed;
         let count: u32 = calls.split(',').nth(tier + 1).and_then(|n| n.parse().ok()).unwrap_or(0);
@@ -193,7 +193,7 @@
         let method = self.scenario.method.iter().position(|m| m.name == method).unwrap_or(0);
         for _ in 0..count {
             if gone.get() || self.now() >= hard || !self.call(&stand, method, work, &calls, hard).await {
-                outcome = Outcome::Errored;
+                outcome = Outcome::Failed;
                 break;
             }
         }
--- a/crates/fernroute-testbed/src/player.rs
+++ b/crates/fernroute-testbed/src/player.rs
@@ -2,8 +2,8 @@
 
 use crate::scenario::{seconds, zone_name, Effect, Group, Scenario};
 use crate::trace::Told;
-use fernroute::desk::Desk;
-use fernroute::{Balancer, Host as _, Outcome, Time};
+use fernroute::action_queue::ActionQueue;
+use fernroute::{Balancer, Host as _, Outcome, Time, Timer};
 use fernroute_server::protocol::terms;
 use rand::{RngExt as _, SeedableRng as _};
 use rand_chacha::ChaCha8Rng;
@@ -24,43 +24,61 @@
     fn list(&mut self, now: Time, full: bool, entries: &[Entry]);
     fn rpc_arrived(&mut self, now: Time, rpc: &str, method: &str, tenant: &str, time_left: Time);
     #[allow(clippy::too_many_arguments)]
-    fn tx_ended(&mut self, now: Time, rpc: &str, tx: usize, end: Outcome, took: Time, over: bool, load: f64);
+    fn attempt_ended(
+        &mut self,
+        now: Time,
+        rpc: &str,
+        attempt: usize,
+        end: Outcome,
+        took: Time,
+        over: bool,
+        load: f64,
+    );
     fn rpc_abandoned(&mut self, now: Time, rpc: &str);
-    fn timer(&mut self, now: Time, token: &str);
+    fn timer(&mut self, now: Time, timer: &Timer);
     /// What the fleet grants; a plain rule knows of no tenants.
-    fn new_shares(&mut self, _: Time, _: &[(&str, [(f64, Time); 2])]) {}
+    fn set_budget_rates(&mut self, _: Time, _: &[(&str, [(f64, Time); 2])]) {}
 }
 
-impl Player for Balancer<Desk> {
+impl Player for Balancer<ActionQueue> {
     fn list(&mut self, now: Time, full: bool, entries: &[Entry]) {
-        self.list_begins(now, full);
+        self.snapshot_started(now, full);
         for e in entries {
             match e.told {
                 Told::Ready => {
                     self.upstream_ready(&e.name, &zone_name(e.zone), &e.cell.to_string(), "", e.started)
                 }
-                Told::Drains => self.upstream_drains(&e.name),
-                Told::Gone => self.upstream_gone(&e.name),
+                Told::Drains => self.upstream_draining(&e.name),
+                Told::Gone => self.upstream_removed(&e.name),
             }
         }
-        self.list_ends(true);
+        self.snapshot_complete(true);
     }
     fn rpc_arrived(&mut self, now: Time, rpc: &str, method: &str, tenant: &str, time_left: Time) {
         Balancer::rpc_arrived(self, now, rpc, method, tenant, "", time_left);
     }
-    fn new_shares(&mut self, now: Time, of: &[(&str, [(f64, Time); 2])]) {
-        if let Err(bad) = Balancer::new_shares(self, now, of) {
+    fn set_budget_rates(&mut self, now: Time, of: &[(&str, [(f64, Time); 2])]) {
+        if let Err(bad) = Balancer::set_budget_rates(self, now, of) {
             unreachable!("the grants of a run name its tenants: {bad}");
         }
     }
-    fn tx_ended(&mut self, now: Time, rpc: &str, tx: usize, end: Outcome, took: Time, over: bool, load: f64) {
-        Balancer::tx_ended(self, now, rpc, tx, end, took, over, &[load]);
+    fn attempt_ended(
+        &mut self,
+        now: Time,
+        rpc: &str,
+        attempt: usize,
+        end: Outcome,
+        took: Time,
+        over: bool,
+        load: f64,
+    ) {
+        Balancer::attempt_ended(self, now, rpc, attempt, end, took, over, &[load]);
     }
     fn rpc_abandoned(&mut self, now: Time, rpc: &str) {
         Balancer::rpc_abandoned(self, now, rpc);
     }
-    fn timer(&mut self, now: Time, token: &str) {
-        Balancer::timer(self, now, token);
+    fn timer(&mut self, now: Time, timer: &Timer) {
+        Balancer::timer(self, now, timer);
     }
 }
 
@@ -114,14 +132,14 @@
 }
 
 /// Makes the balancers of a run.
-pub type Maker<'a> = dyn Fn(&Scenario, Post, Desk, Time, u64) -> Box<dyn Player> + 'a;
+pub type Maker<'a> = dyn Fn(&Scenario, Post, ActionQueue, Time, u64) -> Box<dyn Player> + 'a;
 
 impl Variant {
     pub fn player(
         self,
         scenario: &Scenario,
         post: Post,
-        desk: Desk,
+        desk: ActionQueue,
         now: Time,
         seed: u64,
     ) -> Box<dyn Player> {
@@ -151,7 +169,7 @@
 /// Sends each RPC by one rule, and again as the methods allow, for as long as there is time.
 pub struct Baseline {
     rule: Variant,
-    host: Desk,
+    host: ActionQueue,
     rng: ChaCha8Rng,
     methods: Vec<(String, Effect, Group, Time)>,
     most: usize,
@@ -163,7 +181,7 @@
 }
 
 impl Baseline {
-    pub fn new(scenario: &Scenario, rule: Variant, host: Desk, seed: u64) -> Self {
+    pub fn new(scenario: &Scenario, rule: Variant, host: ActionQueue, seed: u64) -> Self {
         let method = |m: &crate::scenario::Method| (m.name.clone(), m.effect, m.group, seconds(m.window_s));
         Baseline {
             rule,
@@ -229,7 +247,7 @@
         let Some(to) = to else { return false };
         rpc.txs.push((Rc::clone(&to), now, None));
         self.upstreams.get_mut(&to).into_iter().for_each(|k| k.out += 1);
-        self.host.transmit(&id, &to, hard - now, None);
+        self.host.start_attempt(&id, &to, hard - now, None);
         true
     }
 
@@ -238,9 +256,9 @@
         let (_, effect, group, _) = self.methods[rpc.method];
         let harmless = effect == Effect::Retriable || effect == Effect::Deduped && group == Group::All;
         if harmless || rpc.txs.iter().all(|(_, _, end)| end.is_some_and(Outcome::never_ran)) {
-            self.host.exhaust(id, 0);
+            self.host.reject(id, 0);
         } else {
-            self.host.error(id);
+            self.host.fail(id);
         }
     }
 }
@@ -262,7 +280,7 @@
 
     fn rpc_arrived(&mut self, now: Time, rpc: &str, method: &str, _: &str, time_left: Time) {
         let Some(method) = self.methods.iter().position(|m| m.0 == method) else {
-            return self.host.exhaust(rpc, 0);
+            return self.host.reject(rpc, 0);
         };
         self.rpcs.insert(Rc::from(rpc), Rpc { method, hard: now + time_left, txs: Vec::new() });
         if !self.send(now, rpc) {
@@ -270,9 +288,18 @@
         }
     }
 
-    fn tx_ended(&mut self, now: Time, rpc: &str, tx: usize, end: Outcome, _: Time, over: bool, _: f64) {
+    fn attempt_ended(
+        &mut self,
+        now: Time,
+        rpc: &str,
+        attempt: usize,
+        end: Outcome,
+        _: Time,
+        over: bool,
+        _: f64,
+    ) {
         let Some(open) = self.rpcs.get_mut(rpc) else { return };
-        if let Some((to, _, ended)) = open.txs.get_mut(tx) {
+        if let Some((to, _, ended)) = open.txs.get_mut(attempt) {
             *ended = Some(end);
             let known = self.upstreams.get_mut(to);
             known.into_iter().for_each(|k| k.out = k.out.saturating_sub(1));
@@ -289,10 +316,10 @@
         for (n, (to, _, end)) in open.txs.iter().enumerate() {
             if end.is_none() {
                 self.upstreams.get_mut(to).into_iter().for_each(|k| k.out = k.out.saturating_sub(1));
-                self.host.cancel(rpc, n);
+                self.host.cancel_attempt(rpc, n);
             }
         }
     }
 
-    fn timer(&mut self, _: Time, _: &str) {}
+    fn timer(&mut self, _: Time, _: &Timer) {}
 }
--- a/crates/fernroute-testbed/src/processes.rs
+++ b/crates/fernroute-testbed/src/processes.rs
@@ -3,7 +3,7 @@
 
 pub mod configuration;
 
-use fernroute::{FURTHER, TRIALS};
+use fernroute::{RETRY_BUDGET, TRIAL_BUDGET};
 use fernroute_coordinator::keep::Status;
 use fernroute_test_support::caller::rpc;
 use fernroute_test_support::http::{answer, read};
@@ -116,7 +116,7 @@
 
     fn budgets(&self) -> String {
         let tenant = ("acme", Some(self.whole as f64));
-        let all = [tenant, (FURTHER, self.further), (TRIALS, self.trials)];
+        let all = [tenant, (RETRY_BUDGET, self.further), (TRIAL_BUDGET, self.trials)];
         let budget = |(name, whole): &(&str, Option<f64>)| {
             whole.map(|whole| format!("[[budget]]\nname = \"{name}\"\nwhole = {whole}\nfloors = 0.1\n"))
         };
--- a/crates/fernroute-testbed/src/referee.rs
+++ b/crates/fernroute-testbed/src/referee.rs
@@ -260,16 +260,16 @@
                     Rpc { balancer, method, tenant, hard, answered: false, left: false, txs: Vec::new() };
                 self.rpcs.insert(Rc::clone(rpc), new);
             }
-            Event::Sent { rpc, tx, balancer, upstream, work } => {
-                self.sent(at, rpc, *tx, *balancer, *upstream, *work)
+            Event::Sent { rpc, attempt, balancer, upstream, work } => {
+                self.sent(at, rpc, *attempt, *balancer, *upstream, *work)
             }
-            Event::Ran { rpc, tx } => {
-                let tx = self.rpcs.get_mut(rpc).and_then(|r| r.txs.get_mut(*tx));
-                tx.into_iter().for_each(|t| t.ran = true);
+            Event::Ran { rpc, attempt } => {
+                let attempt = self.rpcs.get_mut(rpc).and_then(|r| r.txs.get_mut(*attempt));
+                attempt.into_iter().for_each(|t| t.ran = true);
             }
-            Event::Ended { rpc, tx, outcome } => {
-                let tx = self.rpcs.get_mut(rpc).and_then(|r| r.txs.get_mut(*tx));
-                tx.into_iter().for_each(|t| t.end = Some(*outcome));
+            Event::Ended { rpc, attempt, outcome } => {
+                let attempt = self.rpcs.get_mut(rpc).and_then(|r| r.txs.get_mut(*attempt));
+                attempt.into_iter().for_each(|t| t.end = Some(*outcome));
                 self.forget(rpc);
             }
             Event::Answered { rpc, last } => self.answered(at, rpc, *last),
--- a/crates/fernroute-testbed/src/trace.rs
+++ b/crates/fernroute-testbed/src/trace.rs
@@ -32,7 +32,7 @@
     },
     Sent {
         rpc: Rc<str>,
-        tx: usize,
+        attempt: usize,
         balancer: usize,
         upstream: usize,
         /// Its work there, in RPCs of mean work.
@@ -41,11 +41,11 @@
     /// It began at the upstream: from here on it has had its effect.
     Ran {
         rpc: Rc<str>,
-        tx: usize,
+        attempt: usize,
     },
     Ended {
         rpc: Rc<str>,
-        tx: usize,
+        attempt: usize,
         outcome: Outcome,
     },
     Answered {
--- a/crates/fernroute-testbed/src/upstream.rs
+++ b/crates/fernroute-testbed/src/upstream.rs
@@ -29,7 +29,7 @@
 #[derive(Clone, Debug)]
 pub struct Job {
     pub rpc: Rc<str>,
-    pub tx: usize,
+    pub attempt: usize,
     /// The balancer that sent it.
     pub node: usize,
     pub method: usize,
--- a/crates/fernroute-testbed/src/world.rs
+++ b/crates/fernroute-testbed/src/world.rs
@@ -7,8 +7,8 @@
 use crate::scenario::{millis, seconds, Fault, Kind, Scenario};
 use crate::trace::{Event, Final, Told, Witness};
 use crate::upstream::{Affliction, Job, State, Upstream, KEEP};
-use fernroute::desk::{Act, Desk};
-use fernroute::{Outcome, Time};
+use fernroute::action_queue::{Action, ActionQueue};
+use fernroute::{Outcome, Time, Timer};
 use fernroute_fleet::message::{Answer, Beat};
 use rand::RngExt as _;
 use rand_chacha::ChaCha8Rng;
@@ -23,9 +23,9 @@
     Try { request: u64 },
     Reach { node: usize, upstream: usize, life: u32, job: Box<Job> },
     CoreDone { upstream: usize, life: u32, job: u64 },
-    Back { node: usize, rpc: Rc<str>, tx: usize, outcome: Outcome, load: f64 },
-    Stopped { node: usize, rpc: Rc<str>, tx: usize, outcome: Outcome },
-    Timer { node: usize, token: String },
+    Back { node: usize, rpc: Rc<str>, attempt: usize, outcome: Outcome, load: f64 },
+    Stopped { node: usize, rpc: Rc<str>, attempt: usize, outcome: Outcome },
+    Timer { node: usize, timer: Timer },
     Leave { node: usize, rpc: Rc<str> },
     Beat { node: usize },
     BeatThere { node: usize, beat: Box<Beat> },
@@ -68,7 +68,7 @@
     zone: usize,
     alive: bool,
     player: Box<dyn Player>,
-    desk: Desk,
+    desk: ActionQueue,
     /// Emptied by final answers and the ends of transmissions.
     open: BTreeMap<Rc<str>, Open>,
 }
@@ -216,11 +216,11 @@
             Due::Try { request } => self.ask(request, None),
             Due::Reach { node, upstream, life, job } => self.reach(node, upstream, life, *job),
             Due::CoreDone { upstream, life, job } => self.core_done(upstream, life, job),
-            Due::Back { node, rpc, tx, outcome, load } => self.ended(node, &rpc, tx, outcome, load),
-            Due::Stopped { node, rpc, tx, outcome } => self.give_up(node, &rpc, tx, outcome),
-            Due::Timer { node, token } => {
+            Due::Back { node, rpc, attempt, outcome, load } => self.ended(node, &rpc, attempt, outcome, load),
+            Due::Stopped { node, rpc, attempt, outcome } => self.give_up(node, &rpc, attempt, outcome),
+            Due::Timer { node, timer } => {
                 let now = self.now;
-                self.decide(node, |p| p.timer(now, &token));
+                self.decide(node, |p| p.timer(now, &timer));
             }
             Due::Leave { node, rpc } => self.leave(node, &rpc),
             Due::Beat { node } => self.beat(node),
@@ -275,7 +275,7 @@
     }
 
     fn new_node(&mut self, tier: usize, number: usize, zone: usize) -> usize {
-        let (desk, instances) = (Desk::default(), self.scenario.instances(tier));
+        let (desk, instances) = (ActionQueue::default(), self.scenario.instances(tier));
         let post = Post { tier, number, instances, zone };
         let seed = balancer_seed(self.seed, self.nodes.len());
         let player = (self.make)(self.scenario, post, desk.clone(), self.now, seed);
@@ -292,7 +292,7 @@
         if let Some(fleet) = self.fleet.as_mut().filter(|_| tier == 0) {
             fleet.join(node, number, now);
             // Nothing is its own before it is granted; beats of a fleet are not in step.
-            self.decide(node, |p| p.new_shares(now, &[]));
+            self.decide(node, |p| p.set_budget_rates(now, &[]));
             let phase = (millis(self.scenario.fleet.beat_ms) as f64 * self.chance.random::<f64>()) as Time;
             self.set(now + phase, Due::Beat { node });
         }
@@ -336,7 +336,7 @@
         let Some(shares) = fleet.told(node, now, answer) else { return };
         let shares: Vec<(&str, [(f64, Time); 2])> =
             shares.iter().map(|(name, of)| (name.as_str(), *of)).collect();
-        self.decide(node, |p| p.new_shares(now, &shares));
+        self.decide(node, |p| p.set_budget_rates(now, &shares));
     }
 
     fn enter(&mut self) {
@@ -484,32 +484,32 @@
         call(&mut *self.nodes[node].player);
         while let Some(act) = self.nodes[node].desk.next() {
             match act {
-                Act::Transmit { rpc, upstream, time_out, .. } => {
+                Action::StartAttempt { rpc, upstream, timeout: time_out, .. } => {
                     self.transmit(node, &rpc, &upstream, time_out)
                 }
-                Act::Cancel { rpc, tx } => {
+                Action::CancelAttempt { rpc, attempt } => {
                     let outcome = Outcome::Cancelled;
-                    self.set(self.now, Due::Stopped { node, rpc, tx, outcome });
+                    self.set(self.now, Due::Stopped { node, rpc, attempt, outcome });
                 }
-                Act::Exhaust { rpc, stay_away } => self.answer(node, &rpc, Final::Exhausted, stay_away),
-                Act::Error { rpc } => self.answer(node, &rpc, Final::Errored, 0),
-                Act::Timer { after, token } => self.set(self.now + after, Due::Timer { node, token }),
+                Action::Reject { rpc, retry_after } => self.answer(node, &rpc, Final::Exhausted, retry_after),
+                Action::Fail { rpc } => self.answer(node, &rpc, Final::Errored, 0),
+                Action::SetTimer { after, timer } => self.set(self.now + after, Due::Timer { node, timer }),
                 // All are told unasked.
-                Act::FollowList | Act::Log(_) => {}
+                Action::WatchEndpoints | Action::Log(_) => {}
             }
         }
     }
 
     fn transmit(&mut self, node: usize, rpc: &Rc<str>, to: &Rc<str>, time_out: Time) {
         let Some(upstream) = self.by_name.get(to).copied() else { return };
-        let Some(tx) = self.nodes[node].open.get_mut(rpc).map(|open| {
+        let Some(attempt) = self.nodes[node].open.get_mut(rpc).map(|open| {
             open.made += 1;
             open.made - 1
         }) else {
             // The referee is told, who knows that it is not open.
             return self.tell(&Event::Sent {
                 rpc: Rc::clone(rpc),
-                tx: 0,
+                attempt: 0,
                 balancer: node,
                 upstream,
                 work: 1.0,
@@ -518,16 +518,16 @@
         self.books.transmissions += 1;
         self.books.tiers[self.nodes[node].tier].transmissions += 1;
         let work = self.nodes[node].open.get(rpc).map_or(1.0, |open| self.scenario.in_means(open.work));
-        self.tell(&Event::Sent { rpc: Rc::clone(rpc), tx, balancer: node, upstream, work });
+        self.tell(&Event::Sent { rpc: Rc::clone(rpc), attempt, balancer: node, upstream, work });
         let delay = self.delay(self.nodes[node].zone, self.upstreams[upstream].zone);
         let (now, life) = (self.now, self.upstreams[upstream].life);
         let tier = self.upstreams[upstream].tier;
         let Some(open) = self.nodes[node].open.get_mut(rpc) else { return };
-        open.out.insert(tx, Out { upstream, sent: now });
+        open.out.insert(attempt, Out { upstream, sent: now });
         let left = open.calls.get(tier + 1).copied().unwrap_or(0);
         let job = Job {
             rpc: Rc::clone(rpc),
-            tx,
+            attempt,
             node,
             method: open.method,
             work: open.work,
@@ -538,32 +538,33 @@
         };
         self.set(now + delay, Due::Reach { node, upstream, life, job: Box::new(job) });
         let outcome = Outcome::TimedOut;
-        self.set(now + time_out, Due::Stopped { node, rpc: Rc::clone(rpc), tx, outcome });
+        self.set(now + time_out, Due::Stopped { node, rpc: Rc::clone(rpc), attempt, outcome });
     }
 
     /// A transmission that its balancer gives up, if it is still out.
-    fn give_up(&mut self, node: usize, rpc: &Rc<str>, tx: usize, outcome: Outcome) {
-        let out = self.nodes[node].open.get(rpc).and_then(|open| open.out.get(&tx));
+    fn give_up(&mut self, node: usize, rpc: &Rc<str>, attempt: usize, outcome: Outcome) {
+        let out = self.nodes[node].open.get(rpc).and_then(|open| open.out.get(&attempt));
         let Some(upstream) = out.map(|out| out.upstream) else { return };
-        let void = |job: &&mut (usize, Job)| job.0 == upstream && job.1.tx == tx && job.1.rpc == *rpc;
+        let void =
+            |job: &&mut (usize, Job)| job.0 == upstream && job.1.attempt == attempt && job.1.rpc == *rpc;
         if let Some((_, job)) = self.jobs.values_mut().find(void) {
             job.void = true;
         }
-        self.ended(node, rpc, tx, outcome, f64::NAN);
+        self.ended(node, rpc, attempt, outcome, f64::NAN);
     }
 
-    fn ended(&mut self, node: usize, rpc: &Rc<str>, tx: usize, outcome: Outcome, load: f64) {
+    fn ended(&mut self, node: usize, rpc: &Rc<str>, attempt: usize, outcome: Outcome, load: f64) {
         let Some(open) = self.nodes[node].open.get_mut(rpc) else { return };
-        let Some(out) = open.out.remove(&tx) else { return };
+        let Some(out) = open.out.remove(&attempt) else { return };
         let (took, answered) = (self.now - out.sent, open.answered);
-        self.tell(&Event::Ended { rpc: Rc::clone(rpc), tx, outcome });
+        self.tell(&Event::Ended { rpc: Rc::clone(rpc), attempt, outcome });
         // Whose caller has left has nobody to answer to.
         if outcome == Outcome::Completed && !answered {
             self.answer(node, rpc, Final::Completed, 0);
         }
         let over = self.nodes[node].open.get(rpc).is_none_or(|open| open.answered);
         let now = self.now;
-        self.decide(node, |p| p.tx_ended(now, rpc, tx, outcome, took, over, load));
+        self.decide(node, |p| p.attempt_ended(now, rpc, attempt, outcome, took, over, load));
         self.forget(node, rpc);
     }
 
@@ -661,9 +662,9 @@
     fn reach(&mut self, node: usize, upstream: usize, life: u32, job: Job) {
         let back = self.delay(self.upstreams[upstream].zone, self.nodes[node].zone);
         let u = &self.upstreams[upstream];
-        let (rpc, tx) = (Rc::clone(&job.rpc), job.tx);
+        let (rpc, attempt) = (Rc::clone(&job.rpc), job.attempt);
         let load = self.load(upstream);
-        let say = |outcome, load| Due::Back { node, rpc, tx, outcome, load };
+        let say = |outcome, load| Due::Back { node, rpc, attempt, outcome, load };
         let at = self.now + back;
         if u.state == State::Silent {
             return;
@@ -673,17 +674,17 @@
             return self.set(at, say(Outcome::ConnectFailed, f64::NAN));
         }
         if u.hangs() {
-            return self.tell(&Event::Ran { rpc: job.rpc, tx });
+            return self.tell(&Event::Ran { rpc: job.rpc, attempt });
         }
         let errors = u.errors();
         if errors > 0.0 && self.chance.random::<f64>() < errors {
-            self.tell(&Event::Ran { rpc: job.rpc, tx });
-            return self.set(at, say(Outcome::Errored, load));
+            self.tell(&Event::Ran { rpc: job.rpc, attempt });
+            return self.set(at, say(Outcome::Failed, load));
         }
         if u.held >= u.slots && u.waiting.len() >= u.queue {
-            return self.set(at, say(Outcome::Exhausted, load));
+            return self.set(at, say(Outcome::Rejected, load));
         }
-        self.tell(&Event::Ran { rpc: Rc::clone(&job.rpc), tx });
+        self.tell(&Event::Ran { rpc: Rc::clone(&job.rpc), attempt });
         let number = self.jobs_made;
         self.jobs_made += 1;
         self.jobs.insert(number, (upstream, job));
@@ -740,7 +741,7 @@
         let Some((_, job)) = self.jobs.get_mut(&number) else { return };
         let node = self.upstreams[upstream].balancer;
         let Some(node) = node.filter(|_| job.left > 0 && self.now < job.hard && !job.void) else {
-            let outcome = if job.left > 0 { Outcome::Errored } else { Outcome::Completed };
+            let outcome = if job.left > 0 { Outcome::Failed } else { Outcome::Completed };
             return self.done(upstream, number, outcome);
         };
         job.left -= 1;
@@ -758,7 +759,7 @@
         match last {
             Final::Completed => self.next_call(upstream, job),
             // It fails if a call does.
-            Final::Exhausted | Final::Errored => self.done(upstream, job, Outcome::Errored),
+            Final::Exhausted | Final::Errored => self.done(upstream, job, Outcome::Failed),
         }
     }
 
@@ -767,8 +768,8 @@
         let of = &self.scenario.tier[self.upstreams[upstream].tier];
         let (load, zone) = (self.load(upstream), self.upstreams[upstream].zone);
         let back = self.delay(zone, self.nodes[job.node].zone);
-        let (node, rpc, tx) = (job.node, job.rpc, job.tx);
-        self.set(self.now + back, Due::Back { node, rpc, tx, outcome, load });
+        let (node, rpc, attempt) = (job.node, job.rpc, job.attempt);
+        self.set(self.now + back, Due::Back { node, rpc, attempt, outcome, load });
         let u = &mut self.upstreams[upstream];
         u.held -= 1;
         while u.held < u.slots {
@@ -792,8 +793,8 @@
             let Some((_, job)) = self.jobs.remove(&number) else { continue };
             if !silent {
                 let back = self.delay(self.upstreams[upstream].zone, self.nodes[job.node].zone);
-                let (node, rpc, tx, outcome) = (job.node, job.rpc, job.tx, Outcome::Reset);
-                self.set(self.now + back, Due::Back { node, rpc, tx, outcome, load: f64::NAN });
+                let (node, rpc, attempt, outcome) = (job.node, job.rpc, job.attempt, Outcome::Reset);
+                self.set(self.now + back, Due::Back { node, rpc, attempt, outcome, load: f64::NAN });
             }
         }
         let u = &mut self.upstreams[upstream];
--- a/crates/fernroute-testbed/tests/cold.rs
+++ b/crates/fernroute-testbed/tests/cold.rs
@@ -31,7 +31,7 @@
             at,
             &Event::Arrived { rpc: Rc::clone(&rpc), balancer, method: 0, hard: at + 1, tenant: None },
         );
-        referee.see(at, &Event::Sent { rpc: Rc::clone(&rpc), tx: 0, balancer, upstream: 7, work });
+        referee.see(at, &Event::Sent { rpc: Rc::clone(&rpc), attempt: 0, balancer, upstream: 7, work });
         referee.see(at, &Event::CallerLeft { rpc });
     }
     let rules = referee.breaches.iter().map(|b| b.rule).collect();
--- a/crates/fernroute-testbed/tests/referee.rs
+++ b/crates/fernroute-testbed/tests/referee.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::small;
-use fernroute::desk::Desk;
-use fernroute::{Host as _, Outcome, Time};
+use fernroute::action_queue::ActionQueue;
+use fernroute::{Host as _, Outcome, Time, Timer};
 use fernroute_testbed::player::{Entry, Player, Variant};
 use fernroute_testbed::referee::{Breach, Rule};
 use fernroute_testbed::run::{run, run_with, Nobody};
@@ -30,7 +30,7 @@
 /// Sends each RPC to the next upstream, once; errors what does not complete. But for its one fault.
 struct Plain {
     how: Rogue,
-    host: Desk,
+    host: ActionQueue,
     upstreams: BTreeMap<Rc<str>, Entry>,
     /// Method, hard deadline, upstreams so far.
     rpcs: BTreeMap<String, (String, Time, Vec<Rc<str>>)>,
@@ -54,7 +54,7 @@
         let Some(to) = self.next(&before) else { return false };
         self.rpcs.get_mut(rpc).into_iter().for_each(|r| r.2.push(Rc::clone(&to)));
         let room = if self.how == Rogue::AnswersLate { 2 * seconds(1.0) } else { 0 };
-        self.host.transmit(rpc, &to, (hard - now).max(1) + room, None);
+        self.host.start_attempt(rpc, &to, (hard - now).max(1) + room, None);
         true
     }
 }
@@ -70,10 +70,10 @@
         self.rpcs.insert(rpc.to_owned(), (method.to_owned(), now + time_left, Vec::new()));
         if !self.send(now, rpc) {
             self.rpcs.remove(rpc);
-            self.host.exhaust(rpc, 0);
+            self.host.reject(rpc, 0);
         }
     }
-    fn tx_ended(&mut self, now: Time, rpc: &str, _: usize, end: Outcome, _: Time, over: bool, _: f64) {
+    fn attempt_ended(&mut self, now: Time, rpc: &str, _: usize, end: Outcome, _: Time, over: bool, _: f64) {
         let Some((method, _, before)) = self.rpcs.get(rpc).cloned() else { return };
         let ran = !end.never_ran();
         let again = match self.how {
@@ -86,10 +86,10 @@
             return;
         }
         match self.how {
-            Rogue::AnswersTwice if over => self.host.error(rpc),
+            Rogue::AnswersTwice if over => self.host.fail(rpc),
             Rogue::ExhaustsWhatMayHaveRun if !over && ran => {
                 self.rpcs.remove(rpc);
-                return self.host.exhaust(rpc, 0);
+                return self.host.reject(rpc, 0);
             }
             Rogue::NeverAnswers if !over => {
                 self.rpcs.remove(rpc);
@@ -98,17 +98,17 @@
             _ => {}
         }
         if self.rpcs.remove(rpc).is_some() && !over {
-            self.host.error(rpc);
+            self.host.fail(rpc);
         }
     }
     fn rpc_abandoned(&mut self, _: Time, rpc: &str) {
         self.rpcs.remove(rpc);
     }
-    fn timer(&mut self, _: Time, _: &str) {}
+    fn timer(&mut self, _: Time, _: &Timer) {}
 }
 
 fn judged(scenario: &Scenario, how: Rogue) -> Vec<Breach> {
-    let make = |_: &Scenario, _, host: Desk, _, _| -> Box<dyn Player> {
+    let make = |_: &Scenario, _, host: ActionQueue, _, _| -> Box<dyn Player> {
         Box::new(Plain { how, host, upstreams: BTreeMap::new(), rpcs: BTreeMap::new(), turn: 0 })
     };
     run_with(scenario, 1, &make, &mut Nobody).breaches
--- a/crates/fernroute/benches/decision.rs
+++ b/crates/fernroute/benches/decision.rs
@@ -1,12 +1,12 @@
 //! What one RPC costs the decisions: taken on, sent, answered. By the number of upstreams.
 
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
-use fernroute::desk::Desk;
+use fernroute::action_queue::ActionQueue;
 use fernroute::host::SECOND;
-use fernroute::{Balancer, Outcome, Terms, Time, FURTHER, TRIALS};
+use fernroute::{Balancer, Outcome, Settings, Time, RETRY_BUDGET, TRIAL_BUDGET};
 use std::hint::black_box;
 
-fn terms() -> Terms {
+fn terms() -> Settings {
     [
         ("instances", "100"),
         ("load.names", "utilisation"),
@@ -28,8 +28,8 @@
 
 /// One RPC of this tenant at each call, so long after the one before: taken on, sent, answered.
 fn rpcs(
-    mut balancer: Balancer<Desk>,
-    desk: Desk,
+    mut balancer: Balancer<ActionQueue>,
+    desk: ActionQueue,
     from: Time,
     gap: Time,
     tenant: &'static str,
@@ -40,7 +40,7 @@
         now += gap;
         let id = format!("r{rpc}");
         balancer.rpc_arrived(now, &id, "look", tenant, "", SECOND);
-        balancer.tx_ended(now + 5, &id, 0, Outcome::Completed, 5, true, &[0.5]);
+        balancer.attempt_ended(now + 5, &id, 0, Outcome::Completed, 5, true, &[0.5]);
         while let Some(act) = desk.next() {
             black_box(act);
         }
@@ -52,14 +52,14 @@
     for count in [10, 100, 120, 600, 1200] {
         // A busy balancer draws among all of them, one of few calls among six.
         for (pace, gap) in [("busy", 10), ("quiet", SECOND / 2)] {
-            let desk = Desk::default();
+            let desk = ActionQueue::default();
             let now = 1000 * SECOND;
             let mut balancer = Balancer::new(desk.clone(), now, 7, &terms()).expect("the terms are whole");
-            balancer.list_begins(now, true);
+            balancer.snapshot_started(now, true);
             for n in 0..count {
                 balancer.upstream_ready(&format!("u-{n}"), "a", &(n / 8).to_string(), "", 0);
             }
-            balancer.list_ends(true);
+            balancer.snapshot_complete(true);
             let mut one = rpcs(balancer, desk, now, gap, "");
             // Until its rate is what it will be.
             (0..20_000).for_each(|_| one());
@@ -73,19 +73,19 @@
 fn budgets(c: &mut Criterion) {
     let mut group = c.benchmark_group("budgets");
     for (name, tenants, granted) in [("none", "0", false), ("even", "1", false), ("fleet", "1", true)] {
-        let desk = Desk::default();
+        let desk = ActionQueue::default();
         let now = 1000 * SECOND;
         let mut terms = terms();
         let tenant = [("tenants.count", tenants), ("tenants.0.name", "acme"), ("tenants.0.rate", "1e9")];
         terms.extend(tenant.map(|(name, value)| (name.to_owned(), value.to_owned())));
         let mut balancer = Balancer::new(desk.clone(), now, 7, &terms).expect("the terms are whole");
-        balancer.list_begins(now, true);
+        balancer.snapshot_started(now, true);
         (0..10).for_each(|n| balancer.upstream_ready(&format!("u-{n}"), "a", "0", "", 0));
-        balancer.list_ends(true);
+        balancer.snapshot_complete(true);
         if granted {
             let rates = [(1e5, u64::MAX), (1e6, u64::MAX)];
-            let all = [("acme", rates), (FURTHER, rates), (TRIALS, rates)];
-            balancer.new_shares(now, &all).expect("they fit");
+            let all = [("acme", rates), (RETRY_BUDGET, rates), (TRIAL_BUDGET, rates)];
+            balancer.set_budget_rates(now, &all).expect("they fit");
         }
         let mut one = rpcs(balancer, desk, now, 10, "acme");
         (0..20_000).for_each(|_| one());
--- a/crates/fernroute/src/decide.rs
+++ b/crates/fernroute/src/decide.rs
@@ -15,9 +15,9 @@
 //!  6. circle: a balancer of few calls draws among its own part of the upstreams, by its number; a key, where
 //!     upstreams do less work for one that they know, by its hash and what each kind of upstream takes.
 
-use crate::agreed::{Agreed, Promise, Repeat};
-use crate::host::{BadTerm, Host, Outcome, Terms, Time, SECOND};
+use crate::host::{Host, InvalidSetting, Outcome, Settings, Time, Timer, SECOND};
 use crate::records::{fade, hash, mean, Bucket, Following, Gate, Id, Method, Purse, Rpc, Sent, Times, Tx};
+use crate::settings::{Idempotency, MethodPolicy, ValidatedSettings};
 use nanorand::{Rng, WyRand};
 use std::cell::Cell;
 use std::collections::{BTreeMap, VecDeque};
@@ -180,7 +180,7 @@
 // ------------------------------------------------------------------------------------------------- methods
 
 /// A method of which nothing is known yet.
-fn method(promise: &Promise) -> Method {
+fn method(promise: &MethodPolicy) -> Method {
     // Before anything completed: a fifth and a half of the soft deadline.
     let expected = promise.soft.unwrap_or(SECOND) as f64;
     let times = Times { mean: expected * 0.2, late: expected * 0.5, each: expected * 0.2, whole_try: 0 };
@@ -195,7 +195,7 @@
     rng: WyRand,
     now: Time,
     /// What the terms say; replaced whole by new ones.
-    agreed: Agreed,
+    agreed: ValidatedSettings,
     methods: Vec<Rc<Method>>,
     purse: Purse,
     /// Emptied by the list: an upstream that is gone leaves with its last transmission.
@@ -231,12 +231,12 @@
 const LONG: f64 = 10.0 * SECOND as f64;
 
 impl<H: Host> Balancer<H> {
-    pub fn new(host: H, now: Time, seed: u64, terms: &Terms) -> Result<Self, BadTerm> {
+    pub fn new(host: H, now: Time, seed: u64, terms: &Settings) -> Result<Self, InvalidSetting> {
         let mut balancer = Balancer {
             host,
             rng: WyRand::new_seed(seed),
             now,
-            agreed: Agreed::default(),
+            agreed: ValidatedSettings::default(),
             methods: Vec::new(),
             purse: Purse::default(),
             upstreams: BTreeMap::new(),
@@ -254,18 +254,18 @@
             rate_at: now,
             rate_from: None,
         };
-        balancer.new_terms(now, terms)?;
+        balancer.update_settings(now, terms)?;
         Ok(balancer)
     }
 
     /// Takes new terms, whole or not at all. Open RPCs keep the method that they were taken under; breakers,
     /// reports, starts and what was learnt under the same name stay. Guards against an effect, a group or a
     /// deadline that changes under an RPC which may have run.
-    pub fn new_terms(&mut self, now: Time, terms: &Terms) -> Result<(), BadTerm> {
-        let agreed = Agreed::read(terms)?;
+    pub fn update_settings(&mut self, now: Time, terms: &Settings) -> Result<(), InvalidSetting> {
+        let agreed = ValidatedSettings::read(terms)?;
         self.now = now;
         let told_otherwise = agreed.report != self.agreed.report;
-        let known = |promise: &Promise| {
+        let known = |promise: &MethodPolicy| {
             let method = method(promise);
             let before = self.methods.iter().find(|m| m.promise.name == promise.name);
             before.into_iter().for_each(|before| method.times.set(before.times.get()));
@@ -288,13 +288,17 @@
 
     /// What the fleet grants from now on, in place of even parts of tenants' shares: two rates a second, each
     /// until a time; and of transmissions beyond the first and trials, where it divides these; whole or not.
-    pub fn new_shares(&mut self, now: Time, of: &[(&str, [(f64, Time); 2])]) -> Result<(), BadTerm> {
+    pub fn set_budget_rates(
+        &mut self,
+        now: Time,
+        of: &[(&str, [(f64, Time); 2])],
+    ) -> Result<(), InvalidSetting> {
         self.now = now;
         self.purse.grant(now, of)
     }
 
     /// How often a transmission beyond the first would have been of use, since the start.
-    pub fn wished(&self) -> u64 {
+    pub fn retries_wanted(&self) -> u64 {
         self.purse.wished
     }
 
@@ -319,17 +323,17 @@
     /// Guards against calls that multiply in a long failure of the list: one is pending.
     fn set_ask(&mut self, wait: Time) {
         self.list.asks += 1;
-        self.host.set_timer(wait.max(1), &format!("ask:{}", self.list.asks));
+        self.host.set_timer(wait.max(1), Timer::EndpointPoll(self.list.asks));
     }
 
-    pub fn list_failed(&mut self, now: Time) {
+    pub fn watch_failed(&mut self, now: Time) {
         self.now = now;
         self.list.following = false;
         self.list.failures += 1;
         self.ask_later(self.list.failures);
     }
 
-    pub fn list_begins(&mut self, now: Time, full: bool) {
+    pub fn snapshot_started(&mut self, now: Time, full: bool) {
         self.now = now;
         self.list.reading_full = full;
         self.upstreams.values_mut().for_each(|u| u.seen = false);
@@ -355,19 +359,19 @@
         }
     }
 
-    pub fn upstream_drains(&mut self, id: &str) {
+    pub fn upstream_draining(&mut self, id: &str) {
         if let Some(u) = self.upstreams.get_mut(id) {
             (u.seen, u.leaving) = (true, true);
         }
     }
 
-    pub fn upstream_gone(&mut self, id: &str) {
-        self.upstream_drains(id);
+    pub fn upstream_removed(&mut self, id: &str) {
+        self.upstream_draining(id);
         self.upstreams.get_mut(id).into_iter().for_each(|u| u.gone = true);
     }
 
     /// `fresh` is false for the list that an instance held before and is handed at its start.
-    pub fn list_ends(&mut self, fresh: bool) {
+    pub fn snapshot_complete(&mut self, fresh: bool) {
         if self.list.reading_full {
             // An upstream that a full list leaves out is gone.
             for u in self.upstreams.values_mut().filter(|u| !u.seen) {
@@ -439,7 +443,7 @@
     }
 
     /// How many upstreams the list names, and how many of them are avoided now.
-    pub fn standing(&self) -> (usize, usize) {
+    pub fn upstream_counts(&self) -> (usize, usize) {
         let listed = || self.upstreams.values().filter(|u| !u.gone);
         (listed().count(), listed().filter(|u| u.leaving || u.breaker.state != State::Closed).count())
     }
@@ -498,11 +502,11 @@
         let Some(first) = rpc.may_have_run() else { return true };
         let in_window = rpc.written_by(self.agreed.tick).is_none_or(|by| self.now < by);
         match m.repeat {
-            Repeat::Anywhere => true,
-            Repeat::AmongAll => in_window,
-            Repeat::InZone => in_window && u.zone == first.zone,
-            Repeat::InCell => in_window && u.cell == first.cell,
-            Repeat::Never => false,
+            Idempotency::Idempotent => true,
+            Idempotency::DedupedEverywhere => in_window,
+            Idempotency::DedupedInZone => in_window && u.zone == first.zone,
+            Idempotency::DedupedInCell => in_window && u.cell == first.cell,
+            Idempotency::NotIdempotent => false,
         }
     }
 
@@ -541,7 +545,7 @@
         let crowded = if counted { 2 * CROWDED } else { CROWDED };
         let cost = Some(self.agreed.crossing).filter(|cost| *cost > 0.0);
         let nearness = cost.map_or(NEAR, |cost| (PER_CROSSING * cost).clamp(1.0, NEAR));
-        let steady = rpc.method.promise.repeat == Repeat::Never;
+        let steady = rpc.method.promise.repeat == Idempotency::NotIdempotent;
         // A key that few ask for has one place for all zones: in each it would have to be met anew.
         let rare = rpc.key.is_some() && rpc.places <= 1;
         let (order, reach) = match rpc.key {
@@ -654,7 +658,7 @@
             ahead,
             end: None,
         });
-        self.host.transmit(rpc_id, id, time_out, written_by);
+        self.host.start_attempt(rpc_id, id, time_out, written_by);
         true
     }
 
@@ -671,7 +675,7 @@
         let late = times.late.min(2.2 * times.mean);
         let cut = (rpc.until as f64 - self.now as f64 - 1.5 * times.mean).min(MOST * late);
         let calm = self.busy.is_none_or(|busy| busy < CALM) && cut >= LEAST * late;
-        let follows = m.repeat != Repeat::Never
+        let follows = m.repeat != Idempotency::NotIdempotent
             && rpc.txs.len() + 1 < self.agreed.max_tx
             && self.spare >= 2.0
             && self.purse.may_repeat(self.now);
@@ -847,7 +851,7 @@
         let id = Id::from(id);
         let Some(method) = self.methods.iter().find(|m| *m.promise.name == *method).cloned() else {
             // A method that the terms do not name: nothing is known of it but that it was not sent.
-            return self.host.exhaust(&id, 0);
+            return self.host.reject(&id, 0);
         };
         let (soft, hard) = (self.soft_deadline(&method, left), now + left);
         let (gain, late_gain) = (method.promise.gain, method.promise.late_gain);
@@ -898,7 +902,7 @@
         let mean = rpc.method.times.get().mean as Time;
         if sent == Sent::Nowhere && self.now + LOOK + mean < rpc.soft {
             rpc.waiting = true;
-            self.host.set_timer(LOOK, &format!("held:{id}"));
+            self.host.set_timer(LOOK, Timer::Queued(Rc::clone(id)));
         } else {
             self.finish(id);
         }
@@ -907,16 +911,17 @@
     /// The final answer of an RPC that this balancer gives up: exhausted where that is harmless.
     fn finish(&mut self, id: &Id) {
         let Some(rpc) = self.rpcs.get(id).filter(|rpc| !rpc.done) else { return };
-        let repeatable = matches!(rpc.method.promise.repeat, Repeat::Anywhere | Repeat::AmongAll);
+        let repeatable =
+            matches!(rpc.method.promise.repeat, Idempotency::Idempotent | Idempotency::DedupedEverywhere);
         if repeatable || rpc.may_have_run().is_none() {
             // Early enough that another try can still be in time, and spread; else for as long as may be.
             let room = rpc.soft.saturating_sub(self.now) as f64 - 1.5 * rpc.method.times.get().mean;
             let most = self.agreed.max_stay_away as f64;
             let spread = 0.5 + 0.5 * self.rng.generate::<f64>();
             let stay_away = if room > 0.0 { room.min(most) * spread } else { most };
-            self.host.exhaust(id, stay_away as Time);
+            self.host.reject(id, stay_away as Time);
         } else {
-            self.host.error(id);
+            self.host.fail(id);
         }
         self.close(id);
     }
@@ -925,7 +930,7 @@
     fn close(&mut self, id: &Id) {
         let Some(rpc) = self.rpcs.get_mut(id) else { return };
         if !std::mem::replace(&mut rpc.done, true) && rpc.is_out() && self.agreed.cancel {
-            self.host.cancel(id, rpc.txs.len() - 1);
+            self.host.cancel_attempt(id, rpc.txs.len() - 1);
         }
         if !rpc.is_out() {
             self.rpcs.remove(id);
@@ -933,7 +938,7 @@
     }
 
     #[allow(clippy::too_many_arguments)]
-    pub fn tx_ended(
+    pub fn attempt_ended(
         &mut self,
         now: Time,
         id: &str,
@@ -1019,9 +1024,9 @@
             Outcome::Completed => Some(Verdict::Good),
             // Called off by this balancer, or cut to what the caller had left: only lateness is evidence.
             Outcome::Cancelled | Outcome::TimedOut if !slow => None,
-            Outcome::Moot => None,
-            Outcome::Errored if (took as f64) >= AT_ONCE * mean => Some(Verdict::Failed),
-            Outcome::Exhausted | Outcome::Unknown => Some(Verdict::Failed),
+            Outcome::NotSent => None,
+            Outcome::Failed if (took as f64) >= AT_ONCE * mean => Some(Verdict::Failed),
+            Outcome::Rejected | Outcome::Unknown => Some(Verdict::Failed),
             // Silence, no connection, a broken one, or an error at once.
             _ => Some(Verdict::Dead),
         };
@@ -1035,7 +1040,7 @@
             if u.scars.len() == WINDOW {
                 u.scars.pop_front();
             }
-            u.scars.push_back((now, (outcome == Outcome::Exhausted).then(|| method.promise.name.clone())));
+            u.scars.push_back((now, (outcome == Outcome::Rejected).then(|| method.promise.name.clone())));
         }
         if u.breaker.epoch != tx.epoch {
             return;
@@ -1058,7 +1063,7 @@
     }
 
     /// The last byte has come of an RPC that was sent on while it came: its times count from here.
-    pub fn rpc_whole(&mut self, now: Time, id: &str) {
+    pub fn rpc_complete(&mut self, now: Time, id: &str) {
         let Some(rpc) = self.rpcs.get_mut(id) else { return };
         let late = now - std::mem::replace(&mut rpc.arrived, now);
         [&mut rpc.soft, &mut rpc.hard, &mut rpc.until].into_iter().for_each(|at| *at += late);
@@ -1066,7 +1071,7 @@
 
     /// The answer has begun: it is the client's now, and nothing more is sent for it. Guards against a gate
     /// that takes answers which take long to hand on for work that upstreams do not get done.
-    pub fn stream_started(&mut self, now: Time, id: &str) {
+    pub fn response_started(&mut self, now: Time, id: &str) {
         self.now = now;
         let Some(rpc) = self.rpcs.get_mut(id).filter(|rpc| !rpc.done) else { return };
         rpc.done = true;
@@ -1074,14 +1079,14 @@
         self.count_answer(&method, arrived);
     }
 
-    pub fn timer(&mut self, now: Time, token: &str) {
+    pub fn timer(&mut self, now: Time, timer: &Timer) {
         self.now = now;
-        match token.split_once(':') {
-            Some(("held", id)) if self.rpcs.get(id).is_some_and(|rpc| rpc.waiting && !rpc.done) => {
-                self.send_or_hold(&Id::from(id));
+        match timer {
+            Timer::Queued(id) if self.rpcs.get(id).is_some_and(|rpc| rpc.waiting && !rpc.done) => {
+                self.send_or_hold(id);
             }
-            Some(("ask", n)) if !self.list.following && n.parse() == Ok(self.list.asks) => {
-                self.host.follow_list();
+            Timer::EndpointPoll(poll) if !self.list.following && *poll == self.list.asks => {
+                self.host.watch_endpoints();
                 if let Some(within) = self.agreed.ask_within {
                     // Should no answer come at all.
                     self.set_ask(within / 2);
--- a/crates/fernroute/src/host.rs
+++ b/crates/fernroute/src/host.rs
@@ -2,6 +2,7 @@
 
 use std::collections::BTreeMap;
 use std::fmt;
+use std::rc::Rc;
 
 /// Whole tenths of a millisecond: a moment of the host's clock, or a length of time.
 pub type Time = u64;
@@ -10,40 +11,49 @@
 pub const SECOND: Time = 10_000;
 
 /// What the balancer is told at start: names to values, times already in [`Time`] units.
-pub type Terms = BTreeMap<String, String>;
+pub type Settings = BTreeMap<String, String>;
 
 /// Everything a balancer can do. Calls take effect at the moment they are made.
 pub trait Host {
     /// Sends the RPC to an upstream; its transmissions count 0, 1, 2 … in the order of these calls. One whose last
-    /// byte has not left at the moment `written_by` is never whole, and ends as [`Outcome::Moot`].
-    fn transmit(&mut self, rpc: &str, upstream: &str, time_out: Time, written_by: Option<Time>);
+    /// byte has not left at the moment `write_deadline` is never whole, and ends as [`Outcome::NotSent`].
+    fn start_attempt(&mut self, rpc: &str, upstream: &str, timeout: Time, write_deadline: Option<Time>);
     /// Stops waiting for one transmission; what became of it is still reported.
-    fn cancel(&mut self, rpc: &str, tx: usize);
-    /// Final answer: declined, and asking again does no harm. `stay_away` of 0 is no advice.
-    fn exhaust(&mut self, rpc: &str, stay_away: Time);
+    fn cancel_attempt(&mut self, rpc: &str, attempt: usize);
+    /// Final answer: declined, and asking again does no harm. `retry_after` of 0 is no advice.
+    fn reject(&mut self, rpc: &str, retry_after: Time);
     /// Final answer: no luck, and nothing is promised about effects.
-    fn error(&mut self, rpc: &str);
-    /// Has `timer` called with this token after the given time.
-    fn set_timer(&mut self, after: Time, token: &str);
+    fn fail(&mut self, rpc: &str);
+    /// Has `timer` called with this value after the given time.
+    fn set_timer(&mut self, after: Time, timer: Timer);
     /// Asks for changes to the list of upstreams from now on.
-    fn follow_list(&mut self);
+    fn watch_endpoints(&mut self);
     /// Leaves a line for the people on call.
     fn log(&mut self, line: &str);
 }
 
-/// How a transmission ended.
+/// What a timer is for.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum Timer {
+    /// The RPC of this id waits until an upstream may take it.
+    Queued(Rc<str>),
+    /// The endpoint list is due to be asked for. Polls are numbered, and only the latest one counts.
+    EndpointPoll(u32),
+}
+
+/// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     Completed,
-    Errored,
+    Failed,
     /// Turned away unseen.
-    Exhausted,
+    Rejected,
     TimedOut,
     ConnectFailed,
     Reset,
     Cancelled,
     /// Never left this balancer.
-    Moot,
+    NotSent,
     /// A word that this version does not know; it may have run.
     Unknown,
 }
@@ -51,21 +61,21 @@
 impl Outcome {
     /// Whether this outcome proves that the upstream never ran the RPC.
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Exhausted | Outcome::ConnectFailed | Outcome::Moot)
+        matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)
     }
 }
 
-/// A term that will not do: missing or unreadable, out of range, or at odds with another.
+/// A setting that will not do: missing or unreadable, out of range, or at odds with another.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct BadTerm {
-    pub term: String,
+pub struct InvalidSetting {
+    pub setting: String,
     pub why: &'static str,
 }
 
-impl fmt::Display for BadTerm {
+impl fmt::Display for InvalidSetting {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.why, self.term)
+        write!(f, "{}: {}", self.why, self.setting)
     }
 }
 
-impl std::error::Error for BadTerm {}
+impl std::error::Error for InvalidSetting {}
--- a/crates/fernroute/src/lib.rs
+++ b/crates/fernroute/src/lib.rs
@@ -2,12 +2,12 @@
 //!
 //! [`Balancer`] holds every decision; it acts through the [`Host`] that it is handed at start.
 
-pub mod agreed;
+pub mod action_queue;
 pub mod decide;
-pub mod desk;
 pub mod host;
 mod records;
+pub mod settings;
 
 pub use decide::Balancer;
-pub use host::{BadTerm, Host, Outcome, Terms, Time};
-pub use records::{FURTHER, TRIALS};
+pub use host::{Host, InvalidSetting, Outcome, Settings, Time, Timer};
+pub use records::{RETRY_BUDGET, TRIAL_BUDGET};
--- a/crates/fernroute/src/records.rs
+++ b/crates/fernroute/src/records.rs
@@ -1,7 +1,7 @@
 //! What the decisions keep of RPCs, methods and tenants. Nothing is decided here.
 
-use crate::agreed::{Promise, Repeat};
-use crate::host::{BadTerm, Outcome, Time, SECOND};
+use crate::host::{InvalidSetting, Outcome, Time, SECOND};
+use crate::settings::{Idempotency, MethodPolicy};
 use std::cell::Cell;
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -22,7 +22,7 @@
 }
 
 pub struct Method {
-    pub promise: Promise,
+    pub promise: MethodPolicy,
     pub times: Cell<Times>,
 }
 
@@ -84,8 +84,8 @@
 }
 
 /// What a fleet calls the budgets that are no tenants'.
-pub const FURTHER: &str = "transmissions beyond the first";
-pub const TRIALS: &str = "trials to one upstream";
+pub const RETRY_BUDGET: &str = "transmissions beyond the first";
+pub const TRIAL_BUDGET: &str = "trials to one upstream";
 
 impl Purse {
     /// Even parts for good; with what is unspent of before, and what was granted stays granted.
@@ -103,18 +103,19 @@
     }
 
     /// What a fleet grants from now on. A tenant that is not named has nothing; of the others what is not named has no end.
-    pub fn grant(&mut self, now: Time, of: &[(&str, Rates)]) -> Result<(), BadTerm> {
-        let known = |name: &str| matches!(name, FURTHER | TRIALS) || self.tenants.contains_key(name);
+    pub fn grant(&mut self, now: Time, of: &[(&str, Rates)]) -> Result<(), InvalidSetting> {
+        let known =
+            |name: &str| matches!(name, RETRY_BUDGET | TRIAL_BUDGET) || self.tenants.contains_key(name);
         let fits = |(rate, _): &(f64, Time)| rate.is_finite() && *rate >= 0.0;
         if let Some((name, _)) = of.iter().find(|(name, rates)| !known(name) || !rates.iter().all(fits)) {
-            return Err(BadTerm { term: (*name).to_owned(), why: "no budget, or no rate" });
+            return Err(InvalidSetting { setting: (*name).to_owned(), why: "no budget, or no rate" });
         }
         let told = |name: &str| of.iter().find(|(n, _)| *n == name).map(|(_, rates)| *rates);
         for (name, bucket) in &mut self.tenants {
             bucket.grant(now, told(name).unwrap_or_default());
         }
-        self.trials = told(TRIALS);
-        self.further = told(FURTHER).map(|rates| {
+        self.trials = told(TRIAL_BUDGET);
+        self.further = told(RETRY_BUDGET).map(|rates| {
             let empty = Bucket { least: 1.0, granted: true, filled: now, ..Bucket::default() };
             let mut bucket = self.further.take().unwrap_or(empty);
             bucket.grant(now, rates);
@@ -209,7 +210,10 @@
         /// It arrives later than it leaves: by a way between zones and a busy turn, which the first may have had less of.
         const TRIP: Time = SECOND / 50;
         let promise = &self.method.promise;
-        let dropped = matches!(promise.repeat, Repeat::AmongAll | Repeat::InZone | Repeat::InCell);
+        let dropped = matches!(
+            promise.repeat,
+            Idempotency::DedupedEverywhere | Idempotency::DedupedInZone | Idempotency::DedupedInCell
+        );
         let first = self.may_have_run().filter(|_| dropped)?;
         Some((first.sent + promise.window).saturating_sub(TRIP.max(2 * tick)))
     }
--- a/crates/fernroute/src/agreed.rs
+++ b/crates/fernroute/src/settings.rs
@@ -1,26 +1,26 @@
 //! What the terms say, read and checked: whole, or not at all. Nothing is decided here.
 
-use crate::host::{BadTerm, Terms, Time};
+use crate::host::{InvalidSetting, Settings, Time};
 use std::collections::BTreeSet;
 use std::rc::Rc;
 use std::str::FromStr;
 
 /// What may be sent again after it may have run, and to which upstreams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeat {
-    Anywhere,
+pub enum Idempotency {
+    Idempotent,
     /// Deduped, by all upstreams, those of one zone or those of one cell.
-    AmongAll,
-    InZone,
-    InCell,
-    Never,
+    DedupedEverywhere,
+    DedupedInZone,
+    DedupedInCell,
+    NotIdempotent,
 }
 
 /// What is agreed of one method.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Promise {
+pub struct MethodPolicy {
     pub name: Rc<str>,
-    pub repeat: Repeat,
+    pub repeat: Idempotency,
     /// How long a deduped one is remembered.
     pub window: Time,
     pub soft: Option<Time>,
@@ -32,7 +32,7 @@
 
 /// The figures of the rule on upstreams that are cold.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct ColdRule {
+pub struct SlowStartRule {
     pub from: f64,
     pub warm_within: f64,
     pub multiple: f64,
@@ -40,7 +40,7 @@
 }
 
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Agreed {
+pub struct ValidatedSettings {
     pub tier: usize,
     /// This balancer's number among those of its tier, and how many there are.
     pub number: usize,
@@ -62,26 +62,32 @@
     pub warm_keys: bool,
     /// What a transmission to another zone costs, as a share of the gain of an RPC.
     pub crossing: f64,
-    pub cold: ColdRule,
-    pub methods: Vec<Promise>,
+    pub cold: SlowStartRule,
+    pub methods: Vec<MethodPolicy>,
     /// RPCs a second over all balancers that are within a tenant's share.
     pub tenants: Vec<(String, f64)>,
 }
 
-fn bad(name: &str, why: &'static str) -> BadTerm {
-    BadTerm { term: name.to_owned(), why }
+fn bad(name: &str, why: &'static str) -> InvalidSetting {
+    InvalidSetting { setting: name.to_owned(), why }
 }
 
-fn term<T: FromStr>(terms: &Terms, name: &str) -> Result<Option<T>, BadTerm> {
+fn term<T: FromStr>(terms: &Settings, name: &str) -> Result<Option<T>, InvalidSetting> {
     terms.get(name).map(|text| text.parse().map_err(|_| bad(name, "missing or unreadable"))).transpose()
 }
 
-fn needed<T: FromStr>(terms: &Terms, name: &str) -> Result<T, BadTerm> {
+fn needed<T: FromStr>(terms: &Settings, name: &str) -> Result<T, InvalidSetting> {
     term(terms, name)?.ok_or_else(|| bad(name, "missing or unreadable"))
 }
 
 /// A number within these bounds, or this one where nothing is said.
-fn number(terms: &Terms, name: &str, least: f64, most: f64, usual: Option<f64>) -> Result<f64, BadTerm> {
+fn number(
+    terms: &Settings,
+    name: &str,
+    least: f64,
+    most: f64,
+    usual: Option<f64>,
+) -> Result<f64, InvalidSetting> {
     let said = match usual {
         Some(usual) => term(terms, name)?.unwrap_or(usual),
         None => needed(terms, name)?,
@@ -95,16 +101,16 @@
 
 const MANY: f64 = 1e12;
 
-impl Agreed {
-    pub fn read(terms: &Terms) -> Result<Self, BadTerm> {
-        let count = |name: &str| Ok::<usize, BadTerm>(term(terms, name)?.unwrap_or(0));
-        let cold = ColdRule {
+impl ValidatedSettings {
+    pub fn read(terms: &Settings) -> Result<Self, InvalidSetting> {
+        let count = |name: &str| Ok::<usize, InvalidSetting>(term(terms, name)?.unwrap_or(0));
+        let cold = SlowStartRule {
             from: number(terms, "rules.cold_from", 1e-3, 1.0, None)?,
             warm_within: number(terms, "rules.warm_within", 0.0, MANY, None)?,
             multiple: number(terms, "rules.cold_multiple", 1e-3, MANY, None)?,
             window: number(terms, "rules.cold_window", 1.0, MANY, None)?,
         };
-        let mut methods: Vec<Promise> = Vec::new();
+        let mut methods: Vec<MethodPolicy> = Vec::new();
         for i in 0..needed::<usize>(terms, "methods.count")? {
             methods.push(promise(terms, i)?);
         }
@@ -130,7 +136,7 @@
         number(terms, "limits.keep_alive", 0.0, MANY, Some(0.0))?;
         let advice = term(terms, "limits.stay_away")?.unwrap_or(false);
         let names = terms.get("load.names").map_or("", String::as_str);
-        Ok(Agreed {
+        Ok(ValidatedSettings {
             tier: count("tier")?,
             number: count("number")?,
             instances: number(terms, "instances", 1.0, MANY, Some(1.0))?,
@@ -153,25 +159,25 @@
     }
 }
 
-fn promise(terms: &Terms, i: usize) -> Result<Promise, BadTerm> {
+fn promise(terms: &Settings, i: usize) -> Result<MethodPolicy, InvalidSetting> {
     let at = |what: &str| format!("methods.{i}.{what}");
     let repeat = match needed::<String>(terms, &at("effect"))?.as_str() {
-        "retriable" => Repeat::Anywhere,
+        "retriable" => Idempotency::Idempotent,
         "deduped" => match needed::<String>(terms, &at("group"))?.as_str() {
-            "all" => Repeat::AmongAll,
-            "zone" => Repeat::InZone,
-            "cell" => Repeat::InCell,
+            "all" => Idempotency::DedupedEverywhere,
+            "zone" => Idempotency::DedupedInZone,
+            "cell" => Idempotency::DedupedInCell,
             _ => return Err(bad(&at("group"), "no such group")),
         },
-        "non_retriable" => Repeat::Never,
+        "non_retriable" => Idempotency::NotIdempotent,
         _ => return Err(bad(&at("effect"), "no such effect")),
     };
-    let deduped = !matches!(repeat, Repeat::Anywhere | Repeat::Never);
+    let deduped = !matches!(repeat, Idempotency::Idempotent | Idempotency::NotIdempotent);
     let (soft, hard) = (term(terms, &at("soft_deadline"))?, term(terms, &at("hard_deadline"))?);
     if soft.zip(hard).is_some_and(|(soft, hard): (Time, Time)| soft > hard) {
         return Err(bad(&at("soft_deadline"), "after the hard deadline"));
     }
-    Ok(Promise {
+    Ok(MethodPolicy {
         name: Rc::from(needed::<String>(terms, &at("name"))?),
         repeat,
         window: if deduped { needed(terms, &at("window"))? } else { 0 },
--- a/crates/fernroute/tests/cold.rs
+++ b/crates/fernroute/tests/cold.rs
@@ -22,9 +22,9 @@
     for i in 0..60 * 30 {
         let at = START + i * SECOND / 60;
         if at == began {
-            b.list_begins(at, false);
+            b.snapshot_started(at, false);
             b.upstream_ready(&id, zone, &cell, "", began);
-            b.list_ends(true);
+            b.snapshot_complete(true);
         }
         let rpc = format!("r{i}");
         let mut seen = notes.0.borrow().sent.len();
@@ -37,10 +37,10 @@
             cold.extend((to == id).then_some(at));
             let so_far = served.entry((to, at / SECOND)).or_default();
             *so_far += 1;
-            let end = if *so_far > CAN { Outcome::Exhausted } else { Outcome::Completed };
-            turned += usize::from(end == Outcome::Exhausted);
+            let end = if *so_far > CAN { Outcome::Rejected } else { Outcome::Completed };
+            turned += usize::from(end == Outcome::Rejected);
             let done = end == Outcome::Completed;
-            b.tx_ended(at, &rpc, n, end, if done { 500 } else { 5 }, done, &[1.0]);
+            b.attempt_ended(at, &rpc, n, end, if done { 500 } else { 5 }, done, &[1.0]);
             n += 1;
         }
     }
--- a/crates/fernroute/tests/common/mod.rs
+++ b/crates/fernroute/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A host that keeps what a balancer did, and the terms and lists that the tests start it with.
 #![allow(dead_code)]
 
-use fernroute::host::{Host, Terms, Time, SECOND};
+use fernroute::host::{Host, Settings, Time, Timer, SECOND};
 use fernroute::Balancer;
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -14,8 +14,8 @@
     pub cancelled: Vec<(String, usize)>,
     pub exhausted: Vec<(String, Time)>,
     pub errored: Vec<String>,
-    /// After, token.
-    pub timers: Vec<(Time, String)>,
+    /// After how long, and what for.
+    pub timers: Vec<(Time, Timer)>,
     pub asked: usize,
     pub lines: Vec<String>,
 }
@@ -24,22 +24,22 @@
 pub struct Notebook(pub Rc<RefCell<Notes>>);
 
 impl Host for Notebook {
-    fn transmit(&mut self, rpc: &str, upstream: &str, time_out: Time, _: Option<Time>) {
+    fn start_attempt(&mut self, rpc: &str, upstream: &str, time_out: Time, _: Option<Time>) {
         self.0.borrow_mut().sent.push((rpc.into(), upstream.into(), time_out));
     }
-    fn cancel(&mut self, rpc: &str, tx: usize) {
+    fn cancel_attempt(&mut self, rpc: &str, tx: usize) {
         self.0.borrow_mut().cancelled.push((rpc.into(), tx));
     }
-    fn exhaust(&mut self, rpc: &str, stay_away: Time) {
+    fn reject(&mut self, rpc: &str, stay_away: Time) {
         self.0.borrow_mut().exhausted.push((rpc.into(), stay_away));
     }
-    fn error(&mut self, rpc: &str) {
+    fn fail(&mut self, rpc: &str) {
         self.0.borrow_mut().errored.push(rpc.into());
     }
-    fn set_timer(&mut self, after: Time, token: &str) {
-        self.0.borrow_mut().timers.push((after, token.into()));
+    fn set_timer(&mut self, after: Time, timer: Timer) {
+        self.0.borrow_mut().timers.push((after, timer));
     }
-    fn follow_list(&mut self) {
+    fn watch_endpoints(&mut self) {
         self.0.borrow_mut().asked += 1;
     }
     fn log(&mut self, line: &str) {
@@ -48,8 +48,8 @@
 }
 
 /// A deployment of the tests' own: a method of each kind, deduped ones in each kind of group.
-pub fn terms(changes: &[(&str, &str)]) -> Terms {
-    let mut all: Terms = [
+pub fn terms(changes: &[(&str, &str)]) -> Settings {
+    let mut all: Settings = [
         ("instances", "2"),
         ("tier", "0"),
         ("zone", "east"),
@@ -101,11 +101,11 @@
 pub fn balancer(count: usize, changes: &[(&str, &str)]) -> (Balancer<Notebook>, Notebook) {
     let notebook = Notebook::default();
     let mut b = Balancer::new(notebook.clone(), START, 7, &terms(changes)).expect("the terms are whole");
-    b.list_begins(START, true);
+    b.snapshot_started(START, true);
     for n in 0..count {
         let (id, zone, cell) = upstream(n);
         b.upstream_ready(&id, zone, &cell, "", 0);
     }
-    b.list_ends(true);
+    b.snapshot_complete(true);
     (b, notebook)
 }
--- a/crates/fernroute/tests/failures.rs
+++ b/crates/fernroute/tests/failures.rs
@@ -4,7 +4,7 @@
 
 use common::{balancer, upstream, Notebook, START};
 use fernroute::host::{Outcome, Time, SECOND};
-use fernroute::{Balancer, FURTHER, TRIALS};
+use fernroute::{Balancer, Timer, RETRY_BUDGET, TRIAL_BUDGET};
 use std::collections::{BTreeSet, VecDeque};
 
 /// Offers one RPC and reports where it went, if anywhere.
@@ -29,7 +29,7 @@
         let Some(to) = offer(b, notes, now, &id, "m2") else { continue };
         let (outcome, took) = end(&to);
         now += took;
-        b.tx_ended(now, &id, 0, outcome, took, outcome == Outcome::Completed, &[0.5]);
+        b.attempt_ended(now, &id, 0, outcome, took, outcome == Outcome::Completed, &[0.5]);
         went.push(to);
     }
     went
@@ -51,7 +51,7 @@
             if method == "m0" && i == 0 {
                 assert_eq!(last(&notes).2, SECOND * 7 / 10, "from the first on, with room for the other");
             }
-            b.tx_ended(now + 500, &id, 0, Outcome::Completed, 500, true, &[0.5]);
+            b.attempt_ended(now + 500, &id, 0, Outcome::Completed, 500, true, &[0.5]);
         }
     }
     let mut now = START + 13 * SECOND;
@@ -66,11 +66,11 @@
             return;
         }
         assert!((1000..SECOND / 2).contains(&wait), "{wait}");
-        b.tx_ended(now + wait, &id, 0, Outcome::TimedOut, wait, false, &[]);
+        b.attempt_ended(now + wait, &id, 0, Outcome::TimedOut, wait, false, &[]);
         let (rpc, second, rest) = last(&notes);
         assert!(rpc == id && second != first && rest <= 3 * SECOND - wait);
         now += wait + 100;
-        b.tx_ended(now, &id, 1, Outcome::Completed, 100, true, &[0.5]);
+        b.attempt_ended(now, &id, 1, Outcome::Completed, 100, true, &[0.5]);
     }
     panic!("further transmissions without end");
 }
@@ -90,7 +90,7 @@
         let now = START + 8 * SECOND + i * 100;
         let id = format!("t{i}");
         trials += usize::from(offer(&mut b, &notes, now, &id, "m0") == Some(dead.clone()));
-        b.tx_ended(now + 90, &id, 0, Outcome::Completed, 90, true, &[0.5]);
+        b.attempt_ended(now + 90, &id, 0, Outcome::Completed, 90, true, &[0.5]);
     }
     assert!(notes.0.borrow().lines.iter().any(|l| l.contains(&dead) && l.contains("HalfOpen -> Closed")));
     assert!(trials > 3, "closed again, it takes its part");
@@ -115,7 +115,7 @@
     let (dead, from) = (upstream(0).0, START + 60 * SECOND);
     run(&mut b, &notes, START, 2000, |u| if u == dead { (Outcome::Reset, 50) } else { good(u) });
     assert!(!notes.0.borrow().lines.is_empty(), "it opened");
-    b.new_shares(from, &[(TRIALS, [(0.5, from + 20 * SECOND), (0.0, 0)])]).expect("it fits");
+    b.set_budget_rates(from, &[(TRIAL_BUDGET, [(0.5, from + 20 * SECOND), (0.0, 0)])]).expect("it fits");
     let mut went = Vec::new();
     for i in 0..400 {
         let now = from + i * SECOND / 10;
@@ -123,17 +123,17 @@
         if offer(&mut b, &notes, now, &id, "m0") == Some(dead.clone()) {
             went.push(i);
         }
-        b.tx_ended(now + 50, &id, 0, Outcome::Completed, 50, true, &[0.5]);
+        b.attempt_ended(now + 50, &id, 0, Outcome::Completed, 50, true, &[0.5]);
     }
     // One in two seconds; three good ones close it, and it takes its part again.
     assert!(went.len() > 10 && went[..3].windows(2).all(|w| w[1] >= w[0] + 20), "{went:?}");
     // Nothing of it is left, and nothing else stands: an RPC gets no answer rather than a trial beyond the budget.
     let (mut b, notes) = balancer(6, &[("tier", "1")]);
     run(&mut b, &notes, START, 2000, |u| if u == dead { (Outcome::Reset, 50) } else { good(u) });
-    (1..6).for_each(|n| b.upstream_gone(&upstream(n).0));
-    b.new_shares(from, &[(TRIALS, [(0.0, Time::MAX), (0.0, 0)])]).expect("it fits");
+    (1..6).for_each(|n| b.upstream_removed(&upstream(n).0));
+    b.set_budget_rates(from, &[(TRIAL_BUDGET, [(0.0, Time::MAX), (0.0, 0)])]).expect("it fits");
     assert_eq!(offer(&mut b, &notes, from, "none", "m0"), None);
-    b.new_shares(from, &[]).expect("it fits");
+    b.set_budget_rates(from, &[]).expect("it fits");
     assert_eq!(offer(&mut b, &notes, from + SECOND, "any", "m0"), Some(dead));
 }
 
@@ -147,25 +147,25 @@
         for i in 0..count {
             let (id, now) = (format!("f{from}-{i}"), from + i * 100);
             offer(b, &notes, now, &id, "m0");
-            b.tx_ended(now + 50, &id, 0, Outcome::Exhausted, 50, false, &[0.5]);
-            b.tx_ended(now + 99, &id, 1, Outcome::Completed, 49, true, &[0.5]);
+            b.attempt_ended(now + 50, &id, 0, Outcome::Rejected, 50, false, &[0.5]);
+            b.attempt_ended(now + 99, &id, 1, Outcome::Completed, 49, true, &[0.5]);
         }
         notes.0.borrow().sent.len() - before - count as usize
     };
     assert_eq!(further(&mut b, START, 20), 20);
     let (from, until) = (START + SECOND, START + 6 * SECOND);
-    b.new_shares(from, &[(FURTHER, [(4.0, until), (0.0, 0)])]).expect("it fits");
+    b.set_budget_rates(from, &[(RETRY_BUDGET, [(4.0, until), (0.0, 0)])]).expect("it fits");
     // Two seconds of it may be saved up; after its end there is none.
     assert!((1..=2).contains(&further(&mut b, from, 50)), "half a second");
     let all: usize = (1..5).map(|n| further(&mut b, from + n * SECOND, 80)).sum();
     assert!((12..=20).contains(&all), "{all}");
     assert_eq!(further(&mut b, until, 50), 0);
-    assert!(b.wished() > 300, "{}", b.wished());
+    assert!(b.retries_wanted() > 300, "{}", b.retries_wanted());
     let last = || notes.0.borrow().sent.last().cloned().expect("it is sent").2;
     offer(&mut b, &notes, until + SECOND, "alone", "m0");
     assert_eq!(last(), 3 * SECOND, "it has all its time");
     // Where the fleet divides it no more, or never did, it has no end of its own.
-    b.new_shares(until + 2 * SECOND, &[]).expect("it fits");
+    b.set_budget_rates(until + 2 * SECOND, &[]).expect("it fits");
     assert_eq!(further(&mut b, until + 2 * SECOND, 20), 20);
 }
 
@@ -180,14 +180,22 @@
     offer(&mut b, &notes, now, "any", "m0");
     let turns = notes.0.borrow().lines.len();
     assert!(turns > 0, "it opened");
-    b.tx_ended(now, &early.expect("one of sixty went there"), 0, Outcome::Reset, 11 * SECOND, false, &[]);
+    b.attempt_ended(
+        now,
+        &early.expect("one of sixty went there"),
+        0,
+        Outcome::Reset,
+        11 * SECOND,
+        false,
+        &[],
+    );
     assert_eq!(notes.0.borrow().lines.len(), turns, "no change of state");
 }
 
 #[test]
 fn trouble_that_all_share_opens_few() {
     let (mut b, notes) = balancer(9, &[]);
-    run(&mut b, &notes, START, 400, |_| (Outcome::Errored, 200));
+    run(&mut b, &notes, START, 400, |_| (Outcome::Failed, 200));
     let notes = notes.0.borrow();
     let opened = notes.lines.iter().filter(|l| l.contains("-> Open")).count();
     assert!(opened <= 3, "{opened} of nine opened");
@@ -201,7 +209,7 @@
     let went = run(&mut b, &notes, START, 400, |u| {
         let fails = u == bad && notes.0.borrow().sent.len() % 5 < 2;
         if fails {
-            (Outcome::Errored, 80)
+            (Outcome::Failed, 80)
         } else {
             good(u)
         }
@@ -220,15 +228,15 @@
         let Some(to) = offer(&mut b, &notes, now, &id, method) else { continue };
         went[i as usize % 2] += usize::from(to == picky);
         let refused = to == picky && method == "m2";
-        let outcome = if refused { Outcome::Exhausted } else { Outcome::Completed };
-        b.tx_ended(now + 90, &id, 0, outcome, 90, !refused, &[0.5]);
+        let outcome = if refused { Outcome::Rejected } else { Outcome::Completed };
+        b.attempt_ended(now + 90, &id, 0, outcome, 90, !refused, &[0.5]);
         if refused {
             assert_eq!(
                 notes.0.borrow().sent.last().map(|s| s.0.clone()),
                 Some(id.clone()),
                 "tried elsewhere"
             );
-            b.tx_ended(now + 95, &id, 1, Outcome::Completed, 5, true, &[0.5]);
+            b.attempt_ended(now + 95, &id, 1, Outcome::Completed, 5, true, &[0.5]);
         }
     }
     assert!(went[0] > 20 && went[1] < 20, "{went:?}");
@@ -258,7 +266,7 @@
         let now = from + i * 50;
         while out.front().is_some_and(|(until, _)| *until <= now) {
             let (_, id) = out.pop_front().expect("seen");
-            b.tx_ended(now, &id, 0, Outcome::Completed, took, true, &[0.5]);
+            b.attempt_ended(now, &id, 0, Outcome::Completed, took, true, &[0.5]);
         }
         let id = format!("s{from}-{i}");
         if offer(b, notes, now, &id, "m2").is_some() {
@@ -266,7 +274,7 @@
             sent += 1;
         }
     }
-    out.iter().for_each(|(until, id)| b.tx_ended(*until, id, 0, Outcome::Completed, took, true, &[0.5]));
+    out.iter().for_each(|(until, id)| b.attempt_ended(*until, id, 0, Outcome::Completed, took, true, &[0.5]));
     sent
 }
 
@@ -282,9 +290,9 @@
 fn a_fleet_that_shrank_is_not_held_to_its_old_rate() {
     let (mut b, notes) = balancer(12, &[]);
     stream(&mut b, &notes, START, 2000, 1000);
-    b.list_begins(START + 11 * SECOND, false);
-    (0..10).for_each(|n| b.upstream_gone(&upstream(n).0));
-    b.list_ends(true);
+    b.snapshot_started(START + 11 * SECOND, false);
+    (0..10).for_each(|n| b.upstream_removed(&upstream(n).0));
+    b.snapshot_complete(true);
     let sent = stream(&mut b, &notes, START + 11 * SECOND, 600, 7000);
     assert!(sent < 300, "{sent} of 600 passed");
 }
@@ -298,7 +306,7 @@
         let (now, id) = (START + i * 200, format!("r{i}"));
         match offer(&mut b, &notes, now, &id, "m2") {
             Some(to) if to == silent => went += 1,
-            Some(_) => b.tx_ended(now + 100, &id, 0, Outcome::Completed, 100, true, &[0.9]),
+            Some(_) => b.attempt_ended(now + 100, &id, 0, Outcome::Completed, 100, true, &[0.9]),
             None => {}
         }
     }
@@ -323,10 +331,10 @@
     let (mut b, notes) = balancer(2, &[("list_mode", "ask")]);
     for failure in 0..6 {
         let now = START + failure * SECOND;
-        b.list_failed(now);
-        let (after, token) = notes.0.borrow().timers.last().cloned().expect("armed");
+        b.watch_failed(now);
+        let (after, timer) = notes.0.borrow().timers.last().cloned().expect("armed");
         assert!((1..=100_000 / 2).contains(&after), "well within the time to ask: {after}");
-        b.timer(now + after, &token);
+        b.timer(now + after, &timer);
     }
     assert_eq!(notes.0.borrow().asked, 6);
 }
@@ -334,11 +342,11 @@
 #[test]
 fn nothing_is_known_of_rpcs_and_timers_already_dropped() {
     let (mut b, notes) = balancer(2, &[]);
-    b.tx_ended(START, "none", 0, Outcome::Unknown, 10, false, &[]);
+    b.attempt_ended(START, "none", 0, Outcome::Unknown, 10, false, &[]);
     b.rpc_abandoned(START, "none");
-    b.stream_started(START, "none");
-    b.timer(START, "held:none");
-    b.timer(START, "what");
+    b.response_started(START, "none");
+    b.timer(START, &Timer::Queued("none".into()));
+    b.timer(START, &Timer::EndpointPoll(99));
     let notes = notes.0.borrow();
     assert!(notes.sent.is_empty() && notes.errored.is_empty() && notes.exhausted.is_empty());
 }
@@ -349,7 +357,7 @@
         let mut terms = common::terms(&[]);
         terms.remove(lacking);
         let started = Balancer::new(Notebook::default(), START, 1, &terms);
-        assert_eq!(started.err().map(|e| e.term), Some(lacking.to_owned()));
+        assert_eq!(started.err().map(|e| e.setting), Some(lacking.to_owned()));
     }
 }
 
@@ -373,7 +381,7 @@
         out.sort();
         while out.first().is_some_and(|(until, ..)| *until <= now) {
             let (until, took, id) = out.remove(0);
-            b.tx_ended(until, &id, 0, Outcome::Completed, took, true, &[0.5]);
+            b.attempt_ended(until, &id, 0, Outcome::Completed, took, true, &[0.5]);
         }
         let took = if i % 3 == 0 && i < 45 { 25_000 } else { 2500 };
         let id = format!("w{i}");
@@ -415,7 +423,7 @@
         let (b, notes) = &mut tier[n];
         let id = format!("rr{from}-{i}");
         if let Some(to) = offer(b, notes, now, &id, "m0") {
-            b.tx_ended(now, &id, 0, Outcome::Completed, 1000, true, &[0.6]);
+            b.attempt_ended(now, &id, 0, Outcome::Completed, 1000, true, &[0.6]);
             went.push((now, to));
         }
     }
@@ -458,9 +466,9 @@
     let (id, zone, cell) = upstream(3);
     let began = START + 10 * SECOND;
     for (b, _) in &mut tier {
-        b.list_begins(began, false);
+        b.snapshot_started(began, false);
         b.upstream_ready(&id, zone, &cell, "", began);
-        b.list_ends(true);
+        b.snapshot_complete(true);
     }
     let went = round_robin(&mut tier, began, 4000, 25);
     let times: Vec<Time> = went.iter().filter(|(_, to)| *to == id).map(|(at, _)| *at).collect();
@@ -477,10 +485,10 @@
     let (mut b, notes) = balancer(12, &[]);
     stream(&mut b, &notes, START, 2000, 1000);
     let began = START + 11 * SECOND;
-    b.list_begins(began, false);
-    (0..12).for_each(|n| b.upstream_gone(&upstream(n).0));
+    b.snapshot_started(began, false);
+    (0..12).for_each(|n| b.upstream_removed(&upstream(n).0));
     (12..16).for_each(|n| b.upstream_ready(&upstream(n).0, "east", "9", "", began));
-    b.list_ends(true);
+    b.snapshot_complete(true);
     let before = notes.0.borrow().sent.len();
     // Two hundred a second kept twelve half busy, so one can do 33; the four start at a fifth of that, warm by
     // 0.08 a second, and may be sent three times what they can do: some 220 in two seconds, of 400 offered.
@@ -501,10 +509,10 @@
                 come: [usize; 2],
                 started| {
         for (b, _) in tier {
-            b.list_begins(now, false);
-            (leave[0]..leave[1]).for_each(|n| b.upstream_drains(&upstream(n).0));
+            b.snapshot_started(now, false);
+            (leave[0]..leave[1]).for_each(|n| b.upstream_draining(&upstream(n).0));
             (come[0]..come[1]).for_each(|n| b.upstream_ready(&upstream(n).0, "east", "0", "", started));
-            b.list_ends(true);
+            b.snapshot_complete(true);
         }
     };
     turn(&mut tier, START, [0, 0], [0, 16], 0);
@@ -523,9 +531,9 @@
     let (mut b, notes) = balancer(2, &[]);
     let (id, zone, cell) = upstream(2);
     let tell = |b: &mut Balancer<Notebook>, now| {
-        b.list_begins(now, false);
+        b.snapshot_started(now, false);
         b.upstream_ready(&id, zone, &cell, "", START + 3600 * SECOND);
-        b.list_ends(true);
+        b.snapshot_complete(true);
     };
     tell(&mut b, START);
     let went = |b: &mut Balancer<Notebook>, from| {
@@ -553,7 +561,7 @@
         let to = offer(b, notes, now, &id, "m2").expect("sent");
         let (outcome, took, load) = end(&to);
         went += usize::from(to == watched);
-        b.tx_ended(now + took, &id, 0, outcome, took, outcome == Outcome::Completed, &[load]);
+        b.attempt_ended(now + took, &id, 0, outcome, took, outcome == Outcome::Completed, &[load]);
     }
     went
 }
@@ -561,8 +569,7 @@
 #[test]
 fn one_call_a_second_is_enough_to_leave_an_upstream_that_fails_all() {
     let late = SECOND * 9 / 10;
-    for (outcome, after) in
-        [(Outcome::TimedOut, late), (Outcome::ConnectFailed, late), (Outcome::Errored, 50)]
+    for (outcome, after) in [(Outcome::TimedOut, late), (Outcome::ConnectFailed, late), (Outcome::Failed, 50)]
     {
         let (mut b, notes) = balancer(6, &[("tier", "1")]);
         let bad = upstream(2).0;
@@ -611,11 +618,11 @@
 fn one_call_for_the_list_is_pending_at_a_time() {
     let (mut b, notes) = balancer(2, &[("list_mode", "ask")]);
     for failure in 0..8 {
-        b.list_failed(START + failure * SECOND);
+        b.watch_failed(START + failure * SECOND);
     }
     // All timers ring, the old ones too: only the last one asks.
     let timers = notes.0.borrow().timers.clone();
-    timers.iter().for_each(|(after, token)| b.timer(START + 8 * SECOND + after, token));
+    timers.iter().for_each(|(after, timer)| b.timer(START + 8 * SECOND + after, timer));
     assert_eq!(notes.0.borrow().asked, 1);
 }
 
@@ -629,18 +636,18 @@
         let now = START + i * 500;
         let id = format!("long-{i}");
         assert!(offer(&mut b, &notes, now, &id, "m0").is_some(), "RPC {i} of those that are handed on");
-        b.stream_started(now + 400, &id);
+        b.response_started(now + 400, &id);
         begun.push_back(id);
         // Each is handed on for five seconds, far past its soft deadline.
         if begun.len() > 100 {
             let id = begun.pop_front().expect("it has begun");
-            b.tx_ended(now + 450, &id, 0, Outcome::Completed, 400, true, &[0.3]);
+            b.attempt_ended(now + 450, &id, 0, Outcome::Completed, 400, true, &[0.3]);
         }
     }
     let sent = notes.0.borrow().sent.len();
     let now = START + 31 * SECOND;
     let cut = begun.pop_front().expect("it has begun");
-    b.tx_ended(now, &cut, 0, Outcome::Reset, 400, false, &[]);
+    b.attempt_ended(now, &cut, 0, Outcome::Reset, 400, false, &[]);
     b.rpc_abandoned(now, &begun[0]);
     let notes = notes.0.borrow();
     assert_eq!((sent, notes.sent.len()), (600, 600));
@@ -655,9 +662,9 @@
         offer(&mut b, &notes, START, "slow", "m2").expect("it is sent");
         let late = START + 5 * SECOND;
         if whole {
-            b.rpc_whole(late, "slow");
+            b.rpc_complete(late, "slow");
         }
-        b.tx_ended(late + 100, "slow", 0, Outcome::Exhausted, 100, false, &[]);
+        b.attempt_ended(late + 100, "slow", 0, Outcome::Rejected, 100, false, &[]);
         assert_eq!(notes.0.borrow().sent.len(), sends, "{whole}");
         let left = notes.0.borrow().sent.last().map(|sent| sent.2);
         assert!(!whole || left == Some(3 * SECOND - 100), "{left:?}");
@@ -669,13 +676,13 @@
 #[test]
 fn what_is_listed_and_what_is_avoided_is_told() {
     let (mut b, notes) = balancer(6, &[]);
-    assert_eq!(b.standing(), (6, 0));
+    assert_eq!(b.upstream_counts(), (6, 0));
     let bad = upstream(0).0;
     run(&mut b, &notes, START, 3000, |to| if to == bad { (Outcome::Reset, 100) } else { good(to) });
-    assert_eq!(b.standing(), (6, 1));
-    b.list_begins(START + 40 * SECOND, false);
-    b.upstream_drains(&upstream(1).0);
-    b.upstream_gone(&upstream(2).0);
-    b.list_ends(true);
-    assert_eq!(b.standing(), (5, 2));
+    assert_eq!(b.upstream_counts(), (6, 1));
+    b.snapshot_started(START + 40 * SECOND, false);
+    b.upstream_draining(&upstream(1).0);
+    b.upstream_removed(&upstream(2).0);
+    b.snapshot_complete(true);
+    assert_eq!(b.upstream_counts(), (5, 2));
 }
--- a/crates/fernroute/tests/rules.rs
+++ b/crates/fernroute/tests/rules.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::{terms, upstream, START};
-use fernroute::host::{Host, Outcome, Time, SECOND};
+use fernroute::host::{Host, Outcome, Time, Timer, SECOND};
 use fernroute::Balancer;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -17,12 +17,12 @@
 const WINDOW: Time = 3000;
 const OUTCOMES: [Outcome; 8] = [
     Outcome::Completed,
-    Outcome::Errored,
-    Outcome::Exhausted,
+    Outcome::Failed,
+    Outcome::Rejected,
     Outcome::TimedOut,
     Outcome::ConnectFailed,
     Outcome::Reset,
-    Outcome::Moot,
+    Outcome::NotSent,
     Outcome::Unknown,
 ];
 
@@ -50,7 +50,7 @@
     named: BTreeMap<usize, (Time, Time, Option<Time>)>,
     /// Every transmission: when and where.
     all: Vec<(Time, usize)>,
-    timers: Vec<(Time, String)>,
+    timers: Vec<(Time, Timer)>,
     /// Calls that an answered RPC's transmissions still owe an outcome for.
     cancelled: Vec<(String, usize)>,
 }
@@ -111,7 +111,7 @@
 struct Checker(Rc<RefCell<Model>>);
 
 impl Host for Checker {
-    fn transmit(&mut self, rpc: &str, upstream: &str, time_out: Time, _: Option<Time>) {
+    fn start_attempt(&mut self, rpc: &str, upstream: &str, time_out: Time, _: Option<Time>) {
         let mut m = self.0.borrow_mut();
         let (to, at) = (Model::number(upstream), m.now);
         m.check_send(&m.rpcs[rpc], to);
@@ -120,12 +120,12 @@
         assert!(at + time_out <= taken.hard, "rule 1: a time-out past the hard deadline");
         taken.sent.push(Sent { upstream: to, at, until: at + time_out, outcome: None });
     }
-    fn cancel(&mut self, rpc: &str, tx: usize) {
+    fn cancel_attempt(&mut self, rpc: &str, tx: usize) {
         let mut m = self.0.borrow_mut();
         assert!(tx < m.rpcs[rpc].sent.len(), "cancelled what was never sent");
         m.cancelled.push((rpc.to_owned(), tx));
     }
-    fn exhaust(&mut self, rpc: &str, _stay_away: Time) {
+    fn reject(&mut self, rpc: &str, _stay_away: Time) {
         let mut m = self.0.borrow_mut();
         let taken = m.rpcs.get_mut(rpc).expect("taken");
         assert!(!taken.ended, "rule 1: two final answers");
@@ -133,18 +133,18 @@
         assert!(harmless, "rule 2: exhausted what may have run");
         taken.ended = true;
     }
-    fn error(&mut self, rpc: &str) {
+    fn fail(&mut self, rpc: &str) {
         let mut m = self.0.borrow_mut();
         let taken = m.rpcs.get_mut(rpc).expect("taken");
         assert!(!taken.ended, "rule 1: two final answers");
         taken.ended = true;
     }
-    fn set_timer(&mut self, after: Time, token: &str) {
+    fn set_timer(&mut self, after: Time, timer: Timer) {
         let mut m = self.0.borrow_mut();
         let at = m.now + after;
-        m.timers.push((at, token.to_owned()));
+        m.timers.push((at, timer));
     }
-    fn follow_list(&mut self) {}
+    fn watch_endpoints(&mut self) {}
     fn log(&mut self, _line: &str) {}
 }
 
@@ -178,12 +178,12 @@
             let told = m.named.get(n).filter(|was| was.0 == *started).map_or(now, |was| was.1);
             m.named.insert(*n, (*started, told, None));
         }
-        self.b.list_begins(now, full);
+        self.b.snapshot_started(now, full);
         for (n, started) in ready {
             let (id, zone, cell) = upstream(*n);
             self.b.upstream_ready(&id, zone, &cell, "", *started);
         }
-        self.b.list_ends(fresh);
+        self.b.snapshot_complete(fresh);
     }
 
     fn leave(&mut self, n: usize, gone: bool) {
@@ -195,13 +195,13 @@
             }
             None => false,
         };
-        self.b.list_begins(now, false);
+        self.b.snapshot_started(now, false);
         if gone || !known {
-            self.b.upstream_gone(&upstream(n).0);
+            self.b.upstream_removed(&upstream(n).0);
         } else {
-            self.b.upstream_drains(&upstream(n).0);
+            self.b.upstream_draining(&upstream(n).0);
         }
-        self.b.list_ends(true);
+        self.b.snapshot_complete(true);
     }
 
     fn end(&mut self, id: &str, n: usize, outcome: Outcome) {
@@ -213,7 +213,7 @@
             taken.ended |= outcome == Outcome::Completed;
             (now, now - taken.sent[n].at, taken.ended)
         };
-        self.b.tx_ended(now, id, n, outcome, took, ended, &[0.4 + 0.1 * (n as f64)]);
+        self.b.attempt_ended(now, id, n, outcome, took, ended, &[0.4 + 0.1 * (n as f64)]);
     }
 
     /// Lets time pass; time-outs, called-off transmissions and timers come when they are due.
@@ -244,8 +244,8 @@
                 }
                 (_, Some((at, n))) => {
                     self.model.borrow_mut().now = at;
-                    let (_, token) = self.model.borrow_mut().timers.swap_remove(n);
-                    self.b.timer(at, &token);
+                    let (_, timer) = self.model.borrow_mut().timers.swap_remove(n);
+                    self.b.timer(at, &timer);
                 }
                 _ => break,
             }
@@ -289,7 +289,7 @@
                 let kept = [(n, 0), ((n + 1) % UPSTREAMS, 0), ((n + 2) % UPSTREAMS, now - 10)];
                 self.list(true, true, &kept);
             }
-            19 => self.b.list_failed(now),
+            19 => self.b.watch_failed(now),
             _ => {
                 // The client leaves, perhaps while an answer is under way.
                 let open = self.model.borrow().rpcs.iter().find(|(_, r)| !r.ended).map(|(id, _)| id.clone());
--- a/crates/fernroute/tests/shapes.rs
+++ b/crates/fernroute/tests/shapes.rs
@@ -15,7 +15,7 @@
     let (id, before) = (format!("{key}-{at}"), notes.0.borrow().sent.len());
     b.rpc_arrived(at, &id, "m0", "", key, SECOND);
     let to = notes.0.borrow().sent.get(before).map(|(_, to, _)| to.clone())?;
-    b.tx_ended(at + 100, &id, 0, Outcome::Completed, 100, true, &[used, 0.0]);
+    b.attempt_ended(at + 100, &id, 0, Outcome::Completed, 100, true, &[used, 0.0]);
     Some(to)
 }
 
@@ -49,12 +49,12 @@
 #[test]
 fn keys_follow_what_a_kind_of_upstream_takes() {
     let (mut b, notes) = balancer(0, KEYED);
-    b.list_begins(START, true);
+    b.snapshot_started(START, true);
     for n in 0..40 {
         let (id, zone, cell) = upstream(n);
         b.upstream_ready(&id, zone, &cell, ["x", "y"][n / 2 % 2], 0);
     }
-    b.list_ends(true);
+    b.snapshot_complete(true);
     let weak: BTreeSet<String> = (0..40).filter(|n| n / 2 % 2 == 1).map(|n| upstream(n).0).collect();
     let mut counts = [0, 0];
     for i in 0..1200 {
@@ -63,7 +63,7 @@
         let at = START + i * SECOND / 20;
         b.rpc_arrived(at, &id, "m0", "", &key, SECOND);
         let to = notes.0.borrow().sent.last().map(|(_, to, _)| to.clone()).expect("sent");
-        b.tx_ended(at + 100, &id, 0, Outcome::Completed, 100, true, &[used(&to), 0.0]);
+        b.attempt_ended(at + 100, &id, 0, Outcome::Completed, 100, true, &[used(&to), 0.0]);
         counts[usize::from(weak.contains(&to))] += usize::from(i >= 600);
     }
     assert!(counts[0] > 2 * counts[1], "{counts:?} to the strong and the weak kind");
@@ -85,9 +85,9 @@
         for i in 0..80 {
             let at = START + i * SECOND / 2 + number * 17;
             if i == 40 {
-                b.list_begins(began, false);
+                b.snapshot_started(began, false);
                 b.upstream_ready(&id, zone, &cell, "", began);
-                b.list_ends(true);
+                b.snapshot_complete(true);
             }
             let to = keyed(&mut b, &notes, at.max(START), &keys[((i * 7 + number) % 20) as usize], 0.4);
             sent.extend(to.filter(|to| *to == id && i >= 40).map(|_| at));
@@ -111,7 +111,7 @@
     b.rpc_arrived(at, id, "m0", "", "", 3 * SECOND);
     let to = notes.0.borrow().sent.get(before).map(|(_, to, _)| to.clone())?;
     let took = (holds * 1000.0) as Time;
-    b.tx_ended(at + 1000, id, 0, Outcome::Completed, took, true, &[0.9, holds, holds - 1.0]);
+    b.attempt_ended(at + 1000, id, 0, Outcome::Completed, took, true, &[0.9, holds, holds - 1.0]);
     Some(to)
 }
 
@@ -130,7 +130,7 @@
         went += usize::from(to == crowded && i > 50);
         let holds = if to == crowded { 4.0 } else { 1.0 };
         let took = (500.0 * holds) as Time;
-        b.tx_ended(at + took, &id, 0, Outcome::Completed, took, true, &[0.5, holds, holds - 1.0]);
+        b.attempt_ended(at + took, &id, 0, Outcome::Completed, took, true, &[0.5, holds, holds - 1.0]);
     }
     assert!(went < 10, "{went} of 250 to the crowded one of six");
 }
@@ -152,7 +152,7 @@
 }
 
 /// The terms with the effects of two methods exchanged, and the places of all turned round.
-fn turned() -> fernroute::Terms {
+fn turned() -> fernroute::Settings {
     let mut new = terms(&[]);
     for i in 0..5 {
         new.insert(format!("methods.{i}.name"), format!("m{}", 4 - i));
@@ -168,17 +168,17 @@
     for (id, method) in [("again", "m0"), ("once", "m2"), ("group", "m4")] {
         b.rpc_arrived(START, id, method, "", "", 3 * SECOND);
     }
-    b.new_terms(START + 10, &turned()).expect("they will do");
+    b.update_settings(START + 10, &turned()).expect("they will do");
     for id in ["again", "once", "group"] {
-        b.tx_ended(START + 20, id, 0, Outcome::Reset, 20, false, &[]);
+        b.attempt_ended(START + 20, id, 0, Outcome::Reset, 20, false, &[]);
     }
     let times = |id: &str| notes.0.borrow().sent.iter().filter(|(rpc, _, _)| rpc == id).count();
     assert_eq!((times("again"), times("once"), times("group")), (2, 1, 2));
     assert_eq!(notes.0.borrow().errored, ["once"]);
     // And what comes from now on is under the new ones, both ways.
     b.rpc_arrived(START + 30, "new", "m4", "", "", 3 * SECOND);
-    b.new_terms(START + 40, &terms(&[])).expect("they will do");
-    b.tx_ended(START + 4000, "new", 0, Outcome::Reset, 20, false, &[]);
+    b.update_settings(START + 40, &terms(&[])).expect("they will do");
+    b.attempt_ended(START + 4000, "new", 0, Outcome::Reset, 20, false, &[]);
     assert_eq!(times("new"), 2, "retriable when it was taken; its group's window is over");
 }
 
@@ -197,11 +197,11 @@
     ] {
         let mut new = turned();
         new.insert(name.to_owned(), value.to_owned());
-        let bad = b.new_terms(START, &new).expect_err(name);
+        let bad = b.update_settings(START, &new).expect_err(name);
         assert_eq!(bad.why, why, "{name}");
     }
     b.rpc_arrived(START, "a", "m2", "", "", 3 * SECOND);
-    b.tx_ended(START + 20, "a", 0, Outcome::Reset, 20, false, &[]);
+    b.attempt_ended(START + 20, "a", 0, Outcome::Reset, 20, false, &[]);
     assert_eq!(notes.0.borrow().errored, ["a"], "m2 is non-retriable as before");
 }
 
@@ -212,9 +212,9 @@
     for id in ["before", "after"] {
         b.rpc_arrived(START, id, "m0", "", "", 3 * SECOND);
     }
-    b.tx_ended(START + 10, "before", 0, Outcome::Reset, 10, false, &[]);
-    b.new_terms(START + 20, &terms(&[("limits.max_transmissions", "1")])).expect("they will do");
-    b.tx_ended(START + 30, "after", 0, Outcome::Reset, 30, false, &[]);
+    b.attempt_ended(START + 10, "before", 0, Outcome::Reset, 10, false, &[]);
+    b.update_settings(START + 20, &terms(&[("limits.max_transmissions", "1")])).expect("they will do");
+    b.attempt_ended(START + 30, "after", 0, Outcome::Reset, 30, false, &[]);
     let times = |id: &str| notes.0.borrow().sent.iter().filter(|(rpc, _, _)| rpc == id).count();
     assert_eq!((times("before"), times("after")), (2, 1));
 }
@@ -240,7 +240,7 @@
 #[test]
 fn what_the_fleet_grants_is_spent_until_its_time_and_no_further() {
     let (mut b, notes) = balancer(8, TENANT);
-    b.new_shares(START, &[("acme", [(2.0, START + 100 * SECOND), (18.0, START + 10 * SECOND)])])
+    b.set_budget_rates(START, &[("acme", [(2.0, START + 100 * SECOND), (18.0, START + 10 * SECOND)])])
         .expect("it fits");
     // What the even part had saved is there, and no more than before.
     assert_eq!(taken(&mut b, &notes, START, 30), 10);
@@ -251,14 +251,14 @@
     assert_eq!(taken(&mut b, &notes, START + 32 * SECOND, 30), 2);
     assert_eq!(taken(&mut b, &notes, START + 200 * SECOND, 30), 0);
     // Nothing granted is nothing; new terms do not bring the even part back; and who is no tenant changes nothing.
-    b.new_shares(START + 300 * SECOND, &[("acme", [(10.0, Time::MAX), (0.0, 0)])]).expect("it fits");
+    b.set_budget_rates(START + 300 * SECOND, &[("acme", [(10.0, Time::MAX), (0.0, 0)])]).expect("it fits");
     let bad = [("other", [(1.0, 1); 2]), ("acme", [(f64::NAN, 1), (0.0, 0)])];
     for bad in bad {
-        assert!(b.new_shares(START + 300 * SECOND, &[bad]).is_err());
+        assert!(b.set_budget_rates(START + 300 * SECOND, &[bad]).is_err());
     }
-    b.new_terms(START + 301 * SECOND, &terms(TENANT)).expect("terms");
+    b.update_settings(START + 301 * SECOND, &terms(TENANT)).expect("terms");
     assert_eq!(taken(&mut b, &notes, START + 302 * SECOND, 30), 20);
-    b.new_shares(START + 303 * SECOND, &[]).expect("it fits");
+    b.set_budget_rates(START + 303 * SECOND, &[]).expect("it fits");
     assert_eq!(taken(&mut b, &notes, START + 310 * SECOND, 30), 0);
 }
 
