--- a/crates/fernroute-config/src/fleet.rs
+++ b/crates/fernroute-config/src/fleet.rs
@@ -2,7 +2,7 @@
 
 use crate::Values;
 use fernroute::Time;
-use fernroute_fleet::configuration::{is_name, MOST_NAME};
+use fernroute_fleet::configuration::{is_name, MAX_NAME_BYTES};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
@@ -82,7 +82,7 @@
             note(
                 line,
                 place,
-                format!("no scope can name {text:?}: it is longer than {MOST_NAME}, or has a / in it"),
+                format!("no scope can name {text:?}: it is longer than {MAX_NAME_BYTES}, or has a / in it"),
             );
         }
     }
--- a/crates/fernroute-coordinator/src/commands.rs
+++ b/crates/fernroute-coordinator/src/commands.rs
@@ -4,9 +4,9 @@
 mod duties;
 mod operator;
 
-use crate::keep::{Keeper, Status, StewardLine};
 use crate::peers::{Peers, CHANGE, STATUS};
-use crate::{door, terms::Terms};
+use crate::replica::{Replica, ReplicaStatus, Status};
+use crate::{config::CoordinatorConfig, http};
 use argh::FromArgs;
 use futures_util::future::{select, Either};
 use std::fmt::Write as _;
@@ -107,11 +107,11 @@
         Err(early) => return refuse(&early.output),
     };
     let done = match line.command {
-        Command::Serve(serve) => Terms::read(&serve.config).and_then(|terms| {
+        Command::Serve(serve) => CoordinatorConfig::read(&serve.config).and_then(|terms| {
             log(serve.json);
             run_on_one_thread(keep(terms, serve.first))
         }),
-        Command::Check(check) => Terms::read(&check.config).map(|terms| {
+        Command::Check(check) => CoordinatorConfig::read(&check.config).map(|terms| {
             let (stewards, budgets, duties) = (terms.stewards.len(), terms.budgets.len(), terms.duties.len());
             let (name, cluster) = (terms.name, terms.cluster);
             println!("{name} of {cluster}: {stewards} stewards, {budgets} budgets, {duties} duties");
@@ -125,9 +125,8 @@
             }
             Ok(())
         }),
-        Command::Change(change) => {
-            Terms::read(&change.config).and_then(|terms| run_on_one_thread(change_stewards(terms)))
-        }
+        Command::Change(change) => CoordinatorConfig::read(&change.config)
+            .and_then(|terms| run_on_one_thread(change_stewards(terms))),
         Command::Configuration(command) => return configuration::run(command),
         Command::Duties(command) => return duties::run(command),
     };
@@ -135,7 +134,7 @@
 }
 
 /// Asks the leader, whichever it is.
-async fn change_stewards(terms: Terms) -> Result<(), String> {
+async fn change_stewards(terms: CoordinatorConfig) -> Result<(), String> {
     let peers = Peers::new(&terms.cluster, &terms.stewards);
     let names: Vec<String> = terms.stewards.iter().map(|s| s.name.clone()).collect();
     let mut why = String::new();
@@ -188,15 +187,15 @@
     }
 }
 
-async fn keep(terms: Terms, first: bool) -> Result<(), String> {
+async fn keep(terms: CoordinatorConfig, first: bool) -> Result<(), String> {
     let trouble = |e| format!("signals: {e}");
     let mut term = signal(SignalKind::terminate()).map_err(trouble)?;
     let mut int = signal(SignalKind::interrupt()).map_err(trouble)?;
     let at = terms.address;
     let listener = TcpListener::bind(at).await.map_err(|e| format!("listen on {at}: {e}"))?;
-    let keeper = Keeper::open(terms).await?;
+    let keeper = Replica::open(terms).await?;
     tracing::info!("steward {} serving on {at}", keeper.terms.name);
-    let served = pin!(door::serve(Rc::clone(&keeper), listener));
+    let served = pin!(http::serve(Rc::clone(&keeper), listener));
     let part = pin!(async {
         keeper.begin().await?;
         actix_rt::spawn(Rc::clone(&keeper).lead());
@@ -224,7 +223,7 @@
     );
     // Writing to a text does not fail.
     let _ = s.trouble.as_ref().map(|trouble| writeln!(out, "takes no part: {trouble}\n"));
-    let votes = |s: &StewardLine| format!("{}{}", s.name, if s.votes { "" } else { " (being taken in)" });
+    let votes = |s: &ReplicaStatus| format!("{}{}", s.name, if s.votes { "" } else { " (being taken in)" });
     let stewards: Vec<String> = s.stewards.iter().map(votes).collect();
     let _ =
         writeln!(out, "stewards: {}; messages that could not be read: {}\n", stewards.join(", "), s.unread);
--- a/crates/fernroute-coordinator/src/commands/configuration.rs
+++ b/crates/fernroute-coordinator/src/commands/configuration.rs
@@ -2,12 +2,14 @@
 
 use super::operator::{print, Operator, Said, AGAIN};
 use super::{end, refuse, run_on_one_thread};
-use crate::configuration::{check, Latest, NotDone, ScopeLine, Standings, Wish, GET, HISTORY, PUT, STATUS};
+use crate::configuration::{
+    check, ConfigurationStatus, Latest, PutRequest, RequestError, ScopeStatus, GET, HISTORY, PUT, STATUS,
+};
 use argh::FromArgs;
 use chrono::{DateTime, SecondsFormat};
-use fernroute_fleet::configuration::register::Line;
-use fernroute_fleet::configuration::standing::{MemberStanding, Standing};
-use fernroute_fleet::configuration::{hash, Place, Scope, Version, MOST_CONTENT};
+use fernroute_fleet::configuration::register::HistoryEntry;
+use fernroute_fleet::configuration::rollout::{MemberRollout, RolloutState};
+use fernroute_fleet::configuration::{content_hash, Scope, Target, Version, MAX_CONTENT_BYTES};
 use std::fmt::Write as _;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -131,17 +133,17 @@
     let done = match command.command {
         Command::Check(it) => read(&it.file).and_then(|content| {
             check(&content).map_err(|why| format!("{}: {why}", it.file.display()))?;
-            println!("{}: will do: {} bytes, {}", it.file.display(), content.len(), hash(&content));
+            println!("{}: will do: {} bytes, {}", it.file.display(), content.len(), content_hash(&content));
             Ok(ExitCode::SUCCESS)
         }),
         Command::Put(it) => read(&it.file).and_then(|content| run_on_one_thread(put(it, content))),
         Command::Get(it) => run_on_one_thread(get(it)),
         Command::Status(it) => run_on_one_thread(async move {
-            let standings: Standings = Operator::open(&it.at).await?.ask(STATUS, &()).await?;
+            let standings: ConfigurationStatus = Operator::open(&it.at).await?.ask(STATUS, &()).await?;
             print(it.json, &standings, table(&standings))
         }),
         Command::History(it) => run_on_one_thread(async move {
-            let lines: Vec<Line> = Operator::open(&it.at).await?.ask(HISTORY, &it.scope).await?;
+            let lines: Vec<HistoryEntry> = Operator::open(&it.at).await?.ask(HISTORY, &it.scope).await?;
             print(it.json, &lines, past(&lines))
         }),
     };
@@ -151,8 +153,8 @@
 fn read(file: &Path) -> Result<String, String> {
     let trouble = |why: String| format!("{}: {why}", file.display());
     let bytes = std::fs::read(file).map_err(|e| trouble(e.to_string()))?;
-    if bytes.len() > MOST_CONTENT {
-        return Err(trouble(format!("it has {} bytes, over {MOST_CONTENT}", bytes.len())));
+    if bytes.len() > MAX_CONTENT_BYTES {
+        return Err(trouble(format!("it has {} bytes, over {MAX_CONTENT_BYTES}", bytes.len())));
     }
     String::from_utf8(bytes).map_err(|e| trouble(e.to_string()))
 }
@@ -163,7 +165,7 @@
     print!("{}", part.content);
     match latest.line {
         Some(line) => eprintln!("{}", told(&line)),
-        None => eprintln!("{}: version {}, {}", it.scope, part.version, part.hash),
+        None => eprintln!("{}: version {}, {}", it.scope, part.version, part.content_hash),
     }
     Ok(ExitCode::SUCCESS)
 }
@@ -175,7 +177,7 @@
     let operator = Operator::open(&it.at).await?;
     let latest: Latest = operator.ask(GET, &it.scope).await?;
     let base = it.from.unwrap_or(latest.part.map_or(0, |part| part.version));
-    let wish = Wish { scope: it.scope, base, hash: hash(&content), content, who };
+    let wish = PutRequest { scope: it.scope, base, hash: content_hash(&content), content, who };
     let version = match enter(&operator, &wish).await? {
         Ok(version) => version,
         Err(unknown) => return Ok(end(1, &unknown)),
@@ -189,16 +191,16 @@
 
 /// Its version; or that it is not known whether it is entered. Asked again where it is not known: guards against a word
 /// that is taken for lost because the leader was, and entered twice. It names its base, so it is entered once.
-async fn enter(operator: &Operator, wish: &Wish) -> Result<Result<Version, String>, String> {
+async fn enter(operator: &Operator, wish: &PutRequest) -> Result<Result<Version, String>, String> {
     let mut unsure = false;
     match operator.say(PUT, wish, &mut unsure).await {
         Said::Answer(version) => Ok(Ok(version)),
-        Said::Not(NotDone::OutOfDate(line)) if unsure => match entered(operator, wish).await? {
+        Said::Not(RequestError::OutOfDate(line)) if unsure => match entered(operator, wish).await? {
             Some(version) => Ok(Ok(version)),
             None => Err(out_of_date(line, wish)),
         },
-        Said::Not(NotDone::OutOfDate(line)) => Err(out_of_date(line, wish)),
-        Said::Not(NotDone::Refused(why)) => Err(why),
+        Said::Not(RequestError::OutOfDate(line)) => Err(out_of_date(line, wish)),
+        Said::Not(RequestError::Refused(why)) => Err(why),
         Said::Not(not) => Err(format!("{not:?}")),
         Said::Nobody(why) if unsure => Ok(Err(format!(
             "not known whether it is entered, see history, or put it again with --from {}: {why}",
@@ -208,15 +210,17 @@
     }
 }
 
-fn out_of_date(latest: Option<Box<Line>>, wish: &Wish) -> String {
+fn out_of_date(latest: Option<Box<HistoryEntry>>, wish: &PutRequest) -> String {
     let latest = latest.map_or_else(|| format!("{}: of another version", wish.scope), |line| told(&line));
     format!("{latest}; the file was made from version {}", wish.base)
 }
 
 /// The version under which this very word stands in the history, if it does.
-async fn entered(operator: &Operator, wish: &Wish) -> Result<Option<Version>, String> {
-    let lines: Vec<Line> = operator.ask(HISTORY, &Some(&wish.scope)).await?;
-    let same = |line: &&Line| line.base == wish.base && line.hash == wish.hash && line.who == wish.who;
+async fn entered(operator: &Operator, wish: &PutRequest) -> Result<Option<Version>, String> {
+    let lines: Vec<HistoryEntry> = operator.ask(HISTORY, &Some(&wish.scope)).await?;
+    let same = |line: &&HistoryEntry| {
+        line.base_version == wish.base && line.content_hash == wish.hash && line.author == wish.who
+    };
     Ok(lines.iter().find(same).map(|line| line.version))
 }
 
@@ -229,9 +233,9 @@
 ) -> Result<ExitCode, String> {
     let from = Instant::now();
     loop {
-        let s: Standings = match operator.say(STATUS, &(), &mut false).await {
+        let s: ConfigurationStatus = match operator.say(STATUS, &(), &mut false).await {
             Said::Answer(standings) => standings,
-            Said::Nobody(why) | Said::Not(NotDone::Refused(why)) => {
+            Said::Nobody(why) | Said::Not(RequestError::Refused(why)) => {
                 return Ok(end(
                     1,
                     &format!("version {version} is entered; where it is in force is not known: {why}"),
@@ -239,22 +243,22 @@
             }
             Said::Not(not) => return Ok(end(1, &format!("version {version} is entered; {not:?}"))),
         };
-        let concerned = |m: &&MemberStanding| {
-            let place = Place { name: m.name.clone(), service: m.service.clone(), zone: m.zone.clone() };
-            m.standing != Standing::FollowsNone && place.scopes().contains(scope)
+        let concerned = |m: &&MemberRollout| {
+            let place = Target { name: m.name.clone(), service: m.service.clone(), zone: m.zone.clone() };
+            m.state != RolloutState::NotFollowing && place.scopes().contains(scope)
         };
         let (mut done, mut silent, mut coming, mut refused) = (0, Vec::new(), Vec::new(), Vec::new());
         for m in s.members.iter().filter(concerned) {
-            match (&m.refused, m.standing) {
-                (_, Standing::NotHeardOf) => silent.push(m.name.clone()),
-                _ if m.in_force >= version => done += 1,
+            match (&m.rejected, m.state) {
+                (_, RolloutState::Unreachable) => silent.push(m.name.clone()),
+                _ if m.active >= version => done += 1,
                 (Some((no, why)), _) if *no >= version => refused.push(format!("{}: {why}", m.name)),
                 _ => coming.push(m.name.clone()),
             }
         }
         // Of a member that it has not heard of a new leader does not know where it stands.
         if !s.settled {
-            let silent = s.members.iter().filter(|m| m.standing == Standing::NotHeardOf);
+            let silent = s.members.iter().filter(|m| m.state == RolloutState::Unreachable);
             coming = coming.into_iter().chain(silent.map(|m| m.name.clone())).collect();
         }
         if coming.is_empty() && refused.is_empty() {
@@ -294,24 +298,24 @@
     at.map_or_else(|| ms.to_string(), |at| at.to_rfc3339_opts(SecondsFormat::Secs, true))
 }
 
-fn told(line: &Line) -> String {
-    let Line { version, scope, who, when_ms, bytes, .. } = line;
+fn told(line: &HistoryEntry) -> String {
+    let HistoryEntry { version, scope, author: who, entered_at_ms: when_ms, bytes, .. } = line;
     format!("{scope}: version {version}, by {who}, {}, {bytes} bytes", when(*when_ms))
 }
 
 /// The status for people.
-fn table(s: &Standings) -> String {
+fn table(s: &ConfigurationStatus) -> String {
     let n = &s.summary;
     let mut out = format!(
         "{}: version {}, {} leads; {} in force, {} on its way, {} refused, {} ahead, {} not heard of, {} follow none\n",
-        s.cluster, s.version, s.leader, n.in_force, n.on_its_way, n.refused, n.ahead, n.not_heard_of, n.follows_none
+        s.cluster, s.version, s.leader, n.active, n.pending, n.rejected, n.ahead, n.unreachable, n.not_following
     );
     if !s.settled {
         out += "it has been elected just now: a member that is not heard of may not have come yet\n";
     }
     // Writing to a text does not fail.
     let _ = writeln!(out, "\n{:<40} {:>8} {:>8}  sha256", "scope", "version", "bytes");
-    for ScopeLine { scope, version, hash, bytes } in &s.scopes {
+    for ScopeStatus { scope, version, hash, bytes } in &s.scopes {
         let _ = writeln!(out, "{:<40} {version:>8} {bytes:>8}  {hash:.12}", scope.to_string());
     }
     let _ = writeln!(
@@ -320,30 +324,39 @@
         "member", "service", "zone", "wanted", "in force"
     );
     for m in &s.members {
-        let standing = match (m.standing, &m.refused) {
-            (Standing::InForce, _) => "in force".to_owned(),
-            (Standing::OnItsWay, Some((no, why))) => format!("on its way (refused {no}: {why})"),
-            (Standing::OnItsWay, None) => "on its way".to_owned(),
-            (Standing::Refused, why) => {
+        let standing = match (m.state, &m.rejected) {
+            (RolloutState::Active, _) => "in force".to_owned(),
+            (RolloutState::Pending, Some((no, why))) => format!("on its way (refused {no}: {why})"),
+            (RolloutState::Pending, None) => "on its way".to_owned(),
+            (RolloutState::Rejected, why) => {
                 format!("refused: {}", why.as_ref().map_or("", |(_, why)| why.as_str()))
             }
-            (Standing::Ahead, _) => "ahead".to_owned(),
-            (Standing::NotHeardOf, _) => "not heard of".to_owned(),
-            (Standing::FollowsNone, _) => "follows none".to_owned(),
+            (RolloutState::Ahead, _) => "ahead".to_owned(),
+            (RolloutState::Unreachable, _) => "not heard of".to_owned(),
+            (RolloutState::NotFollowing, _) => "follows none".to_owned(),
         };
-        let MemberStanding { name, service, zone, wanted, in_force, .. } = m;
+        let MemberRollout { name, service, zone, wanted, active: in_force, .. } = m;
         let _ = writeln!(out, "{name:<24} {service:<16} {zone:<12} {wanted:>8} {in_force:>8}  {standing}");
     }
     out
 }
 
 /// The history for people.
-fn past(lines: &[Line]) -> String {
+fn past(lines: &[HistoryEntry]) -> String {
     let mut out = format!(
         "{:>8} {:>8} {:<20} {:<40} {:>8}  {:<12}  who\n",
         "version", "from", "when", "scope", "bytes", "sha256"
     );
-    for Line { version, scope, base, hash, bytes, who, when_ms } in lines {
+    for HistoryEntry {
+        version,
+        scope,
+        base_version: base,
+        content_hash: hash,
+        bytes,
+        author: who,
+        entered_at_ms: when_ms,
+    } in lines
+    {
         let (when, scope) = (when(*when_ms), scope.to_string());
         let _ = writeln!(out, "{version:>8} {base:>8} {when:<20} {scope:<40} {bytes:>8}  {hash:.12}  {who}");
     }
--- a/crates/fernroute-coordinator/src/commands/duties.rs
+++ b/crates/fernroute-coordinator/src/commands/duties.rs
@@ -2,7 +2,7 @@
 
 use super::operator::{print, Operator, AGAIN};
 use super::{end, refuse, run_on_one_thread};
-use crate::duties::{DutyLine, DutyStatus, Released, RELEASE, STATUS};
+use crate::duties::{DutiesStatus, DutyStatus, Released, RELEASE, STATUS};
 use argh::FromArgs;
 use std::fmt::Write as _;
 use std::net::SocketAddr;
@@ -12,7 +12,7 @@
 /// What `release` waits beyond the lease: a heartbeat of the next holder, and an entry in the log.
 const NEXT_WITHIN: Duration = Duration::from_secs(3);
 
-/// Who holds which duty: status, release.
+/// ReplicaInfo holds which duty: status, release.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "duties")]
 pub struct Duties {
@@ -55,7 +55,7 @@
 pub fn run(command: Duties) -> ExitCode {
     let done = match command.command {
         Command::Status(it) => run_on_one_thread(async move {
-            let status: DutyStatus = Operator::open(&it.at).await?.ask(STATUS, &()).await?;
+            let status: DutiesStatus = Operator::open(&it.at).await?.ask(STATUS, &()).await?;
             print(it.json, &status, table(&status))
         }),
         Command::Release(it) => run_on_one_thread(release(it)),
@@ -69,7 +69,7 @@
     let Released { holder, term, lapses_after_ms } = released;
     let until = Instant::now() + Duration::from_millis(lapses_after_ms) + NEXT_WITHIN;
     while Instant::now() < until {
-        let status: DutyStatus = operator.ask(STATUS, &()).await?;
+        let status: DutiesStatus = operator.ask(STATUS, &()).await?;
         let line = status.duties.iter().find(|line| line.duty == it.duty);
         let Some(line) = line else {
             println!("{}: {holder} gave it up; it is named no more", it.duty);
@@ -87,7 +87,7 @@
     Ok(end(1, &format!("{}: {holder} is to give it up, and nobody else holds it yet", it.duty)))
 }
 
-fn table(status: &DutyStatus) -> String {
+fn table(status: &DutiesStatus) -> String {
     let mut out =
         format!("{}: {} leads, highest term {}\n\n", status.cluster, status.leader, status.highest_term);
     // Writing to a text does not fail.
@@ -99,7 +99,7 @@
     out
 }
 
-fn row(line: &DutyLine) -> String {
+fn row(line: &DutyStatus) -> String {
     let Some(holder) = &line.holder else {
         let before =
             line.before.as_ref().map_or(String::new(), |(name, reason)| format!("  {name}: {reason}"));
--- a/crates/fernroute-coordinator/src/commands/operator.rs
+++ b/crates/fernroute-coordinator/src/commands/operator.rs
@@ -1,8 +1,8 @@
 //! A command's way to whichever of the stewards leads.
 
 use super::WITHIN;
-use crate::configuration::NotDone;
-use crate::peers::{Peers, Who, WHO};
+use crate::configuration::RequestError;
+use crate::peers::{Peers, ReplicaInfo, INFO_PATH};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::net::SocketAddr;
@@ -25,7 +25,7 @@
 /// What came of a question that was asked until it was answered, or for long enough.
 pub enum Said<A> {
     Answer(A),
-    Not(NotDone),
+    Not(RequestError),
     /// Nobody answered; what was asked may have been done.
     Nobody(String),
 }
@@ -36,7 +36,7 @@
         let peers = Peers::new("", &[]);
         let mut failed = Vec::new();
         for address in at {
-            match peers.ask::<Who>(&address.to_string(), WHO, WITHIN).await {
+            match peers.ask::<ReplicaInfo>(&address.to_string(), INFO_PATH, WITHIN).await {
                 Ok(who) => return Ok(Operator { at: at.to_vec(), peers: Peers::new(&who.cluster, &[]) }),
                 Err(why) => failed.push(why),
             }
@@ -59,17 +59,17 @@
                 let mut at = first.to_string();
                 // Whom it names, and whom that one names: by then there is another leader, or none.
                 for _ in 0..3 {
-                    let said: Result<Result<A, NotDone>, String> =
+                    let said: Result<Result<A, RequestError>, String> =
                         self.peers.say(&at, path, 0, what, ENTERED_WITHIN).await;
                     match said {
                         Ok(Ok(answer)) => return Said::Answer(answer),
-                        Ok(Err(NotDone::Elsewhere(Some(leader)))) => {
+                        Ok(Err(RequestError::Elsewhere(Some(leader)))) => {
                             failed = format!("{at}: {leader} leads, or did");
                             at = leader;
                             continue;
                         }
-                        Ok(Err(NotDone::Elsewhere(None))) => failed = format!("{at}: nobody leads"),
-                        Ok(Err(NotDone::Unknown(why))) => {
+                        Ok(Err(RequestError::Elsewhere(None))) => failed = format!("{at}: nobody leads"),
+                        Ok(Err(RequestError::Unknown(why))) => {
                             *unsure = true;
                             failed = format!("{at}: {why}");
                         }
@@ -92,7 +92,7 @@
     pub async fn ask<A: DeserializeOwned>(&self, path: &str, what: &impl Serialize) -> Result<A, String> {
         match self.say(path, what, &mut false).await {
             Said::Answer(answer) => Ok(answer),
-            Said::Not(NotDone::Refused(why)) | Said::Nobody(why) => Err(why),
+            Said::Not(RequestError::Refused(why)) | Said::Nobody(why) => Err(why),
             Said::Not(not) => Err(format!("{not:?}")),
         }
     }
--- a/crates/fernroute-coordinator/src/terms.rs
+++ b/crates/fernroute-coordinator/src/config.rs
@@ -2,7 +2,7 @@
 
 use fernroute::Time;
 use fernroute_fleet::configuration::is_name;
-use fernroute_fleet::duties::MOST_DUTIES;
+use fernroute_fleet::duties::MAX_DUTIES;
 use fernroute_fleet::lease::Lease;
 use fernroute_fleet::ledger::Budget;
 use serde::Deserialize;
@@ -13,7 +13,7 @@
 /// A file as it is written.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Page {
+struct RawConfig {
     cluster: String,
     name: String,
     folder: PathBuf,
@@ -30,17 +30,17 @@
     floors_s: f64,
     #[serde(default = "drift")]
     drift_ppm: u32,
-    steward: Vec<Steward>,
+    steward: Vec<CoordinatorAddress>,
     #[serde(default)]
-    budget: Vec<BudgetPage>,
+    budget: Vec<RawBudget>,
     #[serde(default)]
-    duty: Vec<DutyPage>,
+    duty: Vec<RawDuty>,
 }
 
 /// What one balancer alone does at a time.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct DutyPage {
+struct RawDuty {
     name: String,
 }
 
@@ -69,14 +69,14 @@
 /// One of the ledger's processes.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Steward {
+pub struct CoordinatorAddress {
     pub name: String,
     pub address: SocketAddr,
 }
 
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct BudgetPage {
+struct RawBudget {
     name: String,
     /// A second, over the fleet.
     whole: f64,
@@ -91,7 +91,7 @@
 
 /// A file that will do.
 #[derive(Clone, Debug)]
-pub struct Terms {
+pub struct CoordinatorConfig {
     pub cluster: String,
     pub name: String,
     pub address: SocketAddr,
@@ -99,21 +99,21 @@
     pub members: usize,
     pub shares: Lease,
     pub floors: Lease,
-    pub stewards: Vec<Steward>,
+    pub stewards: Vec<CoordinatorAddress>,
     pub budgets: BTreeMap<String, Budget>,
     /// By name.
     pub duties: BTreeSet<String>,
     pub duty_lease: Lease,
 }
 
-impl Terms {
+impl CoordinatorConfig {
     pub fn read(path: &Path) -> Result<Self, String> {
         let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
-        Terms::decode(&text).map_err(|why| format!("{}: {why}", path.display()))
+        CoordinatorConfig::decode(&text).map_err(|why| format!("{}: {why}", path.display()))
     }
 
     pub fn decode(text: &str) -> Result<Self, String> {
-        let page: Page = toml::from_str(text).map_err(|e| {
+        let page: RawConfig = toml::from_str(text).map_err(|e| {
             let line = e.span().map_or(0, |span| text[..span.start].matches('\n').count() + 1);
             format!("line {line}: {}", e.message().replace('\n', " "))
         })?;
@@ -123,9 +123,9 @@
         }
         let own = page.steward.iter().find(|s| s.name == page.name);
         let address = own.map(|s| s.address).ok_or("name: no steward has it")?;
-        let lease = |length: f64| Lease { length: length.round() as Time, drift: page.drift_ppm };
-        let budget = |b: &BudgetPage| (b.name.clone(), Budget::new(b.whole, b.floors, page.members));
-        Ok(Terms {
+        let lease = |length: f64| Lease { duration: length.round() as Time, drift_ppm: page.drift_ppm };
+        let budget = |b: &RawBudget| (b.name.clone(), Budget::new(b.whole, b.floors, page.members));
+        Ok(CoordinatorConfig {
             address,
             shares: lease(page.shares_ms * 10.0),
             floors: lease(page.floors_s * 10_000.0),
@@ -141,7 +141,7 @@
     }
 }
 
-impl Page {
+impl RawConfig {
     fn faults(&self) -> Vec<String> {
         let mut faults = Vec::new();
         let mut ask = |holds: bool, what: String| faults.extend((!holds).then_some(what));
@@ -208,8 +208,8 @@
                 faults.push(format!("duties_ms: {length} is shorter than four beats of beat_ms: {beat}"));
             }
         }
-        if self.duty.len() > MOST_DUTIES {
-            faults.push(format!("duty: {} of them, over {MOST_DUTIES}", self.duty.len()));
+        if self.duty.len() > MAX_DUTIES {
+            faults.push(format!("duty: {} of them, over {MAX_DUTIES}", self.duty.len()));
         }
         let mut names = BTreeSet::new();
         for (n, duty) in self.duty.iter().enumerate() {
@@ -234,13 +234,13 @@
 
     #[test]
     fn a_small_file_will_do_and_has_what_is_left_out() {
-        let terms = Terms::decode(FILE).expect("it will do");
+        let terms = CoordinatorConfig::decode(FILE).expect("it will do");
         let acme = terms.budgets.get("acme").expect("it is there");
         assert_eq!(
-            (acme.whole, acme.floor, terms.shares.length, terms.floors.length),
+            (acme.limit, acme.guaranteed, terms.shares.duration, terms.floors.duration),
             (200_000, 40, 20_000, 600_000)
         );
-        assert!(acme.floor * terms.members as u64 <= acme.whole);
+        assert!(acme.guaranteed * terms.members as u64 <= acme.limit);
     }
 
     #[test]
@@ -248,7 +248,7 @@
         let second = "[[steward]]\nname = \"a\"\naddress = \"127.0.0.1:7001\"\n";
         let text = format!("shares_ms = 10\n{FILE}{second}floors = 3\n")
             .replace("whole = 200\n", "whole = 0\nfloors = 2\n");
-        let why = Terms::decode(&text.replace("floors = 3\n", "")).expect_err("it will not do");
+        let why = CoordinatorConfig::decode(&text.replace("floors = 3\n", "")).expect_err("it will not do");
         for what in
             ["shares_ms: 10", "2 of them", "steward[1].name", "steward[1].address", "whole: 0", "floors: 2"]
         {
@@ -266,7 +266,7 @@
             ("folder", "beat_ms = 5\nfolder", "beat_ms: 5 is not between"),
             ("127.0.0.1:7001", "127.0.0.1:0", "has no port"),
         ] {
-            let why = Terms::decode(&FILE.replace(old, new)).expect_err(what);
+            let why = CoordinatorConfig::decode(&FILE.replace(old, new)).expect_err(what);
             assert!(why.contains(what), "{why}");
         }
     }
--- a/crates/fernroute-coordinator/src/configuration.rs
+++ b/crates/fernroute-coordinator/src/configuration.rs
@@ -1,11 +1,13 @@
 //! What the balancers of a fleet go by: the leader enters it, every steward hands it out.
 
-use crate::keep::{now, Keeper};
-use crate::{NotApplied, Raft};
+use crate::replica::{now, Replica};
+use crate::{ApplyFailure, Raft};
 use fernroute_config::layers;
-use fernroute_fleet::configuration::register::{Line, Put, Register};
-use fernroute_fleet::configuration::standing::{MemberStanding, Summary};
-use fernroute_fleet::configuration::{hash, Fetch, Fetched, Part, Scope, Version, MOST_CONTENT, MOST_NAME};
+use fernroute_fleet::configuration::register::{ConfigurationPut, HistoryEntry, Register};
+use fernroute_fleet::configuration::rollout::{MemberRollout, RolloutSummary};
+use fernroute_fleet::configuration::{
+    content_hash, FetchReply, FetchRequest, Scope, ScopeEntry, Version, MAX_CONTENT_BYTES, MAX_NAME_BYTES,
+};
 use fernroute_fleet::ledger::Entry;
 use serde::{Deserialize, Serialize};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -20,7 +22,7 @@
 
 /// An operator's word, on its way to the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Wish {
+pub struct PutRequest {
     pub scope: Scope,
     /// The scope's version that the operator started from; 0 where there was none.
     pub base: Version,
@@ -32,11 +34,11 @@
 /// Why an operator's word was not done.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum NotDone {
+pub enum RequestError {
     /// Another steward leads; its address, where it is known.
     Elsewhere(Option<String>),
     /// The scope's latest entry is another one than the operator started from; none where it has none.
-    OutOfDate(Option<Box<Line>>),
+    OutOfDate(Option<Box<HistoryEntry>>),
     Refused(String),
     /// It may be entered yet, or may be entered already: the same word again does no harm, since it names its base.
     Unknown(String),
@@ -45,14 +47,14 @@
 /// A scope's latest entry, and who made it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Latest {
-    pub part: Option<Part>,
+    pub part: Option<ScopeEntry>,
     /// None where it is older than the history.
-    pub line: Option<Line>,
+    pub line: Option<HistoryEntry>,
 }
 
 /// A scope's latest entry, for people.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ScopeLine {
+pub struct ScopeStatus {
     pub scope: Scope,
     pub version: Version,
     pub hash: String,
@@ -62,7 +64,7 @@
 
 /// How far the fleet is, as its leader knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Standings {
+pub struct ConfigurationStatus {
     pub cluster: String,
     pub leader: String,
     /// Of the last entry, whomever it concerns.
@@ -70,43 +72,52 @@
     /// It has led for longer than a share holds: whoever it has not heard of by then is silent. Before, a member that is
     /// not heard of may be one that has not come yet.
     pub settled: bool,
-    pub scopes: Vec<ScopeLine>,
-    pub summary: Summary,
-    pub members: Vec<MemberStanding>,
+    pub scopes: Vec<ScopeStatus>,
+    pub summary: RolloutSummary,
+    pub members: Vec<MemberRollout>,
 }
 
-impl Keeper {
+impl Replica {
     pub(crate) fn register<T>(&self, look: impl FnOnce(&Register) -> T) -> T {
         look(&self.book.kept.borrow().register)
     }
 
     /// While this steward leads for certain, and has applied all that was entered before.
-    pub(crate) async fn leads(&self) -> Result<&Raft, NotDone> {
+    pub(crate) async fn leads(&self) -> Result<&Raft, RequestError> {
         self.look();
         let leads = self.leading.borrow().is_some();
         let Some(raft) = self.raft().filter(|_| leads) else {
-            return Err(NotDone::Elsewhere(self.leader_address()));
+            return Err(RequestError::Elsewhere(self.leader_address()));
         };
         match raft.ensure_linearizable().await {
             Ok(_) => Ok(raft),
-            Err(_) => Err(NotDone::Elsewhere(self.leader_address())),
+            Err(_) => Err(RequestError::Elsewhere(self.leader_address())),
         }
     }
 
     /// Enters an operator's word, whole or not at all; its version.
-    pub async fn put(&self, wish: Wish) -> Result<Version, NotDone> {
+    pub async fn put(&self, wish: PutRequest) -> Result<Version, RequestError> {
         let raft = self.leads().await?;
         self.register(|register| fits(register, &wish))?;
         let when_ms =
             SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64);
-        let Wish { scope, base, hash, content, who } = wish;
+        let PutRequest { scope, base, hash, content, who } = wish;
         let told = format!("{scope} by {who}");
         // Numbers that members go by of a register that was lost are not given again.
-        let above = self.leading.borrow().as_ref().map_or(0, |leading| leading.budgets.reported());
-        let put = Put { scope: scope.clone(), base, hash, content, who, when_ms, above };
+        let above =
+            self.leading.borrow().as_ref().map_or(0, |leading| leading.budgets.highest_reported_version());
+        let put = ConfigurationPut {
+            scope: scope.clone(),
+            base_version: base,
+            content_hash: hash,
+            content,
+            author: who,
+            entered_at_ms: when_ms,
+            min_version_exclusive: above,
+        };
         let unknown = |why: String| {
             tracing::warn!("configuration of {told}: not known to be entered: {why}");
-            Err(NotDone::Unknown(why))
+            Err(RequestError::Unknown(why))
         };
         let written =
             match tokio::time::timeout(KEPT_WITHIN, raft.client_write(Entry::Configuration(put))).await {
@@ -120,75 +131,77 @@
                 Ok(version)
             }
             // Another one came between.
-            Err(NotApplied { latest: Some(_), .. }) => {
-                Err(self.register(|register| NotDone::OutOfDate(line(register, &scope).map(Box::new))))
+            Err(ApplyFailure { latest: Some(_), .. }) => {
+                Err(self.register(|register| RequestError::OutOfDate(line(register, &scope).map(Box::new))))
             }
-            Err(refused) => Err(NotDone::Refused(refused.why)),
+            Err(refused) => Err(RequestError::Refused(refused.why)),
         }
     }
 
     /// What concerns a balancer, as far as this steward has applied: it need not lead.
-    pub fn fetch(&self, fetch: &Fetch) -> Fetched {
+    pub fn fetch(&self, fetch: &FetchRequest) -> FetchReply {
         self.register(|register| register.fetch(fetch))
     }
 
-    pub async fn latest(&self, scope: &Scope) -> Result<Latest, NotDone> {
+    pub async fn latest(&self, scope: &Scope) -> Result<Latest, RequestError> {
         self.leads().await?;
-        Ok(self
-            .register(|register| Latest { part: register.part(scope).cloned(), line: line(register, scope) }))
+        Ok(self.register(|register| Latest {
+            part: register.entry(scope).cloned(),
+            line: line(register, scope),
+        }))
     }
 
-    pub async fn standings(&self) -> Result<Standings, NotDone> {
+    pub async fn standings(&self) -> Result<ConfigurationStatus, RequestError> {
         self.leads().await?;
         let leading = self.leading.borrow();
-        let Some(leading) = leading.as_ref() else { return Err(NotDone::Elsewhere(None)) };
+        let Some(leading) = leading.as_ref() else { return Err(RequestError::Elsewhere(None)) };
         let kept = self.book.kept.borrow();
-        let mut members = leading.budgets.standings(now(), &kept.ledger, &kept.register);
+        let mut members = leading.budgets.configuration_states(now(), &kept.ledger, &kept.register);
         members.sort_by(|a, b| a.name.cmp(&b.name));
-        let scope = |part: &Part| ScopeLine {
+        let scope = |part: &ScopeEntry| ScopeStatus {
             scope: part.scope.clone(),
             version: part.version,
-            hash: part.hash.clone(),
+            hash: part.content_hash.clone(),
             bytes: part.content.len(),
         };
-        Ok(Standings {
+        Ok(ConfigurationStatus {
             cluster: self.own.cluster.clone(),
             leader: self.terms.name.clone(),
             version: kept.register.version(),
-            settled: now().saturating_sub(self.leads_from.get()) > self.terms.shares.lapse(),
-            scopes: kept.register.parts().map(scope).collect(),
-            summary: Summary::new(&members),
+            settled: now().saturating_sub(self.leads_from.get()) > self.terms.shares.expires_after(),
+            scopes: kept.register.entries().map(scope).collect(),
+            summary: RolloutSummary::new(&members),
             members,
         })
     }
 
     /// The last lines, oldest first: of one scope, or of all.
-    pub async fn history(&self, scope: Option<&Scope>) -> Result<Vec<Line>, NotDone> {
+    pub async fn history(&self, scope: Option<&Scope>) -> Result<Vec<HistoryEntry>, RequestError> {
         self.leads().await?;
-        let of = |line: &&Line| scope.is_none_or(|scope| line.scope == *scope);
+        let of = |line: &&HistoryEntry| scope.is_none_or(|scope| line.scope == *scope);
         Ok(self.register(|register| register.history().filter(of).cloned().collect()))
     }
 }
 
 /// Of a scope's latest entry.
-fn line(register: &Register, scope: &Scope) -> Option<Line> {
-    let version = register.latest(scope);
+fn line(register: &Register, scope: &Scope) -> Option<HistoryEntry> {
+    let version = register.latest_version(scope);
     register.history().rev().find(|line| line.version == version).cloned()
 }
 
 /// Whether a word may be entered: all that can be known before is said before.
-fn fits(register: &Register, wish: &Wish) -> Result<(), NotDone> {
-    if register.latest(&wish.scope) != wish.base {
-        return Err(NotDone::OutOfDate(line(register, &wish.scope).map(Box::new)));
+fn fits(register: &Register, wish: &PutRequest) -> Result<(), RequestError> {
+    if register.latest_version(&wish.scope) != wish.base {
+        return Err(RequestError::OutOfDate(line(register, &wish.scope).map(Box::new)));
     }
-    let refused = |why: String| Err(NotDone::Refused(why));
-    if wish.who.is_empty() || wish.who.len() > MOST_NAME {
-        return refused(format!("the operator's name is empty, or longer than {MOST_NAME}"));
+    let refused = |why: String| Err(RequestError::Refused(why));
+    if wish.who.is_empty() || wish.who.len() > MAX_NAME_BYTES {
+        return refused(format!("the operator's name is empty, or longer than {MAX_NAME_BYTES}"));
     }
-    if wish.content.len() > MOST_CONTENT {
-        return refused(format!("it has {} bytes, over {MOST_CONTENT}", wish.content.len()));
+    if wish.content.len() > MAX_CONTENT_BYTES {
+        return refused(format!("it has {} bytes, over {MAX_CONTENT_BYTES}", wish.content.len()));
     }
-    if hash(&wish.content) != wish.hash {
+    if content_hash(&wish.content) != wish.hash {
         return refused("it came otherwise than it was sent: its hash is another".to_owned());
     }
     loads(register, &wish.scope, &wish.content).or_else(refused)
@@ -200,7 +213,7 @@
         return Ok(());
     }
     check(content)?;
-    let wider: Vec<&Part> = wider(scope).iter().filter_map(|scope| register.part(scope)).collect();
+    let wider: Vec<&ScopeEntry> = wider(scope).iter().filter_map(|scope| register.entry(scope)).collect();
     let mut parts: Vec<&str> = wider.iter().map(|part| part.content.as_str()).collect();
     parts.push(content);
     let over: Vec<String> = wider.iter().map(|part| part.scope.to_string()).collect();
--- a/crates/fernroute-coordinator/src/duties.rs
+++ b/crates/fernroute-coordinator/src/duties.rs
@@ -1,11 +1,11 @@
 //! Duties that one balancer alone holds: the leader gives and takes them, and tells people who holds what.
 
-use crate::configuration::NotDone;
-use crate::keep::{now, Keeper};
+use crate::configuration::RequestError;
+use crate::replica::{now, Replica};
 use crate::Raft;
 use fernroute::host::SECOND;
 use fernroute::Time;
-use fernroute_fleet::duties::table::{Change, Entry, Holder, Note, Table};
+use fernroute_fleet::duties::table::{DutyEntry, DutyHolder, DutyNote, DutyTable, DutyTransition};
 use fernroute_fleet::duties::{EndReason, Term};
 use fernroute_fleet::ledger;
 use serde::{Deserialize, Serialize};
@@ -15,9 +15,9 @@
 pub const RELEASE: &str = "/-/duties/release";
 pub const NOTE: &str = "/-/duties/note";
 
-/// Who holds a duty, for people.
+/// ReplicaInfo holds a duty, for people.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct HolderLine {
+pub struct HolderStatus {
     pub name: String,
     pub term: Term,
     /// For how long it has held it; at least so long where a leader before gave it.
@@ -31,22 +31,22 @@
 
 /// A duty, for people.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct DutyLine {
+pub struct DutyStatus {
     pub duty: String,
-    pub holder: Option<HolderLine>,
-    /// Who held it before, and why no more.
+    pub holder: Option<HolderStatus>,
+    /// ReplicaInfo held it before, and why no more.
     pub before: Option<(String, EndReason)>,
 }
 
 /// All duties, as the leader knows them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct DutyStatus {
+pub struct DutiesStatus {
     pub cluster: String,
     pub leader: String,
     pub highest_term: Term,
     /// How often a duty went from one holder to the next, or to nobody, since this steward started, by the reason.
     pub ended: BTreeMap<EndReason, u64>,
-    pub duties: Vec<DutyLine>,
+    pub duties: Vec<DutyStatus>,
 }
 
 /// Whom a duty is taken from.
@@ -62,8 +62,8 @@
     time as f64 / SECOND as f64
 }
 
-impl Keeper {
-    pub(crate) fn duties<T>(&self, look: impl FnOnce(&Table) -> T) -> T {
+impl Replica {
+    pub(crate) fn duties<T>(&self, look: impl FnOnce(&DutyTable) -> T) -> T {
         look(&self.book.kept.borrow().duties)
     }
 
@@ -71,7 +71,7 @@
     /// was entered: this steward leads no more then.
     pub(crate) async fn enter_duties(&self, raft: &Raft) -> bool {
         if self.duties(|table| table.names() != self.terms.duties) {
-            let names = Entry::Names(self.terms.duties.clone());
+            let names = DutyEntry::Names(self.terms.duties.clone());
             if !self.enter_for_certain(raft, ledger::Entry::Duties(names)).await {
                 return false;
             }
@@ -79,22 +79,22 @@
         let change = {
             let mut leading = self.leading.borrow_mut();
             let Some(leading) = leading.as_mut() else { return false };
-            self.duties(|table| leading.duties.due(now(), table))
+            self.duties(|table| leading.duties.next_transition(now(), table))
         };
         let Some(change) = change else { return true };
-        let before = self.duties(Table::clone);
-        if !self.enter_for_certain(raft, ledger::Entry::Duties(Entry::Change(change.clone()))).await {
+        let before = self.duties(DutyTable::clone);
+        if !self.enter_for_certain(raft, ledger::Entry::Duties(DutyEntry::Transition(change.clone()))).await {
             return false;
         }
         if let Some(leading) = self.leading.borrow_mut().as_mut() {
-            self.duties(|table| leading.duties.entered(now(), table));
+            self.duties(|table| leading.duties.transition_done(now(), table));
         }
         self.tell(&before, &change);
         true
     }
 
     /// A log line for each duty that has another holder, or none any more, and the count of it.
-    fn tell(&self, before: &Table, change: &Change) {
+    fn tell(&self, before: &DutyTable, change: &DutyTransition) {
         for end in &change.ends {
             let name = before.holder(&end.duty).map_or("", |holder| holder.name.as_str());
             tracing::info!("duty {}: {name} holds it no more, term {}: {}", end.duty, end.term, end.reason);
@@ -106,61 +106,61 @@
         }
     }
 
-    pub async fn duty_status(&self) -> Result<DutyStatus, NotDone> {
+    pub async fn duty_status(&self) -> Result<DutiesStatus, RequestError> {
         self.leads().await?;
         let leading = self.leading.borrow();
-        let Some(leading) = leading.as_ref() else { return Err(NotDone::Elsewhere(None)) };
+        let Some(leading) = leading.as_ref() else { return Err(RequestError::Elsewhere(None)) };
         let now = now();
-        let line = |duty: &str, holder: &Holder| {
-            let standing = leading.duties.standing(now, duty, holder);
-            HolderLine {
+        let line = |duty: &str, holder: &DutyHolder| {
+            let standing = leading.duties.tenure(now, duty, holder);
+            HolderStatus {
                 name: holder.name.clone(),
                 term: holder.term,
                 held_for_s: seconds(standing.held_for),
-                at_least: standing.at_least,
-                left_s: seconds(standing.left),
+                at_least: standing.is_lower_bound,
+                left_s: seconds(standing.expires_in),
                 note: holder.note.clone(),
             }
         };
         let duties = self.duties(|table| {
-            let lines = table.duties().iter().map(|(name, duty)| DutyLine {
+            let lines = table.duties().iter().map(|(name, duty)| DutyStatus {
                 duty: name.clone(),
                 holder: duty.holder.as_ref().map(|holder| line(name, holder)),
-                before: duty.before.clone(),
+                before: duty.previous_holder.clone(),
             });
             lines.collect()
         });
-        Ok(DutyStatus {
+        Ok(DutiesStatus {
             cluster: self.own.cluster.clone(),
             leader: self.terms.name.clone(),
-            highest_term: self.duties(Table::highest),
+            highest_term: self.duties(DutyTable::highest_term),
             ended: self.duties_ended.borrow().clone(),
             duties,
         })
     }
 
     /// An operator wants a duty to go to another member.
-    pub async fn release_duty(&self, duty: &str) -> Result<Released, NotDone> {
+    pub async fn release_duty(&self, duty: &str) -> Result<Released, RequestError> {
         self.leads().await?;
         let mut leading = self.leading.borrow_mut();
-        let Some(leading) = leading.as_mut() else { return Err(NotDone::Elsewhere(None)) };
+        let Some(leading) = leading.as_mut() else { return Err(RequestError::Elsewhere(None)) };
         if !self.duties(|table| table.duties().contains_key(duty)) {
-            return Err(NotDone::Refused(format!("{duty}: no such duty")));
+            return Err(RequestError::Refused(format!("{duty}: no such duty")));
         }
         let holder = self.duties(|table| leading.duties.release(duty, table));
-        let holder = holder.ok_or_else(|| NotDone::Refused(format!("{duty}: nobody holds it")))?;
+        let holder = holder.ok_or_else(|| RequestError::Refused(format!("{duty}: nobody holds it")))?;
         tracing::info!("duty {duty}: an operator wants it released by {}, term {}", holder.name, holder.term);
-        let lapses_after_ms = self.terms.duty_lease.lapse() / 10;
+        let lapses_after_ms = self.terms.duty_lease.expires_after() / 10;
         Ok(Released { holder: holder.name, term: holder.term, lapses_after_ms })
     }
 
     /// A holder says what it does. Refused unless its term is the latest one of the duty.
-    pub async fn note_duty(&self, note: Note) -> Result<(), NotDone> {
+    pub async fn note_duty(&self, note: DutyNote) -> Result<(), RequestError> {
         let raft = self.leads().await?;
-        self.duties(|table| table.check(&note.duty, note.term))
-            .map_err(|why| NotDone::Refused(why.to_string()))?;
-        let entry = ledger::Entry::Duties(Entry::Note(note));
-        let written = raft.client_write(entry).await.map_err(|why| NotDone::Unknown(why.to_string()))?;
-        written.data.map(|_| ()).map_err(|refused| NotDone::Refused(refused.why))
+        self.duties(|table| table.check_term(&note.duty, note.term))
+            .map_err(|why| RequestError::Refused(why.to_string()))?;
+        let entry = ledger::Entry::Duties(DutyEntry::Note(note));
+        let written = raft.client_write(entry).await.map_err(|why| RequestError::Unknown(why.to_string()))?;
+        written.data.map(|_| ()).map_err(|refused| RequestError::Refused(refused.why))
     }
 }
--- a/crates/fernroute-coordinator/src/lib.rs
+++ b/crates/fernroute-coordinator/src/lib.rs
@@ -5,14 +5,14 @@
 //! `door` answers members, stewards and people, `commands` is the command line.
 
 pub mod commands;
+pub mod config;
 pub mod configuration;
-pub mod door;
 pub mod duties;
-pub mod keep;
+pub mod http;
 pub mod peers;
+pub mod replica;
 pub mod status;
 pub mod store;
-pub mod terms;
 
 use fernroute_fleet::configuration::Version;
 use fernroute_fleet::ledger::Entry;
@@ -20,11 +20,11 @@
 use std::io::Cursor;
 
 /// What became of an entry: the version of one of configuration, 0 of any other.
-pub type Applied = Result<Version, NotApplied>;
+pub type Applied = Result<Version, ApplyFailure>;
 
 /// Why an entry changed nothing.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct NotApplied {
+pub struct ApplyFailure {
     pub why: String,
     /// The scope's version, where the operator did not start from it.
     pub latest: Option<Version>,
@@ -32,10 +32,10 @@
 
 openraft::declare_raft_types!(
     /// What the consensus library is told of the ledger.
-    pub Kinds:
+    pub RaftTypes:
         D = Entry,
         R = Applied,
         SnapshotData = Cursor<Vec<u8>>,
 );
 
-pub type Raft = openraft::Raft<Kinds>;
+pub type Raft = openraft::Raft<RaftTypes>;
--- a/crates/fernroute-coordinator/src/peers.rs
+++ b/crates/fernroute-coordinator/src/peers.rs
@@ -1,14 +1,14 @@
 //! What stewards say to each other, and members to them: HTTP/1.1 with JSON, an envelope round each message that names the
 //! cluster, the version and whom it is for.
 
-use crate::store::Mark;
-use crate::terms::Steward;
-use crate::Kinds;
+use crate::config::CoordinatorAddress;
+use crate::store::ReplicaPosition;
+use crate::RaftTypes;
 use actix_http::error::PayloadError;
 use awc::error::SendRequestError;
 use awc::{Client, ClientResponse};
 use bytes::Bytes;
-use fernroute_fleet::message::{Envelope, VERSION};
+use fernroute_fleet::message::{Envelope, PROTOCOL_VERSION};
 use futures_util::Stream;
 use openraft::error::{InstallSnapshotError, NetworkError, RPCError, RaftError, RemoteError, Unreachable};
 use openraft::network::{RPCOption, RaftNetwork, RaftNetworkFactory};
@@ -28,16 +28,16 @@
 pub const APPEND: &str = "/-/append";
 pub const VOTE: &str = "/-/vote";
 pub const SNAPSHOT: &str = "/-/snapshot";
-pub const WHO: &str = "/-/who";
+pub const INFO_PATH: &str = "/-/who";
 pub const STATUS: &str = "/-/status";
 pub const CHANGE: &str = "/-/change";
 
 /// The longest message: a ledger of some ten thousand members.
 pub const MOST_BYTES: usize = 16 << 20;
 
-/// Who a steward is, and whether it has ever been of a ledger's processes.
+/// ReplicaInfo a steward is, and whether it has ever been of a ledger's processes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Who {
+pub struct ReplicaInfo {
     pub cluster: String,
     pub name: String,
     pub id: u64,
@@ -45,7 +45,7 @@
     /// What stewards have said to this one since it started, by their ids: votes for it, and entries that they kept. As
     /// many as have ever been of the ledger's processes.
     #[serde(default)]
-    pub heard: BTreeMap<u64, Mark>,
+    pub heard: BTreeMap<u64, ReplicaPosition>,
 }
 
 /// Carries messages to other stewards.
@@ -56,7 +56,7 @@
     /// Where the stewards are, by their names: the ledger knows them by name alone, so that each file says where they are
     /// from there.
     places: Rc<BTreeMap<String, SocketAddr>>,
-    pub heard: Rc<RefCell<BTreeMap<u64, Mark>>>,
+    pub heard: Rc<RefCell<BTreeMap<u64, ReplicaPosition>>>,
     /// Stewards whose last message failed: told once, and once more when one gets through. Emptied by those.
     lost: Rc<RefCell<BTreeSet<u64>>>,
 }
@@ -65,7 +65,7 @@
 pub type Failed = String;
 
 impl Peers {
-    pub fn new(cluster: &str, stewards: &[Steward]) -> Self {
+    pub fn new(cluster: &str, stewards: &[CoordinatorAddress]) -> Self {
         // No redirect, no decompression; the time-out is each call's.
         let client = Client::builder().disable_redirects().no_default_headers().finish();
         let places = stewards.iter().map(|s| (s.name.clone(), s.address)).collect();
@@ -84,7 +84,7 @@
     }
 
     /// A steward has said how far it went, by an answer or by a message of its own.
-    pub fn hear(&self, id: u64, mark: Mark) {
+    pub fn hear(&self, id: u64, mark: ReplicaPosition) {
         let mut heard = self.heard.borrow_mut();
         let known = heard.entry(id).or_default();
         *known = mark.max(*known);
@@ -98,7 +98,8 @@
         message: &M,
         within: Duration,
     ) -> Result<A, Failed> {
-        let envelope = Envelope { cluster: self.cluster.clone(), version: VERSION, to, message };
+        let envelope =
+            Envelope { cluster: self.cluster.clone(), version: PROTOCOL_VERSION, recipient: to, message };
         let call = self.client.post(format!("http://{at}{path}")).timeout(within);
         decode(at, call.send_json(&envelope).await).await
     }
@@ -128,7 +129,7 @@
     serde_json::from_slice(&body).map_err(|e| format!("{at}: {e}"))
 }
 
-impl RaftNetworkFactory<Kinds> for Peers {
+impl RaftNetworkFactory<RaftTypes> for Peers {
     type Network = Peer;
 
     async fn new_client(&mut self, id: u64, node: &BasicNode) -> Peer {
@@ -176,15 +177,15 @@
 }
 
 /// How far whoever sends or keeps this is.
-pub fn sent(message: &AppendEntriesRequest<Kinds>) -> Mark {
+pub fn sent(message: &AppendEntriesRequest<RaftTypes>) -> ReplicaPosition {
     let last = message.entries.last().map(|entry| entry.log_id).or(message.prev_log_id);
-    Mark::new(&message.vote, last.as_ref())
+    ReplicaPosition::new(&message.vote, last.as_ref())
 }
 
-impl RaftNetwork<Kinds> for Peer {
+impl RaftNetwork<RaftTypes> for Peer {
     async fn append_entries(
         &mut self,
-        message: AppendEntriesRequest<Kinds>,
+        message: AppendEntriesRequest<RaftTypes>,
         option: RPCOption,
     ) -> Result<AppendEntriesResponse<u64>, RPCError<u64, BasicNode, RaftError<u64>>> {
         let said = self.say(APPEND, &message, option.hard_ttl()).await?;
@@ -196,13 +197,13 @@
 
     async fn install_snapshot(
         &mut self,
-        message: InstallSnapshotRequest<Kinds>,
+        message: InstallSnapshotRequest<RaftTypes>,
         option: RPCOption,
     ) -> Result<InstallSnapshotResponse<u64>, RPCError<u64, BasicNode, RaftError<u64, InstallSnapshotError>>>
     {
         let said: InstallSnapshotResponse<u64> = self.say(SNAPSHOT, &message, option.hard_ttl()).await?;
         if message.done && said.vote == message.vote {
-            self.peers.hear(self.id, Mark::new(&message.vote, message.meta.last_log_id.as_ref()));
+            self.peers.hear(self.id, ReplicaPosition::new(&message.vote, message.meta.last_log_id.as_ref()));
         }
         Ok(said)
     }
@@ -214,7 +215,7 @@
     ) -> Result<VoteResponse<u64>, RPCError<u64, BasicNode, RaftError<u64>>> {
         let said: VoteResponse<u64> = self.say(VOTE, &message, option.hard_ttl()).await?;
         if said.vote_granted {
-            self.peers.hear(self.id, Mark::new(&message.vote, None));
+            self.peers.hear(self.id, ReplicaPosition::new(&message.vote, None));
         }
         Ok(said)
     }
--- a/crates/fernroute-coordinator/src/keep.rs
+++ b/crates/fernroute-coordinator/src/replica.rs
@@ -1,15 +1,15 @@
 //! The ledger of one steward: founded once, led by one of them at a time.
 
-use crate::peers::{Peers, Who, WHO};
-pub use crate::status::{BudgetLine, MemberLine, Status, StewardLine};
-use crate::store::{Book, Disk, Mark, Own};
-use crate::terms::{Steward, Terms};
+use crate::config::{CoordinatorAddress, CoordinatorConfig};
+use crate::peers::{Peers, ReplicaInfo, INFO_PATH};
+pub use crate::status::{BudgetStatus, MemberStatus, ReplicaStatus, Status};
+use crate::store::{LogStore, ReplicaIdentity, ReplicaPosition, StateMachineStore};
 use crate::Raft;
 use fernroute::Time;
 use fernroute_fleet::duties::{self, EndReason};
 use fernroute_fleet::leader::Leader;
 use fernroute_fleet::ledger::{Entry, Ledger};
-use fernroute_fleet::message::{Answer, Beat, Unanswered};
+use fernroute_fleet::message::{Heartbeat, HeartbeatError, HeartbeatReply};
 use openraft::{BasicNode, Config, RaftMetrics, ServerState, SnapshotPolicy, Vote};
 use rustix::time::{clock_gettime, ClockId};
 use std::cell::{Cell, OnceCell, RefCell};
@@ -57,17 +57,17 @@
     pub(crate) duties: duties::leader::Leader,
 }
 
-pub struct Keeper {
-    pub terms: Terms,
-    pub own: Own,
-    disk: Disk,
+pub struct Replica {
+    pub terms: CoordinatorConfig,
+    pub own: ReplicaIdentity,
+    disk: LogStore,
     /// How far this steward had gone by its disk when it started; none where it never was of a ledger's processes.
-    mark: Option<Mark>,
+    mark: Option<ReplicaPosition>,
     /// Begun once it is known that the disk is no older one.
     raft: OnceCell<Raft>,
     /// Why it takes no part, if that is not the library's to say.
     waits: RefCell<Option<String>>,
-    pub(crate) book: Book,
+    pub(crate) book: StateMachineStore,
     /// Messages that could not be read, since the start.
     pub unread: Cell<u64>,
     /// While this steward leads.
@@ -81,13 +81,13 @@
     pub peers: Peers,
 }
 
-impl Keeper {
-    pub async fn open(terms: Terms) -> Result<Rc<Self>, String> {
-        let (disk, own) = Disk::open(&terms.folder, &terms.cluster)?;
-        let book = Book::open(disk.clone())?;
+impl Replica {
+    pub async fn open(terms: CoordinatorConfig) -> Result<Rc<Self>, String> {
+        let (disk, own) = LogStore::open(&terms.folder, &terms.cluster)?;
+        let book = StateMachineStore::open(disk.clone())?;
         let mark = disk.mark()?;
         let peers = Peers::new(&terms.cluster, &terms.stewards);
-        Ok(Rc::new(Keeper {
+        Ok(Rc::new(Replica {
             terms,
             own,
             disk,
@@ -157,7 +157,7 @@
             let mut said = 0;
             for (id, name) in &others {
                 let Some(at) = self.peers.place(name) else { continue };
-                let who: Result<Who, String> = self.peers.ask(&at.to_string(), WHO, ASK).await;
+                let who: Result<ReplicaInfo, String> = self.peers.ask(&at.to_string(), INFO_PATH, ASK).await;
                 let Some(who) = who.ok().filter(|who| who.id == **id) else { continue };
                 said += 1;
                 if who.heard.get(&self.own.id).is_some_and(|heard| *heard > mark) {
@@ -179,11 +179,11 @@
         }
     }
 
-    pub fn who(&self) -> Who {
+    pub fn who(&self) -> ReplicaInfo {
         // What was kept since the start counts too: a blank one may have been taken in.
         let kept = self.metrics().is_some_and(|m| m.last_log_index.is_some() || m.vote != Vote::default());
         let (cluster, name, id) = (self.own.cluster.clone(), self.terms.name.clone(), self.own.id);
-        Who {
+        ReplicaInfo {
             cluster,
             name,
             id,
@@ -202,7 +202,7 @@
             return;
         }
         if !at_once {
-            let wait = Duration::from_micros(self.terms.floors.lapse() * 100);
+            let wait = Duration::from_micros(self.terms.floors.expires_after() * 100);
             tracing::info!(
                 "no ledger yet: one is begun in {} s, when what one before may have granted has lapsed",
                 wait.as_secs()
@@ -239,8 +239,8 @@
         Ok(Some(members))
     }
 
-    async fn who_is(&self, steward: &Steward) -> Result<Who, String> {
-        let who: Who = self.peers.ask(&steward.address.to_string(), WHO, ASK).await?;
+    async fn who_is(&self, steward: &CoordinatorAddress) -> Result<ReplicaInfo, String> {
+        let who: ReplicaInfo = self.peers.ask(&steward.address.to_string(), INFO_PATH, ASK).await?;
         if who.cluster != self.terms.cluster || who.name != steward.name {
             return Err(format!("{}: it is {} of {}", steward.address, who.name, who.cluster));
         }
@@ -353,13 +353,13 @@
         let step = {
             let mut leading = self.leading.borrow_mut();
             let Some(leading) = leading.as_mut() else { return };
-            self.ledger(|ledger| leading.budgets.due(now(), ledger))
+            self.ledger(|ledger| leading.budgets.next_transition(now(), ledger))
         };
         if let Some(step) = step {
-            if !self.enter_for_certain(raft, Entry::Step(step)).await {
+            if !self.enter_for_certain(raft, Entry::Transition(step)).await {
                 return;
             }
-            self.leading.borrow_mut().iter_mut().for_each(|leading| leading.budgets.entered());
+            self.leading.borrow_mut().iter_mut().for_each(|leading| leading.budgets.transition_done());
         }
         self.enter_duties(raft).await;
     }
@@ -379,35 +379,35 @@
     }
 
     /// A member's beat.
-    pub async fn beat(&self, beat: &Beat) -> Result<Answer, Unanswered> {
+    pub async fn beat(&self, beat: &Heartbeat) -> Result<HeartbeatReply, HeartbeatError> {
         self.look();
         let heard = {
             let mut leading = self.leading.borrow_mut();
             match leading.as_mut() {
                 Some(leading) => {
-                    leading.duties.hear(now(), beat);
-                    self.ledger(|ledger| leading.budgets.hear(now(), beat, ledger))
+                    leading.duties.on_heartbeat(now(), beat);
+                    self.ledger(|ledger| leading.budgets.on_heartbeat(now(), beat, ledger))
                 }
-                None => return Err(Unanswered::Elsewhere(self.leader_address())),
+                None => return Err(HeartbeatError::NotLeader(self.leader_address())),
             }
         };
-        heard.map_err(Unanswered::Refused)?;
+        heard.map_err(HeartbeatError::Rejected)?;
         // After the beat came: a majority says that this steward still leads, and all that was entered is applied.
         let sure = match self.raft() {
             Some(raft) => raft.ensure_linearizable().await.is_ok(),
             None => false,
         };
         if !sure {
-            return Err(Unanswered::Elsewhere(self.leader_address()));
+            return Err(HeartbeatError::NotLeader(self.leader_address()));
         }
         let mut leading = self.leading.borrow_mut();
         let Some(leading) = leading.as_mut() else {
-            return Err(Unanswered::Elsewhere(None));
+            return Err(HeartbeatError::NotLeader(None));
         };
         let kept = self.book.kept.borrow();
-        let answer = leading.budgets.answer(beat, &kept.ledger, &kept.register);
-        let answer = answer.map_err(Unanswered::Refused)?;
-        Ok(Answer { duties: leading.duties.answer(beat, &kept.duties), ..answer })
+        let answer = leading.budgets.reply(beat, &kept.ledger, &kept.register);
+        let answer = answer.map_err(HeartbeatError::Rejected)?;
+        Ok(HeartbeatReply { duties: leading.duties.assignments_for(beat, &kept.duties), ..answer })
     }
 
     /// As this steward's own file says it: members may reach it elsewhere, and then ask the others in turn.
--- a/crates/fernroute-coordinator/src/status.rs
+++ b/crates/fernroute-coordinator/src/status.rs
@@ -1,14 +1,14 @@
 //! What a steward says of itself and the ledger, for people.
 
-use crate::keep::Keeper;
-use fernroute_fleet::UNIT;
+use crate::replica::Replica;
+use fernroute_fleet::MILLI_UNITS_PER_UNIT;
 use openraft::BasicNode;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A member of the fleet, for people.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct MemberLine {
+pub struct MemberStatus {
     pub name: String,
     pub epoch: u64,
     /// What it may hold at the most, a second, by budget.
@@ -16,7 +16,7 @@
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct BudgetLine {
+pub struct BudgetStatus {
     pub whole: f64,
     pub floor: f64,
     pub held: f64,
@@ -24,7 +24,7 @@
 
 /// One of the ledger's processes.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct StewardLine {
+pub struct ReplicaStatus {
     pub name: String,
     pub id: u64,
     /// One that has no vote is being taken in.
@@ -41,23 +41,23 @@
     /// Why it takes no part, if it takes none.
     pub trouble: Option<String>,
     /// Of the ledger, as this one knows them.
-    pub stewards: Vec<StewardLine>,
+    pub stewards: Vec<ReplicaStatus>,
     /// Messages that it could not read, since its start.
     pub unread: u64,
-    /// Who leads, by its name.
+    /// ReplicaInfo leads, by its name.
     pub leader: Option<String>,
     pub term: u64,
     pub epoch: u64,
-    pub budgets: BTreeMap<String, BudgetLine>,
-    pub members: Vec<MemberLine>,
+    pub budgets: BTreeMap<String, BudgetStatus>,
+    pub members: Vec<MemberStatus>,
 }
 
-impl Keeper {
-    pub(crate) fn stewards(&self) -> Vec<StewardLine> {
+impl Replica {
+    pub(crate) fn stewards(&self) -> Vec<ReplicaStatus> {
         let Some(metrics) = self.metrics() else { return Vec::new() };
         let membership = metrics.membership_config.membership();
         let voters: BTreeSet<u64> = membership.voter_ids().collect();
-        let line = |(id, node): (&u64, &BasicNode)| StewardLine {
+        let line = |(id, node): (&u64, &BasicNode)| ReplicaStatus {
             name: node.addr.clone(),
             id: *id,
             votes: voters.contains(id),
@@ -90,22 +90,25 @@
                 .budgets()
                 .iter()
                 .map(|(name, b)| {
-                    let of = |units: u64| units as f64 / UNIT;
-                    let line =
-                        BudgetLine { whole: of(b.whole), floor: of(b.floor), held: of(ledger.held(name)) };
+                    let of = |units: u64| units as f64 / MILLI_UNITS_PER_UNIT;
+                    let line = BudgetStatus {
+                        whole: of(b.limit),
+                        floor: of(b.guaranteed),
+                        held: of(ledger.total_allocated(name)),
+                    };
                     (name.clone(), line)
                 })
                 .collect(),
             members: ledger
-                .holders()
+                .allocations()
                 .values()
-                .map(|holder| MemberLine {
+                .map(|holder| MemberStatus {
                     name: holder.name.clone(),
-                    epoch: holder.latest().epoch,
+                    epoch: holder.latest_grant().epoch,
                     holds: ledger
                         .budgets()
                         .keys()
-                        .map(|name| (name.clone(), holder.holds(name) as f64 / UNIT))
+                        .map(|name| (name.clone(), holder.max_allocated(name) as f64 / MILLI_UNITS_PER_UNIT))
                         .collect(),
                 })
                 .collect(),
--- a/crates/fernroute-coordinator/src/store.rs
+++ b/crates/fernroute-coordinator/src/store.rs
@@ -4,10 +4,10 @@
 // The library's own error, which its traits ask for.
 #![allow(clippy::result_large_err)]
 
-use crate::{Applied, Kinds, NotApplied};
-use fernroute_fleet::configuration::register::{NotEntered, Register};
-use fernroute_fleet::configuration::MOST_CONTENT;
-use fernroute_fleet::duties::table::Table;
+use crate::{Applied, ApplyFailure, RaftTypes};
+use fernroute_fleet::configuration::register::{PutError, Register};
+use fernroute_fleet::configuration::MAX_CONTENT_BYTES;
+use fernroute_fleet::duties::table::DutyTable;
 use fernroute_fleet::ledger::{Entry as Command, Ledger};
 use openraft::storage::{LogFlushed, LogState, RaftLogStorage, RaftStateMachine, Snapshot};
 use openraft::{
@@ -32,9 +32,9 @@
 /// up: the library gives each message no longer than the pause between heartbeats, and sends it again as long as it was.
 const AT_ONCE: usize = 64 << 10;
 
-/// Who this steward is: drawn when its folder was made, and never had by another.
+/// ReplicaInfo this steward is: drawn when its folder was made, and never had by another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Own {
+pub struct ReplicaIdentity {
     pub cluster: String,
     pub id: u64,
 }
@@ -42,16 +42,16 @@
 /// How far a steward went, as far as anybody knows: its vote's term and whom it is for; its last entry's term, leader and
 /// place. It only grows: whoever takes entries back has voted in a later term.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Mark {
+pub struct ReplicaPosition {
     vote: (u64, u64),
     entry: (u64, u64, u64),
 }
 
-impl Mark {
+impl ReplicaPosition {
     pub fn new(vote: &Vote<u64>, entry: Option<&LogId<u64>>) -> Self {
         let entry =
             entry.map_or_else(Default::default, |at| (at.leader_id.term, at.leader_id.node_id, at.index + 1));
-        Mark { vote: (vote.leader_id.term, vote.leader_id.node_id), entry }
+        ReplicaPosition { vote: (vote.leader_id.term, vote.leader_id.node_id), entry }
     }
 }
 
@@ -73,25 +73,25 @@
 
 /// The file of one steward.
 #[derive(Clone)]
-pub struct Disk {
+pub struct LogStore {
     file: Rc<Database>,
 }
 
-impl Disk {
+impl LogStore {
     /// Opens what is in the folder, or begins it; tells who this steward is.
-    pub fn open(folder: &Path, cluster: &str) -> Result<(Self, Own), String> {
+    pub fn open(folder: &Path, cluster: &str) -> Result<(Self, ReplicaIdentity), String> {
         let trouble = |why: String| format!("{}: {why}", folder.display());
         std::fs::create_dir_all(folder).map_err(|e| trouble(e.to_string()))?;
         let file = Database::create(folder.join("ledger.redb")).map_err(|e| trouble(e.to_string()))?;
-        let disk = Disk { file: Rc::new(file) };
-        let found: Option<Own> = disk.note("own").map_err(|e| trouble(e.to_string()))?;
+        let disk = LogStore { file: Rc::new(file) };
+        let found: Option<ReplicaIdentity> = disk.note("own").map_err(|e| trouble(e.to_string()))?;
         let own = match found {
             Some(own) if own.cluster == cluster => own,
             Some(own) => {
                 return Err(trouble(format!("it is of the cluster {}, not of {cluster}", own.cluster)))
             }
             None => {
-                let own = Own { cluster: cluster.to_owned(), id: rand::random::<u64>() >> 1 };
+                let own = ReplicaIdentity { cluster: cluster.to_owned(), id: rand::random::<u64>() >> 1 };
                 disk.set_note("own", &own).map_err(|e| trouble(e.to_string()))?;
                 own
             }
@@ -100,14 +100,14 @@
     }
 
     /// How far it went by what is kept; none where it never was of a ledger's processes.
-    pub fn mark(&self) -> Result<Option<Mark>, String> {
-        let read = || -> Result<Option<Mark>, Bad> {
+    pub fn mark(&self) -> Result<Option<ReplicaPosition>, String> {
+        let read = || -> Result<Option<ReplicaPosition>, Bad> {
             let vote: Option<Vote<u64>> = self.note("vote")?;
-            let kept: Option<Kept> = self.note("snapshot")?;
+            let kept: Option<StateMachine> = self.note("snapshot")?;
             let purged: Option<LogId<u64>> = self.note("purged")?;
             let last = self.last()?.max(purged).max(kept.and_then(|kept| kept.applied));
             Ok((vote.is_some() || last.is_some())
-                .then(|| Mark::new(&vote.unwrap_or_default(), last.as_ref())))
+                .then(|| ReplicaPosition::new(&vote.unwrap_or_default(), last.as_ref())))
         };
         read().map_err(|e| e.to_string())
     }
@@ -115,7 +115,7 @@
     /// The ledger's processes as this disk last knew them, by their ids: their names.
     pub fn stewards(&self) -> Result<BTreeMap<u64, String>, String> {
         let read = || -> Result<StoredMembership<u64, BasicNode>, Bad> {
-            let kept: Option<Kept> = self.note("snapshot")?;
+            let kept: Option<StateMachine> = self.note("snapshot")?;
             let mut last = kept.map(|kept| kept.membership).unwrap_or_default();
             for entry in self.log(..)? {
                 if let EntryPayload::Membership(membership) = entry.payload {
@@ -155,12 +155,12 @@
         write.commit().map_err(unwritten)
     }
 
-    fn log(&self, range: impl RangeBounds<u64>) -> Result<Vec<Entry<Kinds>>, Bad> {
+    fn log(&self, range: impl RangeBounds<u64>) -> Result<Vec<Entry<RaftTypes>>, Bad> {
         self.some_log(range, usize::MAX)
     }
 
     /// The first of these, until they are more than so many bytes together.
-    fn some_log(&self, range: impl RangeBounds<u64>, most: usize) -> Result<Vec<Entry<Kinds>>, Bad> {
+    fn some_log(&self, range: impl RangeBounds<u64>, most: usize) -> Result<Vec<Entry<RaftTypes>>, Bad> {
         let read = self.file.begin_read().map_err(unread)?;
         let table = match read.open_table(LOG) {
             Ok(table) => table,
@@ -188,7 +188,7 @@
         };
         let last = table.last().map_err(unread)?;
         let entry =
-            last.map(|(_, bytes)| serde_json::from_slice::<Entry<Kinds>>(bytes.value()).map_err(unread));
+            last.map(|(_, bytes)| serde_json::from_slice::<Entry<RaftTypes>>(bytes.value()).map_err(unread));
         Ok(entry.transpose()?.map(|entry| entry.log_id))
     }
 
@@ -208,28 +208,28 @@
     }
 }
 
-impl RaftLogReader<Kinds> for Disk {
+impl RaftLogReader<RaftTypes> for LogStore {
     async fn try_get_log_entries<RB: RangeBounds<u64> + Clone + Debug + OptionalSend>(
         &mut self,
         range: RB,
-    ) -> Result<Vec<Entry<Kinds>>, Bad> {
+    ) -> Result<Vec<Entry<RaftTypes>>, Bad> {
         self.log((range.start_bound().cloned(), range.end_bound().cloned()))
     }
 
-    async fn limited_get_log_entries(&mut self, start: u64, end: u64) -> Result<Vec<Entry<Kinds>>, Bad> {
+    async fn limited_get_log_entries(&mut self, start: u64, end: u64) -> Result<Vec<Entry<RaftTypes>>, Bad> {
         self.some_log(start..end, AT_ONCE)
     }
 }
 
-impl RaftLogStorage<Kinds> for Disk {
-    type LogReader = Disk;
+impl RaftLogStorage<RaftTypes> for LogStore {
+    type LogReader = LogStore;
 
-    async fn get_log_state(&mut self) -> Result<LogState<Kinds>, Bad> {
+    async fn get_log_state(&mut self) -> Result<LogState<RaftTypes>, Bad> {
         let purged: Option<LogId<u64>> = self.note("purged")?;
         Ok(LogState { last_purged_log_id: purged, last_log_id: self.last()?.or(purged) })
     }
 
-    async fn get_log_reader(&mut self) -> Disk {
+    async fn get_log_reader(&mut self) -> LogStore {
         self.clone()
     }
 
@@ -249,9 +249,9 @@
         Ok(self.note::<Option<LogId<u64>>>("committed")?.flatten())
     }
 
-    async fn append<I>(&mut self, entries: I, kept: LogFlushed<Kinds>) -> Result<(), Bad>
+    async fn append<I>(&mut self, entries: I, kept: LogFlushed<RaftTypes>) -> Result<(), Bad>
     where
-        I: IntoIterator<Item = Entry<Kinds>> + OptionalSend,
+        I: IntoIterator<Item = Entry<RaftTypes>> + OptionalSend,
         I::IntoIter: OptionalSend,
     {
         let write = self.file.begin_write().map_err(unwritten)?;
@@ -278,44 +278,44 @@
 
 /// The ledger as it is applied, and as of which entry.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Kept {
+pub struct StateMachine {
     pub ledger: Ledger,
     /// A disk of a version before has none.
     #[serde(default)]
     pub register: Register,
     /// A disk of a version before has none.
     #[serde(default)]
-    pub duties: Table,
+    pub duties: DutyTable,
     applied: Option<LogId<u64>>,
     membership: StoredMembership<u64, BasicNode>,
 }
 
-fn not_put(why: NotEntered) -> NotApplied {
+fn not_put(why: PutError) -> ApplyFailure {
     let latest = match why {
-        NotEntered::OutOfDate(latest) => Some(latest),
+        PutError::OutOfDate(latest) => Some(latest),
         _ => None,
     };
     let why = match why {
-        NotEntered::OutOfDate(latest) => format!("the scope is at version {latest}"),
-        NotEntered::Spoilt => "its content is not what its hash says".to_owned(),
-        NotEntered::TooLong => format!("it is longer than {MOST_CONTENT} bytes"),
-        NotEntered::BadName => "the operator's name is empty, or too long".to_owned(),
-        NotEntered::Full => "there are as many scopes as may be".to_owned(),
+        PutError::OutOfDate(latest) => format!("the scope is at version {latest}"),
+        PutError::HashMismatch => "its content is not what its hash says".to_owned(),
+        PutError::TooLong => format!("it is longer than {MAX_CONTENT_BYTES} bytes"),
+        PutError::InvalidName => "the operator's name is empty, or too long".to_owned(),
+        PutError::LimitReached => "there are as many scopes as may be".to_owned(),
     };
-    NotApplied { why, latest }
+    ApplyFailure { why, latest }
 }
 
 /// The ledger of this process. It is in memory; what the disk has of it is the last snapshot and the log since.
 #[derive(Clone)]
-pub struct Book {
-    disk: Disk,
-    pub kept: Rc<RefCell<Kept>>,
+pub struct StateMachineStore {
+    disk: LogStore,
+    pub kept: Rc<RefCell<StateMachine>>,
 }
 
-impl Book {
-    pub fn open(disk: Disk) -> Result<Self, String> {
-        let kept: Option<Kept> = disk.note("snapshot").map_err(|e| e.to_string())?;
-        Ok(Book { disk, kept: Rc::new(RefCell::new(kept.unwrap_or_default())) })
+impl StateMachineStore {
+    pub fn open(disk: LogStore) -> Result<Self, String> {
+        let kept: Option<StateMachine> = disk.note("snapshot").map_err(|e| e.to_string())?;
+        Ok(StateMachineStore { disk, kept: Rc::new(RefCell::new(kept.unwrap_or_default())) })
     }
 }
 
@@ -327,14 +327,14 @@
     membership: StoredMembership<u64, BasicNode>,
 }
 
-fn snapshot(head: Head, bytes: Vec<u8>) -> Snapshot<Kinds> {
+fn snapshot(head: Head, bytes: Vec<u8>) -> Snapshot<RaftTypes> {
     let snapshot_id = head.applied.map_or(String::new(), |applied| applied.to_string());
     let meta = SnapshotMeta { last_log_id: head.applied, last_membership: head.membership, snapshot_id };
     Snapshot { meta, snapshot: Box::new(Cursor::new(bytes)) }
 }
 
-impl RaftSnapshotBuilder<Kinds> for Book {
-    async fn build_snapshot(&mut self) -> Result<Snapshot<Kinds>, Bad> {
+impl RaftSnapshotBuilder<RaftTypes> for StateMachineStore {
+    async fn build_snapshot(&mut self) -> Result<Snapshot<RaftTypes>, Bad> {
         let (head, bytes) = {
             let kept = self.kept.borrow();
             let head = Head { applied: kept.applied, membership: kept.membership.clone() };
@@ -345,8 +345,8 @@
     }
 }
 
-impl RaftStateMachine<Kinds> for Book {
-    type SnapshotBuilder = Book;
+impl RaftStateMachine<RaftTypes> for StateMachineStore {
+    type SnapshotBuilder = StateMachineStore;
 
     async fn applied_state(&mut self) -> Result<(Option<LogId<u64>>, StoredMembership<u64, BasicNode>), Bad> {
         let kept = self.kept.borrow();
@@ -355,11 +355,11 @@
 
     async fn apply<I>(&mut self, entries: I) -> Result<Vec<Applied>, Bad>
     where
-        I: IntoIterator<Item = Entry<Kinds>> + OptionalSend,
+        I: IntoIterator<Item = Entry<RaftTypes>> + OptionalSend,
         I::IntoIter: OptionalSend,
     {
         let mut kept = self.kept.borrow_mut();
-        let apply = |entry: Entry<Kinds>| {
+        let apply = |entry: Entry<RaftTypes>| {
             kept.applied = Some(entry.log_id);
             match entry.payload {
                 EntryPayload::Blank => Ok(0),
@@ -370,12 +370,12 @@
                     .duties
                     .apply(&entry)
                     .map(|()| 0)
-                    .map_err(|why| NotApplied { why: why.to_string(), latest: None }),
+                    .map_err(|why| ApplyFailure { why: why.to_string(), latest: None }),
                 EntryPayload::Normal(entry) => kept
                     .ledger
                     .apply(&entry)
                     .map(|()| 0)
-                    .map_err(|why| NotApplied { why: format!("{why:?}"), latest: None }),
+                    .map_err(|why| ApplyFailure { why: format!("{why:?}"), latest: None }),
                 EntryPayload::Membership(membership) => {
                     kept.membership = StoredMembership::new(Some(entry.log_id), membership);
                     Ok(0)
@@ -385,7 +385,7 @@
         Ok(entries.into_iter().map(apply).collect())
     }
 
-    async fn get_snapshot_builder(&mut self) -> Book {
+    async fn get_snapshot_builder(&mut self) -> StateMachineStore {
         self.clone()
     }
 
@@ -398,13 +398,13 @@
         _: &SnapshotMeta<u64, BasicNode>,
         snapshot: Box<Cursor<Vec<u8>>>,
     ) -> Result<(), Bad> {
-        let kept: Kept = serde_json::from_slice(snapshot.get_ref()).map_err(unread)?;
+        let kept: StateMachine = serde_json::from_slice(snapshot.get_ref()).map_err(unread)?;
         self.disk.set_note_bytes("snapshot", snapshot.get_ref())?;
         self.kept.replace(kept);
         Ok(())
     }
 
-    async fn get_current_snapshot(&mut self) -> Result<Option<Snapshot<Kinds>>, Bad> {
+    async fn get_current_snapshot(&mut self) -> Result<Option<Snapshot<RaftTypes>>, Bad> {
         let bytes = self.disk.note_bytes("snapshot")?;
         let read = |bytes: Vec<u8>| Ok(snapshot(serde_json::from_slice(&bytes).map_err(unread)?, bytes));
         bytes.map(read).transpose()
--- a/crates/fernroute-coordinator/tests/common/balancer.rs
+++ b/crates/fernroute-coordinator/tests/common/balancer.rs
@@ -1,10 +1,10 @@
 //! Balancers played by the parts that decide in real ones, beating on a task of their own.
 
 use super::{Asks, Stewards, WITHIN};
-use fernroute_coordinator::keep::now;
 use fernroute_coordinator::peers::Peers;
-use fernroute_fleet::configuration::follower::Follower;
-use fernroute_fleet::configuration::{Fetched, Place, Version, FETCH};
+use fernroute_coordinator::replica::now;
+use fernroute_fleet::configuration::follower::ConfigurationFollower;
+use fernroute_fleet::configuration::{FetchReply, Target, Version, FETCH_PATH};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -50,8 +50,8 @@
         first: usize,
     ) -> Self {
         let view = Rc::new(View::default());
-        let place = Place { name: name.to_owned(), service: service.to_owned(), zone: zone.to_owned() };
-        let follower = (!service.is_empty()).then(|| Follower::new(place, None));
+        let place = Target { name: name.to_owned(), service: service.to_owned(), zone: zone.to_owned() };
+        let follower = (!service.is_empty()).then(|| ConfigurationFollower::new(place, None));
         let asks = Asks::new(name, identity, 10_000);
         let (peers, at) = (stewards.peers.clone(), stewards.addresses());
         let task = actix_rt::spawn(live(Rc::clone(&view), asks, follower, peers, at, first));
@@ -75,7 +75,7 @@
 async fn live(
     view: Rc<View>,
     mut asks: Asks,
-    mut follower: Option<Follower>,
+    mut follower: Option<ConfigurationFollower>,
     peers: Peers,
     at: Vec<SocketAddr>,
     mut turn: usize,
@@ -85,32 +85,32 @@
         if view.pauses.get() {
             continue;
         }
-        asks.report = follower.as_ref().map(Follower::report);
+        asks.report = follower.as_ref().map(ConfigurationFollower::report);
         if asks.beat(&peers, &at).await {
             view.beats.set(view.beats.get() + 1);
             view.holds.set(asks.holds());
         }
         let Some(follower) = follower.as_mut() else { continue };
-        asks.told.take().into_iter().for_each(|version| follower.hear(version));
-        let Some(fetch) = follower.due(now()) else { continue };
+        asks.told.take().into_iter().for_each(|version| follower.on_notification(version));
+        let Some(fetch) = follower.next_fetch(now()) else { continue };
         let steward = at[turn % at.len()].to_string();
         turn += 1;
-        let fetched: Result<Fetched, String> = peers.say(&steward, FETCH, 0, &fetch, WITHIN).await;
-        if let Ok(Fetched::Behind) = fetched {
+        let fetched: Result<FetchReply, String> = peers.say(&steward, FETCH_PATH, 0, &fetch, WITHIN).await;
+        if let Ok(FetchReply::Behind) = fetched {
             view.behind.set(view.behind.get() + 1);
         }
-        let Some(snapshot) = fetched.ok().and_then(|fetched| follower.fetched(fetched).ok()) else {
-            follower.failed(now(), 0.5);
+        let Some(snapshot) = fetched.ok().and_then(|fetched| follower.on_reply(fetched).ok()) else {
+            follower.fetch_failed(now(), 0.5);
             continue;
         };
         let contents: Vec<String> = snapshot.contents().map(str::to_owned).collect();
         let refuses = view.refuses.borrow().clone();
         match refuses.filter(|words| contents.iter().any(|content| content.contains(words.as_str()))) {
-            Some(words) => follower.refuse(snapshot.version, &format!("{words} will not do here")),
+            Some(words) => follower.reject(snapshot.version, &format!("{words} will not do here")),
             None => {
                 view.applied.borrow_mut().push(snapshot.version);
                 view.contents.replace(contents);
-                follower.applied(snapshot);
+                follower.activate(snapshot);
             }
         }
     }
--- a/crates/fernroute-coordinator/tests/common/mod.rs
+++ b/crates/fernroute-coordinator/tests/common/mod.rs
@@ -6,13 +6,13 @@
 pub mod balancer;
 pub mod operator;
 
-use fernroute_coordinator::keep::{now, Status};
 use fernroute_coordinator::peers::{Peers, STATUS};
-use fernroute_fleet::configuration::{Report, Version};
-use fernroute_fleet::duties::holder::Duties;
+use fernroute_coordinator::replica::{now, Status};
+use fernroute_fleet::configuration::{ConfigurationReport, Version};
+use fernroute_fleet::duties::holder::MemberDuties;
 use fernroute_fleet::member::Member;
-use fernroute_fleet::message::{Answer, Unanswered, BEAT};
-use fernroute_fleet::{Shares, Units};
+use fernroute_fleet::message::{HeartbeatError, HeartbeatReply, HEARTBEAT_PATH};
+use fernroute_fleet::{BudgetAmounts, MilliUnits};
 use fernroute_test_support::process::{addresses, ignoring_limits, Disk, Process};
 use std::cell::Cell;
 use std::future::Future;
@@ -21,7 +21,7 @@
 use std::process::Command;
 use std::time::Duration;
 
-pub const WHOLE: Units = 200_000;
+pub const WHOLE: MilliUnits = 200_000;
 pub const WITHIN: Duration = Duration::from_millis(400);
 
 pub fn run(test: impl Future<Output = ()>) {
@@ -169,46 +169,46 @@
 /// A member as a balancer will be one: it asks one steward after another.
 pub struct Asks {
     pub member: Member,
-    pub wants: Units,
+    pub wants: MilliUnits,
     /// The longest that it went without a share, in tenths of a millisecond, once it had one.
     pub bare: u64,
     pub had: bool,
     /// Of the configuration that it goes by: none at a version that knows of none.
-    pub report: Option<Report>,
+    pub report: Option<ConfigurationReport>,
     /// The version that the last answer told it of.
     pub told: Option<Version>,
     /// The duties that it holds: none at a version that knows of none.
-    pub duties: Option<Duties>,
+    pub duties: Option<MemberDuties>,
 }
 
 impl Asks {
-    pub fn new(name: &str, identity: u64, wants: Units) -> Self {
+    pub fn new(name: &str, identity: u64, wants: MilliUnits) -> Self {
         let member = Member::new(name, identity, now());
         Asks { member, wants, bare: 0, had: false, report: None, told: None, duties: None }
     }
 
-    pub fn holds(&self) -> Units {
-        self.member.holds(now(), "acme")
+    pub fn holds(&self) -> MilliUnits {
+        self.member.allocated(now(), "acme")
     }
 
     pub async fn beat(&mut self, peers: &Peers, stewards: &[SocketAddr]) -> bool {
-        let bare = now().saturating_sub(self.member.until().0);
+        let bare = now().saturating_sub(self.member.expirations().0);
         if self.had {
             self.bare = self.bare.max(bare);
         }
-        let mut beat = self.member.beat(now(), Shares::from([("acme".to_owned(), self.wants)]));
+        let mut beat = self.member.heartbeat(now(), BudgetAmounts::from([("acme".to_owned(), self.wants)]));
         beat.configuration.clone_from(&self.report);
         beat.duties = self.duties.as_mut().map(|duties| duties.report(now(), beat.number));
         for at in stewards {
-            let said: Result<Result<Answer, Unanswered>, String> =
-                peers.say(&at.to_string(), BEAT, 0, &beat, WITHIN).await;
+            let said: Result<Result<HeartbeatReply, HeartbeatError>, String> =
+                peers.say(&at.to_string(), HEARTBEAT_PATH, 0, &beat, WITHIN).await;
             if let Ok(Ok(answer)) = said {
                 self.told = answer.configuration;
-                self.member.hear(now(), &answer);
+                self.member.on_reply(now(), &answer);
                 if let Some(duties) = &mut self.duties {
-                    duties.hear(now(), answer.number, answer.duties.as_ref());
+                    duties.on_reply(now(), answer.number, answer.duties.as_ref());
                 }
-                self.had |= self.member.parts("acme").1 > 0;
+                self.had |= self.member.allocated_parts("acme").1 > 0;
                 return true;
             }
         }
@@ -221,7 +221,7 @@
     loop {
         for n in 0..members.len() {
             members[n].beat(&stewards.peers, &stewards.addresses()).await;
-            let all: Units = members.iter().map(Asks::holds).sum();
+            let all: MilliUnits = members.iter().map(Asks::holds).sum();
             assert!(all <= WHOLE, "{all}");
         }
         if what(members) {
@@ -232,5 +232,5 @@
 }
 
 pub fn near_all(members: &[Asks]) -> bool {
-    members.iter().map(Asks::holds).sum::<Units>() * 20 >= WHOLE * 19
+    members.iter().map(Asks::holds).sum::<MilliUnits>() * 20 >= WHOLE * 19
 }
--- a/crates/fernroute-coordinator/tests/common/operator.rs
+++ b/crates/fernroute-coordinator/tests/common/operator.rs
@@ -2,9 +2,11 @@
 
 use super::balancer::Balancer;
 use super::{until, Stewards, WITHIN};
-use fernroute_coordinator::configuration::{NotDone, Wish, HISTORY, PUT};
-use fernroute_fleet::configuration::register::Line;
-use fernroute_fleet::configuration::{hash, Fetch, Fetched, Place, Scope, Version, FETCH};
+use fernroute_coordinator::configuration::{PutRequest, RequestError, HISTORY, PUT};
+use fernroute_fleet::configuration::register::HistoryEntry;
+use fernroute_fleet::configuration::{
+    content_hash, FetchReply, FetchRequest, Scope, Target, Version, FETCH_PATH,
+};
 use std::path::PathBuf;
 
 /// A content that loads, told from others by its number.
@@ -29,10 +31,10 @@
 }
 
 /// What one steward hands out.
-pub async fn fetch(stewards: &Stewards, n: usize, want: Version) -> Result<Fetched, String> {
-    let place = Place { name: "n9".to_owned(), service: "web".to_owned(), zone: "a".to_owned() };
-    let fetch = Fetch { place, have: 0, want };
-    stewards.peers.say(&stewards.places[n].address.to_string(), FETCH, 0, &fetch, WITHIN).await
+pub async fn fetch(stewards: &Stewards, n: usize, want: Version) -> Result<FetchReply, String> {
+    let place = Target { name: "n9".to_owned(), service: "web".to_owned(), zone: "a".to_owned() };
+    let fetch = FetchRequest { target: place, known_version: 0, wanted_version: want };
+    stewards.peers.say(&stewards.places[n].address.to_string(), FETCH_PATH, 0, &fetch, WITHIN).await
 }
 
 /// The same without a process of its own, as often as it takes: a leader that is too busy to be sure that it leads says so,
@@ -45,16 +47,18 @@
     content: &str,
 ) -> Version {
     let (content, who) = (content.to_owned(), "bob".to_owned());
-    let wish = Wish { scope: scope.clone(), base, hash: hash(&content), content, who };
+    let wish = PutRequest { scope: scope.clone(), base, hash: content_hash(&content), content, who };
     loop {
         let at = stewards.places[leader].address.to_string();
         match stewards.peers.say(&at, PUT, 0, &wish, WITHIN * 10).await {
             Ok(Ok(version)) => return version,
             // What was not known was entered.
-            Ok(Err(NotDone::OutOfDate(Some(line)))) if line.base == base && line.hash == wish.hash => {
+            Ok(Err(RequestError::OutOfDate(Some(line))))
+                if line.base_version == base && line.content_hash == wish.hash =>
+            {
                 return line.version
             }
-            Ok(Err(NotDone::Elsewhere(_) | NotDone::Unknown(_))) | Err(_) => {
+            Ok(Err(RequestError::Elsewhere(_) | RequestError::Unknown(_))) | Err(_) => {
                 leader = stewards.leader(None).await;
             }
             Ok(Err(why)) => panic!("{why:?}"),
@@ -63,11 +67,11 @@
 }
 
 /// All that was entered, by the leader's word.
-pub async fn history(stewards: &Stewards) -> Vec<Line> {
+pub async fn history(stewards: &Stewards) -> Vec<HistoryEntry> {
     let all: Option<Scope> = None;
     loop {
         let at = stewards.places[stewards.leader(None).await].address.to_string();
-        let said: Result<Result<Vec<Line>, NotDone>, String> =
+        let said: Result<Result<Vec<HistoryEntry>, RequestError>, String> =
             stewards.peers.say(&at, HISTORY, 0, &all, WITHIN * 10).await;
         if let Ok(Ok(lines)) = said {
             return lines;
@@ -83,7 +87,9 @@
 /// This steward hands out these for the service web in the zone a.
 pub async fn until_hands_out(stewards: &Stewards, n: usize, want: Version, contents: &[String]) {
     until(|| async {
-        let Ok(Fetched::Parts { version, parts, .. }) = fetch(stewards, n, want).await else { return false };
+        let Ok(FetchReply::Entries { version, entries: parts, .. }) = fetch(stewards, n, want).await else {
+            return false;
+        };
         version == want && parts.iter().map(|part| &part.content).eq(contents)
     })
     .await;
--- a/crates/fernroute-coordinator/tests/configuration.rs
+++ b/crates/fernroute-coordinator/tests/configuration.rs
@@ -8,10 +8,10 @@
     content, enter, fetch, get, history, put, until_beats, until_hands_out, until_in_force, write,
 };
 use common::{run, until, Place, Stewards};
-use fernroute_coordinator::store::{Book, Disk};
-use fernroute_coordinator::Kinds;
-use fernroute_fleet::configuration::register::Put;
-use fernroute_fleet::configuration::{hash, Fetched, Scope, Version};
+use fernroute_coordinator::store::{LogStore, StateMachineStore};
+use fernroute_coordinator::RaftTypes;
+use fernroute_fleet::configuration::register::ConfigurationPut;
+use fernroute_fleet::configuration::{content_hash, FetchReply, Scope, Version};
 use fernroute_fleet::ledger::Entry;
 use fernroute_test_support::link::Link;
 use openraft::storage::{RaftLogStorage as _, RaftSnapshotBuilder as _, RaftStateMachine as _};
@@ -43,7 +43,7 @@
         assert_eq!(api[0].says(), [content(1), content(3)]);
         for n in 0..3 {
             until_hands_out(&stewards, n, 2, &[content(1), content(2)]).await;
-            assert_eq!(fetch(&stewards, n, 4).await, Ok(Fetched::Behind));
+            assert_eq!(fetch(&stewards, n, 4).await, Ok(FetchReply::Behind));
         }
         // It is told of nothing, and has its grants.
         assert!(old.in_force() == 0);
@@ -113,7 +113,7 @@
         assert!(balancers[0].is_in_order() && balancers[0].says() == [content(6)]);
         let lines = history(&stewards).await;
         assert!(
-            lines.iter().map(|line| (line.version, line.base)).eq((1..=6).map(|n| (n, n - 1))),
+            lines.iter().map(|line| (line.version, line.base_version)).eq((1..=6).map(|n| (n, n - 1))),
             "{lines:?}"
         );
     });
@@ -171,7 +171,10 @@
             assert!(balancer.is_in_order() && balancer.says() == [content(MANY)]);
         }
         let lines = history(&stewards).await;
-        assert!(lines.iter().map(|line| (line.version, line.base)).eq((1..=MANY).map(|n| (n, n - 1))));
+        assert!(lines
+            .iter()
+            .map(|line| (line.version, line.base_version))
+            .eq((1..=MANY).map(|n| (n, n - 1))));
     });
 }
 
@@ -195,11 +198,11 @@
         until_hands_out(&stewards, 2, 1, &[content(1)]).await;
         link.refuse();
         assert_eq!(put(&stewards, "all", &content(2), &[]).await, 2);
-        assert_eq!(fetch(&stewards, 2, 2).await, Ok(Fetched::Behind));
+        assert_eq!(fetch(&stewards, 2, 2).await, Ok(FetchReply::Behind));
         let balancers = [Balancer::new(&stewards, 1, "n0", "web", "a", 2)];
         until_in_force(&balancers, 2).await;
         assert!(balancers[0].view.behind.get() > 0 && *balancers[0].view.applied.borrow() == [2]);
-        assert_eq!(fetch(&stewards, 2, 2).await, Ok(Fetched::Behind));
+        assert_eq!(fetch(&stewards, 2, 2).await, Ok(FetchReply::Behind));
         link.mend();
         until_hands_out(&stewards, 2, 2, &[content(2)]).await;
     });
@@ -304,7 +307,7 @@
         stewards.leader(None).await;
         stewards.until_state(1, "blank").await;
         stewards.until_state(2, "blank").await;
-        assert_eq!(fetch(&stewards, 1, 1).await, Ok(Fetched::Behind));
+        assert_eq!(fetch(&stewards, 1, 1).await, Ok(FetchReply::Behind));
         let (code, said) = stewards.change(0);
         assert_eq!(code, Some(0), "{said}");
         // What is entered after the last change of who has a vote is at all: so is that change.
@@ -328,21 +331,29 @@
 }
 
 fn entered(scope: Scope, base: Version, content: String) -> Entry {
-    let (hash, who) = (hash(&content), "ann".to_owned());
-    Entry::Configuration(Put { scope, base, hash, content, who, when_ms: 1, above: 0 })
+    let (hash, who) = (content_hash(&content), "ann".to_owned());
+    Entry::Configuration(ConfigurationPut {
+        scope,
+        base_version: base,
+        content_hash: hash,
+        content,
+        author: who,
+        entered_at_ms: 1,
+        min_version_exclusive: 0,
+    })
 }
 
 /// A disk of a steward that was alone, entered these, and keeps a snapshot and no log of them.
 async fn before(folder: &Path, entries: Vec<Entry>) {
-    let (mut disk, own) = Disk::open(folder, "shop").expect("it opens");
-    let mut book = Book::open(disk.clone()).expect("it is read");
+    let (mut disk, own) = LogStore::open(folder, "shop").expect("it opens");
+    let mut book = StateMachineStore::open(disk.clone()).expect("it is read");
     let nodes = BTreeMap::from([(own.id, BasicNode::new("s0"))]);
     let alone = Membership::new(vec![BTreeSet::from([own.id])], nodes);
     let payloads =
         [EntryPayload::Membership(alone)].into_iter().chain(entries.into_iter().map(EntryPayload::Normal));
     let at = |index: usize| LogId::new(CommittedLeaderId::new(1, own.id), index as u64);
     let log = payloads.enumerate().map(|(index, payload)| openraft::Entry { log_id: at(index), payload });
-    let log: Vec<openraft::Entry<Kinds>> = log.collect();
+    let log: Vec<openraft::Entry<RaftTypes>> = log.collect();
     let last = at(log.len() - 1);
     let told = book.apply(log).await.expect("it applies");
     assert!(told.iter().all(Result::is_ok));
--- a/crates/fernroute-coordinator/tests/configuration_commands.rs
+++ b/crates/fernroute-coordinator/tests/configuration_commands.rs
@@ -5,8 +5,8 @@
 use common::balancer::Balancer;
 use common::operator::{content, get, history, put, until_beats, until_in_force, write};
 use common::{run, said, until, Stewards};
-use fernroute_coordinator::configuration::Standings;
-use fernroute_fleet::configuration::standing::Standing;
+use fernroute_coordinator::configuration::ConfigurationStatus;
+use fernroute_fleet::configuration::rollout::RolloutState;
 use fernroute_fleet::configuration::Scope;
 use fernroute_test_support::link::Link;
 use std::process::Command;
@@ -138,15 +138,15 @@
         let (code, out, why) = put_for(content(5), "30").await;
         assert!(code == 0 && out == "version 5\nin force at 2 of 2; not heard of: n2\n", "{out}{why}");
         let (code, out, _) = stewards.command(&["configuration", "status", "--json"]).await;
-        let all: Standings = serde_json::from_str(&out).expect("it is JSON");
-        let standing = all.members.iter().map(|m| (m.name.as_str(), m.standing, m.wanted, m.in_force));
+        let all: ConfigurationStatus = serde_json::from_str(&out).expect("it is JSON");
+        let standing = all.members.iter().map(|m| (m.name.as_str(), m.state, m.wanted, m.active));
         assert_eq!(
             standing.collect::<Vec<_>>(),
             [
-                ("n0", Standing::InForce, 5, 5),
-                ("n1", Standing::InForce, 5, 5),
-                ("n2", Standing::NotHeardOf, 5, 2),
-                ("n3", Standing::FollowsNone, 0, 0),
+                ("n0", RolloutState::Active, 5, 5),
+                ("n1", RolloutState::Active, 5, 5),
+                ("n2", RolloutState::Unreachable, 5, 2),
+                ("n3", RolloutState::NotFollowing, 0, 0),
             ]
         );
         assert!(code == 0 && all.settled && all.cluster == "shop" && all.version == 5, "{out}");
--- a/crates/fernroute-coordinator/tests/duties.rs
+++ b/crates/fernroute-coordinator/tests/duties.rs
@@ -3,9 +3,9 @@
 mod common;
 
 use common::{run, until, Asks, Stewards};
-use fernroute_coordinator::duties::DutyStatus;
-use fernroute_coordinator::keep::now;
-use fernroute_fleet::duties::holder::Duties;
+use fernroute_coordinator::duties::DutiesStatus;
+use fernroute_coordinator::replica::now;
+use fernroute_fleet::duties::holder::MemberDuties;
 use fernroute_fleet::duties::EndReason;
 use std::cell::RefCell;
 use std::process::Command;
@@ -23,7 +23,7 @@
 impl Member {
     fn new(stewards: &Stewards, n: u64, takes_duties: bool) -> Self {
         let mut asks = Asks::new(&format!("n{n}"), n, 10_000);
-        asks.duties = takes_duties.then(|| Duties::new(n));
+        asks.duties = takes_duties.then(|| MemberDuties::new(n));
         let asks = Rc::new(RefCell::new(asks));
         let (own, peers, at) = (Rc::clone(&asks), stewards.peers.clone(), stewards.addresses());
         // Nobody else holds it while it is answered.
@@ -59,7 +59,7 @@
     }
 }
 
-async fn status(stewards: &Stewards) -> DutyStatus {
+async fn status(stewards: &Stewards) -> DutiesStatus {
     let (code, out, why) = stewards.command(&["duties", "status", "--json"]).await;
     assert_eq!(code, 0, "{why}");
     serde_json::from_str(&out).expect("a status")
--- a/crates/fernroute-coordinator/tests/fleet.rs
+++ b/crates/fernroute-coordinator/tests/fleet.rs
@@ -3,9 +3,9 @@
 mod common;
 
 use common::{beat_until, near_all, run, until, Asks, Stewards, WHOLE};
-use fernroute_coordinator::door::MOST_BEAT;
-use fernroute_coordinator::keep::Status;
-use fernroute_fleet::message::BEAT;
+use fernroute_coordinator::http::MAX_HEARTBEAT_BYTES;
+use fernroute_coordinator::replica::Status;
+use fernroute_fleet::message::HEARTBEAT_PATH;
 use std::process::Command;
 
 /// Guards against grants that lapse because a leader was killed, and against a ledger that forgets them.
@@ -116,12 +116,12 @@
         };
         let beat = r#"{"name":"n","identity":1,"number":1,"epoch":0,"wants":{"acme":-5}}"#;
         for (path, body, status, what) in [
-            (BEAT, "no json".to_owned(), 400, "expected"),
-            (BEAT, envelope("c", 2, "{}"), 400, "version 2 is not known here, 1 is"),
-            (BEAT, envelope("other", 1, "{}"), 409, "this is the cluster c"),
-            (BEAT, envelope("c", 1, "{}"), 400, "name"),
-            (BEAT, envelope("c", 1, beat), 400, "invalid"),
-            (BEAT, "x".repeat(MOST_BEAT + 1), 413, "over"),
+            (HEARTBEAT_PATH, "no json".to_owned(), 400, "expected"),
+            (HEARTBEAT_PATH, envelope("c", 2, "{}"), 400, "version 2 is not known here, 1 is"),
+            (HEARTBEAT_PATH, envelope("other", 1, "{}"), 409, "this is the cluster c"),
+            (HEARTBEAT_PATH, envelope("c", 1, "{}"), 400, "name"),
+            (HEARTBEAT_PATH, envelope("c", 1, beat), 400, "invalid"),
+            (HEARTBEAT_PATH, "x".repeat(MAX_HEARTBEAT_BYTES + 1), 413, "over"),
             ("/-/vote", envelope("c", 1, "{}"), 409, "this is the steward"),
             ("/-/none", String::new(), 404, "nothing"),
         ] {
--- a/crates/fernroute-coordinator/tests/store.rs
+++ b/crates/fernroute-coordinator/tests/store.rs
@@ -1,9 +1,9 @@
 //! What a steward keeps on its disk.
 
-use fernroute_coordinator::store::{Book, Disk};
-use fernroute_coordinator::Kinds;
-use fernroute_fleet::configuration::register::Put;
-use fernroute_fleet::configuration::{hash, Scope};
+use fernroute_coordinator::store::{LogStore, StateMachineStore};
+use fernroute_coordinator::RaftTypes;
+use fernroute_fleet::configuration::register::ConfigurationPut;
+use fernroute_fleet::configuration::{content_hash, Scope};
 use fernroute_fleet::ledger::Entry;
 use openraft::storage::{RaftSnapshotBuilder as _, RaftStateMachine as _};
 use openraft::{CommittedLeaderId, EntryPayload, LogId, RaftLogReader as _};
@@ -17,17 +17,25 @@
     std::env::temp_dir().join(format!("fernroute-store-{name}-{}", std::process::id()))
 }
 
-fn put(index: u64, base: u64, content: &str) -> openraft::Entry<Kinds> {
+fn put(index: u64, base: u64, content: &str) -> openraft::Entry<RaftTypes> {
     let content = content.to_owned();
-    let (hash, who) = (hash(&content), "ann".to_owned());
-    let put = Put { scope: Scope::All, base, hash, content, who, when_ms: 1, above: 0 };
+    let (hash, who) = (content_hash(&content), "ann".to_owned());
+    let put = ConfigurationPut {
+        scope: Scope::All,
+        base_version: base,
+        content_hash: hash,
+        content,
+        author: who,
+        entered_at_ms: 1,
+        min_version_exclusive: 0,
+    };
     let log_id = LogId::new(CommittedLeaderId::new(1, 1), index);
     openraft::Entry { log_id, payload: EntryPayload::Normal(Entry::Configuration(put)) }
 }
 
-fn book(folder: &Path) -> Book {
-    let (disk, _) = Disk::open(folder, "c").expect("it opens");
-    Book::open(disk).expect("it is read")
+fn book(folder: &Path) -> StateMachineStore {
+    let (disk, _) = LogStore::open(folder, "c").expect("it opens");
+    StateMachineStore::open(disk).expect("it is read")
 }
 
 /// Guards against a word whose fate is not told, and a register that a snapshot leaves out.
@@ -47,7 +55,7 @@
         drop(kept);
         let kept = book(&folder);
         let kept = kept.kept.borrow();
-        assert_eq!(kept.register.part(&Scope::All).map(|part| part.content.as_str()), Some("a = 3"));
+        assert_eq!(kept.register.entry(&Scope::All).map(|part| part.content.as_str()), Some("a = 3"));
         assert_eq!((kept.register.version(), kept.register.history().count()), (2, 2));
     });
     let _ = std::fs::remove_dir_all(&folder);
@@ -105,7 +113,7 @@
         }
         write.commit().expect("it is kept");
         drop(file);
-        let (mut disk, _) = Disk::open(&folder, "c").expect("it opens");
+        let (mut disk, _) = LogStore::open(&folder, "c").expect("it opens");
         let mut places = Vec::new();
         let mut next = 0;
         while next < 11 {
--- a/crates/fernroute-coordinator/tests/stored_data.rs
+++ b/crates/fernroute-coordinator/tests/stored_data.rs
@@ -6,9 +6,9 @@
 mod common;
 
 use common::{run, until, Stewards};
-use fernroute_coordinator::duties::DutyStatus;
-use fernroute_coordinator::store::{Book, Disk};
-use fernroute_fleet::configuration::register::Line;
+use fernroute_coordinator::duties::DutiesStatus;
+use fernroute_coordinator::store::{LogStore, StateMachineStore};
+use fernroute_fleet::configuration::register::HistoryEntry;
 use openraft::storage::{RaftLogStorage as _, RaftSnapshotBuilder as _, RaftStateMachine as _};
 use openraft::{RaftLogReader as _, Vote};
 use std::path::{Path, PathBuf};
@@ -40,7 +40,7 @@
 fn a_stored_log_vote_and_identity_are_read_and_written_as_they_were() {
     let folder = copy_of_stored("log");
     actix_rt::System::new().block_on(async {
-        let (mut disk, own) = Disk::open(&folder, "shop").expect("it opens");
+        let (mut disk, own) = LogStore::open(&folder, "shop").expect("it opens");
         assert_eq!(
             serde_json::to_string(&own).expect("JSON"),
             format!(r#"{{"cluster":"shop","id":{IDENTITY}}}"#)
@@ -71,8 +71,8 @@
 fn a_stored_snapshot_and_the_log_behind_it_come_to_the_same_state() {
     let folder = copy_of_stored("state");
     actix_rt::System::new().block_on(async {
-        let (mut disk, _) = Disk::open(&folder, "shop").expect("it opens");
-        let mut book = Book::open(disk.clone()).expect("it is read");
+        let (mut disk, _) = LogStore::open(&folder, "shop").expect("it opens");
+        let mut book = StateMachineStore::open(disk.clone()).expect("it is read");
         let (applied, membership) = book.applied_state().await.expect("it is told");
         assert_eq!(
             (applied.map(|id| id.index), membership.voter_ids().collect::<Vec<_>>()),
@@ -84,7 +84,7 @@
         assert_eq!(serde_json::to_value(&*book.kept.borrow()).expect("JSON"), expected_state());
         // What is stored from here on reads as before, too.
         book.build_snapshot().await.expect("it is stored");
-        let again = Book::open(disk).expect("it is read");
+        let again = StateMachineStore::open(disk).expect("it is read");
         assert_eq!(serde_json::to_value(&*again.kept.borrow()).expect("JSON"), expected_state());
     });
     let _ = std::fs::remove_dir_all(&folder);
@@ -113,11 +113,11 @@
         let (code, content, _) = stewards.command(&["configuration", "get", "--scope", "all"]).await;
         assert_eq!((code, content.as_str()), (0, "[limits]\nretry_after_s = 3\n"));
         let (_, history, _) = stewards.command(&["configuration", "history", "--json"]).await;
-        let history: Vec<Line> = serde_json::from_str(&history).expect("a history");
+        let history: Vec<HistoryEntry> = serde_json::from_str(&history).expect("a history");
         let versions: Vec<u64> = history.iter().map(|line| line.version).collect();
         assert_eq!(versions, [1, 2, 7, 8, 9]);
         let (_, duties, _) = stewards.command(&["duties", "status", "--json"]).await;
-        let duties: DutyStatus = serde_json::from_str(&duties).expect("a status");
+        let duties: DutiesStatus = serde_json::from_str(&duties).expect("a status");
         assert_eq!((duties.highest_term, duties.duties.len()), (6, 3));
         let holder = duties.duties[0].holder.as_ref().expect("it is held");
         assert_eq!((holder.name.as_str(), holder.term, holder.note.as_str()), ("n2", 6, "begun"));
--- a/crates/fernroute-coordinator/tests/wire_format.rs
+++ b/crates/fernroute-coordinator/tests/wire_format.rs
@@ -1,11 +1,13 @@
 //! The JSON between coordinators, and from them to operators: fixed texts, read and written again without a change.
 
-use fernroute_coordinator::configuration::{Latest, NotDone, ScopeLine, Standings, Wish};
-use fernroute_coordinator::duties::{DutyStatus, Released};
-use fernroute_coordinator::keep::Status;
-use fernroute_coordinator::peers::Who;
-use fernroute_coordinator::store::{Kept, Mark, Own};
-use fernroute_coordinator::{Applied, Kinds};
+use fernroute_coordinator::configuration::{
+    ConfigurationStatus, Latest, PutRequest, RequestError, ScopeStatus,
+};
+use fernroute_coordinator::duties::{DutiesStatus, Released};
+use fernroute_coordinator::peers::ReplicaInfo;
+use fernroute_coordinator::replica::Status;
+use fernroute_coordinator::store::{ReplicaIdentity, ReplicaPosition, StateMachine};
+use fernroute_coordinator::{Applied, RaftTypes};
 use openraft::raft::{
     AppendEntriesRequest, AppendEntriesResponse, InstallSnapshotRequest, InstallSnapshotResponse,
     VoteRequest, VoteResponse,
@@ -39,7 +41,7 @@
         .zip(entries)
         .map(|(index, payload)| format!(r#"{{"log_id":{},"payload":{payload}}}"#, log_id(index)))
         .collect();
-    assert_unchanged::<AppendEntriesRequest<Kinds>>(&format!(
+    assert_unchanged::<AppendEntriesRequest<RaftTypes>>(&format!(
         r#"{{"vote":{VOTE},"prev_log_id":{},"entries":[{}],"leader_commit":{}}}"#,
         log_id(4),
         entries.join(","),
@@ -51,7 +53,7 @@
         r#"{{"vote":{VOTE},"vote_granted":true,"last_log_id":{}}}"#,
         log_id(4)
     ));
-    assert_unchanged::<InstallSnapshotRequest<Kinds>>(&format!(
+    assert_unchanged::<InstallSnapshotRequest<RaftTypes>>(&format!(
         r#"{{"vote":{VOTE},"meta":{{"last_log_id":{},"last_membership":{{"log_id":null,"membership":{{"configs":[],"nodes":{{}}}}}},"snapshot_id":"3-42-4"}},"offset":0,"data":[123,125],"done":true}}"#,
         log_id(4)
     ));
@@ -60,12 +62,12 @@
 
 #[test]
 fn what_coordinators_say_of_themselves_keeps_its_keys() {
-    assert_unchanged::<Who>(
+    assert_unchanged::<ReplicaInfo>(
         r#"{"cluster":"shop","name":"s0","id":42,"blank":false,"heard":{"43":{"vote":[3,42],"entry":[3,42,5]}}}"#,
     );
-    assert_unchanged::<Own>(r#"{"cluster":"shop","id":42}"#);
-    assert_unchanged::<Mark>(r#"{"vote":[3,42],"entry":[3,42,5]}"#);
-    assert_unchanged::<Kept>(&format!(
+    assert_unchanged::<ReplicaIdentity>(r#"{"cluster":"shop","id":42}"#);
+    assert_unchanged::<ReplicaPosition>(r#"{"vote":[3,42],"entry":[3,42,5]}"#);
+    assert_unchanged::<StateMachine>(&format!(
         r#"{{"ledger":{{"epoch":0,"budgets":{{}},"holders":{{}}}},"register":{{"version":0,"parts":{{}},"history":[]}},"duties":{{"version":0,"highest":0,"duties":{{}}}},"applied":{},"membership":{{"log_id":null,"membership":{{"configs":[],"nodes":{{}}}}}}}}"#,
         log_id(4)
     ));
@@ -74,7 +76,7 @@
 #[test]
 fn what_an_operator_sends_and_is_answered_keeps_its_keys() {
     let line = r#"{"version":1,"scope":"all","base":0,"hash":"a1","bytes":6,"who":"ann","when_ms":1}"#;
-    assert_unchanged::<Wish>(
+    assert_unchanged::<PutRequest>(
         r#"{"scope":"service/web","base":0,"hash":"a1","content":"a = 1\n","who":"ann"}"#,
     );
     for answer in [
@@ -86,7 +88,7 @@
         r#"{"Err":{"refused":"why"}}"#.to_owned(),
         r#"{"Err":{"unknown":"why"}}"#.to_owned(),
     ] {
-        assert_unchanged::<Result<u64, NotDone>>(&answer);
+        assert_unchanged::<Result<u64, RequestError>>(&answer);
     }
     assert_unchanged::<Applied>(r#"{"Ok":7}"#);
     assert_unchanged::<Applied>(r#"{"Err":{"why":"the scope is at version 1","latest":1}}"#);
@@ -98,11 +100,11 @@
 
 #[test]
 fn what_operators_read_as_json_keeps_its_keys() {
-    assert_unchanged::<ScopeLine>(r#"{"scope":"all","version":1,"hash":"a1","bytes":6}"#);
-    assert_unchanged::<Standings>(
+    assert_unchanged::<ScopeStatus>(r#"{"scope":"all","version":1,"hash":"a1","bytes":6}"#);
+    assert_unchanged::<ConfigurationStatus>(
         r#"{"cluster":"shop","leader":"s0","version":2,"settled":true,"scopes":[{"scope":"all","version":1,"hash":"a1","bytes":6}],"summary":{"in_force":1,"on_its_way":0,"refused":0,"ahead":0,"not_heard_of":0,"follows_none":0},"members":[{"name":"n0","service":"web","zone":"a","wanted":2,"in_force":2,"refused":null,"standing":"in_force"}]}"#,
     );
-    assert_unchanged::<DutyStatus>(
+    assert_unchanged::<DutiesStatus>(
         r#"{"cluster":"shop","leader":"s0","highest_term":6,"ended":{"drained":1,"lapsed":2},"duties":[{"duty":"sweep","holder":{"name":"n0","term":5,"held_for_s":1.5,"at_least":true,"left_s":0.5,"note":"half way"},"before":["n1","operator"]},{"duty":"tidy","holder":null,"before":null}]}"#,
     );
     assert_unchanged::<Status>(
@@ -114,7 +116,7 @@
 fn paths_stay_as_they_are() {
     use fernroute_coordinator::{configuration, duties, peers};
     assert_eq!(
-        [peers::APPEND, peers::VOTE, peers::SNAPSHOT, peers::WHO, peers::STATUS, peers::CHANGE],
+        [peers::APPEND, peers::VOTE, peers::SNAPSHOT, peers::INFO_PATH, peers::STATUS, peers::CHANGE],
         ["/-/append", "/-/vote", "/-/snapshot", "/-/who", "/-/status", "/-/change"]
     );
     assert_eq!(
--- a/crates/fernroute-fleet/src/demand.rs
+++ b/crates/fernroute-fleet/src/demand.rs
@@ -1,6 +1,6 @@
 //! What a member could use of a budget, told by what was asked of it lately.
 
-use crate::Units;
+use crate::MilliUnits;
 use fernroute::host::SECOND;
 use fernroute::Time;
 
@@ -35,7 +35,7 @@
 /// anew from the short one where they differ by more than chance would have them. Guards against a division anew for
 /// each bunch of RPCs, and against shares sized by one.
 #[derive(Clone, Debug)]
-pub struct Meter {
+pub struct DemandMeter {
     short: Rate,
     long: Rate,
 }
@@ -43,10 +43,10 @@
 const SHORT: f64 = SECOND as f64;
 const LONG: f64 = 10.0 * SECOND as f64;
 
-impl Meter {
+impl DemandMeter {
     pub fn new(now: Time) -> Self {
         let rate = |memory| Rate { memory, count: 0.0, at: now, begun: now };
-        Meter { short: rate(SHORT), long: rate(LONG) }
+        DemandMeter { short: rate(SHORT), long: rate(LONG) }
     }
 
     pub fn count(&mut self, now: Time) {
@@ -55,19 +55,19 @@
     }
 
     /// A second, in thousandths.
-    pub fn wants(&mut self, now: Time) -> Units {
+    pub fn demand(&mut self, now: Time) -> MilliUnits {
         /// In standard deviations: less comes by chance too often with several looks a second.
         const SURE: f64 = 3.0;
         let (short, long) = (self.short.rate(now), self.long.rate(now));
         // Of a count that fades over a second, at this rate.
         let chance = (long.max(1.0) / 2.0).sqrt();
         if (short - long).abs() <= SURE * chance {
-            return (long * 1000.0) as Units;
+            return (long * 1000.0) as MilliUnits;
         }
         // As if the short memory's second were all that was seen.
         let seen = SHORT.min(now.saturating_sub(self.short.begun) as f64);
         self.long.begun = now - seen as Time;
         (self.long.count, self.long.at) = (short * LONG / SECOND as f64 * (1.0 - (-seen / LONG).exp()), now);
-        (short * 1000.0) as Units
+        (short * 1000.0) as MilliUnits
     }
 }
--- a/crates/fernroute-fleet/src/duties/holder.rs
+++ b/crates/fernroute-fleet/src/duties/holder.rs
@@ -1,7 +1,7 @@
-//! A member's side: which duties it may act on now, and until when by its own clock. Whoever acts asks [`Duties::term`] at each
+//! A member's side: which duties it may act on now, and until when by its own clock. Whoever acts asks [`MemberDuties::term`] at each
 //! act, and sends the term with it.
 
-use super::{Report, Term, Terms, Told};
+use super::{DutyAssignments, DutyReport, DutyTerms, Term};
 use fernroute::Time;
 use std::collections::BTreeMap;
 
@@ -20,29 +20,29 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
     /// It acts on it from now on.
-    Begins { duty: String, term: Term },
+    Acquired { duty: String, term: Term },
     /// It acts on it no more.
-    Stops { duty: String, term: Term, reason: StopReason },
+    Lost { duty: String, term: Term, reason: StopReason },
 }
 
 /// Why a member stopped to act on a duty.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StopReason {
     /// It heard nothing for as long as it may act; should it be told so again, it goes on under the same term.
-    LeaseOver,
+    LeaseExpired,
     /// The stewards' answer names it no more.
-    Told,
+    Revoked,
     /// It gave it up: it drains, or another process goes on in its place.
-    GivenUp,
+    Released,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Duties {
+pub struct MemberDuties {
     incarnation: u64,
     eligible: bool,
     held: BTreeMap<String, Held>,
     /// Terms that it will never act on again: the latest of each duty.
-    released: Terms,
+    released: DutyTerms,
     highest: Term,
     /// When each heartbeat left that may still be answered; `MOST_OPEN` at most.
     open: BTreeMap<u64, Time>,
@@ -50,14 +50,14 @@
     answered: u64,
 }
 
-impl Duties {
+impl MemberDuties {
     /// `incarnation` is drawn at random by each process.
     pub fn new(incarnation: u64) -> Self {
-        Duties {
+        MemberDuties {
             incarnation,
             eligible: true,
             held: BTreeMap::new(),
-            released: Terms::new(),
+            released: DutyTerms::new(),
             highest: 0,
             open: BTreeMap::new(),
             answered: 0,
@@ -65,17 +65,17 @@
     }
 
     /// The report of the heartbeat with this number, which leaves now.
-    pub fn report(&mut self, now: Time, number: u64) -> Report {
+    pub fn report(&mut self, now: Time, number: u64) -> DutyReport {
         if self.open.len() == MOST_OPEN {
             self.open.pop_first();
         }
         self.open.insert(number, now);
-        Report {
+        DutyReport {
             incarnation: self.incarnation,
             eligible: self.eligible,
             released: self.released.clone(),
-            answered: self.answered,
-            highest: self.highest,
+            last_answered: self.answered,
+            highest_term: self.highest,
         }
     }
 
@@ -91,16 +91,16 @@
 
     /// Takes the answer to the heartbeat with this number; none where it says nothing of duties. Its time counts from when the
     /// heartbeat left. An answer that was overtaken changes nothing.
-    pub fn hear(&mut self, now: Time, number: u64, told: Option<&Told>) -> Vec<Event> {
-        let mut events = self.look(now);
+    pub fn on_reply(&mut self, now: Time, number: u64, told: Option<&DutyAssignments>) -> Vec<Event> {
+        let mut events = self.expire(now);
         let asked = self.open.remove(&number).filter(|_| number > self.answered);
         let Some(asked) = asked else { return events };
         self.answered = number;
-        let nothing = Told::default();
+        let nothing = DutyAssignments::default();
         let told = told.unwrap_or(&nothing);
-        let until = asked.saturating_add(told.holds_for);
+        let until = asked.saturating_add(told.hold_duration);
         self.drop_what_is_not_told(told, &mut events);
-        self.released.retain(|duty, _| !told.over.contains(duty));
+        self.released.retain(|duty, _| !told.acknowledged.contains(duty));
         for (duty, term) in &told.terms {
             self.highest = self.highest.max(*term);
             if !self.eligible {
@@ -113,13 +113,13 @@
             }
             let before = self.held.insert(duty.clone(), Held { term: *term, until });
             if before.is_none() {
-                events.push(Event::Begins { duty: duty.clone(), term: *term });
+                events.push(Event::Acquired { duty: duty.clone(), term: *term });
             }
         }
         events
     }
 
-    fn drop_what_is_not_told(&mut self, told: &Told, events: &mut Vec<Event>) {
+    fn drop_what_is_not_told(&mut self, told: &DutyAssignments, events: &mut Vec<Event>) {
         let gone: Vec<(String, Term)> = self
             .held
             .iter()
@@ -129,12 +129,12 @@
         for (duty, term) in gone {
             self.held.remove(&duty);
             self.released.insert(duty.clone(), term);
-            events.push(Event::Stops { duty, term, reason: StopReason::Told });
+            events.push(Event::Lost { duty, term, reason: StopReason::Revoked });
         }
     }
 
     /// What has ended by the clock since the last look.
-    pub fn look(&mut self, now: Time) -> Vec<Event> {
+    pub fn expire(&mut self, now: Time) -> Vec<Event> {
         let over: Vec<(String, Term)> = self
             .held
             .iter()
@@ -144,19 +144,19 @@
         let mut events = Vec::new();
         for (duty, term) in over {
             self.held.remove(&duty);
-            events.push(Event::Stops { duty, term, reason: StopReason::LeaseOver });
+            events.push(Event::Lost { duty, term, reason: StopReason::LeaseExpired });
         }
         events
     }
 
-    /// It drains, or is about to end: it gives up what it holds, and takes nothing until [`Duties::resume`]. The next heartbeat
+    /// It drains, or is about to end: it gives up what it holds, and takes nothing until [`MemberDuties::resume`]. The next heartbeat
     /// says so, and is best sent at once.
-    pub fn give_up(&mut self) -> Vec<Event> {
+    pub fn release_all(&mut self) -> Vec<Event> {
         self.eligible = false;
         let mut events = Vec::new();
         for (duty, held) in std::mem::take(&mut self.held) {
             self.released.insert(duty.clone(), held.term);
-            events.push(Event::Stops { duty, term: held.term, reason: StopReason::GivenUp });
+            events.push(Event::Lost { duty, term: held.term, reason: StopReason::Released });
         }
         events
     }
--- a/crates/fernroute-fleet/src/duties/leader.rs
+++ b/crates/fernroute-fleet/src/duties/leader.rs
@@ -6,10 +6,10 @@
 //! applied all that was entered before.
 
 use super::placement::choose;
-use super::table::{Change, End, Grant, Holder, Table};
-use super::{holds_for, Candidate, EndReason, Report, Term, Told};
+use super::table::{DutyEnd, DutyGrant, DutyHolder, DutyTable, DutyTransition};
+use super::{hold_duration, Candidate, DutyAssignments, DutyReport, EndReason, Term};
 use crate::lease::Lease;
-use crate::message::Beat;
+use crate::message::Heartbeat;
 use fernroute::Time;
 use std::collections::BTreeMap;
 
@@ -22,7 +22,7 @@
     /// When it was last known to hear what it is answered, by this leader's clock; likewise.
     hears: Time,
     /// What the latest heartbeat said, and its number; none before there was one.
-    report: Option<(u64, Report)>,
+    report: Option<(u64, DutyReport)>,
 }
 
 impl Known {
@@ -31,13 +31,13 @@
     }
 
     /// A heartbeat that was overtaken says nothing of what is so now.
-    fn hear(&mut self, now: Time, number: u64, report: &Report) {
+    fn on_heartbeat(&mut self, now: Time, number: u64, report: &DutyReport) {
         self.heard = now;
-        let before = self.report.as_ref().map(|(number, report)| (*number, report.answered));
+        let before = self.report.as_ref().map(|(number, report)| (*number, report.last_answered));
         if before.is_some_and(|(before, _)| number <= before) {
             return;
         }
-        if before.is_some_and(|(_, answered)| report.answered > answered) {
+        if before.is_some_and(|(_, answered)| report.last_answered > answered) {
             self.hears = now;
         }
         self.report = Some((number, report.clone()));
@@ -45,18 +45,18 @@
 
     /// It may be given a duty, and has heard an answer: a member that has just come has heard none.
     fn is_eligible(&self) -> bool {
-        self.report.as_ref().is_some_and(|(_, report)| report.eligible && report.answered > 0)
+        self.report.as_ref().is_some_and(|(_, report)| report.eligible && report.last_answered > 0)
     }
 }
 
 /// How a duty stands, as the leader knows it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Standing {
+pub struct Tenure {
     /// Until its holder loses it unless it is heard of.
-    pub left: Time,
+    pub expires_in: Time,
     /// For how long it has been held. Of a holder of before this leadership it is known to be so long at the least.
     pub held_for: Time,
-    pub at_least: bool,
+    pub is_lower_bound: bool,
 }
 
 #[derive(Clone, Debug)]
@@ -66,7 +66,7 @@
     /// Emptied as candidates that hold nothing are not heard of any more.
     known: BTreeMap<Candidate, Known>,
     /// What is being entered, until it is known to be applied, or never to be.
-    entering: Option<Change>,
+    entering: Option<DutyTransition>,
     /// These are to end, and why: their holders are not told any more that they hold them. Emptied as they end.
     releasing: BTreeMap<(String, Term), EndReason>,
     /// When a holder was last told that it holds a term; this leadership's begin before that. As long as the list of duties.
@@ -76,7 +76,7 @@
 }
 
 impl Leader {
-    pub fn new(now: Time, table: &Table, lease: Lease) -> Self {
+    pub fn new(now: Time, table: &DutyTable, lease: Lease) -> Self {
         let mut leader = Leader {
             lease,
             begun: now,
@@ -91,18 +91,19 @@
     }
 
     /// Notes a heartbeat. One that says nothing of duties is of a member that takes none.
-    pub fn hear(&mut self, now: Time, beat: &Beat) {
+    pub fn on_heartbeat(&mut self, now: Time, beat: &Heartbeat) {
         let Some(report) = &beat.duties else { return };
         let candidate = Candidate { identity: beat.identity, incarnation: report.incarnation };
         let known = self.known.entry(candidate).or_insert_with(|| Known::new(&beat.name, now));
-        known.hear(now, beat.number, report);
+        known.on_heartbeat(now, beat.number, report);
     }
 
     /// What the member of this heartbeat may be told now; none where it neither holds nor released anything.
-    pub fn answer(&mut self, beat: &Beat, table: &Table) -> Option<Told> {
+    pub fn assignments_for(&mut self, beat: &Heartbeat, table: &DutyTable) -> Option<DutyAssignments> {
         let report = beat.duties.as_ref()?;
         let candidate = Candidate { identity: beat.identity, incarnation: report.incarnation };
-        let mut told = Told { holds_for: holds_for(&self.lease), ..Told::default() };
+        let mut told =
+            DutyAssignments { hold_duration: hold_duration(&self.lease), ..DutyAssignments::default() };
         for (name, duty) in table.duties() {
             let Some(holder) = duty.holder.as_ref().filter(|holder| holder.candidate == candidate) else {
                 continue;
@@ -120,21 +121,21 @@
         }
         for (duty, term) in &report.released {
             if table.holder(duty).is_none_or(|holder| holder.term != *term) {
-                told.over.insert(duty.clone());
+                told.acknowledged.insert(duty.clone());
             }
         }
-        (!told.terms.is_empty() || !told.over.is_empty()).then_some(told)
+        (!told.terms.is_empty() || !told.acknowledged.is_empty()).then_some(told)
     }
 
     /// An operator wants this duty to go to another member; who holds it.
-    pub fn release(&mut self, duty: &str, table: &Table) -> Option<Holder> {
+    pub fn release(&mut self, duty: &str, table: &DutyTable) -> Option<DutyHolder> {
         let holder = table.holder(duty)?;
         self.releasing.insert((duty.to_owned(), holder.term), EndReason::Operator);
         Some(holder.clone())
     }
 
     /// What is to be entered now, if anything. Until [`Leader::entered`] is called there is nothing more.
-    pub fn due(&mut self, now: Time, table: &Table) -> Option<Change> {
+    pub fn next_transition(&mut self, now: Time, table: &DutyTable) -> Option<DutyTransition> {
         if self.entering.is_some() {
             return None;
         }
@@ -143,8 +144,9 @@
         let ends = self.ends(now, table);
         let grants = self.grants(now, table, &ends);
         let above = self.known.values().filter_map(|known| known.report.as_ref());
-        let above = above.map(|(_, report)| report.highest).max().unwrap_or(0);
-        let change = Change { base: table.version(), ends, grants, above };
+        let above = above.map(|(_, report)| report.highest_term).max().unwrap_or(0);
+        let change =
+            DutyTransition { base_version: table.version(), ends, grants, min_term_exclusive: above };
         if change.is_empty() {
             return None;
         }
@@ -153,7 +155,7 @@
     }
 
     /// The change has been applied, or refused, or will never be: the table says which.
-    pub fn entered(&mut self, now: Time, table: &Table) {
+    pub fn transition_done(&mut self, now: Time, table: &DutyTable) {
         let Some(change) = self.entering.take() else { return };
         for grant in &change.grants {
             if let Some(holder) = table.holder(&grant.duty).filter(|h| h.candidate == grant.candidate) {
@@ -167,13 +169,13 @@
     }
 
     /// How a duty that is held stands.
-    pub fn standing(&self, now: Time, duty: &str, holder: &Holder) -> Standing {
+    pub fn tenure(&self, now: Time, duty: &str, holder: &DutyHolder) -> Tenure {
         let told = self.told_at(now, duty, holder.term);
         let granted = self.granted.get(duty).filter(|(term, _)| *term == holder.term).map(|(_, at)| *at);
-        Standing {
-            left: self.lease.lapse().saturating_sub(now.saturating_sub(told)),
+        Tenure {
+            expires_in: self.lease.expires_after().saturating_sub(now.saturating_sub(told)),
             held_for: now.saturating_sub(granted.unwrap_or(self.begun)),
-            at_least: granted.is_none(),
+            is_lower_bound: granted.is_none(),
         }
     }
 
@@ -186,19 +188,19 @@
     }
 
     /// Holders that are heard of and hear nothing are told of what they hold no more, so that it lapses.
-    fn release_unanswered(&mut self, now: Time, table: &Table) {
+    fn release_unanswered(&mut self, now: Time, table: &DutyTable) {
         for (name, duty) in table.duties() {
             let Some(holder) = &duty.holder else { continue };
             let Some(known) = self.known.get(&holder.candidate) else { continue };
-            let lately = |at: Time| now.saturating_sub(at) <= self.lease.length / 2;
+            let lately = |at: Time| now.saturating_sub(at) <= self.lease.duration / 2;
             if lately(known.heard) && !lately(known.hears) {
                 let term = (name.clone(), holder.term);
-                self.releasing.entry(term).or_insert(EndReason::Unanswered);
+                self.releasing.entry(term).or_insert(EndReason::Unresponsive);
             }
         }
     }
 
-    fn ends(&self, now: Time, table: &Table) -> Vec<End> {
+    fn ends(&self, now: Time, table: &DutyTable) -> Vec<DutyEnd> {
         let mut ends = Vec::new();
         for (name, duty) in table.duties() {
             let Some(holder) = &duty.holder else { continue };
@@ -207,22 +209,23 @@
             let wanted = wanted.or(duty.removed.then_some(EndReason::Removed));
             let released = known.report.as_ref().and_then(|(_, report)| report.released.get(name));
             // It lapses so long after its holder was told of it last: by then no answer lets it act on it.
-            let has_lapsed = now.saturating_sub(self.told_at(now, name, holder.term)) > self.lease.lapse();
+            let has_lapsed =
+                now.saturating_sub(self.told_at(now, name, holder.term)) > self.lease.expires_after();
             let reason = if released.is_some_and(|term| *term >= holder.term) {
                 wanted.unwrap_or(EndReason::Drained)
             } else if has_lapsed {
-                wanted.unwrap_or(EndReason::Lapsed)
+                wanted.unwrap_or(EndReason::Expired)
             } else {
                 continue;
             };
-            ends.push(End { duty: name.clone(), term: holder.term, reason });
+            ends.push(DutyEnd { duty: name.clone(), term: holder.term, reason });
         }
         ends
     }
 
-    fn grants(&self, now: Time, table: &Table, ends: &[End]) -> Vec<Grant> {
+    fn grants(&self, now: Time, table: &DutyTable, ends: &[DutyEnd]) -> Vec<DutyGrant> {
         // A heartbeat or two after its begin it knows who is there: before that the first to come would get all.
-        if now.saturating_sub(self.begun) < self.lease.length / 3 {
+        if now.saturating_sub(self.begun) < self.lease.duration / 3 {
             return Vec::new();
         }
         let ending: BTreeMap<&str, EndReason> =
@@ -240,12 +243,12 @@
                 continue;
             }
             let is_taken =
-                matches!(ending.get(name.as_str()), Some(EndReason::Operator | EndReason::Unanswered));
+                matches!(ending.get(name.as_str()), Some(EndReason::Operator | EndReason::Unresponsive));
             let before = duty.holder.as_ref().filter(|_| is_taken).map(|holder| holder.candidate);
             let Some(candidate) = choose_another(name, &mut held, before) else { continue };
             let Some(known) = self.known.get(&candidate) else { continue };
             held.entry(candidate).and_modify(|count| *count += 1);
-            grants.push(Grant { duty: name.clone(), candidate, name: known.name.clone() });
+            grants.push(DutyGrant { duty: name.clone(), candidate, name: known.name.clone() });
         }
         grants
     }
@@ -254,7 +257,7 @@
     /// a member that has just died.
     fn eligible(&self, now: Time) -> BTreeMap<Candidate, usize> {
         let is_eligible = |known: &Known| {
-            let lately = |at: Time| now.saturating_sub(at) <= self.lease.length / 2;
+            let lately = |at: Time| now.saturating_sub(at) <= self.lease.duration / 2;
             known.is_eligible() && lately(known.heard) && lately(known.hears)
         };
         let eligible = self.known.iter().filter(|(_, known)| is_eligible(known));
@@ -262,8 +265,8 @@
     }
 
     /// Candidates that hold nothing and are not heard of any more. Holders that are not known were heard of by a leader before.
-    fn forget(&mut self, now: Time, table: &Table) {
-        let lapse = self.lease.lapse();
+    fn forget(&mut self, now: Time, table: &DutyTable) {
+        let lapse = self.lease.expires_after();
         let holders = table.duties().values().filter_map(|duty| duty.holder.as_ref());
         let holders: BTreeMap<Candidate, &str> =
             holders.map(|holder| (holder.candidate, holder.name.as_str())).collect();
--- a/crates/fernroute-fleet/src/lib.rs
+++ b/crates/fernroute-fleet/src/lib.rs
@@ -25,13 +25,13 @@
 use std::collections::BTreeMap;
 
 /// Thousandths of a budget's unit: whole numbers, so that sums are exact.
-pub type Units = u64;
+pub type MilliUnits = u64;
 
 /// Of them make one unit.
-pub const UNIT: f64 = 1000.0;
+pub const MILLI_UNITS_PER_UNIT: f64 = 1000.0;
 
 /// Amounts by the name of the budget; one that is not named is none.
-pub type Shares = BTreeMap<String, Units>;
+pub type BudgetAmounts = BTreeMap<String, MilliUnits>;
 
 /// Tells members apart: drawn at random by each, and kept for as long as it is the same balancer.
-pub type Identity = u64;
+pub type MemberId = u64;
--- a/crates/fernroute-fleet/tests/cases.rs
+++ b/crates/fernroute-fleet/tests/cases.rs
@@ -2,15 +2,15 @@
 
 mod world;
 
-use fernroute_fleet::message::Refusal;
-use fernroute_fleet::Units;
+use fernroute_fleet::message::RejectReason;
+use fernroute_fleet::MilliUnits;
 use world::{Flaw, World, BUDGET, FLOOR, FLOORS, MOST, SHARES, WHOLE};
 
 /// A second.
 const SECOND: u64 = 10_000;
 
 /// Members that ask for this much each, after they have divided.
-fn fleet(wants: &[Units]) -> World {
+fn fleet(wants: &[MilliUnits]) -> World {
     let mut world = World::new(Flaw::None);
     for (n, wants) in wants.iter().enumerate() {
         world.start(&format!("n{n}"), None, 300 * (n as i64 % 7 - 3), *wants);
@@ -32,7 +32,7 @@
     }
 }
 
-fn near_all(amount: Units) -> bool {
+fn near_all(amount: MilliUnits) -> bool {
     amount * 20 >= WHOLE * 19 && amount <= WHOLE
 }
 
@@ -64,7 +64,7 @@
     let mut world = fleet(&[900, 900]);
     let before = world.holds(0);
     world.process(0).stopped = true;
-    without(&mut world, &[0], SHARES.lapse() + SECOND);
+    without(&mut world, &[0], SHARES.expires_after() + SECOND);
     assert!(before > 2 * FLOOR && world.holds(0) == FLOOR && near_all(world.holds(1) + FLOOR));
     world.process(0).stopped = false;
     world.check().expect("the promise");
@@ -72,8 +72,8 @@
     assert!(world.holds(0) > WHOLE / 3 && near_all(world.spent()));
     // For longer than its floor, too.
     world.process(0).stopped = true;
-    without(&mut world, &[0], FLOORS.lapse() + SECOND);
-    assert_eq!((world.holds(0), world.ledger.holders().len()), (0, 1));
+    without(&mut world, &[0], FLOORS.expires_after() + SECOND);
+    assert_eq!((world.holds(0), world.ledger.allocations().len()), (0, 1));
     world.process(0).stopped = false;
     world.calm(2 * SECOND);
     assert!(near_all(world.spent()) && world.holds(0) > WHOLE / 3);
@@ -92,7 +92,7 @@
         world.pass(2_500);
     }
     assert_eq!(world.holds(0), FLOOR);
-    assert!(world.ledger.held(BUDGET) <= WHOLE);
+    assert!(world.ledger.total_allocated(BUDGET) <= WHOLE);
     world.calm(SECOND);
     assert!(near_all(world.spent()));
 }
@@ -101,7 +101,7 @@
 #[test]
 fn half_cut_off_falls_back_to_its_floors_and_the_rest_goes_to_the_others() {
     let mut world = fleet(&[400, 400, 400, 400]);
-    without(&mut world, &[0, 1], SHARES.lapse() + SECOND);
+    without(&mut world, &[0, 1], SHARES.expires_after() + SECOND);
     assert_eq!((world.holds(0), world.holds(1)), (FLOOR, FLOOR));
     assert!(near_all(world.spent()), "{}", world.spent());
     world.calm(2 * SECOND);
@@ -122,7 +122,7 @@
     world.settle();
     let held = world.holds(0);
     world.elect(0);
-    for _ in 0..SHARES.lapse() / 2_500 {
+    for _ in 0..SHARES.expires_after() / 2_500 {
         world.round(1);
         world.check().expect("the promise");
         assert!(world.holds(1) + held <= WHOLE);
@@ -136,7 +136,7 @@
 #[test]
 fn a_change_of_leaders_moves_nothing() {
     let mut world = fleet(&[100, 300, 800]);
-    let before: Vec<Units> = (0..3).map(|n| world.holds(n)).collect();
+    let before: Vec<MilliUnits> = (0..3).map(|n| world.holds(n)).collect();
     for _ in 0..10 {
         world.pass(SECOND);
         world.elect(-500);
@@ -150,9 +150,9 @@
 #[test]
 fn without_any_steward_shares_end_and_floors_stay_and_then_end() {
     let mut world = fleet(&[600, 600]);
-    world.pass(SHARES.lapse());
+    world.pass(SHARES.expires_after());
     assert_eq!((world.holds(0), world.holds(1)), (FLOOR, FLOOR));
-    world.pass(FLOORS.lapse());
+    world.pass(FLOORS.expires_after());
     assert_eq!(world.spent(), 0);
     world.elect(0);
     world.calm(2 * SECOND);
@@ -165,9 +165,9 @@
     let mut world = fleet(&[900]);
     let stranger = world.start("n0", None, 0, 900);
     world.calm(SECOND);
-    assert_eq!((world.holds(stranger), world.refusals.contains(&Refusal::NameTaken)), (0, true));
+    assert_eq!((world.holds(stranger), world.refusals.contains(&RejectReason::NameTaken)), (0, true));
     world.kill(0);
-    without(&mut world, &[0], FLOORS.lapse() + SECOND);
+    without(&mut world, &[0], FLOORS.expires_after() + SECOND);
     assert!(near_all(world.holds(stranger)));
     // One that leaves makes room at once.
     let next = world.start("n0", None, 0, 900);
@@ -216,10 +216,10 @@
 fn a_whole_made_smaller_comes_back_as_members_hear_of_it_and_never_grows() {
     let mut world = fleet(&[900, 900, 900]);
     world.whole_is(600);
-    let mut held = world.ledger.held(BUDGET);
+    let mut held = world.ledger.total_allocated(BUDGET);
     for n in 0..40 {
         world.round(n % 2);
-        let now = world.ledger.held(BUDGET);
+        let now = world.ledger.total_allocated(BUDGET);
         assert!(now <= held);
         held = now;
         world.check().expect("the promise");
@@ -240,7 +240,7 @@
     world.elect(0);
     world.process(0).stopped = true;
     world.process(1).wants = 3_000;
-    without(&mut world, &[0], SHARES.lapse() + SECOND);
+    without(&mut world, &[0], SHARES.expires_after() + SECOND);
     world.process(0).stopped = false;
     for packet in late.iter().rev().chain(&late) {
         world.network.push(packet.clone());
@@ -266,18 +266,18 @@
 /// Its influence ends at an even part of the whole where others want theirs; a name too long, and one too many, get none.
 #[test]
 fn absurd_demand_gets_an_even_part_at_the_most() {
-    let mut world = fleet(&[Units::MAX, 400, 400]);
+    let mut world = fleet(&[MilliUnits::MAX, 400, 400]);
     assert!((0..3).all(|n| world.holds(n) >= 390 && world.holds(n) <= 410), "{}", world.spent());
     let long = world.start(&"n".repeat(65), None, 0, 0);
     world.round(long);
-    assert_eq!((world.refusals.pop(), world.holds(long)), (Some(Refusal::BadName), 0));
+    assert_eq!((world.refusals.pop(), world.holds(long)), (Some(RejectReason::InvalidName), 0));
     for n in 3..MOST {
         world.start(&format!("n{n}"), None, 0, 0);
     }
     world.calm(SECOND);
     let many = world.start("many", None, 0, 0);
     world.round(many);
-    assert_eq!(world.refusals.pop(), Some(Refusal::Full));
+    assert_eq!(world.refusals.pop(), Some(RejectReason::Full));
 }
 
 #[test]
@@ -289,7 +289,7 @@
         world.start("n1", None, -holder, 900);
         world.calm(2 * SECOND);
         world.process(0).stopped = true;
-        for _ in 0..(SHARES.lapse() + SECOND) / 100 {
+        for _ in 0..(SHARES.expires_after() + SECOND) / 100 {
             world.round(1);
             world.check().expect("the promise");
             world.pass(100);
@@ -306,11 +306,14 @@
     without(&mut world, &[], 2 * SECOND);
     assert_eq!(world.holds(0), 0);
     assert!(near_all(world.holds(1) + world.holds(2)), "{}", world.spent());
-    let holder = &world.ledger.holders()[&world.identity(0)];
-    assert!(holder.latest().floors.is_empty() && holder.latest().shares.is_empty(), "{holder:?}");
+    let holder = &world.ledger.allocations()[&world.identity(0)];
+    assert!(
+        holder.latest_grant().guaranteed.is_empty() && holder.latest_grant().quotas.is_empty(),
+        "{holder:?}"
+    );
     // One that is silent keeps its floor whatever it named last; a new leader knows of it by what it holds.
     world.process(1).stopped = true;
-    without(&mut world, &[1], SHARES.lapse() + SECOND);
+    without(&mut world, &[1], SHARES.expires_after() + SECOND);
     world.elect(0);
     without(&mut world, &[1], SECOND);
     assert_eq!((world.holds(0), world.holds(1)), (0, FLOOR));
@@ -329,12 +332,12 @@
     use fernroute_fleet::leader::Leader;
     use fernroute_fleet::ledger::{Budget, Entry, Ledger};
     use fernroute_fleet::member::Member;
-    use fernroute_fleet::Shares;
+    use fernroute_fleet::BudgetAmounts;
 
     const SERVICES: usize = 50;
     const MEMBERS: usize = 200;
     let names: Vec<String> = (0..SERVICES).map(|n| format!("service{n}")).collect();
-    let budget = Budget { whole: 1_000, floor: 5 };
+    let budget = Budget { limit: 1_000, guaranteed: 5 };
     let mut ledger = Ledger::default();
     let budgets = names.iter().map(|name| (name.clone(), budget.clone())).collect();
     ledger.apply(&Entry::Budgets(budgets)).expect("budgets are taken");
@@ -344,21 +347,21 @@
     for round in 0..8 {
         let now = 10 + round * 2_500;
         for (n, member) in members.iter_mut().enumerate() {
-            let beat = member.beat(now, Shares::from([(names[n % SERVICES].clone(), 900)]));
-            leader.hear(now, &beat, &ledger).expect("there is room");
-            if let Ok(answer) = leader.answer(&beat, &ledger, &Register::default()) {
-                member.hear(now, &answer);
-                assert!(answer.grant.floors.len() <= 1 && answer.grant.shares.len() <= 1);
+            let beat = member.heartbeat(now, BudgetAmounts::from([(names[n % SERVICES].clone(), 900)]));
+            leader.on_heartbeat(now, &beat, &ledger).expect("there is room");
+            if let Ok(answer) = leader.reply(&beat, &ledger, &Register::default()) {
+                member.on_reply(now, &answer);
+                assert!(answer.grant.guaranteed.len() <= 1 && answer.grant.quotas.len() <= 1);
             }
         }
-        while let Some(step) = leader.due(now, &ledger) {
-            ledger.apply(&Entry::Step(step)).expect("it is up to date");
-            leader.entered();
+        while let Some(step) = leader.next_transition(now, &ledger) {
+            ledger.apply(&Entry::Transition(step)).expect("it is up to date");
+            leader.transition_done();
         }
     }
     for name in &names {
-        let held: Units = members.iter().map(|member| member.holds(20_000, name)).sum();
-        assert!((950..=1_000).contains(&held) && ledger.held(name) <= 1_000, "{name}: {held}");
+        let held: MilliUnits = members.iter().map(|member| member.allocated(20_000, name)).sum();
+        assert!((950..=1_000).contains(&held) && ledger.total_allocated(name) <= 1_000, "{name}: {held}");
     }
 }
 
@@ -369,11 +372,11 @@
     use fernroute_fleet::leader::Leader;
     use fernroute_fleet::ledger::{Budget, Entry, Ledger};
     use fernroute_fleet::member::Member;
-    use fernroute_fleet::Shares;
+    use fernroute_fleet::BudgetAmounts;
 
     const THOUSAND: usize = 1_000;
     let mut ledger = Ledger::default();
-    let budget = Budget { whole: 1_000_000, floor: 50 };
+    let budget = Budget { limit: 1_000_000, guaranteed: 50 };
     ledger.apply(&Entry::Budgets([(BUDGET.to_owned(), budget)].into())).expect("budgets are taken");
     let mut leader = Leader::new(0, &ledger, SHARES, FLOORS, THOUSAND);
     let mut members: Vec<Member> =
@@ -382,21 +385,21 @@
     for round in 0..6 {
         let now = 10 + round * 2_500;
         for (n, member) in members.iter_mut().enumerate() {
-            let wants = Shares::from([(BUDGET.to_owned(), if n % 10 == 0 { 5_000 } else { 500 })]);
-            let beat = member.beat(now, wants);
-            leader.hear(now, &beat, &ledger).expect("there is room");
-            if let Ok(answer) = leader.answer(&beat, &ledger, &Register::default()) {
-                member.hear(now, &answer);
+            let wants = BudgetAmounts::from([(BUDGET.to_owned(), if n % 10 == 0 { 5_000 } else { 500 })]);
+            let beat = member.heartbeat(now, wants);
+            leader.on_heartbeat(now, &beat, &ledger).expect("there is room");
+            if let Ok(answer) = leader.reply(&beat, &ledger, &Register::default()) {
+                member.on_reply(now, &answer);
             }
         }
-        while let Some(step) = leader.due(now, &ledger) {
-            ledger.apply(&Entry::Step(step)).expect("it is up to date");
-            leader.entered();
+        while let Some(step) = leader.next_transition(now, &ledger) {
+            ledger.apply(&Entry::Transition(step)).expect("it is up to date");
+            leader.transition_done();
             steps += 1;
         }
-        let spent: u64 = members.iter().map(|m| m.holds(now, BUDGET)).sum();
+        let spent: u64 = members.iter().map(|m| m.allocated(now, BUDGET)).sum();
         assert!(spent <= 1_000_000);
     }
-    let held: u64 = members.iter().map(|m| m.holds(15_000, BUDGET)).sum();
+    let held: u64 = members.iter().map(|m| m.allocated(15_000, BUDGET)).sum();
     assert!((950_000..=1_000_000).contains(&held) && steps <= 10, "{held} {steps}");
 }
--- a/crates/fernroute-fleet/tests/configuration.rs
+++ b/crates/fernroute-fleet/tests/configuration.rs
@@ -4,21 +4,21 @@
 
 use configuration_world::parts::{beat, change, led, of, report};
 use configuration_world::{place, scope, Flaw, World, BALANCERS, FLOORS, SHARES};
-use fernroute_fleet::configuration::register::{NotEntered, Register};
-use fernroute_fleet::configuration::standing::{MemberStanding, Standing, Summary};
-use fernroute_fleet::configuration::{Report, Scope, Version};
+use fernroute_fleet::configuration::register::{PutError, Register};
+use fernroute_fleet::configuration::rollout::{MemberRollout, RolloutState, RolloutSummary};
+use fernroute_fleet::configuration::{ConfigurationReport, Scope, Version};
 use fernroute_fleet::leader::Leader;
-use fernroute_fleet::message::{Answer, Beat};
+use fernroute_fleet::message::{Heartbeat, HeartbeatReply};
 
 /// Guards against a notice that is lost for ever, and against words to a member that knows none of this.
 #[test]
 fn a_version_is_told_with_each_answer_until_it_is_reported() {
     let (ledger, mut leader) = led();
     let mut register = Register::default();
-    let mut told = |number, report: Option<Report>, register: &Register| {
+    let mut told = |number, report: Option<ConfigurationReport>, register: &Register| {
         let beat = beat(number, report);
-        leader.hear(10, &beat, &ledger).expect("a beat");
-        leader.answer(&beat, &ledger, register).expect("it is answered").configuration
+        leader.on_heartbeat(10, &beat, &ledger).expect("a beat");
+        leader.reply(&beat, &ledger, register).expect("it is answered").configuration
     };
     assert_eq!(told(1, Some(report(0)), &register), None);
     change(&mut register, of("all"), "c = 1");
@@ -27,19 +27,19 @@
     assert_eq!(told(3, Some(report(0)), &register), Some(1));
     assert_eq!(told(4, None, &register), None);
     assert_eq!(
-        told(5, Some(Report { refused: Some((1, "no".to_owned())), ..report(0) }), &register),
+        told(5, Some(ConfigurationReport { rejected: Some((1, "no".to_owned())), ..report(0) }), &register),
         Some(1)
     );
     assert_eq!(told(6, Some(report(1)), &register), None);
     // A member of before this was known, and an answer to it.
     let mut json = serde_json::to_value(beat(7, None)).expect("a beat");
     assert!(json.as_object_mut().expect("an object").remove("configuration").is_none());
-    assert_eq!(serde_json::from_value::<Beat>(json).expect("a beat"), beat(7, None));
-    leader.hear(10, &beat(7, None), &ledger).expect("a beat");
-    let answer = leader.answer(&beat(7, None), &ledger, &register).expect("it is answered");
+    assert_eq!(serde_json::from_value::<Heartbeat>(json).expect("a beat"), beat(7, None));
+    leader.on_heartbeat(10, &beat(7, None), &ledger).expect("a beat");
+    let answer = leader.reply(&beat(7, None), &ledger, &register).expect("it is answered");
     let json = serde_json::to_string(&answer).expect("an answer");
     assert!(!json.contains("configuration"), "{json}");
-    assert_eq!(serde_json::from_str::<Answer>(&json).expect("an answer"), answer);
+    assert_eq!(serde_json::from_str::<HeartbeatReply>(&json).expect("an answer"), answer);
 }
 
 #[test]
@@ -48,49 +48,50 @@
     let mut register = Register::default();
     change(&mut register, of("all"), "c = 1");
     change(&mut register, of("all"), "c = 2");
-    let at = |leader: &Leader, now| leader.standings(now, &ledger, &register).remove(0);
-    let is = |leader: &Leader, now| at(leader, now).standing;
+    let at = |leader: &Leader, now| leader.configuration_states(now, &ledger, &register).remove(0);
+    let is = |leader: &Leader, now| at(leader, now).state;
     // A new leader has heard nothing yet; what is wanted depends on where the member stands.
-    let nothing = MemberStanding::new("b0", 0, None, false);
-    assert_eq!((at(&leader, 5), is(&leader, 5)), (nothing, Standing::NotHeardOf));
+    let nothing = MemberRollout::new("b0", 0, None, false);
+    assert_eq!((at(&leader, 5), is(&leader, 5)), (nothing, RolloutState::Unreachable));
     let mut now = 100;
     let mut number = 10;
-    let mut hear = |leader: &mut Leader, report: Option<Report>| {
+    let mut hear = |leader: &mut Leader, report: Option<ConfigurationReport>| {
         (now, number) = (now + 100, number + 1);
-        leader.hear(now, &beat(number, report), &ledger).expect("a beat");
+        leader.on_heartbeat(now, &beat(number, report), &ledger).expect("a beat");
         now
     };
-    let refused = |version| Some(Report { refused: Some((version, "no\nkey".to_owned())), ..report(0) });
+    let refused =
+        |version| Some(ConfigurationReport { rejected: Some((version, "no\nkey".to_owned())), ..report(0) });
     let t = hear(&mut leader, Some(report(0)));
-    assert_eq!(is(&leader, t), Standing::OnItsWay);
+    assert_eq!(is(&leader, t), RolloutState::Pending);
     let t = hear(&mut leader, refused(1));
-    assert_eq!(is(&leader, t), Standing::OnItsWay, "an older one was refused");
+    assert_eq!(is(&leader, t), RolloutState::Pending, "an older one was refused");
     let t = hear(&mut leader, refused(2));
-    assert_eq!(is(&leader, t), Standing::Refused);
-    assert_eq!(at(&leader, t).refused, Some((2, "no key".to_owned())));
+    assert_eq!(is(&leader, t), RolloutState::Rejected);
+    assert_eq!(at(&leader, t).rejected, Some((2, "no key".to_owned())));
     let t = hear(&mut leader, Some(report(2)));
     let line = at(&leader, t);
-    assert_eq!((line.standing, line.wanted, line.in_force), (Standing::InForce, 2, 2));
+    assert_eq!((line.state, line.wanted, line.active), (RolloutState::Active, 2, 2));
     assert_eq!((line.service.as_str(), line.zone.as_str()), ("cart", "east"));
     let t = hear(&mut leader, Some(report(7)));
-    assert_eq!((is(&leader, t), leader.reported()), (Standing::Ahead, 7));
+    assert_eq!((is(&leader, t), leader.highest_reported_version()), (RolloutState::Ahead, 7));
     // It has reported, and is of an older version now, or follows none any more.
     let t = hear(&mut leader, None);
-    assert_eq!((is(&leader, t), leader.reported()), (Standing::FollowsNone, 0));
+    assert_eq!((is(&leader, t), leader.highest_reported_version()), (RolloutState::NotFollowing, 0));
     // Names that nobody could have given a scope, and what would break a table.
     for service in ["", "a/b", "a\nb", &"s".repeat(65)] {
-        let t = hear(&mut leader, Some(Report { service: service.to_owned(), ..report(2) }));
-        assert_eq!(is(&leader, t), Standing::FollowsNone);
+        let t = hear(&mut leader, Some(ConfigurationReport { service: service.to_owned(), ..report(2) }));
+        assert_eq!(is(&leader, t), RolloutState::NotFollowing);
     }
-    let t = hear(&mut leader, Some(Report { zone: String::new(), ..report(2) }));
-    assert_eq!(is(&leader, t), Standing::InForce);
+    let t = hear(&mut leader, Some(ConfigurationReport { zone: String::new(), ..report(2) }));
+    assert_eq!(is(&leader, t), RolloutState::Active);
     // Silent for longer than a share is held.
-    assert_eq!(is(&leader, t + SHARES.lapse()), Standing::InForce);
-    assert_eq!(is(&leader, t + SHARES.lapse() + 1), Standing::NotHeardOf);
+    assert_eq!(is(&leader, t + SHARES.expires_after()), RolloutState::Active);
+    assert_eq!(is(&leader, t + SHARES.expires_after() + 1), RolloutState::Unreachable);
     // It says that it leaves, and is still a member until that is entered.
-    let last = Beat { leaves: true, ..beat(99, Some(report(2))) };
-    leader.hear(t, &last, &ledger).expect("a beat");
-    assert_eq!(is(&leader, t), Standing::NotHeardOf);
+    let last = Heartbeat { leaving: true, ..beat(99, Some(report(2))) };
+    leader.on_heartbeat(t, &last, &ledger).expect("a beat");
+    assert_eq!(is(&leader, t), RolloutState::Unreachable);
 }
 
 /// Guards against a status that a late beat sets back, and against one that stays as it was for good when a machine has
@@ -99,40 +100,41 @@
 fn an_overtaken_beat_says_nothing_and_a_machine_that_counts_anew_is_heard() {
     let (ledger, mut leader) = led();
     let register = Register::default();
-    let in_force = |leader: &Leader, now| leader.standings(now, &ledger, &register)[0].in_force;
-    leader.hear(100, &beat(1_000, Some(report(5))), &ledger).expect("a beat");
-    leader.hear(110, &beat(999, Some(report(4))), &ledger).expect("a beat");
+    let in_force = |leader: &Leader, now| leader.configuration_states(now, &ledger, &register)[0].active;
+    leader.on_heartbeat(100, &beat(1_000, Some(report(5))), &ledger).expect("a beat");
+    leader.on_heartbeat(110, &beat(999, Some(report(4))), &ledger).expect("a beat");
     assert_eq!(in_force(&leader, 110), 5);
     for n in 0..20 {
-        leader.hear(120 + n * 2_500, &beat(n, Some(report(6))), &ledger).expect("a beat");
+        leader.on_heartbeat(120 + n * 2_500, &beat(n, Some(report(6))), &ledger).expect("a beat");
     }
     assert_eq!(in_force(&leader, 50_000), 6);
 }
 
 #[test]
 fn a_summary_counts_each_once_and_is_in_force_where_all_that_are_heard_of_are() {
-    let line = |standing| MemberStanding { standing, ..MemberStanding::new("b", 1, None, true) };
+    let line = |standing| MemberRollout { state: standing, ..MemberRollout::new("b", 1, None, true) };
     let all = [
-        Standing::InForce,
-        Standing::InForce,
-        Standing::OnItsWay,
-        Standing::Refused,
-        Standing::Ahead,
-        Standing::NotHeardOf,
-        Standing::FollowsNone,
+        RolloutState::Active,
+        RolloutState::Active,
+        RolloutState::Pending,
+        RolloutState::Rejected,
+        RolloutState::Ahead,
+        RolloutState::Unreachable,
+        RolloutState::NotFollowing,
     ]
     .map(line);
-    let summary = Summary::new(&all);
-    let one = Summary { in_force: 2, on_its_way: 1, refused: 1, ahead: 1, not_heard_of: 1, follows_none: 1 };
-    assert_eq!((summary, summary.is_in_force()), (one, false));
-    assert!(Summary::new(&[
-        line(Standing::InForce),
-        line(Standing::NotHeardOf),
-        line(Standing::FollowsNone)
+    let summary = RolloutSummary::new(&all);
+    let one =
+        RolloutSummary { active: 2, pending: 1, rejected: 1, ahead: 1, unreachable: 1, not_following: 1 };
+    assert_eq!((summary, summary.is_complete()), (one, false));
+    assert!(RolloutSummary::new(&[
+        line(RolloutState::Active),
+        line(RolloutState::Unreachable),
+        line(RolloutState::NotFollowing)
     ])
-    .is_in_force());
-    for standing in [Standing::OnItsWay, Standing::Refused, Standing::Ahead] {
-        assert!(!Summary::new(&[line(Standing::InForce), line(standing)]).is_in_force());
+    .is_complete());
+    for standing in [RolloutState::Pending, RolloutState::Rejected, RolloutState::Ahead] {
+        assert!(!RolloutSummary::new(&[line(RolloutState::Active), line(standing)]).is_complete());
     }
 }
 
@@ -159,9 +161,9 @@
     let mut world = fleet();
     world.change(Scope::All, "c = 2");
     world.elect(1);
-    assert!(world.standings().iter().all(|line| line.standing == Standing::NotHeardOf));
+    assert!(world.standings().iter().all(|line| line.state == RolloutState::Unreachable));
     (0..BALANCERS).for_each(|n| world.begin(n));
-    assert!(world.standings().iter().all(|line| line.standing == Standing::OnItsWay));
+    assert!(world.standings().iter().all(|line| line.state == RolloutState::Pending));
     world.calm();
     settled(&mut world);
     assert!((0..BALANCERS).all(|n| running(&world, n) == ["c = 2"]));
@@ -173,17 +175,17 @@
     for n in 2..=3 {
         world.change(Scope::All, &format!("c = {n}"));
         (1..BALANCERS).for_each(|n| world.round(n));
-        world.now += SHARES.lapse() + 1;
+        world.now += SHARES.expires_after() + 1;
         (1..BALANCERS).for_each(|n| world.round(n));
         world.check().expect("the promise");
     }
-    assert_eq!(world.standings()[0].standing, Standing::NotHeardOf);
+    assert_eq!(world.standings()[0].state, RolloutState::Unreachable);
     assert_eq!(running(&world, 0), ["c = 1"]);
     (0..BALANCERS).cycle().take(2 * BALANCERS).for_each(|n| world.round(n));
     settled(&mut world);
     assert_eq!(
-        (running(&world, 0), world.standings()[0].standing),
-        (vec!["c = 3".to_owned()], Standing::InForce)
+        (running(&world, 0), world.standings()[0].state),
+        (vec!["c = 3".to_owned()], RolloutState::Active)
     );
 }
 
@@ -193,7 +195,7 @@
     world.put(Scope::All, "c = 2", true);
     world.put(Scope::All, "c = 3", true);
     assert_eq!(world.enter(1), Ok(2));
-    assert_eq!(world.enter(0), Err(NotEntered::OutOfDate(2)));
+    assert_eq!(world.enter(0), Err(PutError::OutOfDate(2)));
     world.calm();
     settled(&mut world);
     assert!((0..BALANCERS).all(|n| running(&world, n) == ["c = 3"]));
@@ -208,10 +210,10 @@
     assert_eq!(running(&world, 2), ["c = 1"]);
     let line = &world.standings()[2];
     assert_eq!(
-        (line.name.as_str(), line.standing, line.in_force, line.wanted),
-        ("b2", Standing::Refused, 1, 2)
+        (line.name.as_str(), line.state, line.active, line.wanted),
+        ("b2", RolloutState::Rejected, 1, 2)
     );
-    assert_eq!(Summary::new(&world.standings()).in_force, BALANCERS - 1);
+    assert_eq!(RolloutSummary::new(&world.standings()).active, BALANCERS - 1);
     // It starts again: by its copy, and refuses anew.
     world.crash(2);
     world.calm();
@@ -229,7 +231,7 @@
     world.calm();
     settled(&mut world);
     assert!((0..BALANCERS).all(|n| running(&world, n) == ["c = 1"]));
-    assert!(world.standings().iter().all(|line| line.in_force == 3));
+    assert!(world.standings().iter().all(|line| line.active == 3));
 }
 
 /// It is heard, and hears nothing.
@@ -244,8 +246,8 @@
         world.now += 2_500;
     }
     assert_eq!(
-        (world.standings()[0].standing, running(&world, 0)),
-        (Standing::OnItsWay, vec!["c = 1".to_owned()])
+        (world.standings()[0].state, running(&world, 0)),
+        (RolloutState::Pending, vec!["c = 1".to_owned()])
     );
     world.calm();
     settled(&mut world);
@@ -286,7 +288,7 @@
     world.start(0, 0);
     assert_eq!(running(&world, 0), ["c = 1"]);
     // No steward for long: it goes on by the copy; then by the latest.
-    world.now += 10 * FLOORS.lapse();
+    world.now += 10 * FLOORS.expires_after();
     world.check().expect("the promise");
     world.calm();
     settled(&mut world);
--- a/crates/fernroute-fleet/tests/configuration_register.rs
+++ b/crates/fernroute-fleet/tests/configuration_register.rs
@@ -3,8 +3,10 @@
 mod configuration_world;
 
 use configuration_world::parts::{change, here, of, put};
-use fernroute_fleet::configuration::register::{NotEntered, Put, Register};
-use fernroute_fleet::configuration::{hash, Fetch, Fetched, Place, Scope, Version, MOST_CONTENT};
+use fernroute_fleet::configuration::register::{ConfigurationPut, PutError, Register};
+use fernroute_fleet::configuration::{
+    content_hash, FetchReply, FetchRequest, Scope, Target, Version, MAX_CONTENT_BYTES,
+};
 
 /// Guards against a name that breaks a line of a log or a table, and against one that can't be read again.
 #[test]
@@ -42,21 +44,27 @@
     let good = put(of("service/cart"), 0, "c = 1");
     assert_eq!(register.apply(&good), Ok(1));
     let before = register.clone();
-    let long = "#".repeat(MOST_CONTENT + 1);
+    let long = "#".repeat(MAX_CONTENT_BYTES + 1);
     let bad = [
         // Two operators at once: the second did not start from the latest.
-        (good.clone(), NotEntered::OutOfDate(1)),
-        (put(of("service/cart"), 2, "c = 2"), NotEntered::OutOfDate(1)),
-        (put(of("all"), 1, "c = 2"), NotEntered::OutOfDate(0)),
-        (Put { hash: hash("c = 3"), ..put(of("all"), 0, "c = 2") }, NotEntered::Spoilt),
-        (put(of("all"), 0, &long), NotEntered::TooLong),
-        (Put { who: String::new(), ..put(of("all"), 0, "") }, NotEntered::BadName),
-        (Put { who: " ".to_owned(), ..put(of("all"), 0, "") }, NotEntered::BadName),
-        (Put { who: "a\u{1b}[2J".to_owned(), ..put(of("all"), 0, "") }, NotEntered::BadName),
-        (Put { who: "a".repeat(65), ..put(of("all"), 0, "") }, NotEntered::BadName),
+        (good.clone(), PutError::OutOfDate(1)),
+        (put(of("service/cart"), 2, "c = 2"), PutError::OutOfDate(1)),
+        (put(of("all"), 1, "c = 2"), PutError::OutOfDate(0)),
+        (
+            ConfigurationPut { content_hash: content_hash("c = 3"), ..put(of("all"), 0, "c = 2") },
+            PutError::HashMismatch,
+        ),
+        (put(of("all"), 0, &long), PutError::TooLong),
+        (ConfigurationPut { author: String::new(), ..put(of("all"), 0, "") }, PutError::InvalidName),
+        (ConfigurationPut { author: " ".to_owned(), ..put(of("all"), 0, "") }, PutError::InvalidName),
+        (
+            ConfigurationPut { author: "a\u{1b}[2J".to_owned(), ..put(of("all"), 0, "") },
+            PutError::InvalidName,
+        ),
+        (ConfigurationPut { author: "a".repeat(65), ..put(of("all"), 0, "") }, PutError::InvalidName),
         // Made by hand, and never read from text.
-        (put(Scope::Service("cart/zone/east".to_owned()), 0, ""), NotEntered::BadName),
-        (put(Scope::Zone { service: "cart".to_owned(), zone: String::new() }, 0, ""), NotEntered::BadName),
+        (put(Scope::Service("cart/zone/east".to_owned()), 0, ""), PutError::InvalidName),
+        (put(Scope::Zone { service: "cart".to_owned(), zone: String::new() }, 0, ""), PutError::InvalidName),
     ];
     for (put, why) in bad {
         assert_eq!(register.apply(&put), Err(why));
@@ -81,7 +89,7 @@
     }
     assert_eq!(register.history().count(), 4_000);
     assert_eq!((register.history().next().map(|line| line.version), register.version()), (Some(101), 4_100));
-    let long = "#".repeat(MOST_CONTENT);
+    let long = "#".repeat(MAX_CONTENT_BYTES);
     let mut full = None;
     for n in 0..300 {
         let next = put(of(&format!("balancer/b{n}")), 0, &long);
@@ -91,7 +99,7 @@
         }
     }
     // 16 MiB less what the first scope says.
-    assert_eq!(full, Some((255, NotEntered::Full)));
+    assert_eq!(full, Some((255, PutError::LimitReached)));
     // Room is made by saying nothing, or less.
     change(&mut register, of("balancer/b7"), "");
     change(&mut register, of("balancer/b255"), &long);
@@ -99,7 +107,7 @@
     for n in 0..10_000 {
         change(&mut register, of(&format!("balancer/b{n}")), "");
     }
-    assert_eq!(register.apply(&put(of("all"), 0, "")), Err(NotEntered::Full));
+    assert_eq!(register.apply(&put(of("all"), 0, "")), Err(PutError::LimitReached));
     change(&mut register, of("balancer/b3"), "c = 1");
 }
 
@@ -107,7 +115,8 @@
 #[test]
 fn a_version_is_above_what_was_reported_and_never_at_the_end_of_all_numbers() {
     let mut register = Register::default();
-    let above = |above, base| Put { above, ..put(of("all"), base, "c = 1") };
+    let above =
+        |above, base| ConfigurationPut { min_version_exclusive: above, ..put(of("all"), base, "c = 1") };
     assert_eq!(register.apply(&above(41, 0)), Ok(42));
     assert_eq!(register.apply(&above(3, 42)), Ok(43));
     // A member that reports whatever comes to its mind.
@@ -115,7 +124,7 @@
     // An entry of before this was known.
     let mut json = serde_json::to_value(above(0, 1_000_044)).expect("a put");
     json.as_object_mut().expect("an object").remove("above");
-    let older: Put = serde_json::from_value(json).expect("a put");
+    let older: ConfigurationPut = serde_json::from_value(json).expect("a put");
     assert_eq!(register.apply(&older), Ok(1_000_045));
 }
 
@@ -127,16 +136,18 @@
     {
         change(&mut register, of(text), &format!("c = \"{text}\""));
     }
-    assert_eq!((register.version(), register.concerns(&here())), (6, 4));
-    let ask = |have, want| register.fetch(&Fetch { place: here(), have, want });
-    let Fetched::Parts { version, parts, .. } = ask(0, 4) else { panic!("it knows it") };
+    assert_eq!((register.version(), register.version_for(&here())), (6, 4));
+    let ask = |have, want| {
+        register.fetch(&FetchRequest { target: here(), known_version: have, wanted_version: want })
+    };
+    let FetchReply::Entries { version, entries: parts, .. } = ask(0, 4) else { panic!("it knows it") };
     let scopes: Vec<String> = parts.iter().map(|part| part.scope.to_string()).collect();
     assert_eq!(version, 4);
     assert_eq!(scopes, ["all", "service/cart", "service/cart/zone/east", "balancer/b0"]);
-    let Fetched::Parts { parts, .. } = ask(2, 4) else { panic!("it knows it") };
+    let FetchReply::Entries { entries: parts, .. } = ask(2, 4) else { panic!("it knows it") };
     assert_eq!(parts.iter().map(|part| part.version).collect::<Vec<_>>(), [4, 3]);
-    assert_eq!(ask(2, 7), Fetched::Behind);
+    assert_eq!(ask(2, 7), FetchReply::Behind);
     // Without a zone: no scope is of it.
-    let nowhere = Place { zone: String::new(), ..here() };
-    assert_eq!(register.concerns(&nowhere), 4);
+    let nowhere = Target { zone: String::new(), ..here() };
+    assert_eq!(register.version_for(&nowhere), 4);
 }
--- a/crates/fernroute-fleet/tests/configuration_schedules.rs
+++ b/crates/fernroute-fleet/tests/configuration_schedules.rs
@@ -120,7 +120,9 @@
         }
         Op::LoseDisk(n) => world.disks[*n] = None,
         Op::Damage(n) => world.damage(*n),
-        Op::OwnFile(n) => world.balancers[*n].iter_mut().for_each(|process| process.follower.retry()),
+        Op::OwnFile(n) => {
+            world.balancers[*n].iter_mut().for_each(|process| process.follower.retry_rejected())
+        }
         Op::Deliver(n, to) => {
             let to = if to % 3 == 0 { to / 3 % STEWARDS } else { world.leads };
             sent(*n).into_iter().for_each(|n| world.deliver(n, to));
--- a/crates/fernroute-fleet/tests/configuration_world/mod.rs
+++ b/crates/fernroute-fleet/tests/configuration_world/mod.rs
@@ -8,21 +8,21 @@
 pub mod parts;
 
 use fernroute::Time;
-use fernroute_fleet::configuration::follower::{Follower, Snapshot};
-use fernroute_fleet::configuration::register::{NotEntered, Put, Register};
-use fernroute_fleet::configuration::standing::{MemberStanding, Standing};
-use fernroute_fleet::configuration::{hash, Fetch, Fetched, Place, Scope, Version};
+use fernroute_fleet::configuration::follower::{ConfigurationFollower, ConfigurationSnapshot};
+use fernroute_fleet::configuration::register::{ConfigurationPut, PutError, Register};
+use fernroute_fleet::configuration::rollout::{MemberRollout, RolloutState};
+use fernroute_fleet::configuration::{content_hash, FetchReply, FetchRequest, Scope, Target, Version};
 use fernroute_fleet::leader::Leader;
 use fernroute_fleet::lease::Lease;
-use fernroute_fleet::ledger::{Entry, Ledger, Step};
-use fernroute_fleet::message::{Answer, Beat};
-use fernroute_fleet::{Identity, Shares};
+use fernroute_fleet::ledger::{Entry, Ledger, LedgerTransition};
+use fernroute_fleet::message::{Heartbeat, HeartbeatReply};
+use fernroute_fleet::{BudgetAmounts, MemberId};
 use std::collections::BTreeMap;
 
 pub const STEWARDS: usize = 3;
 pub const BALANCERS: usize = 4;
-pub const SHARES: Lease = Lease { length: 20_000, drift: 200 };
-pub const FLOORS: Lease = Lease { length: 600_000, drift: 200 };
+pub const SHARES: Lease = Lease { duration: 20_000, drift_ppm: 200 };
+pub const FLOORS: Lease = Lease { duration: 600_000, drift_ppm: 200 };
 
 /// A version that is broken on purpose; each must be caught.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -55,22 +55,22 @@
     }
 }
 
-pub fn place(n: usize, moved: usize) -> Place {
+pub fn place(n: usize, moved: usize) -> Target {
     let at = n + moved;
     let (service, zone) = (["cart", "search"][n % 2].to_owned(), ["east", "west"][at / 2 % 2].to_owned());
-    Place { name: format!("b{n}"), service, zone }
+    Target { name: format!("b{n}"), service, zone }
 }
 
-fn identity(n: usize) -> Identity {
-    n as Identity + 1
+fn identity(n: usize) -> MemberId {
+    n as MemberId + 1
 }
 
 #[derive(Clone, Debug)]
 pub enum Packet {
-    Beat(Beat),
-    Answer(Answer),
-    Fetch(usize, Fetch),
-    Fetched(usize, Fetched),
+    Beat(Heartbeat),
+    Answer(HeartbeatReply),
+    Fetch(usize, FetchRequest),
+    Fetched(usize, FetchReply),
 }
 
 pub struct Steward {
@@ -82,12 +82,12 @@
 }
 
 pub struct Process {
-    pub follower: Follower,
-    pub place: Place,
+    pub follower: ConfigurationFollower,
+    pub place: Target,
     /// What it goes by in truth, beside its own file.
     pub running: Vec<String>,
     /// Fetched, and not applied yet.
-    pub fetched: Option<Snapshot>,
+    pub fetched: Option<ConfigurationSnapshot>,
     /// The highest version that it has gone by, and what its start found kept.
     least: Version,
 }
@@ -97,25 +97,27 @@
     pub now: Time,
     /// What was entered, by version: whose, and what.
     pub entered: BTreeMap<Version, (Scope, String)>,
-    log: Vec<Put>,
+    log: Vec<ConfigurationPut>,
     pub stewards: Vec<Steward>,
     pub leads: usize,
     ledger: Ledger,
     /// Operators' words that are on their way to the leader.
-    pub puts: Vec<Put>,
+    pub puts: Vec<ConfigurationPut>,
     pub balancers: Vec<Option<Process>>,
     /// What each has kept on its disk.
-    pub disks: Vec<Option<Snapshot>>,
+    pub disks: Vec<Option<ConfigurationSnapshot>>,
     pub network: Vec<Packet>,
     number: u64,
-    told: BTreeMap<(Identity, Version), ()>,
+    told: BTreeMap<(MemberId, Version), ()>,
 }
 
 impl World {
     pub fn new(flaw: Flaw) -> Self {
         let mut ledger = Ledger::default();
         let joins = (0..BALANCERS).map(|n| (identity(n), format!("b{n}"))).collect();
-        ledger.apply(&Entry::Step(Step { joins, ..Step::default() })).expect("they are new");
+        ledger
+            .apply(&Entry::Transition(LedgerTransition { joined: joins, ..LedgerTransition::default() }))
+            .expect("they are new");
         let steward = || Steward { register: Register::default(), applied: 0, leader: None };
         let mut world = World {
             flaw,
@@ -145,21 +147,29 @@
 
     /// An operator's word, from the scope's latest version or from an older one.
     pub fn put(&mut self, scope: Scope, content: &str, latest: bool) {
-        let at = self.register().latest(&scope);
+        let at = self.register().latest_version(&scope);
         let base = if latest { at } else { at.saturating_sub(1) };
-        let (hash, content) = (hash(content), content.to_owned());
+        let (hash, content) = (content_hash(content), content.to_owned());
         let (who, when_ms) = ("ann".to_owned(), self.now / 10);
-        self.puts.push(Put { scope, base, hash, content, who, when_ms, above: 0 });
+        self.puts.push(ConfigurationPut {
+            scope,
+            base_version: base,
+            content_hash: hash,
+            content,
+            author: who,
+            entered_at_ms: when_ms,
+            min_version_exclusive: 0,
+        });
     }
 
     /// The leader enters one that has come.
-    pub fn enter(&mut self, n: usize) -> Result<Version, NotEntered> {
+    pub fn enter(&mut self, n: usize) -> Result<Version, PutError> {
         let put = self.puts.remove(n);
-        let latest = self.register().latest(&put.scope);
+        let latest = self.register().latest_version(&put.scope);
         let entered = self.stewards[self.leads].register.apply(&put);
         self.stewards[self.leads].applied += 1;
         self.log.push(put.clone());
-        assert_eq!(entered.is_ok(), latest == put.base, "{entered:?}");
+        assert_eq!(entered.is_ok(), latest == put.base_version, "{entered:?}");
         if let Ok(version) = entered {
             self.entered.insert(version, (put.scope, put.content));
         }
@@ -189,10 +199,10 @@
         self.stewards[n].leader = Some(Leader::new(self.now, &self.ledger, SHARES, FLOORS, BALANCERS));
     }
 
-    pub fn standings(&self) -> Vec<MemberStanding> {
+    pub fn standings(&self) -> Vec<MemberRollout> {
         let steward = &self.stewards[self.leads];
         let leader = steward.leader.as_ref().expect("it leads");
-        leader.standings(self.now, &self.ledger, &steward.register)
+        leader.configuration_states(self.now, &self.ledger, &steward.register)
     }
 
     // ----------------------------------------------------------------------------------------------- balancers
@@ -200,9 +210,9 @@
     /// Starts with what its disk has, at a place that may be another one.
     pub fn start(&mut self, n: usize, moved: usize) {
         let place = place(n, moved);
-        let taken = |kept: &Snapshot| match self.flaw {
+        let taken = |kept: &ConfigurationSnapshot| match self.flaw {
             Flaw::TakesACopyOfAnotherPlace => kept.is_sound(),
-            _ => kept.is_for(&place),
+            _ => kept.matches(&place),
         };
         let kept = self.disks[n].clone().filter(taken).filter(|kept| loads(n, kept));
         let mut running = kept.as_ref().map(contents).unwrap_or_default();
@@ -212,18 +222,19 @@
         }
         let follower = match kept {
             // As if the copy named no place.
-            Some(kept) if !kept.is_for(&place) => {
+            Some(kept) if !kept.matches(&place) => {
                 let text = serde_json::to_string(&kept).expect("a copy");
-                let was = kept.parts().map(|p| p.version).max().unwrap_or(0);
+                let was = kept.entries().map(|p| p.version).max().unwrap_or(0);
                 let other = (0..2).find_map(|moved| {
                     let at = self::place(n, moved);
-                    kept.is_for(&at).then(|| Follower::new(at, serde_json::from_str(&text).ok()))
+                    kept.matches(&at)
+                        .then(|| ConfigurationFollower::new(at, serde_json::from_str(&text).ok()))
                 });
                 let follower = other.expect("it is of one of the places");
-                assert_eq!(follower.in_force().version, was);
+                assert_eq!(follower.active().version, was);
                 follower
             }
-            kept => Follower::new(place.clone(), kept),
+            kept => ConfigurationFollower::new(place.clone(), kept),
         };
         self.balancers[n] = Some(Process { follower, place, running, fetched: None, least });
     }
@@ -236,7 +247,7 @@
     /// What is in force is on its disk.
     pub fn keep(&mut self, n: usize) {
         if let Some(process) = &self.balancers[n] {
-            let in_force = process.follower.in_force();
+            let in_force = process.follower.active();
             self.disks[n] = (in_force.version > 0).then(|| in_force.clone());
         }
     }
@@ -253,13 +264,13 @@
         let Some(process) = &self.balancers[n] else { return };
         self.number += 1;
         let configuration = Some(process.follower.report());
-        self.network.push(Packet::Beat(Beat {
+        self.network.push(Packet::Beat(Heartbeat {
             name: process.place.name.clone(),
             identity: identity(n),
             number: self.number,
             epoch: 0,
-            wants: Shares::new(),
-            leaves: false,
+            demand: BudgetAmounts::new(),
+            leaving: false,
             configuration,
             duties: None,
         }));
@@ -268,9 +279,9 @@
     pub fn ask(&mut self, n: usize) {
         let (now, flaw) = (self.now, self.flaw);
         let Some(process) = &mut self.balancers[n] else { return };
-        let Some(mut fetch) = process.follower.due(now) else { return };
+        let Some(mut fetch) = process.follower.next_fetch(now) else { return };
         if flaw == Flaw::OlderOverNewer {
-            fetch.have = 0;
+            fetch.known_version = 0;
         }
         self.network.push(Packet::Fetch(n, fetch));
     }
@@ -279,7 +290,7 @@
     pub fn time_out(&mut self, n: usize) {
         let now = self.now;
         if let Some(process) = self.balancers[n].as_mut().filter(|process| process.fetched.is_none()) {
-            process.follower.failed(now, 0.5);
+            process.follower.fetch_failed(now, 0.5);
         }
     }
 
@@ -290,43 +301,43 @@
         let Some(snapshot) = process.fetched.take() else { return };
         if !loads(n, &snapshot) {
             if flaw == Flaw::SaysTheRefusedIsInForce {
-                return process.follower.applied(snapshot);
+                return process.follower.activate(snapshot);
             }
-            return process.follower.refuse(snapshot.version, "it does not load");
+            return process.follower.reject(snapshot.version, "it does not load");
         }
         process.running = contents(&snapshot);
         if flaw == Flaw::HalfOfAChange && process.running.len() > 1 {
             process.running.pop();
         }
         if flaw == Flaw::OlderOverNewer {
-            process.follower = Follower::new(process.place.clone(), Some(snapshot));
+            process.follower = ConfigurationFollower::new(process.place.clone(), Some(snapshot));
             return;
         }
-        process.follower.applied(snapshot);
+        process.follower.activate(snapshot);
     }
 
-    fn take(&mut self, n: usize, fetched: Fetched) {
+    fn take(&mut self, n: usize, fetched: FetchReply) {
         let (now, flaw) = (self.now, self.flaw);
         let Some(process) = &mut self.balancers[n] else { return };
         if process.fetched.is_some() {
             // What came first is being applied: whoever applies it hears of nothing else meanwhile.
             return;
         }
-        if let (Flaw::OlderOverNewer, Fetched::Parts { version, .. }) = (flaw, &fetched) {
-            let mut blank = Follower::new(process.place.clone(), None);
-            blank.hear(*version);
-            blank.due(now);
-            process.fetched = blank.fetched(fetched).ok();
+        if let (Flaw::OlderOverNewer, FetchReply::Entries { version, .. }) = (flaw, &fetched) {
+            let mut blank = ConfigurationFollower::new(process.place.clone(), None);
+            blank.on_notification(*version);
+            blank.next_fetch(now);
+            process.fetched = blank.on_reply(fetched).ok();
             return;
         }
-        match process.follower.fetched(fetched) {
+        match process.follower.on_reply(fetched) {
             Ok(snapshot) => {
                 if flaw == Flaw::InForceBeforeApplied {
-                    process.follower.applied(snapshot.clone());
+                    process.follower.activate(snapshot.clone());
                 }
                 process.fetched = Some(snapshot);
             }
-            Err(_) => process.follower.failed(now, 0.5),
+            Err(_) => process.follower.fetch_failed(now, 0.5),
         }
     }
 
@@ -338,10 +349,10 @@
             Packet::Beat(beat) => {
                 let steward = &mut self.stewards[to];
                 let Some(leader) = &mut steward.leader else { return };
-                if leader.hear(self.now, &beat, &self.ledger).is_err() {
+                if leader.on_heartbeat(self.now, &beat, &self.ledger).is_err() {
                     return;
                 }
-                let Ok(mut answer) = leader.answer(&beat, &self.ledger, &steward.register) else { return };
+                let Ok(mut answer) = leader.reply(&beat, &self.ledger, &steward.register) else { return };
                 if self.flaw == Flaw::NoticeLostForEver {
                     let told = &mut self.told;
                     let new = |version: &Version| told.insert((beat.identity, *version), ()).is_none();
@@ -352,7 +363,7 @@
             Packet::Answer(answer) => {
                 let n = (answer.identity - 1) as usize;
                 if let (Some(process), Some(version)) = (&mut self.balancers[n], answer.configuration) {
-                    process.follower.hear(version);
+                    process.follower.on_notification(version);
                 }
             }
             Packet::Fetch(n, fetch) => {
@@ -405,7 +416,7 @@
     // -------------------------------------------------------------------------------------------- the promise
 
     /// The version that concerned this place, and what it said, when this one was the register's last.
-    pub fn said(&self, place: &Place, version: Version) -> (Version, Vec<String>) {
+    pub fn said(&self, place: &Target, version: Version) -> (Version, Vec<String>) {
         let latest = place.scopes().map(|scope| {
             let mut entries = self.entered.range(..=version).rev();
             entries
@@ -422,17 +433,17 @@
         for n in 0..BALANCERS {
             let Some(process) = &self.balancers[n] else { continue };
             let report = process.follower.report();
-            let said = self.said(&process.place, report.in_force);
-            if said != (report.in_force, process.running.clone()) {
+            let said = self.said(&process.place, report.active);
+            if said != (report.active, process.running.clone()) {
                 return Err(format!(
                     "b{n} reports version {} and goes by {:?}; the register said {said:?}",
-                    report.in_force, process.running
+                    report.active, process.running
                 ));
             }
-            if report.in_force < process.least {
-                return Err(format!("b{n} goes by {} after {}", report.in_force, process.least));
+            if report.active < process.least {
+                return Err(format!("b{n} goes by {} after {}", report.active, process.least));
             }
-            let least = report.in_force;
+            let least = report.active;
             self.balancers[n].iter_mut().for_each(|process| process.least = least);
         }
         Ok(())
@@ -442,16 +453,13 @@
     pub fn check_settled(&self) -> Result<(), String> {
         for (n, (process, standing)) in self.balancers.iter().zip(self.standings()).enumerate() {
             let Some(process) = process else { continue };
-            let (report, wanted) = (process.follower.report(), self.register().concerns(&process.place));
-            let refused = report.refused.as_ref().is_some_and(|(version, _)| *version == wanted);
-            let should = if refused { Standing::Refused } else { Standing::InForce };
-            if report.in_force != wanted && !refused {
-                return Err(format!("b{n} goes by {} of {wanted} after calm", report.in_force));
+            let (report, wanted) = (process.follower.report(), self.register().version_for(&process.place));
+            let refused = report.rejected.as_ref().is_some_and(|(version, _)| *version == wanted);
+            let should = if refused { RolloutState::Rejected } else { RolloutState::Active };
+            if report.active != wanted && !refused {
+                return Err(format!("b{n} goes by {} of {wanted} after calm", report.active));
             }
-            if standing.standing != should
-                || standing.wanted != wanted
-                || standing.in_force != report.in_force
-            {
+            if standing.state != should || standing.wanted != wanted || standing.active != report.active {
                 return Err(format!("b{n} is {should:?} at {wanted}, and the leader says {standing:?}"));
             }
         }
@@ -459,11 +467,11 @@
     }
 }
 
-fn contents(snapshot: &Snapshot) -> Vec<String> {
+fn contents(snapshot: &ConfigurationSnapshot) -> Vec<String> {
     snapshot.contents().map(str::to_owned).collect()
 }
 
 /// Contents name the balancers that they do not load on.
-fn loads(n: usize, snapshot: &Snapshot) -> bool {
+fn loads(n: usize, snapshot: &ConfigurationSnapshot) -> bool {
     !snapshot.contents().any(|content| content.contains(&format!("not b{n}")))
 }
--- a/crates/fernroute-fleet/tests/division.rs
+++ b/crates/fernroute-fleet/tests/division.rs
@@ -1,7 +1,7 @@
 //! Who should get how much.
 
 use fernroute_fleet::division::{divide, fair};
-use fernroute_fleet::Units;
+use fernroute_fleet::MilliUnits;
 
 #[test]
 fn the_small_get_what_they_ask_for_and_the_others_share_the_rest() {
@@ -25,6 +25,6 @@
     // Nobody is short, or nobody has what the short one could get; a whole made smaller; an absurd demand.
     assert_eq!(divide(120, &[90, 90, 90], &[40, 40, 40]), [40, 40, 40]);
     assert_eq!(divide(60, &[90, 90, 90], &[40, 40, 40]), [20, 20, 20]);
-    assert_eq!(divide(120, &[Units::MAX, 60], &[60, 60]), [60, 60]);
+    assert_eq!(divide(120, &[MilliUnits::MAX, 60], &[60, 60]), [60, 60]);
     assert_eq!(divide(120, &[], &[]), [0; 0]);
 }
