--- a/crates/fernroute-fleet/tests/duties_world/mod.rs
+++ b/crates/fernroute-fleet/tests/duties_world/mod.rs
@@ -5,20 +5,20 @@
 #![allow(dead_code)]
 
 use fernroute_fleet::duties::fence::Fence;
-use fernroute_fleet::duties::holder::Duties;
+use fernroute_fleet::duties::holder::MemberDuties;
 use fernroute_fleet::duties::leader::Leader;
-use fernroute_fleet::duties::table::{Change, Entry, Table};
-use fernroute_fleet::duties::{Candidate, Term, Told};
+use fernroute_fleet::duties::table::{DutyEntry, DutyTable, DutyTransition};
+use fernroute_fleet::duties::{Candidate, DutyAssignments, Term};
 use fernroute_fleet::lease::Lease;
-use fernroute_fleet::message::Beat;
-use fernroute_fleet::Shares;
+use fernroute_fleet::message::Heartbeat;
+use fernroute_fleet::BudgetAmounts;
 use std::collections::{BTreeMap, BTreeSet};
 
 pub const MEMBERS: usize = 4;
 pub const DUTIES: [&str; 3] = ["planner", "report", "sweep"];
 
 /// Two seconds; clocks are off by two in a hundred, at the bound that the lease states.
-pub const LEASE: Lease = Lease { length: 20_000, drift: 20_000 };
+pub const LEASE: Lease = Lease { duration: 20_000, drift_ppm: 20_000 };
 
 /// A version that is broken on purpose.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -49,7 +49,7 @@
 
 struct Member {
     clock: Clock,
-    duties: Duties,
+    duties: MemberDuties,
     incarnation: u64,
     number: u64,
     /// Orders that it decided on, each under its term at that moment, and that have not left yet.
@@ -61,7 +61,7 @@
     to: usize,
     incarnation: u64,
     number: u64,
-    told: Option<Told>,
+    told: Option<DutyAssignments>,
 }
 
 /// What a leader knows; one that has been replaced can't enter anything, and answers nobody.
@@ -73,11 +73,11 @@
 pub struct World {
     flaw: Flaw,
     real: u64,
-    table: Table,
+    table: DutyTable,
     leading: Leading,
-    entering: Option<Change>,
+    entering: Option<DutyTransition>,
     members: Vec<Member>,
-    beats: Vec<(usize, Beat)>,
+    beats: Vec<(usize, Heartbeat)>,
     answers: Vec<Answer>,
     fence: Fence,
     /// What orders were followed under, in that order.
@@ -95,21 +95,21 @@
 
 impl World {
     pub fn new(flaw: Flaw) -> Self {
-        let drift = f64::from(LEASE.drift) / 1e6;
+        let drift = f64::from(LEASE.drift_ppm) / 1e6;
         let clock = |n: usize| Clock {
             rate: if n.is_multiple_of(2) { 1.0 - drift } else { 1.0 + drift },
             offset: 1e9 * n as f64,
         };
         let member = |n: usize| Member {
             clock: clock(n),
-            duties: Duties::new(n as u64 + 1),
+            duties: MemberDuties::new(n as u64 + 1),
             incarnation: n as u64 + 1,
             number: 0,
             orders: Vec::new(),
         };
-        let mut table = Table::default();
+        let mut table = DutyTable::default();
         let names: BTreeSet<String> = DUTIES.iter().map(|name| (*name).to_owned()).collect();
-        table.apply(&Entry::Names(names)).expect("they will do");
+        table.apply(&DutyEntry::Names(names)).expect("they will do");
         let leading = World::lead(0, &table, flaw, 0);
         World {
             flaw,
@@ -129,11 +129,11 @@
     }
 
     /// Leaders' clocks run fast and slow in turn, at the bound.
-    fn lead(real: u64, table: &Table, flaw: Flaw, elections: u64) -> Leading {
-        let drift = f64::from(LEASE.drift) / 1e6;
+    fn lead(real: u64, table: &DutyTable, flaw: Flaw, elections: u64) -> Leading {
+        let drift = f64::from(LEASE.drift_ppm) / 1e6;
         let rate = if elections.is_multiple_of(2) { 1.0 + drift } else { 1.0 - drift };
         let clock = Clock { rate, offset: 5e8 * elections as f64 };
-        let lease = if flaw == Flaw::NoMargin { Lease { drift: 0, ..LEASE } } else { LEASE };
+        let lease = if flaw == Flaw::NoMargin { Lease { drift_ppm: 0, ..LEASE } } else { LEASE };
         Leading { clock, duties: Leader::new(clock.read(real), table, lease) }
     }
 
@@ -157,13 +157,13 @@
         let member = &mut self.members[n];
         member.number += 1;
         let report = member.duties.report(now, member.number);
-        let beat = Beat {
+        let beat = Heartbeat {
             name: format!("n{n}"),
             identity: identity(n),
             number: member.number,
             epoch: 0,
-            wants: Shares::new(),
-            leaves: false,
+            demand: BudgetAmounts::new(),
+            leaving: false,
             configuration: None,
             duties: Some(report),
         };
@@ -176,8 +176,8 @@
             return;
         }
         let (to, beat) = self.beats.remove(which % self.beats.len());
-        self.leading.duties.hear(self.leading.clock.read(self.real), &beat);
-        let told = self.leading.duties.answer(&beat, &self.table);
+        self.leading.duties.on_heartbeat(self.leading.clock.read(self.real), &beat);
+        let told = self.leading.duties.assignments_for(&beat, &self.table);
         let incarnation = beat.duties.as_ref().map_or(0, |report| report.incarnation);
         self.answers.push(Answer { to, incarnation, number: beat.number, told });
     }
@@ -194,16 +194,16 @@
         let now = self.now(to);
         if let Some(told) = &mut told {
             match self.flaw {
-                Flaw::NoMargin => told.holds_for = LEASE.length + LEASE.length / 50,
+                Flaw::NoMargin => told.hold_duration = LEASE.duration + LEASE.duration / 50,
                 // The leader wrote down when it ends by its own clock; the member reads that by a clock set otherwise.
                 Flaw::WallClock => {
                     let off = self.members[to].clock.offset - 1e9;
-                    told.holds_for = told.holds_for.saturating_add_signed((off / 1e5) as i64);
+                    told.hold_duration = told.hold_duration.saturating_add_signed((off / 1e5) as i64);
                 }
                 _ => {}
             }
         }
-        self.members[to].duties.hear(now, number, told.as_ref());
+        self.members[to].duties.on_reply(now, number, told.as_ref());
         self.observe()
     }
 
@@ -229,7 +229,7 @@
     pub fn decide(&mut self) {
         if self.entering.is_none() {
             let now = self.leading.clock.read(self.real);
-            self.entering = self.leading.duties.due(now, &self.table);
+            self.entering = self.leading.duties.next_transition(now, &self.table);
         }
     }
 
@@ -237,14 +237,14 @@
     pub fn enter(&mut self) {
         let Some(change) = self.entering.take() else { return };
         // Whether it was applied the table says.
-        let _ = self.table.apply(&Entry::Change(change));
-        self.leading.duties.entered(self.leading.clock.read(self.real), &self.table);
+        let _ = self.table.apply(&DutyEntry::Transition(change));
+        self.leading.duties.transition_done(self.leading.clock.read(self.real), &self.table);
     }
 
     /// Another steward leads. What was on its way may have been entered before that, or never is.
     pub fn elect(&mut self, entered: bool) {
         if let Some(change) = self.entering.take().filter(|_| entered) {
-            let _ = self.table.apply(&Entry::Change(change));
+            let _ = self.table.apply(&DutyEntry::Transition(change));
         }
         self.elections += 1;
         self.leading = World::lead(self.real, &self.table, self.flaw, self.elections);
@@ -266,7 +266,7 @@
     }
 
     pub fn drain(&mut self, n: usize) {
-        self.members[n].duties.give_up();
+        self.members[n].duties.release_all();
     }
 
     pub fn resume(&mut self, n: usize) {
@@ -277,7 +277,7 @@
     pub fn restart(&mut self, n: usize) {
         let member = &mut self.members[n];
         member.incarnation += 1_000;
-        member.duties = Duties::new(member.incarnation);
+        member.duties = MemberDuties::new(member.incarnation);
         // Orders that had left may still come.
     }
 
@@ -336,7 +336,7 @@
     /// A member stands still for longer than a lease, while the others beat often.
     pub fn stand_still(&mut self, still: usize) -> Result<(), String> {
         const OFTEN: u64 = 300;
-        for _ in 0..(LEASE.length + LEASE.length / 4) / OFTEN {
+        for _ in 0..(LEASE.duration + LEASE.duration / 4) / OFTEN {
             self.pass(OFTEN)?;
             self.round_of((0..MEMBERS).filter(|n| *n != still))?;
         }
@@ -366,7 +366,7 @@
         (0..self.members.len()).find_map(|n| Some((n, self.members[n].duties.term(self.now(n), duty)?)))
     }
 
-    pub fn table(&self) -> &Table {
+    pub fn table(&self) -> &DutyTable {
         &self.table
     }
 }
--- a/crates/fernroute-fleet/tests/schedules.rs
+++ b/crates/fernroute-fleet/tests/schedules.rs
@@ -2,7 +2,7 @@
 
 mod world;
 
-use fernroute_fleet::Units;
+use fernroute_fleet::MilliUnits;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestError, TestRng, TestRunner};
 use world::{Flaw, World, FLOORS, SHARES, WHOLE};
@@ -13,7 +13,7 @@
     Long(u64),
     Start {
         name: u8,
-        wants: Units,
+        wants: MilliUnits,
         off: i64,
     },
     /// Killed, and started again where it left its identity, or not.
@@ -27,10 +27,10 @@
     GoOn(usize),
     Upgrade(usize),
     EndOld(usize),
-    Wants(usize, Units),
+    Wants(usize, MilliUnits),
     /// Its beats name the budget from now on, or do not.
     Names(usize, bool),
-    Whole(Units),
+    Whole(MilliUnits),
     /// With the last leader, or with one before it.
     Round(usize, usize),
     /// Its answer is on its way for as long as it takes.
@@ -159,10 +159,11 @@
     }
     world.calm(10_000);
     for (n, op) in ops.iter().enumerate() {
-        let held = world.ledger.held(world::BUDGET);
+        let held = world.ledger.total_allocated(world::BUDGET);
         play(&mut world, op);
         world.check().map_err(|why| format!("{n}: {op:?}: {why}"))?;
-        let (now, whole) = (world.ledger.held(world::BUDGET), world.ledger.budgets()[world::BUDGET].whole);
+        let (now, whole) =
+            (world.ledger.total_allocated(world::BUDGET), world.ledger.budgets()[world::BUDGET].limit);
         if now > whole.max(held) {
             return Err(format!("{n}: {op:?}: the ledger let out {now} of {whole}"));
         }
@@ -186,7 +187,7 @@
             process.names = true;
         }
     }
-    world.calm(FLOORS.lapse() + 2 * SHARES.lapse());
+    world.calm(FLOORS.expires_after() + 2 * SHARES.expires_after());
     world.check()?;
     let spent = world.spent();
     let running = world.processes.iter().flatten().count();
--- a/crates/fernroute-fleet/tests/wire_format.rs
+++ b/crates/fernroute-fleet/tests/wire_format.rs
@@ -1,15 +1,15 @@
 //! The JSON of messages between processes and of replicated state: fixed texts, read and written again without a change.
 //! A process of another version reads and writes the same.
 
-use fernroute_fleet::configuration::follower::Snapshot;
-use fernroute_fleet::configuration::register::{Line, Register};
-use fernroute_fleet::configuration::standing::{MemberStanding, Summary};
-use fernroute_fleet::configuration::{Fetch, Fetched};
-use fernroute_fleet::duties::table::Table;
+use fernroute_fleet::configuration::follower::ConfigurationSnapshot;
+use fernroute_fleet::configuration::register::{HistoryEntry, Register};
+use fernroute_fleet::configuration::rollout::{MemberRollout, RolloutSummary};
+use fernroute_fleet::configuration::{FetchReply, FetchRequest};
+use fernroute_fleet::duties::table::DutyTable;
 use fernroute_fleet::lease::Lease;
 use fernroute_fleet::ledger::{Entry, Ledger};
-use fernroute_fleet::member::Handed;
-use fernroute_fleet::message::{Answer, Beat, Envelope, Unanswered};
+use fernroute_fleet::member::MemberHandover;
+use fernroute_fleet::message::{Envelope, Heartbeat, HeartbeatError, HeartbeatReply};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
@@ -29,11 +29,11 @@
 
 #[test]
 fn a_heartbeat_keeps_its_keys() {
-    assert_unchanged::<Beat>(HEARTBEAT);
-    assert_unchanged::<Beat>(
+    assert_unchanged::<Heartbeat>(HEARTBEAT);
+    assert_unchanged::<Heartbeat>(
         r#"{"name":"n0","identity":7,"number":3,"epoch":0,"wants":{},"leaves":false,"configuration":{"service":"web","zone":"","in_force":0},"duties":{"incarnation":9,"eligible":false,"answered":0,"highest":0}}"#,
     );
-    assert_read_as::<Beat>(
+    assert_read_as::<Heartbeat>(
         r#"{"name":"n0","identity":7,"number":3,"epoch":0,"wants":{},"unheard_of":1}"#,
         r#"{"name":"n0","identity":7,"number":3,"epoch":0,"wants":{},"leaves":false}"#,
     );
@@ -41,22 +41,22 @@
 
 #[test]
 fn the_envelope_of_a_message_keeps_its_keys() {
-    assert_unchanged::<Envelope<Beat>>(&format!(
+    assert_unchanged::<Envelope<Heartbeat>>(&format!(
         r#"{{"cluster":"shop","version":1,"to":0,"message":{HEARTBEAT}}}"#
     ));
-    assert_eq!(fernroute_fleet::message::VERSION, 1);
-    assert_eq!(fernroute_fleet::message::BEAT, "/-/beat");
-    assert_eq!(fernroute_fleet::configuration::FETCH, "/-/configuration/fetch");
+    assert_eq!(fernroute_fleet::message::PROTOCOL_VERSION, 1);
+    assert_eq!(fernroute_fleet::message::HEARTBEAT_PATH, "/-/beat");
+    assert_eq!(fernroute_fleet::configuration::FETCH_PATH, "/-/configuration/fetch");
 }
 
 #[test]
 fn the_reply_to_a_heartbeat_keeps_its_keys() {
     let reply = r#"{"identity":7,"number":3,"grant":{"epoch":2,"floors":{"acme":40},"shares":{"acme":100}},"shares_for":20000,"floors_for":600000,"configuration":6,"duties":{"terms":{"sweep":4},"holds_for":17500,"over":["compact"]}}"#;
-    assert_unchanged::<Answer>(reply);
-    assert_unchanged::<Answer>(
+    assert_unchanged::<HeartbeatReply>(reply);
+    assert_unchanged::<HeartbeatReply>(
         r#"{"identity":7,"number":3,"grant":{"epoch":0,"floors":{},"shares":{}},"shares_for":20000,"floors_for":600000}"#,
     );
-    assert_unchanged::<Result<Answer, Unanswered>>(&format!(r#"{{"Ok":{reply}}}"#));
+    assert_unchanged::<Result<HeartbeatReply, HeartbeatError>>(&format!(r#"{{"Ok":{reply}}}"#));
     for rejection in [
         r#"{"Err":{"elsewhere":"127.0.0.1:7001"}}"#,
         r#"{"Err":{"elsewhere":null}}"#,
@@ -65,17 +65,19 @@
         r#"{"Err":{"refused":"later"}}"#,
         r#"{"Err":{"refused":"bad_name"}}"#,
     ] {
-        assert_unchanged::<Result<Answer, Unanswered>>(rejection);
+        assert_unchanged::<Result<HeartbeatReply, HeartbeatError>>(rejection);
     }
 }
 
 #[test]
 fn a_configuration_fetch_and_its_reply_keep_their_keys() {
-    assert_unchanged::<Fetch>(r#"{"place":{"name":"n0","service":"web","zone":"a"},"have":1,"want":2}"#);
-    assert_unchanged::<Fetched>(
+    assert_unchanged::<FetchRequest>(
+        r#"{"place":{"name":"n0","service":"web","zone":"a"},"have":1,"want":2}"#,
+    );
+    assert_unchanged::<FetchReply>(
         r#"{"parts":{"version":2,"whole":"f0","parts":[{"scope":"all","version":1,"hash":"a1","content":"a = 1\n"},{"scope":"service/web","version":1,"hash":"a1","content":""},{"scope":"service/web/zone/a","version":2,"hash":"b2","content":"b"},{"scope":"balancer/n0","version":2,"hash":"b2","content":"b"}]}}"#,
     );
-    assert_unchanged::<Fetched>(r#""behind""#);
+    assert_unchanged::<FetchReply>(r#""behind""#);
 }
 
 #[test]
@@ -100,17 +102,17 @@
     assert_unchanged::<Register>(
         r#"{"version":2,"parts":{"all":{"scope":"all","version":2,"hash":"b2","content":"b"}},"history":[{"version":1,"scope":"all","base":0,"hash":"a1","bytes":6,"who":"ann","when_ms":1},{"version":2,"scope":"all","base":1,"hash":"b2","bytes":1,"who":"bob","when_ms":2}]}"#,
     );
-    assert_unchanged::<Table>(
+    assert_unchanged::<DutyTable>(
         r#"{"version":4,"highest":5,"duties":{"compact":{"holder":null,"before":["n1","operator"],"removed":false},"sweep":{"holder":{"candidate":{"identity":7,"incarnation":9},"name":"n0","term":5,"note":"half way"},"before":null,"removed":true}}}"#,
     );
 }
 
 #[test]
 fn what_a_balancer_stores_and_hands_over_keeps_its_keys() {
-    assert_unchanged::<Snapshot>(
+    assert_unchanged::<ConfigurationSnapshot>(
         r#"{"place":{"name":"n0","service":"web","zone":"a"},"version":2,"whole":"f0","parts":{"all":{"scope":"all","version":2,"hash":"b2","content":"b"}}}"#,
     );
-    assert_unchanged::<Handed>(
+    assert_unchanged::<MemberHandover>(
         r#"{"identity":7,"grant":{"epoch":2,"floors":{"acme":40},"shares":{"acme":100}},"shares_for":20000,"floors_for":600000,"part":500}"#,
     );
     assert_unchanged::<Lease>(r#"{"length":20000,"drift":1000}"#);
@@ -118,7 +120,7 @@
 
 #[test]
 fn what_operators_read_as_json_keeps_its_keys() {
-    assert_unchanged::<Line>(
+    assert_unchanged::<HistoryEntry>(
         r#"{"version":1,"scope":"all","base":0,"hash":"a1","bytes":6,"who":"ann","when_ms":1}"#,
     );
     for (standing, refused) in [
@@ -129,11 +131,11 @@
         ("not_heard_of", "null"),
         ("follows_none", "null"),
     ] {
-        assert_unchanged::<MemberStanding>(&format!(
+        assert_unchanged::<MemberRollout>(&format!(
             r#"{{"name":"n0","service":"web","zone":"a","wanted":2,"in_force":1,"refused":{refused},"standing":"{standing}"}}"#
         ));
     }
-    assert_unchanged::<Summary>(
+    assert_unchanged::<RolloutSummary>(
         r#"{"in_force":1,"on_its_way":2,"refused":3,"ahead":4,"not_heard_of":5,"follows_none":6}"#,
     );
 }
--- a/crates/fernroute-fleet/tests/world/mod.rs
+++ b/crates/fernroute-fleet/tests/world/mod.rs
@@ -8,20 +8,20 @@
 use fernroute_fleet::configuration::register::Register;
 use fernroute_fleet::leader::Leader;
 use fernroute_fleet::lease::Lease;
-use fernroute_fleet::ledger::{Budget, Entry, Holder, Ledger, Step};
-use fernroute_fleet::member::{Heard, Member};
-use fernroute_fleet::message::{Answer, Beat, Refusal};
-use fernroute_fleet::{Identity, Shares, Units};
+use fernroute_fleet::ledger::{Allocation, Budget, Entry, Ledger, LedgerTransition};
+use fernroute_fleet::member::{Member, ReplyStatus};
+use fernroute_fleet::message::{Heartbeat, HeartbeatReply, RejectReason};
+use fernroute_fleet::{BudgetAmounts, MemberId, MilliUnits};
 use std::collections::BTreeMap;
 
 pub const BUDGET: &str = "acme";
-pub const WHOLE: Units = 1200;
-pub const FLOOR: Units = 50;
+pub const WHOLE: MilliUnits = 1200;
+pub const FLOOR: MilliUnits = 50;
 pub const MOST: usize = 8;
 /// A thousandth either way: much, so that a wrong bound shows.
 pub const DRIFT: u32 = 1000;
-pub const SHARES: Lease = Lease { length: 15_000, drift: DRIFT };
-pub const FLOORS: Lease = Lease { length: 60_000, drift: DRIFT };
+pub const SHARES: Lease = Lease { duration: 15_000, drift_ppm: DRIFT };
+pub const FLOORS: Lease = Lease { duration: 60_000, drift_ppm: DRIFT };
 
 /// A version that is broken on purpose; each must be caught.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -59,12 +59,12 @@
     pub member: Member,
     pub name: String,
     pub clock: Clock,
-    pub wants: Units,
+    pub wants: MilliUnits,
     /// Whether its beats name the budget at all.
     pub names: bool,
     /// Stopped processes hear and say nothing; what they hold they may spend once they go on.
     pub stopped: bool,
-    /// Handed over to the process of this number: it sends no beat any more.
+    /// MemberHandover over to the process of this number: it sends no beat any more.
     pub successor: Option<usize>,
 }
 
@@ -75,14 +75,14 @@
     /// The ledger as it knows it: the log's while it leads.
     ledger: Ledger,
     /// Beats that it heard and has not answered; whether it has made sure since that it leads.
-    heard: Vec<(Beat, bool)>,
-    entering: Option<Step>,
+    heard: Vec<(Heartbeat, bool)>,
+    entering: Option<LedgerTransition>,
 }
 
 #[derive(Clone, Debug)]
 pub enum Packet {
-    Beat(Beat),
-    Answer(Answer),
+    Beat(Heartbeat),
+    Answer(HeartbeatReply),
 }
 
 pub struct World {
@@ -95,11 +95,11 @@
     pub network: Vec<Packet>,
     identities: u64,
     /// What leaders refused, in order.
-    pub refusals: Vec<Refusal>,
+    pub refusals: Vec<RejectReason>,
 }
 
-pub fn whole(amount: Units) -> BTreeMap<String, Budget> {
-    BTreeMap::from([(BUDGET.to_owned(), Budget { whole: amount, floor: FLOOR })])
+pub fn whole(amount: MilliUnits) -> BTreeMap<String, Budget> {
+    BTreeMap::from([(BUDGET.to_owned(), Budget { limit: amount, guaranteed: FLOOR })])
 }
 
 impl World {
@@ -132,7 +132,7 @@
             last.ledger = self.ledger.clone();
         }
         let clock = Clock::new(off, 77);
-        let early = |lease: Lease| Lease { length: lease.length / 3, ..lease };
+        let early = |lease: Lease| Lease { duration: lease.duration / 3, ..lease };
         let shares = if self.flaw == Flaw::RegrantsBeforeTheLapse { early(SHARES) } else { SHARES };
         let floors = if self.flaw == Flaw::LetsAFloorOutTwice { early(FLOORS) } else { FLOORS };
         let leader = Leader::new(clock.read(self.now), &self.ledger, shares, floors, MOST);
@@ -144,12 +144,12 @@
         self.leaders.len()
     }
 
-    pub fn whole_is(&mut self, amount: Units) {
+    pub fn whole_is(&mut self, amount: MilliUnits) {
         self.ledger.apply(&Entry::Budgets(whole(amount))).expect("budgets are taken");
     }
 
     /// A new process; under an identity that it found where the process before it, which has ended, left it, or a new one.
-    pub fn start(&mut self, name: &str, identity: Option<Identity>, off: i64, wants: Units) -> usize {
+    pub fn start(&mut self, name: &str, identity: Option<MemberId>, off: i64, wants: MilliUnits) -> usize {
         self.identities += 1;
         let first = (self.processes.len() as u64 + 1) << 32;
         let member = Member::new(name, identity.unwrap_or(self.identities), first);
@@ -166,7 +166,7 @@
         let first = (1_000_000 + self.now) << 24;
         for process in self.processes.iter_mut().flatten().filter(|p| p.successor == Some(n)) {
             process.successor = None;
-            process.member.take_back(first);
+            process.member.resume_after_handover(first);
         }
     }
 
@@ -175,7 +175,7 @@
         let Some(successor) = self.processes[n].as_ref().and_then(|old| old.successor) else { return };
         self.processes[n] = None;
         if let Some(new) = &mut self.processes[successor] {
-            new.member.take_all();
+            new.member.own_whole_grant();
         }
     }
 
@@ -189,7 +189,7 @@
         let handed = old.member.hand_over(clock)?;
         let mut member = Member::take_over(&old.name, clock, first, &handed);
         if flaw == Flaw::HandsOverAllTwice {
-            member.take_all();
+            member.own_whole_grant();
         }
         old.successor = Some(number);
         // On one machine: one clock.
@@ -210,7 +210,7 @@
         self.processes[n].as_mut().expect("it runs")
     }
 
-    pub fn identity(&self, n: usize) -> Identity {
+    pub fn identity(&self, n: usize) -> MemberId {
         self.processes[n].as_ref().expect("it runs").member.identity()
     }
 
@@ -221,7 +221,7 @@
             return;
         }
         let wants = process.names.then(|| (BUDGET.to_owned(), process.wants)).into_iter().collect();
-        let beat = process.member.beat(process.clock.read(self.now), wants);
+        let beat = process.member.heartbeat(process.clock.read(self.now), wants);
         self.network.push(Packet::Beat(beat));
     }
 
@@ -239,14 +239,18 @@
         }
     }
 
-    fn hear(&mut self, beat: &Beat, to: usize) {
+    fn hear(&mut self, beat: &Heartbeat, to: usize) {
         let led = &mut self.leaders[to];
-        match led.leader.hear(led.clock.read(self.now), beat, &led.ledger) {
+        match led.leader.on_heartbeat(led.clock.read(self.now), beat, &led.ledger) {
             Ok(()) => led.heard.push((beat.clone(), false)),
-            Err(Refusal::NameTaken) if self.flaw == Flaw::ForgetsTheOldProcess => {
-                let gone = self.ledger.named(&beat.name).into_iter().collect();
-                let step = Step { base: self.ledger.epoch(), gone, ..Step::default() };
-                let _ = self.ledger.apply(&Entry::Step(step));
+            Err(RejectReason::NameTaken) if self.flaw == Flaw::ForgetsTheOldProcess => {
+                let gone = self.ledger.member_named(&beat.name).into_iter().collect();
+                let step = LedgerTransition {
+                    base_epoch: self.ledger.epoch(),
+                    removed: gone,
+                    ..LedgerTransition::default()
+                };
+                let _ = self.ledger.apply(&Entry::Transition(step));
                 self.sync();
             }
             Err(why) => self.refusals.push(why),
@@ -266,13 +270,17 @@
         let led = &mut self.leaders[leader];
         let (sure, unsure) = std::mem::take(&mut led.heard).into_iter().partition(|(_, sure)| *sure);
         led.heard = unsure;
-        let sure: Vec<(Beat, bool)> = sure;
+        let sure: Vec<(Heartbeat, bool)> = sure;
         for (beat, _) in sure {
-            match led.leader.answer(&beat, &led.ledger, &Register::default()) {
+            match led.leader.reply(&beat, &led.ledger, &Register::default()) {
                 Ok(answer) => {
                     // A leader that lapses early promises as long as any.
-                    let (shares_for, floors_for) = (SHARES.length, FLOORS.length);
-                    self.network.push(Packet::Answer(Answer { shares_for, floors_for, ..answer }));
+                    let (shares_for, floors_for) = (SHARES.duration, FLOORS.duration);
+                    self.network.push(Packet::Answer(HeartbeatReply {
+                        quotas_valid_for: shares_for,
+                        guaranteed_valid_for: floors_for,
+                        ..answer
+                    }));
                 }
                 Err(why) => self.refusals.push(why),
             }
@@ -288,19 +296,25 @@
         if let Some(step) = led.entering.take() {
             if leads {
                 // What is out of date is refused, and decided anew.
-                let _ = self.ledger.apply(&Entry::Step(step));
+                let _ = self.ledger.apply(&Entry::Transition(step));
             }
-            led.leader.entered();
+            led.leader.transition_done();
         } else {
-            led.entering = led.leader.due(led.clock.read(self.now), &led.ledger);
+            led.entering = led.leader.next_transition(led.clock.read(self.now), &led.ledger);
         }
         if flaw == Flaw::TakesAnOfferForAccepted {
-            let offered =
-                |(identity, holder): (&Identity, &Holder)| Some((*identity, holder.offered.as_ref()?.epoch));
-            let accepted: Vec<(Identity, u64)> = self.ledger.holders().iter().filter_map(offered).collect();
+            let offered = |(identity, holder): (&MemberId, &Allocation)| {
+                Some((*identity, holder.offered.as_ref()?.epoch))
+            };
+            let accepted: Vec<(MemberId, u64)> =
+                self.ledger.allocations().iter().filter_map(offered).collect();
             if !accepted.is_empty() {
-                let step = Step { base: self.ledger.epoch(), accepted, ..Step::default() };
-                let _ = self.ledger.apply(&Entry::Step(step));
+                let step = LedgerTransition {
+                    base_epoch: self.ledger.epoch(),
+                    accepted,
+                    ..LedgerTransition::default()
+                };
+                let _ = self.ledger.apply(&Entry::Transition(step));
             }
         }
         self.sync();
@@ -314,7 +328,7 @@
     }
 
     /// An answer reaches every process that may take it for its own: the network does not know which is meant.
-    fn take(&mut self, answer: &Answer) {
+    fn take(&mut self, answer: &HeartbeatReply) {
         let (now, flaw) = (self.now, self.flaw);
         for process in self.processes.iter_mut().flatten().filter(|p| !p.stopped) {
             let clock = process.clock.read(now);
@@ -326,12 +340,12 @@
                 answer.grant.epoch = process.member.epoch() + 1;
             }
             if flaw == Flaw::CountsFromTheAnswer {
-                let (shares, _) = process.member.until();
-                answer.shares_for += shares.min(clock).saturating_sub(clock.saturating_sub(20_000));
+                let (shares, _) = process.member.expirations();
+                answer.quotas_valid_for += shares.min(clock).saturating_sub(clock.saturating_sub(20_000));
             }
-            if process.member.hear(clock, &answer) == Heard::Stale && flaw == Flaw::AppliesAReplay {
-                answer.number = process.member.beat(clock, Shares::new()).number;
-                process.member.hear(clock, &answer);
+            if process.member.on_reply(clock, &answer) == ReplyStatus::Stale && flaw == Flaw::AppliesAReplay {
+                answer.number = process.member.heartbeat(clock, BudgetAmounts::new()).number;
+                process.member.on_reply(clock, &answer);
             }
         }
     }
@@ -381,21 +395,21 @@
         }
     }
 
-    pub fn holds(&self, n: usize) -> Units {
-        self.processes[n].as_ref().map_or(0, |p| p.member.holds(p.clock.read(self.now), BUDGET))
+    pub fn holds(&self, n: usize) -> MilliUnits {
+        self.processes[n].as_ref().map_or(0, |p| p.member.allocated(p.clock.read(self.now), BUDGET))
     }
 
     /// What all that run may spend at this moment.
-    pub fn spent(&self) -> Units {
+    pub fn spent(&self) -> MilliUnits {
         (0..self.processes.len()).map(|n| self.holds(n)).sum()
     }
 
     /// The promise.
     pub fn check(&self) -> Result<(), String> {
-        let whole = self.ledger.budgets()[BUDGET].whole;
-        let (spent, held) = (self.spent(), self.ledger.held(BUDGET));
+        let whole = self.ledger.budgets()[BUDGET].limit;
+        let (spent, held) = (self.spent(), self.ledger.total_allocated(BUDGET));
         if spent > whole.max(held) {
-            let each: Vec<Units> = (0..self.processes.len()).map(|n| self.holds(n)).collect();
+            let each: Vec<MilliUnits> = (0..self.processes.len()).map(|n| self.holds(n)).collect();
             return Err(format!(
                 "at {} all may spend {spent} of {whole} ({held} by the ledger): {each:?}",
                 self.now
--- a/crates/fernroute-server/src/program/commands.rs
+++ b/crates/fernroute-server/src/program/commands.rs
@@ -1,6 +1,6 @@
 //! The command line.
 
-use super::{log, serve, station::Station};
+use super::{instance::Instance, log, serve};
 use argh::FromArgs;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -76,10 +76,10 @@
     }
 }
 
-fn read(config: Option<PathBuf>) -> Result<(Station, PathBuf), String> {
+fn read(config: Option<PathBuf>) -> Result<(Instance, PathBuf), String> {
     let path = config.or_else(|| std::env::var_os("NODE_CONFIG").map(PathBuf::from));
     let path = path.ok_or("neither --config nor $NODE_CONFIG names a file")?;
-    Ok((Station::read(&path)?, path))
+    Ok((Instance::read(&path)?, path))
 }
 
 /// The words after a program's name, or the code to end with where it has said all there is to say.
--- a/crates/fernroute-server/src/program/configuration.rs
+++ b/crates/fernroute-server/src/program/configuration.rs
@@ -6,16 +6,18 @@
 //! it is in force all the same and the log says so once: the stewards have it, and a balancer that can't write is no
 //! reason to go by what its operators have replaced.
 
-use super::kept::Kept;
-use super::station::{Layer, Station};
-use super::stewards::Stewards;
+use super::configuration_cache::ConfigurationCache;
+use super::coordinators::CoordinatorClient;
+use super::instance::{Instance, Layer};
 use crate::protocol::ops;
 use crate::routing::clock::duration;
 use crate::routing::switchboard::Switchboard;
 use crate::transport::handover;
 use fernroute_config::Fleet;
-use fernroute_fleet::configuration::follower::{Follower, Snapshot};
-use fernroute_fleet::configuration::{Fetch, Fetched, Place, Report, Version, FETCH};
+use fernroute_fleet::configuration::follower::{ConfigurationFollower, ConfigurationSnapshot};
+use fernroute_fleet::configuration::{
+    ConfigurationReport, FetchReply, FetchRequest, Target, Version, FETCH_PATH,
+};
 use std::cell::{Cell, RefCell};
 use std::hash::{BuildHasher as _, RandomState};
 use std::path::PathBuf;
@@ -35,12 +37,12 @@
 /// A disk that takes longer than this to keep a copy is not waited for any more.
 const KEEP: Duration = Duration::from_secs(2);
 
-pub struct Followed {
-    follower: RefCell<Follower>,
-    place: Place,
+pub struct ConfigurationTask {
+    follower: RefCell<ConfigurationFollower>,
+    place: Target,
     fleet: Fleet,
     /// The copy on the disk.
-    copy: Kept,
+    copy: ConfigurationCache,
     /// A leader has answered this process.
     heard: Cell<bool>,
     /// There is something to fetch.
@@ -53,14 +55,14 @@
 /// At a start: what is kept is laid over the file, where it is sound and fits; else the file alone counts. Without a service
 /// in the file there is nothing to follow. `lay` has parts go into force, whole or not at all.
 pub fn begin(
-    station: &Station,
+    station: &Instance,
     lay: impl FnOnce(Vec<Layer>) -> Result<(), String>,
-) -> Result<Option<Rc<Followed>>, String> {
+) -> Result<Option<Rc<ConfigurationTask>>, String> {
     let of_service = station.fleet.as_ref().and_then(|fleet| Some((fleet, fleet.service.clone()?)));
     let Some((fleet, service)) = of_service else { return Ok(None) };
     let zone = station.terms.get("zone").cloned().unwrap_or_default();
-    let place = Place { name: station.name.clone(), service, zone };
-    let copy = Kept::new(copy_path(station, fleet)?);
+    let place = Target { name: station.name.clone(), service, zone };
+    let copy = ConfigurationCache::new(copy_path(station, fleet)?);
     let kept = copy.read(&place).and_then(|kept| match kept {
         Some(kept) => lay(layers(&kept)).map(|()| Some(kept)),
         None => Ok(None),
@@ -72,8 +74,8 @@
     if let Some(kept) = &kept {
         tracing::info!("configuration {} is in force, as it was kept", kept.version);
     }
-    Ok(Some(Rc::new(Followed {
-        follower: RefCell::new(Follower::new(place.clone(), kept)),
+    Ok(Some(Rc::new(ConfigurationTask {
+        follower: RefCell::new(ConfigurationFollower::new(place.clone(), kept)),
         place,
         fleet: fleet.clone(),
         copy,
@@ -89,7 +91,7 @@
 }
 
 /// Beside the file that says who this balancer is, where no folder is named.
-fn copy_path(station: &Station, fleet: &Fleet) -> Result<PathBuf, String> {
+fn copy_path(station: &Instance, fleet: &Fleet) -> Result<PathBuf, String> {
     let beside = handover::path(&station.name, station.listen)?.with_extension("configuration");
     Ok(match (&fleet.folder, beside.file_name()) {
         (Some(folder), Some(name)) => folder.join(name),
@@ -97,9 +99,9 @@
     })
 }
 
-fn layers(snapshot: &Snapshot) -> Vec<Layer> {
+fn layers(snapshot: &ConfigurationSnapshot) -> Vec<Layer> {
     // One that is empty says nothing any more.
-    let said = snapshot.parts().filter(|part| !part.content.is_empty());
+    let said = snapshot.entries().filter(|part| !part.content.is_empty());
     said.map(|part| (part.scope.to_string(), part.content.clone())).collect()
 }
 
@@ -109,9 +111,9 @@
     (drawn >> 11) as f64 / (1_u64 << 53) as f64
 }
 
-impl Followed {
+impl ConfigurationTask {
     /// For the next beat.
-    pub fn report(&self) -> Report {
+    pub fn report(&self) -> ConfigurationReport {
         self.follower.borrow().report()
     }
 
@@ -119,7 +121,7 @@
     /// older version names none.
     pub fn hear(&self, version: Option<Version>) {
         if let Some(version) = version {
-            self.follower.borrow_mut().hear(version);
+            self.follower.borrow_mut().on_notification(version);
             self.news.notify_one();
         }
         self.heard.set(true);
@@ -127,7 +129,7 @@
 
     /// The balancer's own file is another one: what was refused may do now.
     pub fn retry(&self) {
-        self.follower.borrow_mut().retry();
+        self.follower.borrow_mut().retry_rejected();
         self.news.notify_one();
     }
 
@@ -135,13 +137,13 @@
     pub async fn settle(&self) {
         let has_all = || {
             let follower = self.follower.borrow();
-            self.heard.get() && follower.known() >= follower.told()
+            self.heard.get() && follower.decided_version() >= follower.notified_version()
         };
         while !has_all() && self.began.elapsed() < duration(self.fleet.wait) {
             actix_rt::time::sleep(LOOK).await;
         }
         if !has_all() {
-            let in_force = self.report().in_force;
+            let in_force = self.report().active;
             tracing::warn!("no word of the stewards in time: configuration {in_force} stays in force");
         }
     }
@@ -152,11 +154,11 @@
         board: Rc<Switchboard>,
         lay: impl Fn(Vec<Layer>) -> Result<(), String>,
     ) {
-        let stewards = Stewards::new(&self.fleet, Rc::clone(&board));
+        let stewards = CoordinatorClient::new(&self.fleet, Rc::clone(&board));
         let mut failed = false;
         self.show(&board);
         loop {
-            let due = self.follower.borrow_mut().due(board.clock.now());
+            let due = self.follower.borrow_mut().next_fetch(board.clock.now());
             match due {
                 Some(fetch) => {
                     let fetched = self.fetch(&stewards, &board, &fetch).await;
@@ -164,7 +166,7 @@
                     match fetched {
                         Some(snapshot) => self.apply(snapshot, &lay).await,
                         None => {
-                            self.follower.borrow_mut().failed(board.clock.now(), chance());
+                            self.follower.borrow_mut().fetch_failed(board.clock.now(), chance());
                         }
                     }
                     self.show(&board);
@@ -180,32 +182,37 @@
     }
 
     /// From a steward drawn by chance, so that the leader is not asked by all; then from the others.
-    async fn fetch(&self, stewards: &Stewards, board: &Switchboard, fetch: &Fetch) -> Option<Snapshot> {
+    async fn fetch(
+        &self,
+        stewards: &CoordinatorClient,
+        board: &Switchboard,
+        fetch: &FetchRequest,
+    ) -> Option<ConfigurationSnapshot> {
         let all = &stewards.addresses;
         let first = (chance() * all.len() as f64) as usize;
         for n in 0..all.len() {
             let at = all[(first + n) % all.len()];
             board.note(|control| control.fetches += 1);
-            let why = match stewards.ask::<Fetched>(at, FETCH, fetch, ANSWER, MOST_ANSWER).await {
-                Ok(fetched) => match self.follower.borrow_mut().fetched(fetched) {
+            let why = match stewards.ask::<FetchReply>(at, FETCH_PATH, fetch, ANSWER, MOST_ANSWER).await {
+                Ok(fetched) => match self.follower.borrow_mut().on_reply(fetched) {
                     Ok(snapshot) => return Some(snapshot),
                     Err(why) => format!("{why:?}"),
                 },
                 Err(why) => why,
             };
-            tracing::debug!("configuration {} from {at}: {why}", fetch.want);
+            tracing::debug!("configuration {} from {at}: {why}", fetch.wanted_version);
         }
         None
     }
 
     /// Whole or not at all, on the path that SIGHUP takes.
-    async fn apply(&self, snapshot: Snapshot, lay: &impl Fn(Vec<Layer>) -> Result<(), String>) {
+    async fn apply(&self, snapshot: ConfigurationSnapshot, lay: &impl Fn(Vec<Layer>) -> Result<(), String>) {
         let version = snapshot.version;
         if let Err(why) = lay(layers(&snapshot)) {
             let why = one_line(&why);
-            let before = self.report().in_force;
+            let before = self.report().active;
             tracing::warn!("configuration {version} is refused, {before} stays in force: {why}");
-            self.follower.borrow_mut().refuse(version, &why);
+            self.follower.borrow_mut().reject(version, &why);
             return;
         }
         tracing::info!("configuration {version} is in force");
@@ -223,13 +230,13 @@
                 }
             }
         }
-        self.follower.borrow_mut().applied(snapshot);
+        self.follower.borrow_mut().activate(snapshot);
     }
 
     /// For operators.
     fn show(&self, board: &Switchboard) {
-        let Report { in_force, refused, .. } = self.report();
-        let (told, kept) = (self.follower.borrow().told(), self.is_kept.get());
+        let ConfigurationReport { active: in_force, rejected: refused, .. } = self.report();
+        let (told, kept) = (self.follower.borrow().notified_version(), self.is_kept.get());
         let shown = ops::Followed { in_force, told, refused, kept };
         board.note(|control| control.configuration = Some(shown));
     }
--- a/crates/fernroute-server/src/program/kept.rs
+++ b/crates/fernroute-server/src/program/configuration_cache.rs
@@ -1,7 +1,7 @@
 //! The copy of the fleet's configuration on a balancer's disk: whole, or the one before it; never an older one over a newer.
 
-use fernroute_fleet::configuration::follower::Snapshot;
-use fernroute_fleet::configuration::Place;
+use fernroute_fleet::configuration::follower::ConfigurationSnapshot;
+use fernroute_fleet::configuration::Target;
 use std::fs::File;
 use std::io::{ErrorKind, Write as _};
 use std::path::{Path, PathBuf};
@@ -10,15 +10,15 @@
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
-pub struct Kept {
+pub struct ConfigurationCache {
     path: PathBuf,
     /// One writes at a time, also where the disk holds up one that nobody waits for any more.
     writes: Arc<Mutex<()>>,
 }
 
-impl Kept {
+impl ConfigurationCache {
     pub fn new(path: PathBuf) -> Self {
-        Kept { path, writes: Arc::default() }
+        ConfigurationCache { path, writes: Arc::default() }
     }
 
     pub fn path(&self) -> &Path {
@@ -26,18 +26,19 @@
     }
 
     /// What is kept for this place, if anything is; an error says why it is not to be gone by.
-    pub fn read(&self, place: &Place) -> Result<Option<Snapshot>, String> {
+    pub fn read(&self, place: &Target) -> Result<Option<ConfigurationSnapshot>, String> {
         let text = match std::fs::read(&self.path) {
             Ok(text) => text,
             Err(why) if why.kind() == ErrorKind::NotFound => return Ok(None),
             Err(why) => return Err(why.to_string()),
         };
-        let kept: Snapshot = serde_json::from_slice(&text).map_err(|why| format!("it is damaged: {why}"))?;
+        let kept: ConfigurationSnapshot =
+            serde_json::from_slice(&text).map_err(|why| format!("it is damaged: {why}"))?;
         if !kept.is_sound() {
             return Err("it is damaged: a content is not what its hash says, or one is missing".to_owned());
         }
-        if !kept.is_for(place) {
-            let Place { name, service, zone } = place;
+        if !kept.matches(place) {
+            let Target { name, service, zone } = place;
             return Err(format!(
                 "it is not of the balancer {name} of the service {service} in the zone {zone}"
             ));
@@ -46,7 +47,12 @@
     }
 
     /// Beside the RPCs, which wait for no disk; and no longer than `within`.
-    pub async fn write(&self, place: &Place, snapshot: &Snapshot, within: Duration) -> Result<(), String> {
+    pub async fn write(
+        &self,
+        place: &Target,
+        snapshot: &ConfigurationSnapshot,
+        within: Duration,
+    ) -> Result<(), String> {
         let (place, snapshot) = (place.clone(), snapshot.clone());
         let (path, writes) = (self.path.clone(), Arc::clone(&self.writes));
         let (done, written) = oneshot::channel();
@@ -66,8 +72,8 @@
 }
 
 /// Written beside it, synced, renamed, and the folder synced: after a crash it is the one or the other, whole.
-fn put(path: &Path, place: &Place, snapshot: &Snapshot) -> Result<(), String> {
-    let had = Kept::new(path.to_owned()).read(place).ok().flatten();
+fn put(path: &Path, place: &Target, snapshot: &ConfigurationSnapshot) -> Result<(), String> {
+    let had = ConfigurationCache::new(path.to_owned()).read(place).ok().flatten();
     if had.is_some_and(|had| had.version > snapshot.version) {
         // Another process of this balancer is ahead, or a later one was written while this one waited.
         return Ok(());
--- a/crates/fernroute-server/src/program/stewards.rs
+++ b/crates/fernroute-server/src/program/coordinators.rs
@@ -3,24 +3,24 @@
 use crate::routing::switchboard::Switchboard;
 use awc::Client;
 use fernroute_config::Fleet;
-use fernroute_fleet::message::{Envelope, VERSION};
+use fernroute_fleet::message::{Envelope, PROTOCOL_VERSION};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 
-pub struct Stewards {
+pub struct CoordinatorClient {
     pub cluster: String,
     pub addresses: Vec<SocketAddr>,
     client: Client,
     board: Rc<Switchboard>,
 }
 
-impl Stewards {
+impl CoordinatorClient {
     pub fn new(fleet: &Fleet, board: Rc<Switchboard>) -> Self {
         let client = Client::builder().disable_redirects().finish();
-        Stewards { cluster: fleet.cluster.clone(), addresses: fleet.stewards.clone(), client, board }
+        CoordinatorClient { cluster: fleet.cluster.clone(), addresses: fleet.stewards.clone(), client, board }
     }
 
     /// The answer of the steward there, if it comes within this time and is no longer than `most`.
@@ -32,7 +32,8 @@
         within: Duration,
         most: usize,
     ) -> Result<A, String> {
-        let envelope = Envelope { cluster: self.cluster.clone(), version: VERSION, to: 0, message };
+        let envelope =
+            Envelope { cluster: self.cluster.clone(), version: PROTOCOL_VERSION, recipient: 0, message };
         let body = serde_json::to_vec(&envelope).map_err(|e| e.to_string())?;
         self.board.note(|control| control.sent_bytes += body.len() as u64);
         let call = self.client.post(format!("http://{at}{path}")).timeout(within);
--- a/crates/fernroute-server/src/program/share.rs
+++ b/crates/fernroute-server/src/program/descriptor_quota.rs
@@ -12,7 +12,7 @@
 const FEWEST: usize = 10;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Share {
+pub struct DescriptorQuota {
     /// What the balancer may hold.
     pub whole: usize,
     /// What this process may hold of it.
@@ -22,9 +22,9 @@
     own: usize,
 }
 
-impl Share {
+impl DescriptorQuota {
     pub fn new(whole: usize, door: bool) -> Self {
-        Share { whole, part: whole, handed: false, own: OWN + if door { DOOR } else { 0 } }
+        DescriptorQuota { whole, part: whole, handed: false, own: OWN + if door { DOOR } else { 0 } }
     }
 
     /// The most connections of callers and to upstreams. An RPC holds one on each side, and callers keep theirs between
@@ -72,14 +72,14 @@
     fn two_processes_hold_no_more_than_one_may() {
         for whole in [128, 256, 384, 1024] {
             for door in [false, true] {
-                let alone = Share::new(whole, door);
+                let alone = DescriptorQuota::new(whole, door);
                 let (callers, upstreams) = alone.connections();
                 assert!(callers + upstreams + OWN <= whole && callers > upstreams);
                 for connections in 0..=callers + upstreams {
                     let mut old = alone;
                     old.keep(connections);
                     let (kept_callers, kept_upstreams) = old.connections();
-                    let mut new = Share { part: old.left(connections), ..alone };
+                    let mut new = DescriptorQuota { part: old.left(connections), ..alone };
                     let now = old.held(connections).max(old.part);
                     assert!(now + new.part <= whole, "{whole} {connections}");
                     if alone.held(connections) + 16 <= whole / 2 {
@@ -96,9 +96,12 @@
                 }
             }
         }
-        let half = Share { part: 128, ..Share::new(256, true) };
-        assert_eq!((half.memory(32 << 20), Share::new(256, true).memory(32 << 20)), (16 << 20, 32 << 20));
-        let (callers, upstreams) = Share::new(64, true).connections();
+        let half = DescriptorQuota { part: 128, ..DescriptorQuota::new(256, true) };
+        assert_eq!(
+            (half.memory(32 << 20), DescriptorQuota::new(256, true).memory(32 << 20)),
+            (16 << 20, 32 << 20)
+        );
+        let (callers, upstreams) = DescriptorQuota::new(64, true).connections();
         assert!(callers >= 4 && upstreams >= 4);
     }
 }
--- a/crates/fernroute-server/src/program/fleet.rs
+++ b/crates/fernroute-server/src/program/fleet.rs
@@ -1,18 +1,18 @@
 //! The balancer's part in a fleet: a task beside the RPCs that says what is asked, and hears what is granted. No RPC waits
 //! for it, and it waits for none. Where no fleet is named nothing of this runs.
 
-use super::configuration::Followed;
+use super::configuration::ConfigurationTask;
+use super::coordinators::CoordinatorClient;
 use super::duties::HeldDuties;
-use super::stewards::Stewards;
 use crate::protocol::ops::Control;
 use crate::routing::clock::{duration, tenths, Clock};
 use crate::routing::switchboard::Switchboard;
 use fernroute::{Settings, Time, RETRY_BUDGET, TRIAL_BUDGET};
 use fernroute_config::Fleet;
-use fernroute_fleet::demand::Meter;
-use fernroute_fleet::member::{Handed, Heard, Member};
-use fernroute_fleet::message::{Answer, Beat, Unanswered, BEAT};
-use fernroute_fleet::Shares;
+use fernroute_fleet::demand::DemandMeter;
+use fernroute_fleet::member::{Member, MemberHandover, ReplyStatus};
+use fernroute_fleet::message::{Heartbeat, HeartbeatError, HeartbeatReply, HEARTBEAT_PATH};
+use fernroute_fleet::BudgetAmounts;
 use std::cell::{Cell, RefCell};
 use std::fs::{File, TryLockError};
 use std::io::{Read as _, Seek as _, Write as _};
@@ -36,17 +36,17 @@
     place: PathBuf,
     fleet: &Fleet,
     terms: &Settings,
-    handed: Option<(Handed, Instant)>,
-    followed: Option<Rc<Followed>>,
-) -> Rc<Part> {
+    handed: Option<(MemberHandover, Instant)>,
+    followed: Option<Rc<ConfigurationTask>>,
+) -> Rc<FleetMember> {
     let now = board.clock.now();
     board.control.replace(Some(Control::default()));
     let member = handed.map(|(handed, asked)| {
         let asked = now.saturating_sub(tenths(asked.elapsed()));
         Member::take_over(name, asked, first(), &handed)
     });
-    let part = Rc::new(Part {
-        stewards: Stewards::new(fleet, Rc::clone(&board)),
+    let part = Rc::new(FleetMember {
+        stewards: CoordinatorClient::new(fleet, Rc::clone(&board)),
         duties: HeldDuties::new(Rc::clone(&board), draw()),
         board,
         followed,
@@ -55,7 +55,7 @@
         member: RefCell::new(member),
         handed: Cell::new(false),
         divides: fleet.divides.clone(),
-        further: RefCell::new((Meter::new(now), 0)),
+        further: RefCell::new((DemandMeter::new(now), 0)),
     });
     part.divide_by(terms);
     actix_rt::spawn(Rc::clone(&part).follow(place));
@@ -67,12 +67,12 @@
     Clock::start().now() << 8
 }
 
-pub struct Part {
+pub struct FleetMember {
     board: Rc<Switchboard>,
-    stewards: Stewards,
+    stewards: CoordinatorClient,
     pub duties: HeldDuties,
     /// The fleet's configuration, where it goes by it.
-    followed: Option<Rc<Followed>>,
+    followed: Option<Rc<ConfigurationTask>>,
     beat: Duration,
     name: String,
     /// None until it is known who this balancer is in the ledger.
@@ -82,10 +82,10 @@
     /// What is divided beside tenants' shares.
     divides: Vec<&'static str>,
     /// Transmissions beyond the first that would have been of use, and how many there had been at the last look.
-    further: RefCell<(Meter, u64)>,
+    further: RefCell<(DemandMeter, u64)>,
 }
 
-impl Part {
+impl FleetMember {
     /// What is asked of each tenant of these terms is counted from now on. Guards against a tenant that is new and has an even
     /// part beside what is granted, and against one that is gone and has all grants refused with it.
     pub fn divide_by(&self, terms: &Settings) {
@@ -94,7 +94,7 @@
         let names = (0..count).filter_map(|i: usize| terms.get(&format!("tenants.{i}.name")).cloned());
         let mut before = self.board.asked.take().unwrap_or_default();
         let meter = |name: String| {
-            let meter = before.remove(&name).unwrap_or_else(|| Meter::new(now));
+            let meter = before.remove(&name).unwrap_or_else(|| DemandMeter::new(now));
             (name, meter)
         };
         self.board.asked.replace(Some(names.map(meter).collect()));
@@ -102,7 +102,7 @@
     }
 
     /// A successor asks for what this process holds: half of it goes over.
-    pub fn hand_over(&self) -> Option<Handed> {
+    pub fn hand_over(&self) -> Option<MemberHandover> {
         self.duties.set_replaced(true);
         let now = self.board.clock.now();
         let handed = self.member.borrow_mut().as_mut()?.hand_over(now)?;
@@ -113,7 +113,7 @@
 
     /// The process before this one has ended.
     pub fn take_all(&self) {
-        self.member.borrow_mut().iter_mut().for_each(Member::take_all);
+        self.member.borrow_mut().iter_mut().for_each(Member::own_whole_grant);
         self.grant();
     }
 
@@ -121,7 +121,7 @@
     pub fn take_back(&self) {
         self.duties.set_replaced(false);
         if self.handed.replace(false) {
-            self.member.borrow_mut().iter_mut().for_each(|member| member.take_back(first()));
+            self.member.borrow_mut().iter_mut().for_each(|member| member.resume_after_handover(first()));
             self.grant();
         }
     }
@@ -144,8 +144,12 @@
             let now = self.board.clock.now();
             let wants = self.wants(now);
             let quiet = self.handed.get();
-            let beat =
-                self.member.borrow_mut().as_mut().filter(|_| !quiet).map(|member| member.beat(now, wants));
+            let beat = self
+                .member
+                .borrow_mut()
+                .as_mut()
+                .filter(|_| !quiet)
+                .map(|member| member.heartbeat(now, wants));
             let Some(mut beat) = beat else {
                 actix_rt::time::sleep(self.beat).await;
                 continue;
@@ -161,20 +165,21 @@
                 followed.hear(answer.configuration);
             }
             let now = self.board.clock.now();
-            let hear =
-                |answer| self.member.borrow_mut().as_mut().map_or(Heard::Stale, |m| m.hear(now, answer));
+            let hear = |answer| {
+                self.member.borrow_mut().as_mut().map_or(ReplyStatus::Stale, |m| m.on_reply(now, answer))
+            };
             let news = match said {
                 Ok(answer) => match hear(&answer) {
-                    Heard::Anew | Heard::Longer => {
+                    ReplyStatus::NewGrant | ReplyStatus::Extended => {
                         self.grant();
-                        if answer.shares_for < 3 * tenths(self.beat) {
+                        if answer.quotas_valid_for < 3 * tenths(self.beat) {
                             "shares end before three beats: lengthen them, or beat more often".to_owned()
                         } else {
                             format!("of the fleet {}", self.stewards.cluster)
                         }
                     }
                     // It was long on its way; the next one may not be.
-                    Heard::Stale | Heard::Older => told.clone(),
+                    ReplyStatus::Stale | ReplyStatus::OlderEpoch => told.clone(),
                 },
                 Err(why) => format!("nothing is granted by the fleet {}: {why}", self.stewards.cluster),
             };
@@ -204,21 +209,21 @@
         }
     }
 
-    fn wants(&self, now: Time) -> Shares {
+    fn wants(&self, now: Time) -> BudgetAmounts {
         /// A breaker closes by three trials: as many in a second while any upstream is out of use.
         const OF_TRIALS: u64 = 3_000;
         let mut asked = self.board.asked.borrow_mut();
-        let mut wants: Shares =
-            asked.iter_mut().flatten().map(|(name, meter)| (name.clone(), meter.wants(now))).collect();
+        let mut wants: BudgetAmounts =
+            asked.iter_mut().flatten().map(|(name, meter)| (name.clone(), meter.demand(now))).collect();
         for budget in &self.divides {
             let want = match *budget {
                 TRIAL_BUDGET if self.board.standing().1 > 0 => OF_TRIALS,
-                FURTHER => {
+                RETRY_BUDGET => {
                     let (meter, seen) = &mut *self.further.borrow_mut();
                     let wished = self.board.wished();
                     (*seen..wished).for_each(|_| meter.count(now));
                     *seen = wished;
-                    meter.wants(now)
+                    meter.demand(now)
                 }
                 _ => 0,
             };
@@ -242,16 +247,16 @@
     }
 
     /// To the steward that answered last, or that was said to lead; then to the others. `to` is its place.
-    async fn say(&self, beat: &Beat, to: &mut usize) -> Result<Answer, String> {
+    async fn say(&self, beat: &Heartbeat, to: &mut usize) -> Result<HeartbeatReply, String> {
         let mut why = String::new();
         let all = &self.stewards.addresses;
         for _ in 0..=all.len() {
             let at = all[*to % all.len()];
             self.board.note(|control| control.beats += 1);
-            match self.stewards.ask(at, BEAT, beat, self.beat, MOST_ANSWER).await {
+            match self.stewards.ask(at, HEARTBEAT_PATH, beat, self.beat, MOST_ANSWER).await {
                 Ok(Ok(answer)) => return Ok(answer),
-                Ok(Err(Unanswered::Refused(refusal))) => return Err(format!("{at}: {refusal:?}")),
-                Ok(Err(Unanswered::Elsewhere(leader))) => {
+                Ok(Err(HeartbeatError::Rejected(refusal))) => return Err(format!("{at}: {refusal:?}")),
+                Ok(Err(HeartbeatError::NotLeader(leader))) => {
                     why = format!("{at}: another one leads, or none");
                     let leader = leader.and_then(|leader| leader.parse().ok());
                     let known = all.iter().position(|at| Some(*at) == leader);
--- a/crates/fernroute-server/src/program/station.rs
+++ b/crates/fernroute-server/src/program/instance.rs
@@ -15,7 +15,7 @@
 pub type Layer = (String, String);
 
 #[derive(Clone, Debug)]
-pub struct Station {
+pub struct Instance {
     pub name: String,
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
@@ -42,7 +42,7 @@
 
 /// The file as it is written.
 #[derive(Deserialize)]
-struct Page {
+struct RawInstance {
     name: String,
     listen: SocketAddr,
     discovery: SocketAddr,
@@ -68,9 +68,9 @@
     }
 }
 
-impl Station {
+impl Instance {
     pub fn read(path: &Path) -> Result<Self, String> {
-        Station::of(path, &Station::text(path)?, &[])
+        Instance::of(path, &Instance::text(path)?, &[])
     }
 
     /// What stands in the file.
@@ -81,7 +81,7 @@
     /// The file with this text, and what a fleet's stewards hand out laid over it.
     pub fn of(path: &Path, text: &str, parts: &[Layer]) -> Result<Self, String> {
         let own = path.extension().is_some_and(|e| e == "toml");
-        let station = if own { Station::decode_under(text, parts) } else { Station::decode(text) };
+        let station = if own { Instance::decode_under(text, parts) } else { Instance::decode(text) };
         let station = station.map_err(|e| format!("{}: {e}", path.display()))?;
         station.with_door(std::env::var("NODE_OPS").ok().as_deref())
     }
@@ -99,7 +99,7 @@
 
     /// A file of an installation of its own; all that is wrong with it, in one line.
     pub fn decode_own(text: &str) -> Result<Self, String> {
-        Station::decode_under(text, &[])
+        Instance::decode_under(text, &[])
     }
 
     /// The same, under parts that a fleet's stewards hand out, the first the widest.
@@ -126,7 +126,7 @@
         let known = (!entries.is_empty()).then_some(List { version: 0, full: true, entries });
         // Another with each start, where the file does not say.
         let by_clock = || SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_nanos() as u64;
-        Ok(Station {
+        Ok(Instance {
             name: plan.name,
             listen: plan.listen,
             discovery: plan.discovery,
@@ -142,7 +142,7 @@
     }
 
     pub fn decode(text: &str) -> Result<Self, String> {
-        let page: Page = serde_json::from_str(text).map_err(|e| e.to_string())?;
+        let page: RawInstance = serde_json::from_str(text).map_err(|e| e.to_string())?;
         if page.limits.sockets < LEAST_DESCRIPTORS {
             return Err(format!("limits.sockets is under {LEAST_DESCRIPTORS}"));
         }
@@ -153,7 +153,7 @@
             Value::Null => None,
             known => Some(list::decode(&known).ok_or("known is not a list of upstreams")?),
         };
-        Ok(Station {
+        Ok(Instance {
             name: page.name,
             listen: page.listen,
             discovery: page.discovery,
@@ -170,7 +170,7 @@
 
     /// What `new` says otherwise that a running balancer can't take over. The seed is for starts alone, and the
     /// list that was known is older than the one that this balancer has.
-    pub fn differs(&self, new: &Station) -> Vec<String> {
+    pub fn differs(&self, new: &Instance) -> Vec<String> {
         let mut what = Vec::new();
         let mut note = |differs: bool, name: &str| what.extend(differs.then(|| name.to_owned()));
         note(self.name != new.name, "name");
--- a/crates/fernroute-server/src/program/mod.rs
+++ b/crates/fernroute-server/src/program/mod.rs
@@ -2,16 +2,16 @@
 
 pub mod commands;
 pub mod configuration;
+pub mod configuration_cache;
+pub mod coordinators;
+pub mod descriptor_quota;
 mod duties;
 pub mod fleet;
-pub mod kept;
+pub mod instance;
 pub mod log;
 pub mod ops;
 pub mod reload;
 pub mod running;
 pub mod serve;
-pub mod share;
 pub mod shutdown;
-pub mod station;
-pub mod stewards;
 pub mod upgrade;
--- a/crates/fernroute-server/src/program/reload.rs
+++ b/crates/fernroute-server/src/program/reload.rs
@@ -3,8 +3,8 @@
 //! half written say, changes nothing. Of signals that come together the last file counts. Once told to stop nothing is
 //! read again; in a drain and beside a successor it is as ever.
 
-use super::running::Running;
-use super::station::{Layer, Station};
+use super::instance::{Instance, Layer};
+use super::running::RunningInstance;
 use std::cell::RefCell;
 use std::path::{Path, PathBuf};
 use tokio::signal::unix::{signal, Signal, SignalKind};
@@ -15,7 +15,12 @@
 }
 
 /// Reads the file again at each SIGHUP, for as long as the program runs; `taken` hears of each that is in force.
-pub async fn follow(mut signals: Signal, running: &Running, in_force: &InForce, taken: impl Fn()) {
+pub async fn follow(
+    mut signals: Signal,
+    running: &RunningInstance,
+    in_force: &ActiveConfiguration,
+    taken: impl Fn(),
+) {
     while signals.recv().await.is_some() {
         match in_force.read_again(running) {
             Ok(()) => taken(),
@@ -25,23 +30,23 @@
 }
 
 /// What the balancer goes by: its own file as it was read last, the fleet's parts over it, and what came of the two.
-pub struct InForce {
+pub struct ActiveConfiguration {
     path: PathBuf,
     own: RefCell<String>,
     parts: RefCell<Vec<Layer>>,
-    station: RefCell<Station>,
+    station: RefCell<Instance>,
 }
 
-impl InForce {
+impl ActiveConfiguration {
     /// At a start: the station was read from this file.
-    pub fn new(path: &Path, station: Station) -> Result<Self, String> {
+    pub fn new(path: &Path, station: Instance) -> Result<Self, String> {
         // It is read twice at a start; who changes it in between sends SIGHUP anyway.
-        let own = if station.fleet.is_some() { Station::text(path)? } else { String::new() };
+        let own = if station.fleet.is_some() { Instance::text(path)? } else { String::new() };
         let (path, station) = (path.to_owned(), RefCell::new(station));
-        Ok(InForce { path, own: RefCell::new(own), parts: RefCell::default(), station })
+        Ok(ActiveConfiguration { path, own: RefCell::new(own), parts: RefCell::default(), station })
     }
 
-    pub fn station(&self) -> Station {
+    pub fn station(&self) -> Instance {
         self.station.borrow().clone()
     }
 
@@ -55,8 +60,8 @@
     }
 
     /// The file as it is now, with the parts that are in force.
-    fn read_again(&self, running: &Running) -> Result<(), String> {
-        let own = Station::text(&self.path)?;
+    fn read_again(&self, running: &RunningInstance) -> Result<(), String> {
+        let own = Instance::text(&self.path)?;
         let discovery = self.station.borrow().discovery;
         let parts = self.parts.borrow().clone();
         for what in self.take_over(running, own, parts)? {
@@ -73,13 +78,18 @@
 
     /// Other parts over the file as it was read last. What needs a restart no part says, and what the file says of it has been
     /// told as it was read.
-    pub fn lay_over(&self, running: &Running, parts: Vec<Layer>) -> Result<(), String> {
+    pub fn lay_over(&self, running: &RunningInstance, parts: Vec<Layer>) -> Result<(), String> {
         let own = self.own.borrow().clone();
         self.take_over(running, own, parts).map(drop)
     }
 
     /// The one path by which new terms reach a running balancer; what of it needs a restart.
-    fn take_over(&self, running: &Running, own: String, parts: Vec<Layer>) -> Result<Vec<String>, String> {
+    fn take_over(
+        &self,
+        running: &RunningInstance,
+        own: String,
+        parts: Vec<Layer>,
+    ) -> Result<Vec<String>, String> {
         let new = self.outcome(&own, &parts)?;
         running.new_terms(&new.terms)?;
         let mut station = self.station.borrow_mut();
@@ -96,7 +106,7 @@
         Ok(late)
     }
 
-    fn outcome(&self, own: &str, parts: &[Layer]) -> Result<Station, String> {
-        Station::of(&self.path, own, parts)
+    fn outcome(&self, own: &str, parts: &[Layer]) -> Result<Instance, String> {
+        Instance::of(&self.path, own, parts)
     }
 }
--- a/crates/fernroute-server/src/program/running.rs
+++ b/crates/fernroute-server/src/program/running.rs
@@ -1,8 +1,8 @@
 //! A balancer that serves, and what its other parts may do to it while it runs.
 
-use super::fleet::Part;
-use super::share::Share;
-use super::station::bad_setting;
+use super::descriptor_quota::DescriptorQuota;
+use super::fleet::FleetMember;
+use super::instance::bad_setting;
 use crate::protocol::handover::Known;
 use crate::routing::switchboard::Switchboard;
 use crate::transport::discovery::Watch;
@@ -20,7 +20,7 @@
 pub(super) const WAITING: u32 = 1024;
 
 /// A balancer that serves.
-pub struct Running {
+pub struct RunningInstance {
     pub board: Rc<Switchboard>,
     pub server: Rc<Server>,
     pub address: SocketAddr,
@@ -30,17 +30,17 @@
     pub(super) bound: Cell<Option<TcpSocket>>,
     pub(super) name: String,
     pub(super) listen: SocketAddr,
-    pub(super) share: Cell<Share>,
+    pub(super) share: Cell<DescriptorQuota>,
     pub(super) memory: usize,
     pub(super) discovery: Cell<SocketAddr>,
     /// Where each watch waits for the decisions to ask.
     pub(super) asks: Cell<bool>,
     pub(super) watch: RefCell<Option<JoinHandle<()>>>,
     /// Its part in a fleet, if it is of one.
-    pub(super) part: RefCell<Option<Rc<Part>>>,
+    pub(super) part: RefCell<Option<Rc<FleetMember>>>,
 }
 
-impl Running {
+impl RunningInstance {
     /// Watches the list here from now on, and nowhere else. The balancer serves on what it has until then.
     pub fn turn_to(&self, discovery: SocketAddr) {
         // Its versions are its own, so it is asked for all there is, and at once.
@@ -96,7 +96,7 @@
     }
 
     /// Tells its part in a fleet what becomes of this process, where it has one.
-    pub fn part(&self, tell: impl FnOnce(&Part)) {
+    pub fn part(&self, tell: impl FnOnce(&FleetMember)) {
         if let Some(part) = &*self.part.borrow() {
             tell(part);
         }
@@ -117,12 +117,12 @@
         self.server.connections() + self.board.client.connections()
     }
 
-    pub fn share(&self) -> Share {
+    pub fn share(&self) -> DescriptorQuota {
         self.share.get()
     }
 
     /// Changes what this process may hold; who is idle beyond that goes.
-    pub fn set_share(&self, change: impl FnOnce(&mut Share)) {
+    pub fn set_share(&self, change: impl FnOnce(&mut DescriptorQuota)) {
         let mut share = self.share.get();
         change(&mut share);
         self.share.set(share);
--- a/crates/fernroute-server/src/program/serve.rs
+++ b/crates/fernroute-server/src/program/serve.rs
@@ -1,11 +1,11 @@
 //! Puts the layers together and runs them on one thread.
 
-use super::configuration::Followed;
-use super::reload::InForce;
+use super::configuration::ConfigurationTask;
+use super::descriptor_quota::DescriptorQuota;
+use super::instance::{bad_setting, Instance};
+use super::reload::ActiveConfiguration;
 use super::running::{asks, WAITING};
-use super::share::Share;
-use super::station::{bad_setting, Station};
-use super::upgrade::{self, Before};
+use super::upgrade::{self, Predecessor};
 use super::{configuration, fleet, ops, reload, shutdown};
 use crate::protocol::handover::Known;
 use crate::routing::phase::Closing;
@@ -24,19 +24,19 @@
 use std::time::Duration;
 use tokio::net::TcpSocket;
 
-pub use super::running::Running;
+pub use super::running::RunningInstance;
 
 /// How often connections are looked over: their times are to a tenth.
 const SWEEP: Duration = Duration::from_millis(200);
 
 /// Serves until told to stop; `path` is the file that the station was read from.
-pub fn serve(station: Station, path: &Path) -> Result<(), String> {
+pub fn serve(station: Instance, path: &Path) -> Result<(), String> {
     station.check()?;
     let runtime = actix_rt::Runtime::new().map_err(|e| format!("runtime: {e}"))?;
     runtime.block_on(async {
         // Both before all else: a signal that comes early is kept, and ends nothing.
         let (again, stop) = (reload::signals()?, shutdown::signals()?);
-        let Begun { running, in_force, followed, handed_over } = begin(station, path).await?;
+        let StartedInstance { running, in_force, followed, handed_over } = begin(station, path).await?;
         let taken = || followed.iter().for_each(|followed| followed.retry());
         let mut stop = pin!(stop);
         let stop = select(&mut stop, handed_over);
@@ -55,17 +55,17 @@
 }
 
 /// A balancer that has begun: all that a process of it is, but for the signals that it is told by.
-pub struct Begun {
-    pub running: Rc<Running>,
-    pub in_force: Rc<InForce>,
-    pub followed: Option<Rc<Followed>>,
+pub struct StartedInstance {
+    pub running: Rc<RunningInstance>,
+    pub in_force: Rc<ActiveConfiguration>,
+    pub followed: Option<Rc<ConfigurationTask>>,
     /// Ends once a successor serves. It goes on while the program stops: a successor may still be told what is left to it.
     pub handed_over: JoinHandle<Result<(), String>>,
 }
 
 /// Begins a balancer on the running thread, in the place of the process that is there, if there is one.
-pub async fn begin(station: Station, path: &Path) -> Result<Begun, String> {
-    let in_force = Rc::new(InForce::new(path, station.clone())?);
+pub async fn begin(station: Instance, path: &Path) -> Result<StartedInstance, String> {
+    let in_force = Rc::new(ActiveConfiguration::new(path, station.clone())?);
     let followed = configuration::begin(&station, |parts| in_force.begin_with(parts))?;
     let station = in_force.station();
     let before = upgrade::look(&station.name, station.listen).await?;
@@ -77,7 +77,7 @@
         actix_rt::spawn(Rc::clone(followed).follow(board, lay));
     }
     let handed_over = actix_rt::spawn(upgrade::follow(Rc::clone(&running), before, followed.clone()));
-    Ok(Begun { running, in_force, followed, handed_over })
+    Ok(StartedInstance { running, in_force, followed, handed_over })
 }
 
 /// A socket that nobody can connect to yet. Another process may come to this address as well, where handing the socket
@@ -104,29 +104,29 @@
 }
 
 /// Starts a balancer on the running thread, the only process of it.
-pub async fn start(station: Station) -> Result<Running, String> {
-    start_after(station, Before::Nobody, None).await.map(|(running, _)| running)
+pub async fn start(station: Instance) -> Result<RunningInstance, String> {
+    start_after(station, Predecessor::Nobody, None).await.map(|(running, _)| running)
 }
 
 /// The same, in the place of the process that was there before. One that goes by the fleet's configuration is not to
 /// serve before it is told to begin.
 pub async fn start_after(
-    mut station: Station,
-    mut before: Before,
-    followed: Option<Rc<Followed>>,
-) -> Result<(Running, Before), String> {
-    let mut share = Share::new(granted(station.descriptors), station.ops.is_some());
-    if let Before::Serving(other) = &before {
+    mut station: Instance,
+    mut before: Predecessor,
+    followed: Option<Rc<ConfigurationTask>>,
+) -> Result<(RunningInstance, Predecessor), String> {
+    let mut share = DescriptorQuota::new(granted(station.descriptors), station.ops.is_some());
+    if let Predecessor::Serving(other) = &before {
         share.part = other.descriptors.min(share.whole);
     }
     let (callers, upstreams) = share.connections();
     let board = Switchboard::new(&station.terms, station.seed, upstreams, share.memory(station.memory))
         .map_err(|bad| bad_setting(&bad))?;
-    let serves = matches!(before, Before::Nobody) && followed.is_none();
+    let serves = matches!(before, Predecessor::Nobody) && followed.is_none();
     if !serves {
         board.phase_change(|phase, _| phase.wait());
     }
-    if let Before::Unknown = &before {
+    if let Predecessor::Unknown = &before {
         // All there is, at once: a call for what is newer waits until there is something.
         station.since = None;
     }
@@ -142,14 +142,14 @@
     }
     let trouble = |e| format!("listen on {}: {e}", station.listen);
     let given = match &mut before {
-        Before::Serving(other) => other.listener.take(),
+        Predecessor::Serving(other) => other.listener.take(),
         _ => None,
     };
     // Beside a process that may serve, nobody is to come to this one's queue before it is served from: a share of that
     // one's callers would wait there unread.
     let (listener, bound) = match (given, &before) {
         (Some(listener), _) => (Some(listener), None),
-        (None, Before::Unknown) => (None, Some(bind(station.listen).map_err(trouble)?)),
+        (None, Predecessor::Unknown) => (None, Some(bind(station.listen).map_err(trouble)?)),
         (None, _) => (Some(bind(station.listen).and_then(|s| s.listen(WAITING)).map_err(trouble)?), None),
     };
     let address = match (&listener, &bound) {
@@ -179,7 +179,7 @@
     if let Some(door) = door {
         tracing::info!("operators are answered on {door}");
     }
-    let running = Running {
+    let running = RunningInstance {
         board,
         server,
         address,
@@ -197,7 +197,7 @@
     running.watch(station.discovery, station.since);
     if let Some(fleet) = &station.fleet {
         let handed = match &mut before {
-            Before::Serving(other) => other.member.take(),
+            Predecessor::Serving(other) => other.member.take(),
             _ => None,
         };
         let place = running.meeting()?.with_extension("member");
--- a/crates/fernroute-server/src/program/upgrade.rs
+++ b/crates/fernroute-server/src/program/upgrade.rs
@@ -5,11 +5,11 @@
 //! next answer, tells what it leaves, and ends. Whatever goes wrong, both go on: the new process listens for itself, the
 //! old one takes back what it gave.
 
-use super::configuration::Followed;
-use super::running::Running;
+use super::configuration::ConfigurationTask;
+use super::running::RunningInstance;
 use crate::protocol::handover::{FromNew, FromOld, Known};
 use crate::transport::handover::{self as transport, Link, Meeting};
-use fernroute_fleet::member::Handed;
+use fernroute_fleet::member::MemberHandover;
 use futures_util::future::{join, select, Either};
 use std::future::Future;
 use std::net::SocketAddr;
@@ -35,35 +35,35 @@
 const TELL: Duration = Duration::from_millis(100);
 
 /// The process that was there before this one.
-pub enum Before {
+pub enum Predecessor {
     Nobody,
-    Serving(Box<Serving>),
+    Serving(Box<ServingPredecessor>),
     /// Somebody may be there, and does not hand over.
     Unknown,
 }
 
-impl Before {
-    pub fn serving(&self) -> Option<&Serving> {
+impl Predecessor {
+    pub fn serving(&self) -> Option<&ServingPredecessor> {
         match self {
-            Before::Serving(other) => Some(other),
+            Predecessor::Serving(other) => Some(other),
             _ => None,
         }
     }
 }
 
 /// An old process that hands over.
-pub struct Serving {
+pub struct ServingPredecessor {
     link: Link,
     pub listener: Option<TcpListener>,
     pub list: Known,
     pub descriptors: usize,
     /// Its half of a fleet's budgets, if it handed one over, and when it was asked to.
-    pub member: Option<(Handed, Instant)>,
+    pub member: Option<(MemberHandover, Instant)>,
 }
 
 /// Asks the process that serves at this address, if there is one, to hand over. An error is its word that it won't. Guards
 /// against a restart that comes to nothing since the process before it is still answering its last callers.
-pub async fn look(name: &str, listen: SocketAddr) -> Result<Before, String> {
+pub async fn look(name: &str, listen: SocketAddr) -> Result<Predecessor, String> {
     let from = Instant::now();
     loop {
         if let Some(before) = look_once(name, listen).await? {
@@ -71,14 +71,14 @@
         }
         if from.elapsed() >= ENDS {
             tracing::warn!("the process before is still ending, starting all the same");
-            return Ok(Before::Nobody);
+            return Ok(Predecessor::Nobody);
         }
         actix_rt::time::sleep(TELL).await;
     }
 }
 
 /// None where the process that is there is ending.
-async fn look_once(name: &str, listen: SocketAddr) -> Result<Option<Before>, String> {
+async fn look_once(name: &str, listen: SocketAddr) -> Result<Option<Predecessor>, String> {
     let asked = async {
         let path = transport::path(name, listen)?;
         let link = match Link::connect(&path).await {
@@ -97,21 +97,24 @@
         }
     };
     match asked.await {
-        Ok(None) => Ok(Some(Before::Nobody)),
-        Ok(Some(Ok(serving))) => Ok(Some(Before::Serving(Box::new(serving)))),
+        Ok(None) => Ok(Some(Predecessor::Nobody)),
+        Ok(Some(Ok(serving))) => Ok(Some(Predecessor::Serving(Box::new(serving)))),
         Ok(Some(Err((_, true)))) => Ok(None),
         Ok(Some(Err((refused, false)))) => {
             Err(format!("the process that serves on {listen} hands nothing over: {refused}"))
         }
         Err(why) => {
             tracing::warn!("no process hands over, starting as if alone: {why}");
-            Ok(Some(Before::Unknown))
+            Ok(Some(Predecessor::Unknown))
         }
     }
 }
 
 /// The inner error is a refusal, and whether it is of a process that is ending.
-async fn take(mut link: Link, listen: SocketAddr) -> Result<Result<Serving, (String, bool)>, String> {
+async fn take(
+    mut link: Link,
+    listen: SocketAddr,
+) -> Result<Result<ServingPredecessor, (String, bool)>, String> {
     let asked = Instant::now();
     link.say(&FromNew::take()).await.map_err(|e| e.to_string())?;
     let (list, descriptors, member, socket) = match link.hear().await.map_err(|e| e.to_string())? {
@@ -128,15 +131,15 @@
         return Err("its socket is another".to_owned());
     }
     let listener = TcpListener::from_std(listener).map_err(|e| e.to_string())?;
-    Ok(Ok(Serving { link, listener: Some(listener), list, descriptors, member }))
+    Ok(Ok(ServingPredecessor { link, listener: Some(listener), list, descriptors, member }))
 }
 
 /// Takes over from the process before this one, if there is one, then waits for a successor for as long as the program
 /// runs; ends once a successor has all.
 pub async fn follow(
-    running: Rc<Running>,
-    before: Before,
-    followed: Option<Rc<Followed>>,
+    running: Rc<RunningInstance>,
+    before: Predecessor,
+    followed: Option<Rc<ConfigurationTask>>,
 ) -> Result<(), String> {
     // The stewards' word of what to go by is waited for beside all else, and no longer than is stated.
     let told = async {
@@ -145,18 +148,18 @@
         }
     };
     // What is in the way of handing over has been told then.
-    let usual = matches!(before, Before::Unknown);
+    let usual = matches!(before, Predecessor::Unknown);
     match before {
-        Before::Nobody if followed.is_none() => {}
-        Before::Nobody => {
+        Predecessor::Nobody if followed.is_none() => {}
+        Predecessor::Nobody => {
             told.await;
             begin(&running).await?;
         }
-        Before::Unknown => {
+        Predecessor::Unknown => {
             join(told, trust(&running)).await;
             begin(&running).await?;
         }
-        Before::Serving(other) => take_over(&running, other.link, told).await?,
+        Predecessor::Serving(other) => take_over(&running, other.link, told).await?,
     }
     loop {
         let meeting = match running.meeting() {
@@ -184,7 +187,7 @@
 }
 
 /// Told to stop before it began, a process never does.
-async fn begin(running: &Running) -> Result<(), String> {
+async fn begin(running: &RunningInstance) -> Result<(), String> {
     if running.board.phase.get().is_leaving() {
         return std::future::pending().await;
     }
@@ -193,7 +196,7 @@
 
 /// Until discovery has told the list: what the file says may be old, and another process may have been told of upstreams
 /// that leave.
-async fn trust(running: &Running) {
+async fn trust(running: &RunningInstance) {
     let from = Instant::now();
     while !running.board.heard.get() && from.elapsed() < TRUST {
         actix_rt::time::sleep(LOOK).await;
@@ -201,7 +204,7 @@
 }
 
 async fn take_over(
-    running: &Rc<Running>,
+    running: &Rc<RunningInstance>,
     mut link: Link,
     told: impl Future<Output = ()>,
 ) -> Result<(), String> {
@@ -253,7 +256,7 @@
 }
 
 /// Waits at the meeting place; true once a successor has all that this process had.
-async fn serve_successors(running: &Running, meeting: Meeting) -> bool {
+async fn serve_successors(running: &RunningInstance, meeting: Meeting) -> bool {
     loop {
         let link = match meeting.accept().await {
             Ok(link) => link,
@@ -311,7 +314,7 @@
 }
 
 /// Hands over to a successor; its end of the link once it can serve, none if it never will.
-async fn give(running: &Running, mut link: Link) -> Option<Link> {
+async fn give(running: &RunningInstance, mut link: Link) -> Option<Link> {
     let known = match timeout(ANSWER, link.hear::<FromNew>()).await {
         Ok(Ok(Some((word @ FromNew::Take { .. }, _)))) => word.is_known(),
         other => {
@@ -348,7 +351,7 @@
 
 /// Tells the successor what is left to it as connections end; true once none is left, false if the successor ends
 /// before that.
-async fn leave_to(running: &Running, mut link: Link) -> bool {
+async fn leave_to(running: &RunningInstance, mut link: Link) -> bool {
     if link.say(&FromOld::Yours).await.is_err() {
         return false;
     }
--- a/crates/fernroute-server/src/protocol/handover.rs
+++ b/crates/fernroute-server/src/protocol/handover.rs
@@ -1,7 +1,7 @@
 //! What the old and the new process of a balancer tell each other during an upgrade: a line of JSON each.
 
 use super::list::{Entry, List, State};
-use fernroute_fleet::member::Handed;
+use fernroute_fleet::member::MemberHandover;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
@@ -30,7 +30,7 @@
         descriptors: usize,
         /// Half of what it holds of a fleet's budgets, where it is of one; an earlier version says none.
         #[serde(default)]
-        member: Option<Handed>,
+        member: Option<MemberHandover>,
     },
     /// Another successor is here already, or this one can't be served.
     Refused {
@@ -78,7 +78,7 @@
 }
 
 impl FromOld {
-    pub fn given(list: Known, descriptors: usize, member: Option<Handed>) -> Self {
+    pub fn given(list: Known, descriptors: usize, member: Option<MemberHandover>) -> Self {
         FromOld::Given { version: VERSION, list, descriptors, member }
     }
 }
--- a/crates/fernroute-server/src/routing/switchboard.rs
+++ b/crates/fernroute-server/src/routing/switchboard.rs
@@ -15,7 +15,7 @@
 use crate::transport::outbound::AttemptState;
 use fernroute::action_queue::{Action, ActionQueue};
 use fernroute::{Balancer, InvalidSetting, Outcome, Settings, Time};
-use fernroute_fleet::demand::Meter;
+use fernroute_fleet::demand::DemandMeter;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -109,7 +109,7 @@
     /// What may wait in here of long bodies.
     pub windows: Rc<Windows>,
     /// What is asked of each tenant's share, where a fleet divides them: one for each tenant of the terms.
-    pub asked: RefCell<Option<BTreeMap<String, Meter>>>,
+    pub asked: RefCell<Option<BTreeMap<String, DemandMeter>>>,
     /// What is told to and by a fleet's stewards, where it is of one.
     pub control: RefCell<Option<Control>>,
 }
--- a/crates/fernroute-server/tests/common/mod.rs
+++ b/crates/fernroute-server/tests/common/mod.rs
@@ -10,8 +10,8 @@
 
 use actix_http::header::HeaderName;
 use actix_http::{Method, RequestHead};
-use fernroute_server::program::serve::{self, Running};
-use fernroute_server::program::station::Station;
+use fernroute_server::program::instance::Instance;
+use fernroute_server::program::serve::{self, RunningInstance};
 use fernroute_server::protocol::list::{self as lists, List};
 use fernroute_server::protocol::request::Request;
 use std::future::Future;
@@ -58,8 +58,8 @@
     text
 }
 
-pub fn station(upstreams: &[SocketAddr], discovery: SocketAddr, changes: &[(&str, &str)]) -> Station {
-    Station::decode(&page(upstreams, discovery, changes)).expect("the file is whole")
+pub fn station(upstreams: &[SocketAddr], discovery: SocketAddr, changes: &[(&str, &str)]) -> Instance {
+    Instance::decode(&page(upstreams, discovery, changes)).expect("the file is whole")
 }
 
 /// The id of an RPC as it is written.
@@ -68,7 +68,7 @@
 }
 
 /// An RPC of one of the page's methods, read as the balancer reads it.
-pub fn request(b: &Running, id: &str, method: &str, ms: &str) -> Request {
+pub fn request(b: &RunningInstance, id: &str, method: &str, ms: &str) -> Request {
     let mut head = RequestHead::default();
     head.uri = format!("/{method}").parse().expect("a path");
     head.method = if method == "look" { Method::GET } else { Method::POST };
@@ -92,11 +92,11 @@
 }
 
 /// A balancer before these upstreams, with discovery silent.
-pub async fn balancer(upstreams: &[&StandIn], changes: &[(&str, &str)]) -> Running {
+pub async fn balancer(upstreams: &[&StandIn], changes: &[(&str, &str)]) -> RunningInstance {
     balancer_at(&upstreams.iter().map(|u| u.address).collect::<Vec<_>>(), changes).await
 }
 
-pub async fn balancer_at(upstreams: &[SocketAddr], changes: &[(&str, &str)]) -> Running {
+pub async fn balancer_at(upstreams: &[SocketAddr], changes: &[(&str, &str)]) -> RunningInstance {
     let discovery = stand_in(|_, _| Deed::Silence).await;
     serve::start(station(upstreams, discovery.address, changes)).await.expect("it starts")
 }
--- a/crates/fernroute-server/tests/configuration.rs
+++ b/crates/fernroute-server/tests/configuration.rs
@@ -5,9 +5,11 @@
 mod process;
 
 use common::*;
-use fernroute_fleet::configuration::register::{Put, Register};
-use fernroute_fleet::configuration::{hash, Fetch, Fetched, Place, Report, Scope, FETCH};
-use fernroute_fleet::message::{Answer, Beat, Envelope, Grant, Unanswered};
+use fernroute_fleet::configuration::register::{ConfigurationPut, Register};
+use fernroute_fleet::configuration::{
+    content_hash, ConfigurationReport, FetchReply, FetchRequest, Scope, Target, FETCH_PATH,
+};
+use fernroute_fleet::message::{Envelope, Grant, Heartbeat, HeartbeatError, HeartbeatReply};
 use fernroute_test_support::http::answer;
 use process::{folder, Program};
 use std::cell::{Cell, RefCell};
@@ -35,7 +37,7 @@
     ways: RefCell<Vec<Way>>,
     /// Whether they answer beats.
     answer: Cell<bool>,
-    beats: RefCell<Vec<Beat>>,
+    beats: RefCell<Vec<Heartbeat>>,
     fetches: Cell<usize>,
 }
 
@@ -66,16 +68,16 @@
 
     fn say(&self, n: usize, message: &Message) -> Deed {
         let json = |what: String| Deed::Say(answer(200, "", &what));
-        if message.target == FETCH {
+        if message.target == FETCH_PATH {
             self.fetches.set(self.fetches.get() + 1);
-            let asked: Envelope<Fetch> = serde_json::from_slice(&message.body).expect("a fetch");
+            let asked: Envelope<FetchRequest> = serde_json::from_slice(&message.body).expect("a fetch");
             let mut fetched = self.register.borrow().fetch(&asked.message);
             match self.ways.borrow()[n] {
                 Way::Well => {}
-                Way::Behind => fetched = Fetched::Behind,
+                Way::Behind => fetched = FetchReply::Behind,
                 Way::Silent => return Deed::Silence,
                 Way::Spoilt => {
-                    if let Fetched::Parts { parts, .. } = &mut fetched {
+                    if let FetchReply::Entries { entries: parts, .. } = &mut fetched {
                         parts.iter_mut().for_each(|part| part.content = method("spoilt"));
                     }
                 }
@@ -85,21 +87,21 @@
         if !self.answer.get() {
             return Deed::Silence;
         }
-        let beat: Envelope<Beat> = serde_json::from_slice(&message.body).expect("a beat");
+        let beat: Envelope<Heartbeat> = serde_json::from_slice(&message.body).expect("a beat");
         let beat = beat.message;
         let version = beat.configuration.as_ref().filter(|_| self.know.get()).and_then(|report| {
-            let Report { service, zone, in_force, .. } = report.clone();
-            let place = Place { name: beat.name.clone(), service, zone };
-            Some(self.register.borrow().concerns(&place)).filter(|version| *version != in_force)
+            let ConfigurationReport { service, zone, active: in_force, .. } = report.clone();
+            let place = Target { name: beat.name.clone(), service, zone };
+            Some(self.register.borrow().version_for(&place)).filter(|version| *version != in_force)
         });
         let grant = Grant { epoch: 1, ..Grant::default() };
         let (shares_for, floors_for) = (30_000, 120_000);
-        let said: Result<Answer, Unanswered> = Ok(Answer {
+        let said: Result<HeartbeatReply, HeartbeatError> = Ok(HeartbeatReply {
             identity: beat.identity,
             number: beat.number,
             grant,
-            shares_for,
-            floors_for,
+            quotas_valid_for: shares_for,
+            guaranteed_valid_for: floors_for,
             configuration: version,
             duties: None,
         });
@@ -115,23 +117,34 @@
     fn put_for(&self, scope: &str, content: &str) -> u64 {
         let mut register = self.register.borrow_mut();
         let scope: Scope = scope.parse().expect("a scope");
-        let (base, content, hash) = (register.latest(&scope), content.to_owned(), hash(content));
+        let (base, content, hash) =
+            (register.latest_version(&scope), content.to_owned(), content_hash(content));
         let who = "op".to_owned();
-        register.apply(&Put { scope, base, hash, content, who, when_ms: 0, above: 0 }).expect("it is entered")
+        register
+            .apply(&ConfigurationPut {
+                scope,
+                base_version: base,
+                content_hash: hash,
+                content,
+                author: who,
+                entered_at_ms: 0,
+                min_version_exclusive: 0,
+            })
+            .expect("it is entered")
     }
 
-    fn report(&self) -> Report {
+    fn report(&self) -> ConfigurationReport {
         let beats = self.beats.borrow();
         beats.last().and_then(|beat| beat.configuration.clone()).unwrap_or_default()
     }
 
     async fn until_in_force(&self, version: u64) {
-        until(|| self.report().in_force == version).await;
+        until(|| self.report().active == version).await;
     }
 
     async fn until_refused(&self, version: u64) -> String {
-        until(|| self.report().refused.is_some_and(|(refused, _)| refused == version)).await;
-        self.report().refused.map(|(_, why)| why).unwrap_or_default()
+        until(|| self.report().rejected.is_some_and(|(refused, _)| refused == version)).await;
+        self.report().rejected.map(|(_, why)| why).unwrap_or_default()
     }
 }
 
@@ -195,7 +208,7 @@
         let fetches = stewards.fetches.get();
         let beats = stewards.beats.borrow().len();
         until(|| stewards.beats.borrow().len() > beats + 5).await;
-        assert_eq!((stewards.fetches.get(), stewards.report().in_force), (fetches, second));
+        assert_eq!((stewards.fetches.get(), stewards.report().active), (fetches, second));
         stewards.put_for("service/shop/zone/z", "");
         let last = stewards.put("");
         stewards.until_in_force(last).await;
@@ -230,7 +243,7 @@
             "{why}"
         );
         assert_eq!((status(&program, "first").await, status(&program, "bad").await), (200, 404));
-        assert_eq!(stewards.report().in_force, first);
+        assert_eq!(stewards.report().active, first);
         let (fetches, beats) = (stewards.fetches.get(), stewards.beats.borrow().len());
         until(|| stewards.beats.borrow().len() > beats + 10).await;
         assert_eq!(stewards.fetches.get(), fetches);
@@ -239,7 +252,7 @@
         assert_eq!(refused[0], bad);
         let third = stewards.put(&method("third"));
         stewards.until_in_force(third).await;
-        assert_eq!((status(&program, "third").await, stewards.report().refused), (200, None));
+        assert_eq!((status(&program, "third").await, stewards.report().rejected), (200, None));
         // What is each balancer's own no steward can change.
         let own = stewards.put(&(method("own") + "[place]\nzone = \"y\"\n"));
         assert!(stewards.until_refused(own).await.contains("place: is each balancer's own"));
@@ -263,7 +276,7 @@
         program.reload(&text.replace("\"look\"", "\"other\""));
         until(|| program.says("not taken over, all stays as it was")).await;
         assert_eq!((status(&program, "look").await, status(&program, "other").await), (200, 404));
-        assert_eq!(stewards.report().in_force, asks);
+        assert_eq!(stewards.report().active, asks);
     });
 }
 
@@ -285,7 +298,7 @@
         let fetches = stewards.fetches.get();
         until(|| stewards.fetches.get() >= fetches + 12).await;
         assert_eq!((status(&program, "m3").await, status(&program, "spoilt").await), (200, 404));
-        assert_eq!(stewards.report().refused, None);
+        assert_eq!(stewards.report().rejected, None);
         stewards.ways.replace(vec![Way::Well; 4]);
         stewards.until_in_force(last).await;
     });
@@ -436,7 +449,7 @@
         let program = Program::start(&folder("tenants"), &text).await;
         let asked = || -> Vec<String> {
             let beats = stewards.beats.borrow();
-            beats.last().map(|beat| beat.wants.keys().cloned().collect()).unwrap_or_default()
+            beats.last().map(|beat| beat.demand.keys().cloned().collect()).unwrap_or_default()
         };
         until(|| asked() == ["acme"]).await;
         let tenant = |name: &str| format!("[[tenant]]\nname = \"{name}\"\nrate = 10\n");
--- a/crates/fernroute-server/tests/kept.rs
+++ b/crates/fernroute-server/tests/configuration_cache.rs
@@ -3,10 +3,10 @@
 mod common;
 
 use common::run;
-use fernroute_fleet::configuration::follower::{Follower, Snapshot};
-use fernroute_fleet::configuration::register::{Put, Register};
-use fernroute_fleet::configuration::{hash, Place, Scope};
-use fernroute_server::program::kept::Kept;
+use fernroute_fleet::configuration::follower::{ConfigurationFollower, ConfigurationSnapshot};
+use fernroute_fleet::configuration::register::{ConfigurationPut, Register};
+use fernroute_fleet::configuration::{content_hash, Scope, Target};
+use fernroute_server::program::configuration_cache::ConfigurationCache;
 use std::cell::RefCell;
 use std::time::Duration;
 
@@ -18,25 +18,36 @@
         let folder = std::env::temp_dir().join(format!("fernroute-kept-{}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
         let path = folder.join("n0.configuration");
-        let (kept, within) = (Kept::new(path.clone()), Duration::from_secs(10));
-        let place = |zone: &str| Place { name: "n0".into(), service: "shop".into(), zone: zone.into() };
+        let (kept, within) = (ConfigurationCache::new(path.clone()), Duration::from_secs(10));
+        let place = |zone: &str| Target { name: "n0".into(), service: "shop".into(), zone: zone.into() };
         let register = RefCell::new(Register::default());
-        let snapshot = |zone: &str, name: &str| -> Snapshot {
+        let snapshot = |zone: &str, name: &str| -> ConfigurationSnapshot {
             let scope: Scope = "service/shop".parse().expect("a scope");
-            let (base, content) = (register.borrow().latest(&scope), format!("# {name}\n"));
-            let (hash, who) = (hash(&content), "op".to_owned());
-            let put = Put { scope, base, hash, content, who, when_ms: 0, above: 0 };
+            let (base, content) = (register.borrow().latest_version(&scope), format!("# {name}\n"));
+            let (hash, who) = (content_hash(&content), "op".to_owned());
+            let put = ConfigurationPut {
+                scope,
+                base_version: base,
+                content_hash: hash,
+                content,
+                author: who,
+                entered_at_ms: 0,
+                min_version_exclusive: 0,
+            };
             let told = register.borrow_mut().apply(&put).expect("it is entered");
-            let mut follower = Follower::new(place(zone), None);
-            follower.hear(told);
-            let fetched = register.borrow().fetch(&follower.due(0).expect("news"));
-            follower.fetched(fetched).expect("it is sound")
+            let mut follower = ConfigurationFollower::new(place(zone), None);
+            follower.on_notification(told);
+            let fetched = register.borrow().fetch(&follower.next_fetch(0).expect("news"));
+            follower.on_reply(fetched).expect("it is sound")
         };
         let (first, second, third) = (snapshot("z", "a"), snapshot("z", "b"), snapshot("y", "c"));
         assert_eq!(kept.read(&place("z")), Ok(None));
         kept.write(&place("z"), &second, within).await.expect("there is room");
         // Another process's: it has not seen what this one wrote.
-        Kept::new(path.clone()).write(&place("z"), &first, within).await.expect("nothing to do");
+        ConfigurationCache::new(path.clone())
+            .write(&place("z"), &first, within)
+            .await
+            .expect("nothing to do");
         assert_eq!(kept.read(&place("z")), Ok(Some(second)));
         kept.write(&place("y"), &third, within).await.expect("there is room");
         assert_eq!(kept.read(&place("y")), Ok(Some(third)));
--- a/crates/fernroute-server/tests/daily.rs
+++ b/crates/fernroute-server/tests/daily.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{ask, balancer, connect, ok, read, rpc, run, say, send, stand_in, until, Deed, Message};
-use fernroute_server::program::serve::Running;
+use fernroute_server::program::serve::RunningInstance;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -12,15 +12,15 @@
     format!("{verb} {path} HTTP/1.1\r\nHost: n0\r\n\r\n")
 }
 
-fn door(b: &Running) -> SocketAddr {
+fn door(b: &RunningInstance) -> SocketAddr {
     b.door.expect("a door")
 }
 
-async fn tell(b: &Running, verb: &str, path: &str) -> u16 {
+async fn tell(b: &RunningInstance, verb: &str, path: &str) -> u16 {
     ask(door(b), call(verb, path)).await.status()
 }
 
-async fn figures(b: &Running) -> serde_json::Value {
+async fn figures(b: &RunningInstance) -> serde_json::Value {
     let message: Message = ask(door(b), call("GET", "/-/metrics")).await;
     assert_eq!((message.status(), message.header("connection")), (200, Some("close")));
     serde_json::from_slice(&message.body).expect("figures")
--- a/crates/fernroute-server/tests/departures.rs
+++ b/crates/fernroute-server/tests/departures.rs
@@ -6,7 +6,7 @@
 use common::{
     ask, balancer, balancer_at, connect, entry, list, ok, rested, rpc, run, send, stand_in, until, Deed,
 };
-use fernroute_server::program::serve::Running;
+use fernroute_server::program::serve::RunningInstance;
 use fernroute_test_support::http::{answer, take};
 use fernroute_test_support::stand_in::Held;
 use std::io::{ErrorKind, Read as _, Write as _};
@@ -101,7 +101,7 @@
     }
 }
 
-async fn nothing_left(b: &Running) {
+async fn nothing_left(b: &RunningInstance) {
     until(|| b.board.open.borrow().is_empty()).await;
     assert_eq!(b.board.figures().outstanding, 0);
     until(|| b.board.timers.count() == 0).await;
--- a/crates/fernroute-server/tests/endings.rs
+++ b/crates/fernroute-server/tests/endings.rs
@@ -7,7 +7,7 @@
     ask, balancer, balancer_at, connect, entry, id_of, list, ok, read, request, rested, rpc, run, send,
     stand_in, until, Deed,
 };
-use fernroute_server::program::serve::Running;
+use fernroute_server::program::serve::RunningInstance;
 use fernroute_server::protocol::answer::Final;
 use fernroute_test_support::http::{answer, Peer};
 use fernroute_test_support::stand_in::Held;
@@ -29,13 +29,13 @@
 ];
 
 /// Nothing is left of what the crossing was about.
-async fn nothing_left(b: &Running) {
+async fn nothing_left(b: &RunningInstance) {
     until(|| b.board.open.borrow().is_empty()).await;
     assert_eq!(b.board.figures().outstanding, 0);
     until(|| b.board.timers.count() == 0).await;
 }
 
-fn out(b: &Running) -> usize {
+fn out(b: &RunningInstance) -> usize {
     b.board.open.borrow().values().map(|rpc| rpc.out.len()).sum()
 }
 
--- a/crates/fernroute-server/tests/program.rs
+++ b/crates/fernroute-server/tests/program.rs
@@ -5,7 +5,7 @@
 mod process;
 
 use common::{ask, balancer, connect, ok, read, rpc, run, send, stand_in, station, until, Deed};
-use fernroute_server::program::station::Station;
+use fernroute_server::program::instance::Instance;
 use fernroute_server::program::{serve, shutdown};
 use fernroute_server::protocol::list::{self as lists, State};
 use fernroute_server::protocol::load::{self, Gauges};
@@ -147,7 +147,7 @@
         zone = "a"
         cell = "2""#;
     let (mut theirs, ours) =
-        (Station::decode(theirs).expect("theirs"), Station::decode_own(ours).expect("ours"));
+        (Instance::decode(theirs).expect("theirs"), Instance::decode_own(ours).expect("ours"));
     assert_eq!(theirs.terms, ours.terms);
     // What a file of one's own names has no version: the whole list is asked for.
     assert_eq!((theirs.since.take(), ours.since), (Some(0), None));
--- a/crates/fernroute-server/tests/public_interface.rs
+++ b/crates/fernroute-server/tests/public_interface.rs
@@ -6,7 +6,7 @@
 mod process;
 
 use common::*;
-use fernroute_server::program::kept::Kept;
+use fernroute_server::program::configuration_cache::ConfigurationCache;
 use fernroute_server::protocol::handover::{decode, encode, FromNew, FromOld};
 use fernroute_server::protocol::{names, ops};
 use process::{folder, Program};
@@ -234,7 +234,7 @@
     let stored: serde_json::Value =
         serde_json::from_slice(&std::fs::read(&path).expect("the fixture")).expect("JSON");
     let place = serde_json::from_str(r#"{"name":"n0","service":"web","zone":"a"}"#).expect("a place");
-    let snapshot = Kept::new(path).read(&place).expect("it is sound").expect("it is there");
+    let snapshot = ConfigurationCache::new(path).read(&place).expect("it is sound").expect("it is there");
     assert_eq!(snapshot.version, 9);
     assert_eq!(
         snapshot.contents().collect::<Vec<_>>(),
--- a/crates/fernroute-server/tests/schedules.rs
+++ b/crates/fernroute-server/tests/schedules.rs
@@ -8,8 +8,8 @@
 mod common;
 
 use common::{balancer_at, connect, entry, id_of, list, request, rested, rpc, run, until};
-use fernroute_server::program::serve::Running;
-use fernroute_server::program::station::Station;
+use fernroute_server::program::instance::Instance;
+use fernroute_server::program::serve::RunningInstance;
 use fernroute_test_support::http::{answer, Message, Peer};
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -173,7 +173,7 @@
 type Answered = Rc<RefCell<Option<(Instant, Option<Message>)>>>;
 
 struct World {
-    b: Running,
+    b: RunningInstance,
     ledger: Rc<Ledger>,
     addresses: Vec<SocketAddr>,
     version: u64,
@@ -327,7 +327,7 @@
             Step::Cancels(cancels) => {
                 let text = common::page(&self.addresses, self.addresses[0], &TIMES)
                     .replace(r#""cancel":true"#, &format!(r#""cancel":{cancels}"#));
-                let station = Station::decode(&text).expect("the file is whole");
+                let station = Instance::decode(&text).expect("the file is whole");
                 self.b.new_terms(&station.terms).expect("they will do");
             }
             Step::Rest => rested().await,
--- a/crates/fernroute-server/tests/told.rs
+++ b/crates/fernroute-server/tests/told.rs
@@ -5,7 +5,7 @@
 mod common;
 
 use common::{entry, run, station, until};
-use fernroute_server::program::serve::{self, Running};
+use fernroute_server::program::serve::{self, RunningInstance};
 use fernroute_test_support::http::{answer, Message, Peer};
 use fernroute_test_support::stand_in::{Deed, Held};
 use futures_util::future::join_all;
@@ -153,13 +153,13 @@
     whole(9, &entry("s-9", nobody(), "z", "SERVING"))
 }
 
-fn is_taken(b: &Running) -> bool {
+fn is_taken(b: &RunningInstance) -> bool {
     let lines = b.board.upstreams.borrow();
     lines.contains_key("s-9") && !lines.contains_key("s-0")
 }
 
 /// A balancer that knows the first list, and asks only where `within` is the time in which it has to.
-async fn balancer(discovery: SocketAddr, asks_within: Option<u32>) -> Running {
+async fn balancer(discovery: SocketAddr, asks_within: Option<u32>) -> RunningInstance {
     let must = asks_within.map(|s| format!("\"must-ask-in-s\":{s},\"cold-from\""));
     let changes: Vec<(&str, &str)> = match &must {
         Some(must) => vec![
--- a/crates/fernroute-server/tests/watches.rs
+++ b/crates/fernroute-server/tests/watches.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{ask, entry, ok, rpc, run, send, stand_in, station, until, Deed};
-use fernroute_server::program::serve::{self, Running};
+use fernroute_server::program::serve::{self, RunningInstance};
 use fernroute_test_support::http::{answer, Peer};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -16,7 +16,7 @@
     format!(r#"{{"version":{version},"full":true,"servers":[{entries}]}}"#)
 }
 
-async fn served(b: &Running) -> bool {
+async fn served(b: &RunningInstance) -> bool {
     ask(b.address, rpc("GET", "/look", "")).await.status() == 200
 }
 
--- a/crates/fernroute-testbed/src/fleet.rs
+++ b/crates/fernroute-testbed/src/fleet.rs
@@ -4,19 +4,19 @@
 use crate::scenario::{millis, seconds, Scenario};
 use fernroute::Time;
 use fernroute_fleet::configuration::register::Register;
-use fernroute_fleet::demand::Meter;
+use fernroute_fleet::demand::DemandMeter;
 use fernroute_fleet::leader::Leader;
 use fernroute_fleet::lease::Lease;
-use fernroute_fleet::ledger::{Budget, Entry, Ledger, Step};
-use fernroute_fleet::member::{Heard, Member};
-use fernroute_fleet::message::{Answer, Beat};
-use fernroute_fleet::Shares;
+use fernroute_fleet::ledger::{Budget, Entry, Ledger, LedgerTransition};
+use fernroute_fleet::member::{Member, ReplyStatus};
+use fernroute_fleet::message::{Heartbeat, HeartbeatReply};
+use fernroute_fleet::BudgetAmounts;
 use std::collections::BTreeMap;
 
 struct Balancer {
     member: Member,
     /// What each tenant asks for here.
-    asked: Vec<Meter>,
+    asked: Vec<DemandMeter>,
 }
 
 /// What a tenant has here: two rates, each until a time.
@@ -26,7 +26,7 @@
     names: Vec<String>,
     ledger: Ledger,
     leader: Option<Leader>,
-    entering: Option<Step>,
+    entering: Option<LedgerTransition>,
     shares: Lease,
     floors: Lease,
     most: usize,
@@ -38,7 +38,7 @@
     pub fn new(scenario: &Scenario) -> Self {
         let f = &scenario.fleet;
         let most = scenario.tier[0].balancers;
-        let lease = |length| Lease { length, drift: f.drift_ppm };
+        let lease = |length| Lease { duration: length, drift_ppm: f.drift_ppm };
         let (shares, floors) = (lease(millis(f.shares_for_ms)), lease(seconds(f.floors_for_s)));
         let mut ledger = Ledger::default();
         let budgets =
@@ -56,7 +56,7 @@
         let identity = number as u64 + 1;
         self.members.retain(|_, b| b.member.identity() != identity);
         let member = Member::new(&format!("b{number}"), identity, now << 16);
-        let asked = self.names.iter().map(|_| Meter::new(now)).collect();
+        let asked = self.names.iter().map(|_| DemandMeter::new(now)).collect();
         self.members.insert(node, Balancer { member, asked });
     }
 
@@ -64,37 +64,37 @@
         self.members.get_mut(&node).into_iter().for_each(|b| b.asked[tenant].count(now));
     }
 
-    pub fn beat(&mut self, node: usize, now: Time) -> Option<Beat> {
+    pub fn beat(&mut self, node: usize, now: Time) -> Option<Heartbeat> {
         let b = self.members.get_mut(&node)?;
-        let wants = b.asked.iter_mut().map(|meter| meter.wants(now));
-        let wants: Shares = self.names.iter().cloned().zip(wants).collect();
-        Some(b.member.beat(now, wants))
+        let wants = b.asked.iter_mut().map(|meter| meter.demand(now));
+        let wants: BudgetAmounts = self.names.iter().cloned().zip(wants).collect();
+        Some(b.member.heartbeat(now, wants))
     }
 
-    pub fn hear(&mut self, now: Time, beat: &Beat) -> Option<Answer> {
+    pub fn hear(&mut self, now: Time, beat: &Heartbeat) -> Option<HeartbeatReply> {
         let leader = self.leader.as_mut()?;
-        leader.hear(now, beat, &self.ledger).ok()?;
+        leader.on_heartbeat(now, beat, &self.ledger).ok()?;
         if self.entering.is_none() {
-            self.entering = leader.due(now, &self.ledger);
+            self.entering = leader.next_transition(now, &self.ledger);
         }
-        leader.answer(beat, &self.ledger, &Register::default()).ok()
+        leader.reply(beat, &self.ledger, &Register::default()).ok()
     }
 
     /// What was due a moment ago is entered.
     pub fn enter(&mut self, now: Time) {
         let Some(leader) = &mut self.leader else { return };
         if let Some(step) = self.entering.take() {
-            if let Err(why) = self.ledger.apply(&Entry::Step(step)) {
+            if let Err(why) = self.ledger.apply(&Entry::Transition(step)) {
                 unreachable!("one leader, and nobody else enters anything: {why:?}");
             }
-            leader.entered();
-            self.entering = leader.due(now, &self.ledger);
+            leader.transition_done();
+            self.entering = leader.next_transition(now, &self.ledger);
         }
     }
 
-    pub fn told(&mut self, node: usize, now: Time, answer: &Answer) -> Option<Vec<Granted>> {
+    pub fn told(&mut self, node: usize, now: Time, answer: &HeartbeatReply) -> Option<Vec<Granted>> {
         let member = &mut self.members.get_mut(&node)?.member;
-        if matches!(member.hear(now, answer), Heard::Stale | Heard::Older) {
+        if matches!(member.on_reply(now, answer), ReplyStatus::Stale | ReplyStatus::OlderEpoch) {
             return None;
         }
         Some(self.names.iter().map(|name| (name.clone(), member.rates(name))).collect())
--- a/crates/fernroute-testbed/src/measure.rs
+++ b/crates/fernroute-testbed/src/measure.rs
@@ -3,14 +3,14 @@
 
 use crate::processes::{Fleet, Shape};
 use fernroute::host::SECOND;
-use fernroute_coordinator::keep::now;
+use fernroute_coordinator::replica::now;
 use fernroute_fleet::configuration::register::Register;
 use fernroute_fleet::leader::Leader;
 use fernroute_fleet::lease::Lease;
 use fernroute_fleet::ledger::{Budget, Entry, Ledger};
 use fernroute_fleet::member::Member;
-use fernroute_fleet::message::{Envelope, Unanswered, BEAT, VERSION};
-use fernroute_fleet::{Shares, Units};
+use fernroute_fleet::message::{Envelope, HeartbeatError, HEARTBEAT_PATH, PROTOCOL_VERSION};
+use fernroute_fleet::{BudgetAmounts, MilliUnits};
 use fernroute_test_support::http::Peer;
 use std::cell::{Cell, RefCell};
 use std::path::Path;
@@ -98,18 +98,20 @@
     for turn in 0u64.. {
         // One in thirty asks for ten times what the others do, and which ones changes every four seconds.
         let wants = 800 + 7_200 * ((turn / 16 + n as u64) % 30 / 29);
-        let beat = member.beat(now(), Shares::from([("acme".to_owned(), wants as Units)]));
-        let envelope = Envelope { cluster: "c".to_owned(), version: VERSION, to: 0, message: &beat };
+        let beat = member.heartbeat(now(), BudgetAmounts::from([("acme".to_owned(), wants as MilliUnits)]));
+        let envelope =
+            Envelope { cluster: "c".to_owned(), version: PROTOCOL_VERSION, recipient: 0, message: &beat };
         let body = serde_json::to_string(&envelope).ok()?;
-        let head = format!("POST {BEAT} HTTP/1.1\r\nHost: s\r\nContent-Length: {}\r\n\r\n", body.len());
+        let head =
+            format!("POST {HEARTBEAT_PATH} HTTP/1.1\r\nHost: s\r\nContent-Length: {}\r\n\r\n", body.len());
         peer.write(format!("{head}{body}").as_bytes()).await.ok()?;
         let answer = peer.read().await.ok()??;
         let (sent, count) = bytes.get();
         bytes.set((sent + (head.len() + body.len() + answer.bytes().len()) as u64, count + 1));
-        let said: Result<fernroute_fleet::message::Answer, Unanswered> =
+        let said: Result<fernroute_fleet::message::HeartbeatReply, HeartbeatError> =
             serde_json::from_slice(&answer.body).ok()?;
         if let Ok(answer) = said {
-            member.hear(now(), &answer);
+            member.on_reply(now(), &answer);
         }
         sleep(BEAT_EVERY).await;
     }
@@ -137,7 +139,7 @@
         sleep(Duration::from_millis(100)).await;
     }
     sleep(Duration::from_secs(5)).await;
-    let epoch = |status: Option<fernroute_coordinator::keep::Status>| status.map_or(0, |s| s.epoch);
+    let epoch = |status: Option<fernroute_coordinator::replica::Status>| status.map_or(0, |s| s.epoch);
     let (cpu, at, first) =
         (fleet.stewards[leader].processor_ms(), bytes.get(), epoch(fleet.status(leader).await));
     let from = Instant::now();
@@ -186,7 +188,7 @@
     if ledger.apply(&Entry::Budgets(all)).is_err() {
         return;
     }
-    let lease = |length| Lease { length, drift: 1000 };
+    let lease = |length| Lease { duration: length, drift_ppm: 1000 };
     let mut leader = Leader::new(0, &ledger, lease(2 * SECOND), lease(60 * SECOND), members as usize);
     let mut all: Vec<Member> = (0..members).map(|n| Member::new(&format!("n{n}"), n + 1, 0)).collect();
     let (mut bytes, mut beats, mut steps, mut late) = (0, 0u64, 0u64, 0u64);
@@ -195,34 +197,35 @@
         for n in (0..members).filter(|n| (now + n * EVERY / members).is_multiple_of(EVERY)) {
             let want = 5_000 + 15_000 * ((now / (4 * SECOND) + n) % 30 / 29);
             let named = names.iter().enumerate().filter(|(b, _)| all_named || *b as u64 == n % budgets);
-            let wants: Shares = named.map(|(_, name)| (name.clone(), want)).collect();
-            let beat = all[n as usize].beat(now, wants);
+            let wants: BudgetAmounts = named.map(|(_, name)| (name.clone(), want)).collect();
+            let beat = all[n as usize].heartbeat(now, wants);
             let from = Instant::now();
-            let heard = leader.hear(now, &beat, &ledger);
-            let answer = leader.answer(&beat, &ledger, &Register::default());
+            let heard = leader.on_heartbeat(now, &beat, &ledger);
+            let answer = leader.reply(&beat, &ledger, &Register::default());
             spent += from.elapsed();
             beats += 1;
-            let envelope = Envelope { cluster: "c".to_owned(), version: VERSION, to: 0, message: &beat };
+            let envelope =
+                Envelope { cluster: "c".to_owned(), version: PROTOCOL_VERSION, recipient: 0, message: &beat };
             bytes += serde_json::to_vec(&envelope).map_or(0, |b| b.len()) as u64;
             bytes += serde_json::to_vec(&answer).map_or(0, |b| b.len()) as u64;
             match answer {
                 Ok(answer) if heard.is_ok() => {
-                    all[n as usize].hear(now, &answer);
+                    all[n as usize].on_reply(now, &answer);
                 }
                 _ => late += 1,
             }
         }
         if now.is_multiple_of(SECOND / 40) {
             let from = Instant::now();
-            if let Some(step) = leader.due(now, &ledger) {
-                steps += u64::from(ledger.apply(&Entry::Step(step)).is_ok());
-                leader.entered();
+            if let Some(step) = leader.next_transition(now, &ledger) {
+                steps += u64::from(ledger.apply(&Entry::Transition(step)).is_ok());
+                leader.transition_done();
             }
             spent += from.elapsed();
         }
     }
     let per = |of: f64| of / seconds as f64;
-    let held: u64 = names.iter().map(|name| ledger.held(name)).sum();
+    let held: u64 = names.iter().map(|name| ledger.total_allocated(name)).sum();
     println!(
         "simulated, {members} members, {budgets} budgets, each member names {}: {:.1}% of a processor for the leader's decisions, \
          {:.2} KB of JSON a second for each member, {:.1} steps a second; {late} of {beats} beats without a grant; held {:.3} of \
@@ -231,6 +234,6 @@
         per(spent.as_secs_f64()) * 100.0,
         per(bytes as f64) / members as f64 / 1000.0,
         per(steps as f64),
-        held as f64 / (whole.whole * budgets) as f64,
+        held as f64 / (whole.limit * budgets) as f64,
     );
 }
--- a/crates/fernroute-testbed/src/processes.rs
+++ b/crates/fernroute-testbed/src/processes.rs
@@ -4,7 +4,7 @@
 pub mod configuration;
 
 use fernroute::{RETRY_BUDGET, TRIAL_BUDGET};
-use fernroute_coordinator::keep::Status;
+use fernroute_coordinator::replica::Status;
 use fernroute_test_support::caller::rpc;
 use fernroute_test_support::http::{answer, read};
 use fernroute_test_support::link::Link;
--- a/crates/fernroute-testbed/src/processes/configuration.rs
+++ b/crates/fernroute-testbed/src/processes/configuration.rs
@@ -1,10 +1,12 @@
 //! What operators do to the configuration of a fleet of real processes, and how far its balancers are with it.
 
 use super::{launch, Fleet, START};
-use fernroute_coordinator::configuration::{Latest, NotDone, Standings, Wish, GET, PUT, STATUS};
-use fernroute_fleet::configuration::standing::MemberStanding;
-use fernroute_fleet::configuration::{hash, Scope, Version};
-use fernroute_fleet::message::{Envelope, VERSION};
+use fernroute_coordinator::configuration::{
+    ConfigurationStatus, Latest, PutRequest, RequestError, GET, PUT, STATUS,
+};
+use fernroute_fleet::configuration::rollout::MemberRollout;
+use fernroute_fleet::configuration::{content_hash, Scope, Version};
+use fernroute_fleet::message::{Envelope, PROTOCOL_VERSION};
 use fernroute_test_support::caller::rpc;
 use fernroute_test_support::http::read;
 use fernroute_test_support::process::{ignoring_limits, Process};
@@ -28,7 +30,7 @@
     path: &str,
     message: impl Serialize,
 ) -> Option<A> {
-    let envelope = Envelope { cluster: cluster.to_owned(), version: VERSION, to: 0, message };
+    let envelope = Envelope { cluster: cluster.to_owned(), version: PROTOCOL_VERSION, recipient: 0, message };
     let body = serde_json::to_string(&envelope).ok()?;
     let length = body.len();
     let head =
@@ -46,14 +48,14 @@
         &self,
         path: &str,
         message: impl Serialize + Copy,
-    ) -> Result<A, NotDone> {
+    ) -> Result<A, RequestError> {
         loop {
             for (steward, at) in self.stewards.iter().zip(&self.steward_addresses) {
                 if !steward.is_running() {
                     continue;
                 }
-                match say::<Result<A, NotDone>>("c", *at, path, message).await {
-                    Some(Err(NotDone::Elsewhere(_))) | None => {}
+                match say::<Result<A, RequestError>>("c", *at, path, message).await {
+                    Some(Err(RequestError::Elsewhere(_))) | None => {}
                     Some(done) => return done,
                 }
             }
@@ -70,23 +72,23 @@
             if latest.part.is_some_and(|part| part.content == content) {
                 return base;
             }
-            let (content, hash, who) = (content.to_owned(), hash(content), "op".to_owned());
-            let wish = Wish { scope: scope.clone(), base, hash, content, who };
+            let (content, hash, who) = (content.to_owned(), content_hash(content), "op".to_owned());
+            let wish = PutRequest { scope: scope.clone(), base, hash, content, who };
             match self.say(PUT, &wish).await {
                 Ok(version) => return version,
                 // The answer to an earlier try was lost, or may come yet.
-                Err(NotDone::OutOfDate(_) | NotDone::Unknown(_)) => {}
+                Err(RequestError::OutOfDate(_) | RequestError::Unknown(_)) => {}
                 Err(other) => panic!("{other:?}"),
             }
         }
     }
 
-    pub async fn standings(&self) -> Standings {
+    pub async fn standings(&self) -> ConfigurationStatus {
         self.say(STATUS, ()).await.expect("its word")
     }
 
     /// How far this balancer is by its leader's word, once it is so.
-    pub async fn until_stands(&self, n: usize, so: impl Fn(&MemberStanding) -> bool) -> MemberStanding {
+    pub async fn until_stands(&self, n: usize, so: impl Fn(&MemberRollout) -> bool) -> MemberRollout {
         let name = format!("b{n}");
         loop {
             let members = self.standings().await.members;
@@ -100,7 +102,7 @@
     /// Until these balancers say that they go by this version.
     pub async fn until_in_force(&self, version: Version, balancers: &[usize]) {
         for n in balancers {
-            self.until_stands(*n, |member| member.in_force == version).await;
+            self.until_stands(*n, |member| member.active == version).await;
         }
     }
 
--- a/crates/fernroute-testbed/src/scale/changes.rs
+++ b/crates/fernroute-testbed/src/scale/changes.rs
@@ -4,8 +4,10 @@
 use super::fleet::Fleet;
 use super::layout::CLUSTER;
 use crate::processes::configuration::say;
-use fernroute_coordinator::configuration::{Latest, NotDone, Standings, Wish, GET, PUT, STATUS};
-use fernroute_fleet::configuration::{hash, Scope, Version};
+use fernroute_coordinator::configuration::{
+    ConfigurationStatus, Latest, PutRequest, RequestError, GET, PUT, STATUS,
+};
+use fernroute_fleet::configuration::{content_hash, Scope, Version};
 use serde::Serialize;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -44,25 +46,25 @@
 /// The steward there enters a change for this service; its version.
 pub async fn put(at: SocketAddr, service: &str, number: u64) -> Option<Version> {
     let scope: Scope = format!("service/{service}").parse().ok()?;
-    let latest: Result<Latest, NotDone> = say(CLUSTER, at, GET, &scope).await?;
+    let latest: Result<Latest, RequestError> = say(CLUSTER, at, GET, &scope).await?;
     let base = latest.ok()?.part.map_or(0, |part| part.version);
     // The one method as it is, but for the time by which an answer is worth all.
     let content = format!(
         "[[method]]\nname = \"look\"\neffect = \"retriable\"\nsoft_ms = {}\nhard_ms = 3000\n",
         1000 + number % 1000
     );
-    let (hash, who) = (hash(&content), "scale".to_owned());
-    let done: Result<Version, NotDone> =
-        say(CLUSTER, at, PUT, &Wish { scope, base, hash, content, who }).await?;
+    let (hash, who) = (content_hash(&content), "scale".to_owned());
+    let done: Result<Version, RequestError> =
+        say(CLUSTER, at, PUT, &PutRequest { scope, base, hash, content, who }).await?;
     done.ok()
 }
 
 /// How many balancers of this service go by this version or a later one, by the word of the steward there; none where it does not
 /// lead.
 async fn in_force(at: SocketAddr, service: &str, version: Version) -> Option<usize> {
-    let told: Result<Standings, NotDone> = say(CLUSTER, at, STATUS, ()).await?;
+    let told: Result<ConfigurationStatus, RequestError> = say(CLUSTER, at, STATUS, ()).await?;
     let members = told.ok()?.members;
-    Some(members.iter().filter(|m| m.service == service && m.in_force >= version).count())
+    Some(members.iter().filter(|m| m.service == service && m.active >= version).count())
 }
 
 /// How long after `from` all balancers of this service went by this version; none where they never did.
--- a/crates/fernroute-testbed/src/scale/fleet.rs
+++ b/crates/fernroute-testbed/src/scale/fleet.rs
@@ -5,7 +5,7 @@
 use super::layout::{kind, Layout};
 use super::stand::{Asked, List, Page, Ran, READY};
 use crate::processes::status;
-use fernroute_coordinator::keep::Status;
+use fernroute_coordinator::replica::Status;
 use fernroute_test_support::http::Peer;
 use fernroute_test_support::link::Link;
 use fernroute_test_support::process::{addresses, Process};
--- a/crates/fernroute-testbed/src/scale/hollow.rs
+++ b/crates/fernroute-testbed/src/scale/hollow.rs
@@ -4,9 +4,9 @@
 //! the same door for operators, over the same sockets as in a process of its own. What is missing are the signals that a
 //! process is told by.
 
+use fernroute_server::program::instance::Instance;
 use fernroute_server::program::log;
 use fernroute_server::program::serve::begin;
-use fernroute_server::program::station::Station;
 use std::path::{Path, PathBuf};
 
 /// What a process says once all of its balancers serve.
@@ -29,7 +29,7 @@
     runtime.block_on(async {
         let mut running = Vec::new();
         for page in &pages {
-            let station = Station::read(page)?;
+            let station = Instance::read(page)?;
             station.check()?;
             let name = station.name.clone();
             let one = begin(station, page).await.map_err(|why| format!("{}: {why}", page.display()))?;
--- a/crates/fernroute-testbed/src/world.rs
+++ b/crates/fernroute-testbed/src/world.rs
@@ -9,7 +9,7 @@
 use crate::upstream::{Affliction, Job, State, Upstream, KEEP};
 use fernroute::action_queue::{Action, ActionQueue};
 use fernroute::{Outcome, Time, Timer};
-use fernroute_fleet::message::{Answer, Beat};
+use fernroute_fleet::message::{Heartbeat, HeartbeatReply};
 use rand::RngExt as _;
 use rand_chacha::ChaCha8Rng;
 use std::cmp::Reverse;
@@ -28,8 +28,8 @@
     Timer { node: usize, timer: Timer },
     Leave { node: usize, rpc: Rc<str> },
     Beat { node: usize },
-    BeatThere { node: usize, beat: Box<Beat> },
-    BeatBack { node: usize, answer: Box<Answer> },
+    BeatThere { node: usize, beat: Box<Heartbeat> },
+    BeatBack { node: usize, answer: Box<HeartbeatReply> },
     Enter,
     Tell { node: usize, upstream: usize, life: u32, told: Told },
     Report { upstream: usize },
@@ -313,7 +313,7 @@
         }
     }
 
-    fn beat_there(&mut self, node: usize, beat: &Beat) {
+    fn beat_there(&mut self, node: usize, beat: &Heartbeat) {
         let now = self.now;
         let answer = self.fleet.as_mut().and_then(|fleet| fleet.hear(now, beat));
         let confirm = millis(self.scenario.fleet.confirm_ms);
@@ -327,7 +327,7 @@
         self.cut_off.values().flatten().any(|place| self.first[*place] == node)
     }
 
-    fn beat_back(&mut self, node: usize, answer: &Answer) {
+    fn beat_back(&mut self, node: usize, answer: &HeartbeatReply) {
         let now = self.now;
         if self.is_cut_off(node) {
             return;
--- a/crates/fernroute-testbed/tests/configuration.rs
+++ b/crates/fernroute-testbed/tests/configuration.rs
@@ -1,6 +1,6 @@
 //! Configuration of a fleet of real balancers and real stewards on loopback: what reaches whom, through all that goes wrong.
 
-use fernroute_fleet::configuration::standing::Standing;
+use fernroute_fleet::configuration::rollout::RolloutState;
 use fernroute_test_support::link::Way;
 use fernroute_test_support::process::Process;
 use fernroute_test_support::until;
@@ -77,7 +77,7 @@
             assert_eq!(fleet.answers(1, &format!("own{round}")).await, Some(200));
         }
         let standings = fleet.standings().await;
-        assert!(standings.members.iter().all(|member| member.standing == Standing::InForce), "{standings:?}");
+        assert!(standings.members.iter().all(|member| member.state == RolloutState::Active), "{standings:?}");
         end(&fleet);
     });
 }
@@ -119,10 +119,10 @@
         fleet.until_in_force(first, &ALL).await;
         let second = fleet.put(SHOP, &(methods(&["second"]) + "[list]\nmode = \"ask\"\n")).await;
         fleet.until_in_force(second, &[0, 2]).await;
-        let member = fleet.until_stands(1, |member| member.standing == Standing::Refused).await;
-        let (version, why) = member.refused.expect("its reason");
+        let member = fleet.until_stands(1, |member| member.state == RolloutState::Rejected).await;
+        let (version, why) = member.rejected.expect("its reason");
         assert!(version == second && why.contains("list.ask_within_s: is missing"), "{version} {why}");
-        assert_eq!(member.in_force, first);
+        assert_eq!(member.active, first);
         let answers = (fleet.answers(1, "first").await, fleet.answers(1, "second").await);
         assert_eq!(answers, (Some(200), Some(404)));
         assert_eq!(fleet.answers(2, "second").await, Some(200));
--- a/crates/fernroute-testbed/tests/duties.rs
+++ b/crates/fernroute-testbed/tests/duties.rs
@@ -1,8 +1,8 @@
 //! Real balancers and real stewards on loopback, duties that one balancer alone holds, and faults between them. An observer that
 //! is no part of what decides asks all balancers, by one clock, what they act on.
 
-use fernroute_coordinator::configuration::NotDone;
-use fernroute_coordinator::duties::{DutyStatus, NOTE, STATUS};
+use fernroute_coordinator::configuration::RequestError;
+use fernroute_coordinator::duties::{DutiesStatus, NOTE, STATUS};
 use fernroute_coordinator::peers::Peers;
 use fernroute_test_support::caller::told;
 use fernroute_test_support::http::read;
@@ -159,14 +159,14 @@
     fleet: &Fleet,
     path: &str,
     what: &impl serde::Serialize,
-) -> Result<A, NotDone> {
+) -> Result<A, RequestError> {
     let peers = Peers::new("c", &[]);
     loop {
         for at in &fleet.steward_addresses {
-            let said: Result<Result<A, NotDone>, String> =
+            let said: Result<Result<A, RequestError>, String> =
                 peers.say(&at.to_string(), path, 0, what, WITHIN).await;
             match said {
-                Ok(Err(NotDone::Elsewhere(_))) | Err(_) => {}
+                Ok(Err(RequestError::Elsewhere(_))) | Err(_) => {}
                 Ok(said) => return said,
             }
         }
@@ -174,9 +174,9 @@
     }
 }
 
-async fn note(fleet: &Fleet, duty: &str, term: u64) -> Result<(), NotDone> {
+async fn note(fleet: &Fleet, duty: &str, term: u64) -> Result<(), RequestError> {
     let note =
-        fernroute_fleet::duties::table::Note { duty: duty.to_owned(), term, text: "at work".to_owned() };
+        fernroute_fleet::duties::table::DutyNote { duty: duty.to_owned(), term, text: "at work".to_owned() };
     ask(fleet, NOTE, &note).await
 }
 
@@ -199,7 +199,7 @@
         assert!(without <= LEASE / 2, "{without:?} without a holder after a drain");
         println!("without a holder: {:?} after a death, {without:?} after a drain", second.heard - killed);
         assert!(first.term < second.term && second.term < third.term);
-        let status: DutyStatus = ask(&fleet, STATUS, &()).await.expect("the leader's word");
+        let status: DutiesStatus = ask(&fleet, STATUS, &()).await.expect("the leader's word");
         assert_eq!(
             status.duties[0].holder.as_ref().map(|holder| holder.term),
             Some(third.term),
@@ -226,8 +226,8 @@
         fleet.balancers[first.balancer].go_on();
         fleet.balancers[second.balancer].go_on();
         let refused = note(&fleet, "d0", first.term).await;
-        assert!(matches!(refused, Err(NotDone::Refused(_))), "{refused:?}");
-        assert!(matches!(note(&fleet, "d0", second.term).await, Err(NotDone::Refused(_))));
+        assert!(matches!(refused, Err(RequestError::Refused(_))), "{refused:?}");
+        assert!(matches!(note(&fleet, "d0", second.term).await, Err(RequestError::Refused(_))));
         assert_eq!(note(&fleet, "d0", third.term).await, Ok(()));
         sleep(LEASE / 2).await;
         let now = observer.holder("d0").await;
@@ -328,7 +328,7 @@
             observer.holder(&duty).await;
         }
         // Not all on one: the fair part is three or four.
-        let status: DutyStatus = ask(&fleet, STATUS, &()).await.expect("the leader's word");
+        let status: DutiesStatus = ask(&fleet, STATUS, &()).await.expect("the leader's word");
         let mut held: BTreeMap<String, usize> = BTreeMap::new();
         for holder in status.duties.iter().filter_map(|line| line.holder.as_ref()) {
             *held.entry(holder.name.clone()).or_insert(0) += 1;
