--- a/Makefile
+++ b/Makefile
@@ -10,16 +10,17 @@
 lint:
 	cargo fmt --all -- --check
 	cargo clippy --workspace --all-targets --locked -- -D warnings
+	RUSTDOCFLAGS="-D warnings" cargo doc --workspace --no-deps --locked --quiet
 
 # A balancer on this machine's loopback, with stand-ins for the upstream and the discovery that the example names.
 run: build
 	target/release/fernroute-testbed beside --config deploy/example.json --program "target/release/fernroute serve"
 
-# Three stewards, four balancers, stand-ins and a load on loopback; the ledger's status until Ctrl-C.
+# Three coordinators, four balancers, stand-ins and a load on loopback; the ledger's status until Ctrl-C.
 fleet: build
 	target/release/fernroute-testbed fleet
 
-# The whole installation at a quarter of its size: hollow balancers, real ones under load, stewards, faults. Some minutes.
+# The whole installation at a quarter of its size: hollow balancers, real ones under load, coordinators, faults. Some minutes.
 scale: build
 	target/release/fernroute-testbed scale lab/scale/whole.toml --factor 0.25 --json scale.json
 
