--- /dev/null
+++ b/crates/fernroute-bench-adapter/src/session.rs
@@ -0,0 +1,220 @@
+//! The instances of one process. Lines come in batches: a clock, lists of endpoints, then events for one instance after
+//! another; the end of a batch is answered with what all instances did.
+
+use crate::actions::{timer_of_key, ActionWriter};
+use crate::message::{Message, MessageError};
+use fernroute::host::{InvalidSetting, Settings, Time};
+use fernroute::Balancer;
+use fernroute_settings::{path, term};
+use std::collections::BTreeMap;
+use std::io::{self, BufRead, Write};
+
+/// Why a session ended before its input did.
+#[derive(Debug, thiserror::Error)]
+pub enum SessionError {
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    #[error(transparent)]
+    Message(#[from] MessageError),
+    /// The settings of a new instance can't be used; the wire's own path names the setting.
+    #[error("line 'hello': {} '{}'", .0.why, path(&.0.setting))]
+    Setting(#[from] InvalidSetting),
+    #[error("line 'update': no list {0}")]
+    UnknownList(u32),
+}
+
+/// A list that is being received, of which so many entries are still to come.
+#[derive(Default)]
+struct OpenList {
+    id: u32,
+    remaining: usize,
+}
+
+/// What holds for the lines of one batch.
+#[derive(Default)]
+struct Batch {
+    now: Time,
+    serial: String,
+    /// The instance that events are for.
+    instance: Option<i64>,
+    list: OpenList,
+}
+
+struct Instance {
+    balancer: Balancer<ActionWriter>,
+    actions: ActionWriter,
+}
+
+/// Hosts the instances of one process. The numbered endpoint lists are all that they share.
+#[derive(Default)]
+pub struct Session {
+    /// By the bench's number; a teardown removes one.
+    instances: BTreeMap<i64, Instance>,
+    /// The entries of each numbered list; the bench uses sixteen numbers again and again.
+    lists: BTreeMap<u32, Vec<String>>,
+}
+
+impl Session {
+    /// Answers batches until the input ends.
+    pub fn serve(&mut self, input: &mut impl BufRead, output: &mut impl Write) -> Result<(), SessionError> {
+        let mut line = String::new();
+        let mut batch = Batch::default();
+        loop {
+            line.clear();
+            if input.read_line(&mut line)? == 0 {
+                return Ok(());
+            }
+            self.line(line.trim_end_matches(['\n', '\r']), &mut batch, output)?;
+        }
+    }
+
+    fn line(&mut self, line: &str, batch: &mut Batch, output: &mut impl Write) -> Result<(), SessionError> {
+        let message = Message::new(line);
+        match message.name {
+            "clock" => {
+                batch.now = message.time("at-time-s")?;
+                message.require("serial")?.clone_into(&mut batch.serial);
+                batch.instance = None;
+            }
+            "eob" => {
+                self.reply(&batch.serial, output)?;
+                output.flush()?;
+            }
+            "for" => batch.instance = Some(message.number("who")?),
+            "manifest" => {
+                batch.list =
+                    OpenList { id: message.number("set-id")?, remaining: message.number("elements")? };
+                self.lists.insert(batch.list.id, Vec::new());
+            }
+            "entry" if batch.list.remaining > 0 => {
+                batch.list.remaining -= 1;
+                self.lists.entry(batch.list.id).or_default().push(line.to_owned());
+            }
+            _ => {
+                if let Some(instance) = batch.instance {
+                    self.event(instance, batch.now, &message)?;
+                }
+            }
+        }
+        Ok(())
+    }
+
+    fn reply(&mut self, serial: &str, output: &mut impl Write) -> io::Result<()> {
+        for (number, instance) in &self.instances {
+            instance.actions.take_into(|lines| write!(output, "source\twho={number}\n{lines}"))?;
+        }
+        writeln!(output, "next\tserial={serial}")
+    }
+
+    fn event(&mut self, number: i64, now: Time, message: &Message<'_>) -> Result<(), SessionError> {
+        match message.name {
+            "hello" => return self.start_instance(number, now, message),
+            "teardown" => {
+                self.instances.remove(&number);
+                return Ok(());
+            }
+            _ => {}
+        }
+        let Some(instance) = self.instances.get_mut(&number) else { return Ok(()) };
+        let balancer = &mut instance.balancer;
+        match message.name {
+            "update" => update(balancer, &self.lists, now, message)?,
+            "knock" => balancer.rpc_arrived(
+                now,
+                message.require("call")?,
+                message.require("qos")?,
+                message.get("billing").unwrap_or(""),
+                message.get("object").unwrap_or(""),
+                message.time("time-budget-s")?,
+            ),
+            "reply" => balancer.attempt_ended(
+                now,
+                message.require("call")?,
+                message.number("hop")?,
+                message.outcome()?,
+                message.time("took-s")?,
+                message.flag("ended"),
+                &message.load_report(),
+            ),
+            "aborted" => balancer.rpc_abandoned(now, message.require("call")?),
+            "started" => balancer.response_started(now, message.require("call")?),
+            "bell" => {
+                if let Some(timer) = timer_of_key(message.require("key-back")?) {
+                    balancer.timer(now, &timer);
+                }
+            }
+            _ => {}
+        }
+        Ok(())
+    }
+
+    fn start_instance(&mut self, number: i64, now: Time, message: &Message<'_>) -> Result<(), SessionError> {
+        let seed = message.number::<u64>("random-seed")?;
+        let settings: Settings = message.pairs().filter_map(|(path, value)| term(path, value)).collect();
+        let actions = ActionWriter::default();
+        let balancer = Balancer::new(actions.clone(), now, seed, &settings)?;
+        self.instances.insert(number, Instance { balancer, actions });
+        Ok(())
+    }
+}
+
+/// What an update says of the endpoint list.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Update {
+    /// The whole list that the instance has at its start, or that it was handed later.
+    Initial,
+    Snapshot,
+    Changes,
+    /// The call for the list failed.
+    Failed,
+}
+
+impl Update {
+    fn of_mode(mode: u8) -> Option<Self> {
+        match mode {
+            0 => Some(Update::Initial),
+            1 => Some(Update::Snapshot),
+            2 => Some(Update::Changes),
+            3 => Some(Update::Failed),
+            _ => None,
+        }
+    }
+}
+
+fn update(
+    balancer: &mut Balancer<ActionWriter>,
+    lists: &BTreeMap<u32, Vec<String>>,
+    now: Time,
+    message: &Message<'_>,
+) -> Result<(), SessionError> {
+    let Some(update) = Update::of_mode(message.number("mode")?) else { return Ok(()) };
+    if update == Update::Failed {
+        balancer.watch_failed(now);
+        return Ok(());
+    }
+    let id = message.number::<u32>("set-id")?;
+    let entries = lists.get(&id).ok_or(SessionError::UnknownList(id))?;
+    balancer.snapshot_started(now, update != Update::Changes);
+    for entry in entries {
+        endpoint(balancer, &Message::new(entry))?;
+    }
+    balancer.snapshot_complete(update != Update::Initial);
+    Ok(())
+}
+
+fn endpoint(balancer: &mut Balancer<ActionWriter>, entry: &Message<'_>) -> Result<(), MessageError> {
+    let id = entry.require("upstream")?;
+    match entry.number::<u8>("state")? {
+        1 => balancer.upstream_ready(
+            id,
+            entry.get("rack-zone").unwrap_or(""),
+            entry.get("block").unwrap_or(""),
+            entry.get("kind").unwrap_or(""),
+            entry.optional_time("up-since-s")?,
+        ),
+        2 => balancer.upstream_draining(id),
+        3 => balancer.upstream_removed(id),
+        _ => {}
+    }
+    Ok(())
+}
