--- a/crates/fernroute-config/src/layers.rs
+++ b/crates/fernroute-config/src/layers.rs
@@ -1,126 +1,155 @@
-//! Parts of a file, laid over a balancer's own: what a fleet's stewards hand out. A part says what it names and nothing
-//! else: tables are laid over each other key by key, lists (`[[method]]`, `[[tenant]]`) take each other's place whole.
+//! Entries of a fleet's configuration, laid over a balancer's own file. An entry changes what it names and nothing else:
+//! tables are laid over each other key by key, lists (`[[method]]`, `[[tenant]]`) replace each other whole.
 
+use crate::place::line_of;
 use crate::{decode, Fault, Plan};
 use toml::de::{DeTable, DeValue};
 use toml::{Spanned, Table, Value};
 
-/// What a part may say. The rest is each balancer's own: who it is, where it is, what its machine holds.
-const SHARED: [&str; 6] = ["list", "load", "limits", "rules", "method", "tenant"];
+/// The tables that an entry may have. The others are each balancer's own: who it is, where it is, what its machine holds.
+const SHARED_TABLES: [&str; 6] = ["list", "load", "limits", "rules", "method", "tenant"];
 
-/// These are taken when a connection is first made: a running balancer can't go by others.
-const AT_A_START: [(&str, &str); 2] = [("limits", "connect_ms"), ("limits", "keep_alive_s")];
+/// Keys that count when a connection is first made, so that a running balancer can't take another value.
+const RESTART_KEYS: [(&str, &str); 2] = [("limits", "connect_ms"), ("limits", "keep_alive_s")];
 
-/// A file that any part can be laid over, to see whether it will do. It has what another key of a table needs beside it: a
-/// balancer's own file may have it, too.
-const PLAIN: &str = "name = \"b\"\nlisten = \"127.0.0.1:1\"\ndiscovery = \"127.0.0.1:2\"\n\
+/// A file that any entry can be laid over, to see whether the entry is good. It has what another key of a table needs beside
+/// it: a balancer's own file may have it, too.
+const CHECK_FILE: &str = "name = \"b\"\nlisten = \"127.0.0.1:1\"\ndiscovery = \"127.0.0.1:2\"\n\
     [list]\nask_within_s = 1\n[rules]\ncold_from = 0.3\nwarm_within_s = 10\ncold_multiple = 3\ncold_window_s = 2\n\
     [[method]]\nname = \"m\"\neffect = \"retriable\"\nhard_ms = 1000\n";
 
-/// All that is wrong with a part, whichever balancer's file it is laid over; lines are the part's own.
-pub fn check(part: &str) -> Result<(), Vec<Fault>> {
-    decode(&lay(PLAIN, &[part])?).map(drop).map_err(|faults| {
-        let mut faults: Vec<Fault> = faults
-            .into_iter()
-            .map(|fault| Fault { line: find(part, &fault.place).map_or(1, |(line, _)| line), ..fault })
-            .collect();
-        faults.sort();
-        faults
-    })
+/// What a fault in the balancer's own file is attributed to.
+const OWN_FILE: &str = "the balancer's own file";
+
+/// The faults of an entry, whichever balancer's file it is laid over; lines are the entry's own.
+pub fn check(entry: &str) -> Result<(), Vec<Fault>> {
+    let file = lay(CHECK_FILE, &[entry])?;
+    let Err(faults) = decode(&file) else { return Ok(()) };
+    let mut own: Vec<Fault> =
+        faults.into_iter().map(|fault| Fault { line: line_in(entry, &fault.place), ..fault }).collect();
+    own.sort();
+    Err(own)
 }
 
-/// The file with these parts laid over it, the first the widest. A part that says what is each balancer's own is refused:
+/// The file with these entries laid over it, the widest scope first. An entry with what is each balancer's own is refused:
 /// whoever entered it, it does not reach a balancer.
-pub fn lay(file: &str, parts: &[&str]) -> Result<String, Vec<Fault>> {
-    let mut all = parse(file)?;
-    for part in parts {
-        let table = parse(part)?;
-        let faults = foreign(part, &table);
+pub fn lay(file: &str, entries: &[&str]) -> Result<String, Vec<Fault>> {
+    let mut merged = parse(file)?;
+    for entry in entries {
+        let table = parse(entry)?;
+        let faults = forbidden_keys(entry, &table);
         if !faults.is_empty() {
             return Err(faults);
         }
-        over(&mut all, table);
+        merge(&mut merged, table);
     }
-    toml::to_string(&all).map_err(|e| vec![Fault { line: 1, place: String::new(), why: e.to_string() }])
+    toml::to_string(&merged)
+        .map_err(|error| vec![Fault { line: 1, place: String::new(), why: error.to_string() }])
 }
 
-/// What a balancer with this file goes by under these parts, each with what it is called, the first the widest; or all that
-/// is wrong, each with where it is said: the narrowest part that has a say in it, else the balancer's own file.
-pub fn load(file: &str, parts: &[(&str, &str)]) -> Result<Plan, Vec<Fault>> {
-    const OWN: &str = "the balancer's own file";
-    let said = |fault: Fault, by: &str| Fault { why: format!("{} ({by})", fault.why), ..fault };
-    for (name, part) in parts {
-        lay("", &[part]).map_err(|faults| faults.into_iter().map(|f| said(f, name)).collect::<Vec<_>>())?;
+/// The plan of a balancer with this file under these entries, each with its name, the widest scope first; or all faults, each
+/// attributed to where it comes from: the narrowest entry that names its place, else the balancer's own file.
+pub fn load(file: &str, entries: &[(&str, &str)]) -> Result<Plan, Vec<Fault>> {
+    for (name, entry) in entries {
+        let by = |fault: Fault| attribute(fault, name);
+        lay("", &[entry]).map_err(|faults| faults.into_iter().map(by).collect::<Vec<_>>())?;
     }
-    let texts: Vec<&str> = parts.iter().map(|(_, part)| *part).collect();
-    decode(&lay(file, &texts)?).map_err(|faults| {
-        let told = |fault: Fault| {
-            let all = parts.iter().rev().copied().chain([(OWN, file)]);
-            let found = all.filter_map(|(name, text)| Some((name, find(text, &fault.place)?)));
-            // The one that says most of the place; of these the narrowest.
-            let best = found.reduce(|best, next| if next.1 .1 > best.1 .1 { next } else { best });
-            let (name, (line, _)) = best.unwrap_or((OWN, (1, 0)));
-            said(Fault { line, ..fault }, name)
-        };
-        faults.into_iter().map(told).collect()
-    })
+    let texts: Vec<&str> = entries.iter().map(|(_, entry)| *entry).collect();
+    decode(&lay(file, &texts)?)
+        .map_err(|faults| faults.into_iter().map(|fault| attribute_to_source(fault, file, entries)).collect())
+}
+
+fn attribute(fault: Fault, source: &str) -> Fault {
+    Fault { why: format!("{} ({source})", fault.why), ..fault }
+}
+
+/// The text that names most steps of the fault's place is its source; of several, the narrowest.
+fn attribute_to_source(fault: Fault, file: &str, entries: &[(&str, &str)]) -> Fault {
+    let mut source = OWN_FILE;
+    let mut best: Option<Location> = None;
+    for (name, text) in entries.iter().rev().copied().chain([(OWN_FILE, file)]) {
+        let Some(location) = locate(text, &fault.place) else { continue };
+        if best.as_ref().is_none_or(|best| location.steps > best.steps) {
+            source = name;
+            best = Some(location);
+        }
+    }
+    let line = best.map_or(1, |best| best.line);
+    attribute(Fault { line, ..fault }, source)
 }
 
-/// What a part says and must not.
-fn foreign(part: &str, table: &Table) -> Vec<Fault> {
-    let fault = |place: String, why: &str| {
-        let line = find(part, &place).map_or(1, |(line, _)| line);
-        Fault { line, place, why: why.to_owned() }
-    };
-    let own = table.keys().filter(|key| !SHARED.contains(&key.as_str()));
-    let own = own.map(|key| fault(key.clone(), "is each balancer's own, and stands in its file"));
-    let named = |(under, key): &&(&str, &str)| {
-        table.get(*under).and_then(Value::as_table).is_some_and(|table| table.contains_key(*key))
-    };
-    let late = AT_A_START.iter().filter(named);
-    let late =
-        late.map(|(under, key)| fault(format!("{under}.{key}"), "needs a restart, and stands in each file"));
-    let mut faults: Vec<Fault> = own.chain(late).collect();
+/// Keys that an entry may not have.
+fn forbidden_keys(entry: &str, table: &Table) -> Vec<Fault> {
+    let fault = |place: String, why: &str| Fault { line: line_in(entry, &place), place, why: why.to_owned() };
+    let mut faults = Vec::new();
+    for key in table.keys().filter(|key| !SHARED_TABLES.contains(&key.as_str())) {
+        faults.push(fault(key.clone(), "is each balancer's own, and stands in its file"));
+    }
+    for (under, key) in RESTART_KEYS {
+        if table.get(under).and_then(Value::as_table).is_some_and(|table| table.contains_key(key)) {
+            faults.push(fault(format!("{under}.{key}"), "needs a restart, and stands in each file"));
+        }
+    }
     faults.sort();
     faults
 }
 
-/// The line of a place as it is shown (`method[0].name`), or of as much of it as the text says, and how many steps that
-/// is; none where it says nothing of it.
-fn find(text: &str, place: &str) -> Option<(usize, usize)> {
+/// Where a text names a place.
+struct Location {
+    line: usize,
+    /// How many steps of the place it names.
+    steps: usize,
+}
+
+/// The line on which a text names a place, or as much of the place as it names; the first where it names nothing of it.
+fn line_in(text: &str, place: &str) -> usize {
+    locate(text, place).map_or(1, |location| location.line)
+}
+
+/// Where a text names a place as it is displayed (`method[0].name`), or as much of it as it names.
+fn locate(text: &str, place: &str) -> Option<Location> {
     let table = DeTable::parse(text).ok()?;
-    let (mut at, mut steps, mut under) = (None, 0, None::<&Spanned<DeValue<'_>>>);
+    let mut offset = None;
+    let mut steps = 0;
+    let mut under: Option<&Spanned<DeValue<'_>>> = None;
     for step in place.split(['.', '[']) {
         let next = match (under.map(Spanned::get_ref), step.strip_suffix(']')) {
-            (None, None) => entry(table.get_ref(), step),
-            (Some(DeValue::Table(table)), None) => entry(table, step),
-            (Some(DeValue::Array(items)), Some(n)) => {
-                n.parse().ok().and_then(|n: usize| items.get(n)).map(|item| (item.span().start, item))
+            (None, None) => find_key(table.get_ref(), step),
+            (Some(DeValue::Table(table)), None) => find_key(table, step),
+            (Some(DeValue::Array(items)), Some(number)) => {
+                let item = number.parse().ok().and_then(|number: usize| items.get(number));
+                item.map(|item| (item.span().start, item))
             }
             _ => None,
         };
         let Some((start, value)) = next else { break };
-        (at, steps, under) = (Some(start), steps + 1, Some(value));
+        offset = Some(start);
+        steps += 1;
+        under = Some(value);
     }
-    Some((text[..at?.min(text.len())].matches('\n').count() + 1, steps))
+    Some(Location { line: line_of(text, offset?), steps })
 }
 
-fn entry<'a, 'i>(table: &'a DeTable<'i>, key: &str) -> Option<(usize, &'a Spanned<DeValue<'i>>)> {
-    table.iter().find(|(name, _)| name.get_ref() == key).map(|(name, value)| (name.span().start, value))
+fn find_key<'a, 'i>(table: &'a DeTable<'i>, key: &str) -> Option<(usize, &'a Spanned<DeValue<'i>>)> {
+    let (name, value) = table.iter().find(|(name, _)| name.get_ref() == key)?;
+    Some((name.span().start, value))
 }
 
-fn over(under: &mut Table, part: Table) {
-    for (key, value) in part {
-        match (under.get_mut(&key), value) {
-            (Some(Value::Table(under)), Value::Table(part)) => over(under, part),
-            (_, value) => drop(under.insert(key, value)),
+/// Lays one table over another, key by key.
+fn merge(lower: &mut Table, upper: Table) {
+    for (key, value) in upper {
+        match (lower.get_mut(&key), value) {
+            (Some(Value::Table(lower)), Value::Table(upper)) => merge(lower, upper),
+            (_, value) => {
+                lower.insert(key, value);
+            }
         }
     }
 }
 
 fn parse(text: &str) -> Result<Table, Vec<Fault>> {
-    text.parse::<Table>().map_err(|e| {
-        let line = e.span().map_or(1, |span| text[..span.start.min(text.len())].matches('\n').count() + 1);
-        vec![Fault { line, place: String::new(), why: e.message().replace('\n', " ") }]
+    text.parse::<Table>().map_err(|error| {
+        let line = error.span().map_or(1, |span| line_of(text, span.start));
+        vec![Fault { line, place: String::new(), why: error.message().replace('\n', " ") }]
     })
 }
--- a/crates/fernroute-config/tests/files.rs
+++ b/crates/fernroute-config/tests/files.rs
@@ -49,8 +49,8 @@
 "#;
 
 #[test]
-fn names_and_units_become_terms() {
-    let plan = decode(GOOD).expect("it will do");
+fn names_and_units_become_settings() {
+    let plan = decode(GOOD).expect("it is good");
     assert_eq!((plan.name.as_str(), plan.seed, plan.descriptors), ("n0", None, 1024));
     assert_eq!((plan.upstreams.len(), plan.upstreams[0].cell.as_str()), (1, "7"));
     for (term, value) in [
@@ -73,8 +73,8 @@
 }
 
 #[test]
-fn each_thing_that_will_not_do_is_named_with_its_line_and_place() {
-    for (old, new, told) in [
+fn each_fault_has_its_line_and_place() {
+    for (old, new, expected) in [
         ("name = \"n0\"", "", "line 1: name: is missing"),
         ("name = \"n0\"", "name = \" \"", "line 1: name: is no text, or empty"),
         ("name = \"n0\"", "name = \"n0\"\ncolour = 3", "line 2: colour: is not known"),
@@ -114,39 +114,39 @@
         ("[place]", "[place.more]\n[place]", "place.more: is not known"),
     ] {
         assert!(GOOD.contains(old), "{old}");
-        let faults = decode(&GOOD.replacen(old, new, 1)).expect_err(told);
-        assert_eq!(faults.len(), 1, "{told}: {faults:?}");
+        let faults = decode(&GOOD.replacen(old, new, 1)).expect_err(expected);
+        assert_eq!(faults.len(), 1, "{expected}: {faults:?}");
         let line = faults[0].to_string();
-        assert!(line.contains(told) && !line.contains('\n'), "{told}: {line}");
+        assert!(line.contains(expected) && !line.contains('\n'), "{expected}: {line}");
     }
 }
 
 #[test]
-fn all_that_is_wrong_is_told_at_once_in_the_order_of_the_lines() {
+fn all_faults_are_reported_at_once_in_the_order_of_lines() {
     let text = GOOD.replace("instances = 4", "instances = 0").replace("cold_from = 0.3", "cold = 1");
     let text = text.replace("\"retriable\"", "1").replace("rate = 12.5", "rate = inf");
-    let told: Vec<String> = decode(&text).expect_err("four").iter().map(ToString::to_string).collect();
+    let reported: Vec<String> = decode(&text).expect_err("four").iter().map(ToString::to_string).collect();
     let places = ["rules.cold_from", "place.instances", "rules.cold", "method[0].effect", "tenant[0].rate"];
-    assert_eq!(told.len(), places.len(), "{told:?}");
-    for (line, place) in told.iter().zip(places) {
-        assert!(line.contains(&format!(": {place}: ")), "{place}: {told:?}");
+    assert_eq!(reported.len(), places.len(), "{reported:?}");
+    for (line, place) in reported.iter().zip(places) {
+        assert!(line.contains(&format!(": {place}: ")), "{place}: {reported:?}");
     }
     assert!(decode("").expect_err("nothing is there").len() > 5);
 }
 
-/// Guards against a balancer that starts without its part of a fleet because of a slip in its file.
+/// Guards against a balancer that starts outside its fleet because of a slip in its file.
 #[test]
-fn a_fleet_is_named_whole_or_not_at_all() {
-    assert_eq!(decode(GOOD).expect("it will do").fleet, None);
+fn a_fleet_is_configured_completely_or_not_at_all() {
+    assert_eq!(decode(GOOD).expect("it is good").fleet, None);
     let with = |fleet: &str| decode(&GOOD.replace("[rules]", &format!("[fleet]\n{fleet}\n\n[rules]")));
     let both = "cluster = \"c\"\nstewards = [\"127.0.0.1:7001\", \"127.0.0.1:7002\"]";
-    let fleet = with(both).expect("it will do").fleet.expect("it is named");
+    let fleet = with(both).expect("it is good").fleet.expect("it is named");
     assert_eq!((fleet.cluster.as_str(), fleet.stewards.len(), fleet.beat), ("c", 2, 2_500));
-    let divides = |text: &str| with(&format!("{both}\n{text}")).expect("it will do").fleet.map(|f| f.divides);
+    let divides = |text: &str| with(&format!("{both}\n{text}")).expect("it is good").fleet.map(|f| f.divides);
     assert_eq!((fleet.divides, divides("divides = []")), (vec![], Some(vec![])));
     assert_eq!(divides("divides = [\"trials\"]"), Some(vec![fernroute::TRIAL_BUDGET]));
     let follows = format!("{both}\nservice = \"shop\"\nfolder = \"/var/lib/f\"\nwait_ms = 500");
-    let follows = with(&follows).expect("it will do").fleet.expect("it is named");
+    let follows = with(&follows).expect("it is good").fleet.expect("it is named");
     assert_eq!((follows.service.as_deref(), follows.wait), (Some("shop"), 5_000));
     assert_eq!(follows.folder.as_deref(), Some(std::path::Path::new("/var/lib/f")));
     assert_eq!((fleet.service, fleet.folder, fleet.wait), (None, None, 20_000));
@@ -175,7 +175,7 @@
         ),
     ] {
         let faults = with(text).expect_err(why);
-        let told: Vec<String> = faults.iter().map(ToString::to_string).collect();
-        assert!(told.iter().any(|told| told.contains(why)), "{why}: {told:?}");
+        let reported: Vec<String> = faults.iter().map(ToString::to_string).collect();
+        assert!(reported.iter().any(|reported| reported.contains(why)), "{why}: {reported:?}");
     }
 }
