--- a/crates/fernroute-bench-adapter/src/actions.rs
+++ b/crates/fernroute-bench-adapter/src/actions.rs
@@ -1,7 +1,7 @@
 //! What balancers do, as lines of the wire.
 
 use fernroute::host::{Host, Time, Timer};
-use fernroute_settings::seconds;
+use fernroute_settings::format_seconds;
 use std::cell::RefCell;
 use std::fmt::{Arguments, Write as _};
 use std::rc::Rc;
@@ -35,7 +35,7 @@
 
 impl Host for ActionWriter {
     fn start_attempt(&mut self, rpc: &str, upstream: &str, timeout: Time, _: Option<Time>) {
-        let cap = seconds(timeout);
+        let cap = format_seconds(timeout);
         self.push(format_args!("hand_off\tcall={rpc}\tupstream={upstream}\tcap-s={cap}"));
     }
 
@@ -44,7 +44,7 @@
     }
 
     fn reject(&mut self, rpc: &str, retry_after: Time) {
-        self.push(format_args!("bounce\tcall={rpc}\tpause-s={}", seconds(retry_after)));
+        self.push(format_args!("bounce\tcall={rpc}\tpause-s={}", format_seconds(retry_after)));
     }
 
     fn fail(&mut self, rpc: &str) {
@@ -53,7 +53,7 @@
 
     fn set_timer(&mut self, after: Time, timer: Timer) {
         let key = timer_key(&timer);
-        self.push(format_args!("sleep\twait-s={}\tkey-back={key}", seconds(after)));
+        self.push(format_args!("sleep\twait-s={}\tkey-back={key}", format_seconds(after)));
     }
 
     fn watch_endpoints(&mut self) {
--- a/crates/fernroute-bench-adapter/src/message.rs
+++ b/crates/fernroute-bench-adapter/src/message.rs
@@ -44,7 +44,7 @@
 
     /// A time in seconds that has to be there.
     pub fn time(&self, field: &'static str) -> Result<Time, MessageError> {
-        fernroute_settings::time(self.require(field)?).ok_or_else(|| self.unreadable(field))
+        fernroute_settings::parse_seconds(self.require(field)?).ok_or_else(|| self.unreadable(field))
     }
 
     /// A time that may be absent, and is 0 then; one that is there must be readable.
--- a/crates/fernroute-server/src/program/instance.rs
+++ b/crates/fernroute-server/src/program/instance.rs
@@ -37,7 +37,7 @@
 
 /// A term that will not do, in the words of the file.
 pub fn bad_setting(bad: &InvalidSetting) -> String {
-    format!("settings: {} {}", bad.why, fernroute_settings::path(&bad.setting))
+    format!("settings: {} {}", bad.why, fernroute_settings::path_of(&bad.setting))
 }
 
 /// The file as it is written.
@@ -181,7 +181,7 @@
         note(self.descriptors != new.descriptors, "limits.sockets");
         // Connections are made with these when an upstream is first named.
         for name in ["limits.connect_time_out", "limits.keep_alive"] {
-            let path = format!("settings.{}", fernroute_settings::path(name));
+            let path = format!("settings.{}", fernroute_settings::path_of(name));
             note(self.terms.get(name) != new.terms.get(name), &path);
         }
         what
--- a/crates/fernroute-server/src/protocol/answer.rs
+++ b/crates/fernroute-server/src/protocol/answer.rs
@@ -165,7 +165,7 @@
             Final::Exhausted(stay_away) => {
                 let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "exhausted\n");
                 if stay_away > 0 {
-                    if let Ok(value) = HeaderValue::from_str(&fernroute_settings::seconds(stay_away)) {
+                    if let Ok(value) = HeaderValue::from_str(&fernroute_settings::format_seconds(stay_away)) {
                         response.headers_mut().insert(RETRY_AFTER, value);
                     }
                 }
--- a/crates/fernroute-settings/src/lib.rs
+++ b/crates/fernroute-settings/src/lib.rs
@@ -1,107 +1,145 @@
-//! The one table of settings: the operators' names and units in, the terms of a balancer out.
+//! The one table of settings: the operators' paths, words and units in, the settings of the decisions out. No other place knows
+//! the operators' names.
+#![warn(missing_docs)]
 
 use fernroute::Time;
 
-/// Wire path of a start's value, its name in the project, and how the value is read. `#` is any list place.
-#[rustfmt::skip]
-const TERMS: &[(&str, &str, Form)] = &[
-    ("n-instances", "instances", Form::Plain),
-    ("me", "number", Form::Plain),
-    ("layer", "tier", Form::Plain),
-    ("zone", "zone", Form::Plain),
-    ("quantum-s", "tick", Form::Seconds),
-    ("membership-mode", "list_mode", Form::Words),
-    ("beyond-share-gain", "over_share_gain", Form::Plain),
-    ("refuse-beyond-share", "refuse_over_share", Form::Plain),
-    ("family-info.warm-keys", "warm_keys", Form::Plain),
-    ("tariffs.cross-zone", "prices.cross_zone", Form::Plain),
-    ("feedback.names", "load.names", Form::Words),
-    ("methods.count", "methods.count", Form::Plain),
-    ("methods.#.name", "methods.#.name", Form::Plain),
-    ("methods.#.effect", "methods.#.effect", Form::Words),
-    ("methods.#.group", "methods.#.group", Form::Plain),
-    ("methods.#.window-s", "methods.#.window", Form::Seconds),
-    ("methods.#.soft-deadline-s", "methods.#.soft_deadline", Form::Seconds),
-    ("methods.#.hard-deadline-s", "methods.#.hard_deadline", Form::Seconds),
-    ("methods.#.gain", "methods.#.gain", Form::Plain),
-    ("methods.#.late-gain", "methods.#.late_gain", Form::Plain),
-    ("orgs.count", "tenants.count", Form::Plain),
-    ("orgs.#.name", "tenants.#.name", Form::Plain),
-    ("orgs.#.quota-per-s", "tenants.#.rate", Form::Plain),
-    ("ceilings.max-transmissions", "limits.max_transmissions", Form::Plain),
-    ("ceilings.cancel", "limits.cancel", Form::Plain),
-    ("ceilings.retry-after", "limits.stay_away", Form::Plain),
-    ("ceilings.connect-timeout-s", "limits.connect_time_out", Form::Seconds),
-    ("ceilings.keepalive-s", "limits.keep_alive", Form::Seconds),
-    ("ceilings.max-retry-after-s", "limits.max_stay_away", Form::Seconds),
-    ("contract.answer-slack-s", "rules.answer_slack", Form::Seconds),
-    ("contract.drain-grace-s", "rules.drain_grace", Form::Seconds),
-    ("contract.must-ask-in-s", "rules.ask_within", Form::Seconds),
-    ("contract.cold-from", "rules.cold_from", Form::Plain),
-    ("contract.warm-within-s", "rules.warm_within", Form::Seconds),
-    ("contract.tip-multiple", "rules.cold_multiple", Form::Plain),
-    ("contract.overload-for-s", "rules.cold_window", Form::Seconds),
-];
+/// Units of [`Time`] in a second.
+const TIME_PER_SECOND: Time = 10_000;
 
+/// Microseconds, in which the wire counts, in a unit of [`Time`].
+const MICROSECONDS_PER_TIME: Time = 100;
+
+/// How the text of a value becomes a setting's.
 #[derive(Clone, Copy)]
-enum Form {
-    Plain,
+enum Conversion {
+    /// As it is.
+    Verbatim,
+    /// A list of words, each by [`setting_word`].
     Words,
+    /// Seconds, to whole units of [`Time`].
     Seconds,
 }
 
+use Conversion::{Seconds, Verbatim, Words};
+
+struct Mapping {
+    /// The operators' path, `#` for the number of a list's entry.
+    path: &'static str,
+    /// The setting's name, with the same `#`.
+    setting: &'static str,
+    conversion: Conversion,
+}
+
+const fn setting(path: &'static str, setting: &'static str, conversion: Conversion) -> Mapping {
+    Mapping { path, setting, conversion }
+}
+
+#[rustfmt::skip]
+const MAPPINGS: &[Mapping] = &[
+    setting("n-instances", "instances", Verbatim),
+    setting("me", "number", Verbatim),
+    setting("layer", "tier", Verbatim),
+    setting("zone", "zone", Verbatim),
+    setting("quantum-s", "tick", Seconds),
+    setting("membership-mode", "list_mode", Words),
+    setting("beyond-share-gain", "over_share_gain", Verbatim),
+    setting("refuse-beyond-share", "refuse_over_share", Verbatim),
+    setting("family-info.warm-keys", "warm_keys", Verbatim),
+    setting("tariffs.cross-zone", "prices.cross_zone", Verbatim),
+    setting("feedback.names", "load.names", Words),
+    setting("methods.count", "methods.count", Verbatim),
+    setting("methods.#.name", "methods.#.name", Verbatim),
+    setting("methods.#.effect", "methods.#.effect", Words),
+    setting("methods.#.group", "methods.#.group", Verbatim),
+    setting("methods.#.window-s", "methods.#.window", Seconds),
+    setting("methods.#.soft-deadline-s", "methods.#.soft_deadline", Seconds),
+    setting("methods.#.hard-deadline-s", "methods.#.hard_deadline", Seconds),
+    setting("methods.#.gain", "methods.#.gain", Verbatim),
+    setting("methods.#.late-gain", "methods.#.late_gain", Verbatim),
+    setting("orgs.count", "tenants.count", Verbatim),
+    setting("orgs.#.name", "tenants.#.name", Verbatim),
+    setting("orgs.#.quota-per-s", "tenants.#.rate", Verbatim),
+    setting("ceilings.max-transmissions", "limits.max_transmissions", Verbatim),
+    setting("ceilings.cancel", "limits.cancel", Verbatim),
+    setting("ceilings.retry-after", "limits.stay_away", Verbatim),
+    setting("ceilings.connect-timeout-s", "limits.connect_time_out", Seconds),
+    setting("ceilings.keepalive-s", "limits.keep_alive", Seconds),
+    setting("ceilings.max-retry-after-s", "limits.max_stay_away", Seconds),
+    setting("contract.answer-slack-s", "rules.answer_slack", Seconds),
+    setting("contract.drain-grace-s", "rules.drain_grace", Seconds),
+    setting("contract.must-ask-in-s", "rules.ask_within", Seconds),
+    setting("contract.cold-from", "rules.cold_from", Verbatim),
+    setting("contract.warm-within-s", "rules.warm_within", Seconds),
+    setting("contract.tip-multiple", "rules.cold_multiple", Verbatim),
+    setting("contract.overload-for-s", "rules.cold_window", Seconds),
+];
+
+/// The operators' words and the settings' for the same.
 #[rustfmt::skip]
 const WORDS: &[(&str, &str)] = &[
-    ("read_like", "retriable"), ("idempotency_key", "deduped"), ("non_idempotent", "non_retriable"),
-    ("cpu", "utilisation"), ("avg_ms", "service_time"), ("active", "in_flight"),
-    ("subscribe", "ask"), ("automatic", "push"), ("waiting", "queued"), ("rps", "rate"), ("err_rps", "errors"),
+    ("read_like", "retriable"),
+    ("idempotency_key", "deduped"),
+    ("non_idempotent", "non_retriable"),
+    ("cpu", "utilisation"),
+    ("avg_ms", "service_time"),
+    ("active", "in_flight"),
+    ("subscribe", "ask"),
+    ("automatic", "push"),
+    ("waiting", "queued"),
+    ("rps", "rate"),
+    ("err_rps", "errors"),
 ];
 
-/// Our word for one of theirs; a word that is not in the table is kept.
-pub fn word(w: &str) -> &str {
-    WORDS.iter().find(|(wire, _)| *wire == w).map_or(w, |(_, ours)| ours)
+/// The settings' word for one of the operators'; a word that is not in the table is kept.
+pub fn setting_word(word: &str) -> &str {
+    WORDS.iter().find(|(wire, _)| *wire == word).map_or(word, |(_, setting)| setting)
 }
 
-/// Seconds as written on the wire, in whole tenths of a millisecond, rounded down.
-pub fn time(text: &str) -> Option<Time> {
+/// Seconds as written on the wire, in whole units of [`Time`], rounded down; none for what is no finite number.
+pub fn parse_seconds(text: &str) -> Option<Time> {
     let seconds: f64 = text.parse().ok()?;
     if !seconds.is_finite() {
         return None;
     }
-    // The wire counts in microseconds: to those first, so that binary fractions cost no tenth.
-    Some((seconds.max(0.0) * 1e6).round() as Time / 100)
+    // To the wire's microseconds first, so that binary fractions cost no unit.
+    let microseconds = (seconds.max(0.0) * 1e6).round() as Time;
+    Some(microseconds / MICROSECONDS_PER_TIME)
 }
 
-/// The same the other way, for the wire.
-pub fn seconds(t: Time) -> String {
-    format!("{}.{:04}", t / 10_000, t % 10_000)
+/// A time as the wire writes it, in seconds.
+pub fn format_seconds(time: Time) -> String {
+    format!("{}.{:04}", time / TIME_PER_SECOND, time % TIME_PER_SECOND)
 }
 
-/// The place in a list that a term's name holds, or the sign for any.
-fn list_place(name: &str) -> &str {
-    name.split('.').find(|s| s.bytes().all(|b| b.is_ascii_digit())).unwrap_or("#")
+/// The name and the value of the setting that a wire's path and value stand for; none for a path that this version does not know.
+pub fn setting_of(path: &str, value: &str) -> Option<(String, String)> {
+    let number = entry_number(path);
+    let steps: Vec<&str> = path.split('.').map(|step| if step == number { "#" } else { step }).collect();
+    let pattern = steps.join(".");
+    let mapping = MAPPINGS.iter().find(|mapping| mapping.path == pattern)?;
+    Some((mapping.setting.replace('#', number), convert(mapping.conversion, value)))
 }
 
-/// Renames one start value; `None` for one that this version does not know.
-pub fn term(path: &str, value: &str) -> Option<(String, String)> {
-    let place = list_place(path);
-    let pattern: Vec<&str> = path.split('.').map(|s| if s == place { "#" } else { s }).collect();
-    let pattern = pattern.join(".");
-    let (_, ours, form) = TERMS.iter().find(|(wire, _, _)| *wire == pattern)?;
-    let value = match form {
-        Form::Plain => value.to_owned(),
-        Form::Words => value.split(',').map(word).collect::<Vec<_>>().join(","),
-        // Less than no time is left as it is written, which nobody can read.
-        Form::Seconds if value.starts_with('-') => value.to_owned(),
-        Form::Seconds => time(value).map_or_else(|| value.to_owned(), |t| t.to_string()),
-    };
-    Some((ours.replace('#', place), value))
+/// The wire's path of a setting, for error messages.
+pub fn path_of(setting: &str) -> String {
+    let number = entry_number(setting);
+    let pattern = setting.replace(&format!(".{number}."), ".#.");
+    let mapping = MAPPINGS.iter().find(|mapping| mapping.setting == pattern);
+    mapping.map_or(setting, |mapping| mapping.path).replace('#', number)
 }
 
-/// The wire's path of a term, for messages.
-pub fn path(ours: &str) -> String {
-    let place = list_place(ours);
-    let pattern = ours.replace(&format!(".{place}."), ".#.");
-    let wire = TERMS.iter().find(|(_, name, _)| *name == pattern).map_or(ours, |(wire, _, _)| wire);
-    wire.replace('#', place)
+/// The number of a list's entry in a dotted name, or `#` where there is none.
+fn entry_number(name: &str) -> &str {
+    name.split('.').find(|step| step.bytes().all(|byte| byte.is_ascii_digit())).unwrap_or("#")
+}
+
+fn convert(conversion: Conversion, value: &str) -> String {
+    match conversion {
+        Verbatim => value.to_owned(),
+        Words => value.split(',').map(setting_word).collect::<Vec<_>>().join(","),
+        // A negative time stays as it is written, which the decisions refuse to read.
+        Seconds if value.starts_with('-') => value.to_owned(),
+        Seconds => parse_seconds(value).map_or_else(|| value.to_owned(), |time| time.to_string()),
+    }
 }
