--- a/crates/fernroute-server/src/program/commands.rs
+++ b/crates/fernroute-server/src/program/commands.rs
@@ -1,13 +1,21 @@
-//! The command line.
+//! The command line of `fernroute`.
 
-use super::{instance::Instance, log, serve};
+use super::instance::{Instance, InstanceError, SettingError};
+use super::serve::StartError;
+use super::{log, serve};
 use argh::FromArgs;
 use std::path::PathBuf;
 use std::process::ExitCode;
+use thiserror::Error;
+
+const PROGRAM: &str = "fernroute";
+
+/// The exit code for bad use and bad files.
+const EXIT_REFUSED: u8 = 2;
 
 /// A load balancer for services that call services.
 #[derive(FromArgs)]
-struct Line {
+struct CommandLine {
     #[argh(subcommand)]
     command: Command,
 }
@@ -43,58 +51,77 @@
 #[argh(subcommand, name = "version")]
 struct Version {}
 
+/// Why a command failed.
+#[derive(Debug, Error)]
+enum CommandError {
+    #[error("neither --config nor $NODE_CONFIG names a file")]
+    NoFile,
+    #[error(transparent)]
+    Instance(#[from] InstanceError),
+    #[error(transparent)]
+    Setting(#[from] SettingError),
+    #[error(transparent)]
+    Start(#[from] StartError),
+}
+
 /// Runs one command. Bad use and bad files are one line on standard error and exit with 2.
 pub fn run(arguments: Vec<String>) -> ExitCode {
-    let line: Line = match parse("fernroute", &arguments) {
+    let line: CommandLine = match parse(PROGRAM, &arguments) {
         Ok(line) => line,
         Err(code) => return code,
     };
-    match line.command {
+    let result = match line.command {
         Command::Version(Version {}) => {
-            println!("fernroute {}", env!("CARGO_PKG_VERSION"));
-            ExitCode::SUCCESS
+            println!("{PROGRAM} {}", env!("CARGO_PKG_VERSION"));
+            Ok(())
         }
-        Command::Check(Check { config }) => match read(config).and_then(|(s, _)| s.check().map(|()| s)) {
-            Ok(station) => {
-                println!(
-                    "{}: {} upstreams known",
-                    station.name,
-                    station.known.map_or(0, |known| known.entries.len())
-                );
-                ExitCode::SUCCESS
-            }
-            Err(why) => refuse("fernroute", &why),
-        },
-        Command::Serve(Serve { config }) => match read(config) {
-            Ok((station, path)) => {
-                log::start(&station.name);
-                serve::serve(station, &path)
-                    .map_or_else(|why| refuse("fernroute", &why), |()| ExitCode::SUCCESS)
-            }
-            Err(why) => refuse("fernroute", &why),
-        },
+        Command::Check(Check { config }) => check(config),
+        Command::Serve(Serve { config }) => serve(config),
+    };
+    match result {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(error) => refuse(PROGRAM, &error.to_string()),
     }
 }
 
-fn read(config: Option<PathBuf>) -> Result<(Instance, PathBuf), String> {
+fn check(config: Option<PathBuf>) -> Result<(), CommandError> {
+    let instance = Instance::read(&config_path(config)?)?;
+    instance.check()?;
+    let upstreams = instance.known.map_or(0, |known| known.entries.len());
+    println!("{}: {upstreams} upstreams known", instance.name);
+    Ok(())
+}
+
+fn serve(config: Option<PathBuf>) -> Result<(), CommandError> {
+    let path = config_path(config)?;
+    let instance = Instance::read(&path)?;
+    log::start(&instance.name);
+    serve::serve(instance, &path)?;
+    Ok(())
+}
+
+fn config_path(config: Option<PathBuf>) -> Result<PathBuf, CommandError> {
     let path = config.or_else(|| std::env::var_os("NODE_CONFIG").map(PathBuf::from));
-    let path = path.ok_or("neither --config nor $NODE_CONFIG names a file")?;
-    Ok((Instance::read(&path)?, path))
+    path.ok_or(CommandError::NoFile)
 }
 
-/// The words after a program's name, or the code to end with where it has said all there is to say.
+/// Parses the arguments after a program's name. The error is the exit code, after help or the error has been printed.
+///
+/// # Errors
+/// With success after help was asked for, else with 2.
 pub fn parse<L: FromArgs>(program: &str, arguments: &[String]) -> Result<L, ExitCode> {
     let words: Vec<&str> = arguments.iter().skip(1).map(String::as_str).collect();
-    L::from_args(&[program], &words).map_err(|early| {
-        if early.status.is_err() {
-            return refuse(program, &early.output);
+    L::from_args(&[program], &words).map_err(|early_exit| {
+        if early_exit.status.is_err() {
+            return refuse(program, &early_exit.output);
         }
-        println!("{}", early.output);
+        println!("{}", early_exit.output);
         ExitCode::SUCCESS
     })
 }
 
-pub fn refuse(program: &str, why: &str) -> ExitCode {
-    eprintln!("{program}: {}", why.split_whitespace().collect::<Vec<_>>().join(" "));
-    ExitCode::from(2)
+/// Prints the error as one line on standard error; returns the exit code 2.
+pub fn refuse(program: &str, error: &str) -> ExitCode {
+    eprintln!("{program}: {}", error.split_whitespace().collect::<Vec<_>>().join(" "));
+    ExitCode::from(EXIT_REFUSED)
 }
--- a/crates/fernroute-server/src/program/configuration.rs
+++ b/crates/fernroute-server/src/program/configuration.rs
@@ -1,243 +1,294 @@
-//! The fleet's configuration, where a balancer goes by it: learnt of by the answers to its beats, fetched from any steward,
-//! laid over its own file on the path that SIGHUP takes, and kept on its disk for a start without stewards.
+//! The fleet's configuration, where a balancer follows it: replies to heartbeats name the newest version, any coordinator
+//! serves it, and it is applied over the balancer's own file on the same path as a reload.
 //!
-//! The order is: in force, kept, reported. A crash before it is kept leaves the one before on the disk, and a start goes
-//! by that and says so; what is reported is in force, and where the disk takes it, kept. Where the disk does not take it,
-//! it is in force all the same and the log says so once: the stewards have it, and a balancer that can't write is no
-//! reason to go by what its operators have replaced.
+//! A version passes these states: *notified*, *fetched*, *active* or *rejected*, *cached*, *reported*. After a crash before
+//! a version is cached, the next start uses the version before it and reports that one. A version that the disk does not
+//! take is active all the same, with one warning: the coordinators still have it.
 
-use super::configuration_cache::ConfigurationCache;
-use super::coordinators::CoordinatorClient;
+use super::configuration_cache::{CacheReadError, CacheWriteError, ConfigurationCache};
+use super::coordinators::{CoordinatorClient, CoordinatorError, RequestLimits};
 use super::instance::{Instance, Layer};
+use super::random::random_fraction;
 use crate::protocol::ops;
 use crate::routing::clock::duration;
 use crate::routing::switchboard::Switchboard;
 use crate::transport::handover;
 use fernroute_config::Fleet;
-use fernroute_fleet::configuration::follower::{ConfigurationFollower, ConfigurationSnapshot};
+use fernroute_fleet::configuration::follower::{ConfigurationFollower, ConfigurationSnapshot, FetchError};
 use fernroute_fleet::configuration::{
     ConfigurationReport, FetchReply, FetchRequest, Target, Version, FETCH_PATH,
 };
 use std::cell::{Cell, RefCell};
-use std::hash::{BuildHasher as _, RandomState};
+use std::fmt::Display;
+use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
+use thiserror::Error;
 use tokio::sync::Notify;
 
-/// A steward that has not answered by then is passed over for the next one.
-const ANSWER: Duration = Duration::from_secs(1);
+/// After this time the next coordinator is tried. The size has room for four entries of the longest content, with JSON's
+/// escapes for quotes and line ends.
+const FETCH_LIMITS: RequestLimits =
+    RequestLimits { timeout: Duration::from_secs(1), max_reply_bytes: 1 << 20 };
 
-/// Four parts of the longest content, with what JSON writes for a quote or a line's end.
-const MOST_ANSWER: usize = 1 << 20;
+/// How often a backoff and the first notification are waited for.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Until a pause is over, and until the stewards' word has come, it is looked so often.
-const LOOK: Duration = Duration::from_millis(20);
+/// After this time a slow disk is not waited for any more.
+const CACHE_WRITE_LIMIT: Duration = Duration::from_secs(2);
 
-/// A disk that takes longer than this to keep a copy is not waited for any more.
-const KEEP: Duration = Duration::from_secs(2);
+/// The cache of this balancer has no place on the disk.
+#[derive(Debug, Error)]
+#[error("{0}")]
+pub struct CachePathError(String);
 
+/// Follows the fleet's configuration for one balancer.
 pub struct ConfigurationTask {
+    /// Written by notifications, fetches and their outcome.
     follower: RefCell<ConfigurationFollower>,
-    place: Target,
+    target: Target,
     fleet: Fleet,
-    /// The copy on the disk.
-    copy: ConfigurationCache,
-    /// A leader has answered this process.
-    heard: Cell<bool>,
-    /// There is something to fetch.
-    news: Notify,
-    /// Whether the disk has what is in force.
-    is_kept: Cell<bool>,
-    began: Instant,
+    cache: ConfigurationCache,
+    /// A leader has replied to this process. Written by [`ConfigurationTask::on_heartbeat_reply`] alone.
+    notified: Cell<bool>,
+    /// Wakes the task: there may be something to fetch.
+    fetch_wanted: Notify,
+    /// Whether the disk has the active version. Written after each write to the cache.
+    is_cached: Cell<bool>,
+    started_at: Instant,
 }
 
-/// At a start: what is kept is laid over the file, where it is sound and fits; else the file alone counts. Without a service
-/// in the file there is nothing to follow. `lay` has parts go into force, whole or not at all.
-pub fn begin(
-    station: &Instance,
-    lay: impl FnOnce(Vec<Layer>) -> Result<(), String>,
-) -> Result<Option<Rc<ConfigurationTask>>, String> {
-    let of_service = station.fleet.as_ref().and_then(|fleet| Some((fleet, fleet.service.clone()?)));
-    let Some((fleet, service)) = of_service else { return Ok(None) };
-    let zone = station.terms.get("zone").cloned().unwrap_or_default();
-    let place = Target { name: station.name.clone(), service, zone };
-    let copy = ConfigurationCache::new(copy_path(station, fleet)?);
-    let kept = copy.read(&place).and_then(|kept| match kept {
-        Some(kept) => lay(layers(&kept)).map(|()| Some(kept)),
-        None => Ok(None),
-    });
-    let kept = kept.unwrap_or_else(|why| {
-        tracing::warn!("{}: passed over: {}", copy.path().display(), one_line(&why));
+/// At a start: applies the cached snapshot over the file, if it is intact and loads; else the file alone counts. Returns
+/// `None` where the file names no service to follow. `apply` has layers take effect, all or none.
+///
+/// # Errors
+/// When there is no path for the cache.
+pub fn begin<E: Display>(
+    instance: &Instance,
+    apply: impl FnOnce(Vec<Layer>) -> Result<(), E>,
+) -> Result<Option<Rc<ConfigurationTask>>, CachePathError> {
+    let Some(fleet) = &instance.fleet else { return Ok(None) };
+    let Some(service) = fleet.service.clone() else { return Ok(None) };
+    let zone = instance.terms.get("zone").cloned().unwrap_or_default();
+    let target = Target { name: instance.name.clone(), service, zone };
+    let cache = ConfigurationCache::new(cache_path(instance, fleet)?);
+    let cached = apply_cached(&cache, &target, apply).unwrap_or_else(|error| {
+        tracing::warn!("{}: passed over: {}", cache.path().display(), one_line(&error));
         None
     });
-    if let Some(kept) = &kept {
-        tracing::info!("configuration {} is in force, as it was kept", kept.version);
+    if let Some(cached) = &cached {
+        tracing::info!("configuration {} is in force, as it was kept", cached.version);
     }
     Ok(Some(Rc::new(ConfigurationTask {
-        follower: RefCell::new(ConfigurationFollower::new(place.clone(), kept)),
-        place,
+        follower: RefCell::new(ConfigurationFollower::new(target.clone(), cached)),
+        target,
         fleet: fleet.clone(),
-        copy,
-        heard: Cell::new(false),
-        news: Notify::new(),
-        is_kept: Cell::new(true),
-        began: Instant::now(),
+        cache,
+        notified: Cell::new(false),
+        fetch_wanted: Notify::new(),
+        is_cached: Cell::new(true),
+        started_at: Instant::now(),
     })))
 }
 
-fn one_line(why: &str) -> String {
-    why.split_whitespace().collect::<Vec<_>>().join(" ")
+/// Why the cached snapshot is not active.
+#[derive(Debug, Error)]
+enum CachedSnapshotError<E: Display> {
+    #[error("{0}")]
+    Read(CacheReadError),
+    #[error("{0}")]
+    Apply(E),
 }
 
-/// Beside the file that says who this balancer is, where no folder is named.
-fn copy_path(station: &Instance, fleet: &Fleet) -> Result<PathBuf, String> {
-    let beside = handover::path(&station.name, station.listen)?.with_extension("configuration");
-    Ok(match (&fleet.folder, beside.file_name()) {
-        (Some(folder), Some(name)) => folder.join(name),
-        _ => beside,
-    })
+fn apply_cached<E: Display>(
+    cache: &ConfigurationCache,
+    target: &Target,
+    apply: impl FnOnce(Vec<Layer>) -> Result<(), E>,
+) -> Result<Option<ConfigurationSnapshot>, CachedSnapshotError<E>> {
+    let Some(cached) = cache.read(target).map_err(CachedSnapshotError::Read)? else { return Ok(None) };
+    apply(layers(&cached)).map_err(CachedSnapshotError::Apply)?;
+    Ok(Some(cached))
 }
 
-fn layers(snapshot: &ConfigurationSnapshot) -> Vec<Layer> {
-    // One that is empty says nothing any more.
-    let said = snapshot.entries().filter(|part| !part.content.is_empty());
-    said.map(|part| (part.scope.to_string(), part.content.clone())).collect()
+fn one_line(error: &impl Display) -> String {
+    error.to_string().split_whitespace().collect::<Vec<_>>().join(" ")
 }
 
-/// A draw between 0 and 1, other in each process: balancers that failed together do not come again together.
-fn chance() -> f64 {
-    let drawn = RandomState::new().hash_one(std::process::id());
-    (drawn >> 11) as f64 / (1_u64 << 53) as f64
+/// In the folder that the file names, else beside the identity file.
+fn cache_path(instance: &Instance, fleet: &Fleet) -> Result<PathBuf, CachePathError> {
+    let socket_path = handover::path(&instance.name, instance.listen).map_err(CachePathError)?;
+    let default_path = socket_path.with_extension("configuration");
+    Ok(match (&fleet.folder, default_path.file_name()) {
+        (Some(folder), Some(file_name)) => folder.join(file_name),
+        _ => default_path,
+    })
+}
+
+/// The layers of the snapshot; an entry that was emptied is none.
+fn layers(snapshot: &ConfigurationSnapshot) -> Vec<Layer> {
+    let entries = snapshot.entries().filter(|entry| !entry.content.is_empty());
+    entries.map(|entry| (entry.scope.to_string(), entry.content.clone())).collect()
 }
 
 impl ConfigurationTask {
-    /// For the next beat.
+    /// The content of the next heartbeat.
     pub fn report(&self) -> ConfigurationReport {
         self.follower.borrow().report()
     }
 
-    /// A leader answered a beat; it names the version that concerns this balancer, where that is another one. One of an
-    /// older version names none.
-    pub fn hear(&self, version: Option<Version>) {
+    /// A leader replied to a heartbeat. `version` is the newest one for this balancer; `None` from a coordinator of an
+    /// older release, and where there is nothing newer to name.
+    pub fn on_heartbeat_reply(&self, version: Option<Version>) {
         if let Some(version) = version {
             self.follower.borrow_mut().on_notification(version);
-            self.news.notify_one();
+            self.fetch_wanted.notify_one();
         }
-        self.heard.set(true);
+        self.notified.set(true);
     }
 
-    /// The balancer's own file is another one: what was refused may do now.
-    pub fn retry(&self) {
+    /// Tries a rejected version again: the balancer's own file has changed.
+    pub fn retry_rejected(&self) {
         self.follower.borrow_mut().retry_rejected();
-        self.news.notify_one();
+        self.fetch_wanted.notify_one();
     }
 
-    /// The stewards have said what to go by, and it is in force or refused; or they had their time.
-    pub async fn settle(&self) {
-        let has_all = || {
-            let follower = self.follower.borrow();
-            self.heard.get() && follower.decided_version() >= follower.notified_version()
-        };
-        while !has_all() && self.began.elapsed() < duration(self.fleet.wait) {
-            actix_rt::time::sleep(LOOK).await;
+    /// At a start: waits until the newest version is active or rejected, for at most the configured time.
+    pub async fn wait_until_current(&self) {
+        while !self.is_current() && self.started_at.elapsed() < duration(self.fleet.wait) {
+            actix_rt::time::sleep(POLL_INTERVAL).await;
         }
-        if !has_all() {
-            let in_force = self.report().active;
-            tracing::warn!("no word of the stewards in time: configuration {in_force} stays in force");
+        if !self.is_current() {
+            let active = self.report().active;
+            tracing::warn!("no word of the stewards in time: configuration {active} stays in force");
         }
     }
 
-    /// Fetches what it is told of, for as long as the program runs. `lay` has parts go into force, whole or not at all.
-    pub async fn follow(
+    fn is_current(&self) -> bool {
+        let follower = self.follower.borrow();
+        self.notified.get() && follower.decided_version() >= follower.notified_version()
+    }
+
+    /// The task: fetches and applies each version it is notified of, for as long as the program runs. `apply` has layers
+    /// take effect, all or none.
+    pub async fn run<E: Display>(
         self: Rc<Self>,
         board: Rc<Switchboard>,
-        lay: impl Fn(Vec<Layer>) -> Result<(), String>,
+        apply: impl Fn(Vec<Layer>) -> Result<(), E>,
     ) {
-        let stewards = CoordinatorClient::new(&self.fleet, Rc::clone(&board));
-        let mut failed = false;
-        self.show(&board);
+        let coordinators = CoordinatorClient::new(&self.fleet, Rc::clone(&board));
+        let mut last_fetch_failed = false;
+        self.publish(&board);
         loop {
-            let due = self.follower.borrow_mut().next_fetch(board.clock.now());
-            match due {
-                Some(fetch) => {
-                    let fetched = self.fetch(&stewards, &board, &fetch).await;
-                    failed = fetched.is_none();
-                    match fetched {
-                        Some(snapshot) => self.apply(snapshot, &lay).await,
-                        None => {
-                            self.follower.borrow_mut().fetch_failed(board.clock.now(), chance());
-                        }
-                    }
-                    self.show(&board);
+            let request = self.follower.borrow_mut().next_fetch(board.clock.now());
+            let Some(request) = request else {
+                if last_fetch_failed {
+                    // In the backoff: it ends by the clock.
+                    actix_rt::time::sleep(POLL_INTERVAL).await;
+                } else {
+                    self.publish(&board);
+                    self.fetch_wanted.notified().await;
                 }
-                // The pause after a failure.
-                None if failed => actix_rt::time::sleep(LOOK).await,
+                continue;
+            };
+            let fetched = self.fetch(&coordinators, &board, &request).await;
+            last_fetch_failed = fetched.is_none();
+            match fetched {
+                Some(snapshot) => self.activate(snapshot, &apply).await,
                 None => {
-                    self.show(&board);
-                    self.news.notified().await;
+                    self.follower.borrow_mut().fetch_failed(board.clock.now(), random_fraction());
                 }
             }
+            self.publish(&board);
         }
     }
 
-    /// From a steward drawn by chance, so that the leader is not asked by all; then from the others.
+    /// Tries the coordinators in turn, from a random one on, so that the leader does not serve all balancers.
     async fn fetch(
         &self,
-        stewards: &CoordinatorClient,
+        coordinators: &CoordinatorClient,
         board: &Switchboard,
-        fetch: &FetchRequest,
+        request: &FetchRequest,
     ) -> Option<ConfigurationSnapshot> {
-        let all = &stewards.addresses;
-        let first = (chance() * all.len() as f64) as usize;
-        for n in 0..all.len() {
-            let at = all[(first + n) % all.len()];
+        let addresses = &coordinators.addresses;
+        let first = (random_fraction() * addresses.len() as f64) as usize;
+        for offset in 0..addresses.len() {
+            let coordinator = addresses[(first + offset) % addresses.len()];
             board.note(|control| control.fetches += 1);
-            let why = match stewards.ask::<FetchReply>(at, FETCH_PATH, fetch, ANSWER, MOST_ANSWER).await {
-                Ok(fetched) => match self.follower.borrow_mut().on_reply(fetched) {
-                    Ok(snapshot) => return Some(snapshot),
-                    Err(why) => format!("{why:?}"),
-                },
-                Err(why) => why,
-            };
-            tracing::debug!("configuration {} from {at}: {why}", fetch.wanted_version);
+            match self.fetch_from(coordinator, coordinators, request).await {
+                Ok(snapshot) => return Some(snapshot),
+                Err(error) => {
+                    tracing::debug!("configuration {} from {coordinator}: {error}", request.wanted_version);
+                }
+            }
         }
         None
     }
 
-    /// Whole or not at all, on the path that SIGHUP takes.
-    async fn apply(&self, snapshot: ConfigurationSnapshot, lay: &impl Fn(Vec<Layer>) -> Result<(), String>) {
+    async fn fetch_from(
+        &self,
+        coordinator: SocketAddr,
+        coordinators: &CoordinatorClient,
+        request: &FetchRequest,
+    ) -> Result<ConfigurationSnapshot, SnapshotError> {
+        let reply =
+            coordinators.request::<FetchReply>(coordinator, FETCH_PATH, request, FETCH_LIMITS).await?;
+        self.follower.borrow_mut().on_reply(reply).map_err(SnapshotError::Unusable)
+    }
+
+    /// Applies the snapshot, then writes it to the cache; or rejects it, and what was active stays so.
+    async fn activate<E: Display>(
+        &self,
+        snapshot: ConfigurationSnapshot,
+        apply: &impl Fn(Vec<Layer>) -> Result<(), E>,
+    ) {
         let version = snapshot.version;
-        if let Err(why) = lay(layers(&snapshot)) {
-            let why = one_line(&why);
-            let before = self.report().active;
-            tracing::warn!("configuration {version} is refused, {before} stays in force: {why}");
-            self.follower.borrow_mut().reject(version, &why);
+        if let Err(error) = apply(layers(&snapshot)) {
+            let error = one_line(&error);
+            let active = self.report().active;
+            tracing::warn!("configuration {version} is refused, {active} stays in force: {error}");
+            self.follower.borrow_mut().reject(version, &error);
             return;
         }
         tracing::info!("configuration {version} is in force");
-        match self.copy.write(&self.place, &snapshot, KEEP).await {
-            Ok(()) => {
-                if !self.is_kept.replace(true) {
-                    tracing::info!("configuration {version} is kept, as those after it will be");
-                }
+        let written = self.cache.write(&self.target, &snapshot, CACHE_WRITE_LIMIT).await;
+        self.record_cache_write(version, written);
+        self.follower.borrow_mut().activate(snapshot);
+    }
+
+    /// Logs a change between working and failing writes, not each failure: a full disk fails for every version.
+    fn record_cache_write(&self, version: Version, written: Result<(), CacheWriteError>) {
+        let was_cached = self.is_cached.replace(written.is_ok());
+        match written {
+            Ok(()) if !was_cached => {
+                tracing::info!("configuration {version} is kept, as those after it will be");
             }
-            // Once, until it works again: a disk that is full is so for all that come.
-            Err(why) => {
-                if self.is_kept.replace(false) {
-                    let path = self.copy.path().display();
-                    tracing::warn!("{path}: {why}: configuration {version} is in force and not kept");
-                }
+            Err(error) if was_cached => {
+                let path = self.cache.path().display();
+                tracing::warn!("{path}: {error}: configuration {version} is in force and not kept");
             }
+            _ => {}
         }
-        self.follower.borrow_mut().activate(snapshot);
     }
 
-    /// For operators.
-    fn show(&self, board: &Switchboard) {
-        let ConfigurationReport { active: in_force, rejected: refused, .. } = self.report();
-        let (told, kept) = (self.follower.borrow().notified_version(), self.is_kept.get());
-        let shown = ops::Followed { in_force, told, refused, kept };
-        board.note(|control| control.configuration = Some(shown));
+    /// Writes the state to the operators' metrics.
+    fn publish(&self, board: &Switchboard) {
+        let ConfigurationReport { active, rejected, .. } = self.report();
+        let state = ops::Followed {
+            in_force: active,
+            told: self.follower.borrow().notified_version(),
+            refused: rejected,
+            kept: self.is_cached.get(),
+        };
+        board.note(|control| control.configuration = Some(state));
     }
 }
+
+/// Why a coordinator gave no usable snapshot.
+#[derive(Debug, Error)]
+enum SnapshotError {
+    #[error("{0}")]
+    Request(#[from] CoordinatorError),
+    #[error("{0:?}")]
+    Unusable(FetchError),
+}
--- a/crates/fernroute-server/src/program/coordinators.rs
+++ b/crates/fernroute-server/src/program/coordinators.rs
@@ -1,6 +1,8 @@
-//! Calls to a fleet's stewards, and how much goes to and fro.
+//! HTTP client of a fleet's coordinators. Counts the bytes of requests and replies for the operators' metrics.
 
 use crate::routing::switchboard::Switchboard;
+use awc::error::{PayloadError, SendRequestError};
+use awc::http::StatusCode;
 use awc::Client;
 use fernroute_config::Fleet;
 use fernroute_fleet::message::{Envelope, PROTOCOL_VERSION};
@@ -9,47 +11,92 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
+use thiserror::Error;
 
+/// Why a coordinator's reply could not be used.
+#[derive(Debug, Error)]
+pub enum CoordinatorError {
+    /// The message has no JSON form.
+    #[error("{0}")]
+    Encode(#[source] serde_json::Error),
+    /// No connection, or it broke before the head of the reply.
+    #[error("{0}")]
+    Send(#[source] SendRequestError),
+    /// The body of the reply broke off, or is longer than allowed.
+    #[error("{0}")]
+    Body(#[source] PayloadError),
+    /// The reply was not complete within the time-out.
+    #[error("no answer in time")]
+    TimedOut,
+    /// The coordinator rejected the message.
+    #[error("{status}: {body}")]
+    Status {
+        /// The status of the reply.
+        status: StatusCode,
+        /// The text of the reply.
+        body: String,
+    },
+    /// The reply is not the expected JSON.
+    #[error("{0}")]
+    Decode(#[source] serde_json::Error),
+}
+
+/// Limits of one request to a coordinator.
+#[derive(Clone, Copy, Debug)]
+pub struct RequestLimits {
+    /// Covers connecting, sending and the whole reply.
+    pub timeout: Duration,
+    /// A longer reply is an error.
+    pub max_reply_bytes: usize,
+}
+
+/// Sends messages to the coordinators of one cluster.
 pub struct CoordinatorClient {
+    /// The name of the cluster, sent with each message.
     pub cluster: String,
+    /// All coordinators, in the order of the configuration file.
     pub addresses: Vec<SocketAddr>,
     client: Client,
     board: Rc<Switchboard>,
 }
 
 impl CoordinatorClient {
+    /// A client of the fleet's coordinators; traffic is counted on `board`.
     pub fn new(fleet: &Fleet, board: Rc<Switchboard>) -> Self {
         let client = Client::builder().disable_redirects().finish();
         CoordinatorClient { cluster: fleet.cluster.clone(), addresses: fleet.stewards.clone(), client, board }
     }
 
-    /// The answer of the steward there, if it comes within this time and is no longer than `most`.
-    pub async fn ask<A: DeserializeOwned>(
+    /// Sends one message to one coordinator and decodes its reply.
+    ///
+    /// # Errors
+    /// When no complete, successful and well-formed reply arrives within the limits.
+    pub async fn request<Reply: DeserializeOwned>(
         &self,
-        at: SocketAddr,
+        coordinator: SocketAddr,
         path: &str,
         message: impl Serialize,
-        within: Duration,
-        most: usize,
-    ) -> Result<A, String> {
+        limits: RequestLimits,
+    ) -> Result<Reply, CoordinatorError> {
         let envelope =
             Envelope { cluster: self.cluster.clone(), version: PROTOCOL_VERSION, recipient: 0, message };
-        let body = serde_json::to_vec(&envelope).map_err(|e| e.to_string())?;
+        let body = serde_json::to_vec(&envelope).map_err(CoordinatorError::Encode)?;
         self.board.note(|control| control.sent_bytes += body.len() as u64);
-        let call = self.client.post(format!("http://{at}{path}")).timeout(within);
-        let call = call.content_type("application/json").send_body(body);
-        let answered = async {
-            let mut answer = call.await.map_err(|e| e.to_string())?;
-            let body = answer.body().limit(most).await.map_err(|e| e.to_string())?;
-            Ok::<_, String>((answer.status(), body))
+        let request = self.client.post(format!("http://{coordinator}{path}")).timeout(limits.timeout);
+        let request = request.content_type("application/json").send_body(body);
+        let exchange = async {
+            let mut reply = request.await.map_err(CoordinatorError::Send)?;
+            let body = reply.body().limit(limits.max_reply_bytes).await.map_err(CoordinatorError::Body)?;
+            Ok((reply.status(), body))
         };
-        // The client's time is until the head has come: what follows may come never.
-        let answered = actix_rt::time::timeout(within, answered).await;
-        let (status, body) = answered.map_err(|_| "no answer in time".to_owned())??;
+        // The client's own time-out ends with the head of the reply; its body may never arrive.
+        let exchange = actix_rt::time::timeout(limits.timeout, exchange).await;
+        let (status, body) = exchange.map_err(|_| CoordinatorError::TimedOut)??;
         self.board.note(|control| control.received_bytes += body.len() as u64);
         if !status.is_success() {
-            return Err(format!("{status}: {}", String::from_utf8_lossy(&body)));
+            let body = String::from_utf8_lossy(&body).into_owned();
+            return Err(CoordinatorError::Status { status, body });
         }
-        serde_json::from_slice(&body).map_err(|e| e.to_string())
+        serde_json::from_slice(&body).map_err(CoordinatorError::Decode)
     }
 }
--- a/crates/fernroute-server/src/program/descriptor_quota.rs
+++ b/crates/fernroute-server/src/program/descriptor_quota.rs
@@ -1,107 +1,81 @@
-//! What a process may hold of the balancer's descriptors, alone or beside another process of the same balancer during
-//! an upgrade: together they hold no more than one may. No I/O.
+//! How many file descriptors a process may have open, alone or beside another process of the same balancer during an
+//! upgrade: together they have no more than one may. No I/O.
 
 use crate::transport::door;
 
-/// Descriptors for everything but callers and upstreams: standard streams, the listener, discovery, signals, the
-/// socket that a successor comes to; and the operators' door, if there is one.
-const OWN: usize = 32;
-const DOOR: usize = door::PLACES + 1;
+/// Descriptors for everything but callers, upstreams and operators: standard streams, the listener, discovery, signals,
+/// the handover socket.
+pub const RESERVED_DESCRIPTORS: usize = 32;
 
-/// A process that may hold hardly more than its own still serves a few.
-const FEWEST: usize = 10;
+/// Descriptors for the operators' listener and its connections.
+const OPS_DESCRIPTORS: usize = door::PLACES + 1;
 
+/// A process with hardly more than its reserved descriptors still serves a few connections.
+const MIN_CONNECTIONS: usize = 10;
+
+/// Descriptors that a process keeps beyond those in use as a successor starts.
+const SPARE_DESCRIPTORS: usize = 16;
+
+/// The quota of one process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DescriptorQuota {
-    /// What the balancer may hold.
-    pub whole: usize,
-    /// What this process may hold of it.
-    pub part: usize,
-    /// A successor serves: this process holds what it has until that ends, and no more.
-    pub handed: bool,
-    own: usize,
+    /// What the balancer may have open, over all its processes.
+    pub total: usize,
+    /// What this process may have open of it.
+    pub assigned: usize,
+    /// A successor serves: this process keeps what it has open until that ends, and opens no more.
+    pub handed_over: bool,
+    reserved: usize,
 }
 
-impl DescriptorQuota {
-    pub fn new(whole: usize, door: bool) -> Self {
-        DescriptorQuota { whole, part: whole, handed: false, own: OWN + if door { DOOR } else { 0 } }
-    }
+/// How many connections fit into a quota.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ConnectionLimits {
+    /// Connections from callers.
+    pub callers: usize,
+    /// Connections to upstreams.
+    pub upstreams: usize,
+}
 
-    /// The most connections of callers and to upstreams. An RPC holds one on each side, and callers keep theirs between
-    /// RPCs: they get the larger part.
-    pub fn connections(&self) -> (usize, usize) {
-        let room = self.part.saturating_sub(self.own).max(FEWEST);
-        (room * 3 / 5, room * 2 / 5)
+impl DescriptorQuota {
+    /// The quota of a balancer's only process. `has_ops` says whether operators have a listener.
+    pub fn new(total: usize, has_ops: bool) -> Self {
+        let reserved = RESERVED_DESCRIPTORS + if has_ops { OPS_DESCRIPTORS } else { 0 };
+        DescriptorQuota { total, assigned: total, handed_over: false, reserved }
     }
 
-    /// Of this memory, as much as of the descriptors.
-    pub fn memory(&self, whole: usize) -> usize {
-        (whole as u64 * self.part as u64 / self.whole.max(1) as u64) as usize
+    /// The connection limits. A request has one connection on each side, and callers keep theirs between requests:
+    /// they get the larger part.
+    pub fn connection_limits(&self) -> ConnectionLimits {
+        let connections = self.assigned.saturating_sub(self.reserved).max(MIN_CONNECTIONS);
+        ConnectionLimits { callers: connections * 3 / 5, upstreams: connections * 2 / 5 }
     }
 
-    /// A successor comes while this process has so many connections. It keeps those that it has and room for a few,
-    /// within half of the whole, and a quarter at the least; idle ones go beyond that.
-    pub fn keep(&mut self, connections: usize) {
-        const FEW: usize = 16;
-        self.part = (self.held(connections) + FEW).clamp(self.whole / 4, self.whole / 2);
+    /// This process's part of the balancer's memory, in proportion to its descriptors.
+    pub fn memory(&self, total_bytes: usize) -> usize {
+        (total_bytes as u64 * self.assigned as u64 / self.total.max(1) as u64) as usize
     }
 
-    /// What is left for the successor: busy connections are not cut to make room for it.
-    pub fn left(&self, connections: usize) -> usize {
-        let kept = if self.handed { 0 } else { self.part };
-        self.whole.saturating_sub(kept.max(self.held(connections)))
+    /// Shrinks the quota as a successor starts while this process has `connections` open. They stay, with a few to
+    /// spare, within a quarter and a half of the total; idle ones are closed beyond that.
+    pub fn shrink_for_successor(&mut self, connections: usize) {
+        self.assigned = (self.in_use(connections) + SPARE_DESCRIPTORS).clamp(self.total / 4, self.total / 2);
     }
 
-    /// Alone again.
-    pub fn take_all(&mut self) {
-        (self.part, self.handed) = (self.whole, false);
+    /// What the successor may have open: busy connections are not cut to make room for it.
+    pub fn available_to_successor(&self, connections: usize) -> usize {
+        let kept = if self.handed_over { 0 } else { self.assigned };
+        self.total.saturating_sub(kept.max(self.in_use(connections)))
     }
 
-    fn held(&self, connections: usize) -> usize {
-        self.own + connections
+    /// The other process has ended: everything belongs to this one.
+    pub fn reclaim(&mut self) {
+        self.assigned = self.total;
+        self.handed_over = false;
     }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
 
-    /// Guards against two processes that together hold more than one may, and against idle callers that are sent away
-    /// while there is room for all.
-    #[test]
-    fn two_processes_hold_no_more_than_one_may() {
-        for whole in [128, 256, 384, 1024] {
-            for door in [false, true] {
-                let alone = DescriptorQuota::new(whole, door);
-                let (callers, upstreams) = alone.connections();
-                assert!(callers + upstreams + OWN <= whole && callers > upstreams);
-                for connections in 0..=callers + upstreams {
-                    let mut old = alone;
-                    old.keep(connections);
-                    let (kept_callers, kept_upstreams) = old.connections();
-                    let mut new = DescriptorQuota { part: old.left(connections), ..alone };
-                    let now = old.held(connections).max(old.part);
-                    assert!(now + new.part <= whole, "{whole} {connections}");
-                    if alone.held(connections) + 16 <= whole / 2 {
-                        assert!(kept_callers + kept_upstreams >= connections, "{whole} {connections}");
-                        assert!(new.part >= whole / 2);
-                    }
-                    // As the old one's connections end its successor gets more, and all at its end.
-                    old.handed = true;
-                    new.part = old.left(connections / 2);
-                    assert!(new.part + old.held(connections / 2) <= whole.max(old.held(0)));
-                    assert!(new.part >= old.left(connections));
-                    new.take_all();
-                    assert_eq!(new, alone);
-                }
-            }
-        }
-        let half = DescriptorQuota { part: 128, ..DescriptorQuota::new(256, true) };
-        assert_eq!(
-            (half.memory(32 << 20), DescriptorQuota::new(256, true).memory(32 << 20)),
-            (16 << 20, 32 << 20)
-        );
-        let (callers, upstreams) = DescriptorQuota::new(64, true).connections();
-        assert!(callers >= 4 && upstreams >= 4);
+    /// How many descriptors a process with so many connections uses.
+    pub fn in_use(&self, connections: usize) -> usize {
+        self.reserved + connections
     }
 }
--- a/crates/fernroute-server/src/program/duties.rs
+++ b/crates/fernroute-server/src/program/duties.rs
@@ -1,4 +1,5 @@
-//! The duties that this balancer holds of its fleet: taken while it serves, given up as soon as it drains or ends.
+//! The duties of which this balancer is the lease holder. It acquires them while it serves, and releases them as soon as
+//! it drains, ends, or a successor process takes its place.
 
 use crate::protocol::ops::{Control, HeldDuty};
 use crate::routing::switchboard::Switchboard;
@@ -8,73 +9,82 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
+/// The duties of this balancer, with their effects: log lines and the operators' metrics.
 pub struct HeldDuties {
     board: Rc<Switchboard>,
+    /// Changed by heartbeats, their replies and the handover to a successor.
     duties: RefCell<MemberDuties>,
-    /// Another process of this balancer goes on in its place.
+    /// Another process of this balancer serves in its place. Written by [`HeldDuties::set_replaced`] alone.
     replaced: Cell<bool>,
 }
 
 impl HeldDuties {
-    /// `incarnation` is drawn at random by this process.
+    /// Without any duty. `incarnation` is drawn at random by this process.
     pub fn new(board: Rc<Switchboard>, incarnation: u64) -> Self {
         HeldDuties { board, duties: RefCell::new(MemberDuties::new(incarnation)), replaced: Cell::new(false) }
     }
 
-    /// The term to act under at this moment; none where this balancer does not hold the duty. Whoever acts asks at each act,
-    /// and sends the term with it.
+    /// The term to act under now; `None` where this balancer does not hold the duty. To be read before each act, and sent
+    /// with it.
     pub fn term(&self, duty: &str) -> Option<Term> {
         self.duties.borrow().term(self.board.clock.now(), duty)
     }
 
-    /// What the heartbeat with this number says, which leaves now. A balancer that does not serve gives up what it holds first.
-    pub fn report(&self, number: u64) -> DutyReport {
-        self.give_up_unless_serving();
-        self.duties.borrow_mut().report(self.board.clock.now(), number)
+    /// The content of the heartbeat with this number, which is sent now. A balancer that does not serve releases its duties
+    /// first.
+    pub fn report(&self, heartbeat_number: u64) -> DutyReport {
+        self.release_unless_serving();
+        self.duties.borrow_mut().report(self.board.clock.now(), heartbeat_number)
     }
 
-    /// Takes the answer to the heartbeat with this number.
-    pub fn hear(&self, number: u64, told: Option<&DutyAssignments>) {
-        let events = self.duties.borrow_mut().on_reply(self.board.clock.now(), number, told);
-        self.tell(&events);
+    /// Applies the assignments in the reply to the heartbeat with this number.
+    pub fn on_reply(&self, heartbeat_number: u64, assignments: Option<&DutyAssignments>) {
+        let now = self.board.clock.now();
+        let events = self.duties.borrow_mut().on_reply(now, heartbeat_number, assignments);
+        self.publish(&events);
     }
 
-    /// Notices what has ended by the clock; whether or not heartbeats are answered.
-    pub fn look(&self) {
+    /// Drops duties whose lease has expired, also while heartbeats get no reply.
+    pub fn expire(&self) {
         let events = self.duties.borrow_mut().expire(self.board.clock.now());
-        self.tell(&events);
+        self.publish(&events);
     }
 
-    /// Another process goes on under this balancer's identity, or has ended again.
+    /// Another process continues under this balancer's identity (`true`), or that process has ended (`false`).
     pub fn set_replaced(&self, replaced: bool) {
         self.replaced.set(replaced);
-        self.give_up_unless_serving();
+        self.release_unless_serving();
     }
 
-    fn give_up_unless_serving(&self) {
+    fn release_unless_serving(&self) {
         if self.board.is_ready() && !self.replaced.get() {
             return self.duties.borrow_mut().resume();
         }
         let events = self.duties.borrow_mut().release_all();
-        self.tell(&events);
+        self.publish(&events);
     }
 
-    fn tell(&self, events: &[Event]) {
+    /// Writes the events to the log and the held duties to the operators' metrics.
+    fn publish(&self, events: &[Event]) {
         for event in events {
             match event {
                 Event::Acquired { duty, term } => tracing::info!("holds the duty {duty}, term {term}"),
                 Event::Lost { duty, term, reason } => {
-                    let reason = match reason {
-                        StopReason::LeaseExpired => "nothing was heard for as long as its lease holds",
-                        StopReason::Revoked => "the stewards have it released",
-                        StopReason::Released => "this balancer does not serve any more",
-                    };
-                    tracing::info!("holds the duty {duty} no more, term {term}: {reason}");
+                    tracing::info!("holds the duty {duty} no more, term {term}: {}", describe(reason));
                 }
             }
         }
-        let figure = |(duty, term, until): (&str, Term, Time)| (duty.to_owned(), HeldDuty { term, until });
-        let held = self.duties.borrow().held().map(figure).collect();
+        let to_metrics =
+            |(duty, term, until): (&str, Term, Time)| (duty.to_owned(), HeldDuty { term, until });
+        let held = self.duties.borrow().held().map(to_metrics).collect();
         self.board.note(|control: &mut Control| control.duties = held);
     }
 }
+
+fn describe(reason: &StopReason) -> &'static str {
+    match reason {
+        StopReason::LeaseExpired => "lease expired without a reply",
+        StopReason::Revoked => "revoked by the coordinators",
+        StopReason::Released => "released, this balancer does not serve",
+    }
+}
--- a/crates/fernroute-server/src/program/fleet.rs
+++ b/crates/fernroute-server/src/program/fleet.rs
@@ -1,9 +1,18 @@
-//! The balancer's part in a fleet: a task beside the RPCs that says what is asked, and hears what is granted. No RPC waits
-//! for it, and it waits for none. Where no fleet is named nothing of this runs.
+//! The balancer's membership of a fleet: a task beside the requests that sends heartbeats with the demand for each shared
+//! budget, and applies the grants in the replies. Requests never wait for it. It runs only where a fleet is configured.
+//!
+//! A member's states, and what moves it between them:
+//! - *unidentified*: no identity in the ledger yet, no heartbeats, no shared budget. Ends once the identity file is locked.
+//! - *sharing*: it took over from a predecessor process and has half of its grant. Ends with the predecessor
+//!   ([`FleetMember::predecessor_ended`]).
+//! - *sole*: it has its whole grant and sends heartbeats.
+//! - *handed over*: a successor has half of the grant and sends the heartbeats ([`FleetMember::hand_over`]). Back to *sole*
+//!   if the successor ends first ([`FleetMember::resume_after_failed_upgrade`]).
 
 use super::configuration::ConfigurationTask;
-use super::coordinators::CoordinatorClient;
+use super::coordinators::{CoordinatorClient, CoordinatorError, RequestLimits};
 use super::duties::HeldDuties;
+use super::random::random_identity;
 use crate::protocol::ops::Control;
 use crate::routing::clock::{duration, tenths, Clock};
 use crate::routing::switchboard::Switchboard;
@@ -11,311 +20,383 @@
 use fernroute_config::Fleet;
 use fernroute_fleet::demand::DemandMeter;
 use fernroute_fleet::member::{Member, MemberHandover, ReplyStatus};
-use fernroute_fleet::message::{Heartbeat, HeartbeatError, HeartbeatReply, HEARTBEAT_PATH};
+use fernroute_fleet::message::{Heartbeat, HeartbeatError, HeartbeatReply, RejectReason, HEARTBEAT_PATH};
 use fernroute_fleet::BudgetAmounts;
 use std::cell::{Cell, RefCell};
 use std::fs::{File, TryLockError};
-use std::io::{Read as _, Seek as _, Write as _};
+use std::io::{self, Read as _, Seek as _, Write as _};
+use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
+use thiserror::Error;
 
-/// The longest answer of a steward: floors and shares of 1,024 budgets with the longest names, and as many duties.
-const MOST_ANSWER: usize = 512 << 10;
+/// Room for the guarantees and quotas of 1,024 budgets with the longest names, and as many duties.
+const MAX_REPLY_BYTES: usize = 512 << 10;
 
-/// How long the process before this one is waited for between two looks.
-const LOOK: Duration = Duration::from_millis(50);
+/// How often the identity file is tried while a predecessor process has it locked.
+const IDENTITY_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Begins the balancer's part. Until something is granted it has nothing of any share, but half of what the process
-/// before it handed over, which was asked for it at that time.
-///
-/// `place` is the file that says who this balancer is in the ledger.
-pub fn join(
-    board: Rc<Switchboard>,
-    name: &str,
-    place: PathBuf,
-    fleet: &Fleet,
-    terms: &Settings,
-    handed: Option<(MemberHandover, Instant)>,
-    followed: Option<Rc<ConfigurationTask>>,
-) -> Rc<FleetMember> {
+/// A quota that is valid for fewer heartbeat intervals than this expires when two heartbeats are lost.
+const MIN_HEARTBEATS_PER_QUOTA: Time = 3;
+
+/// Demand for trials while any upstream is ejected, in thousandths a second: a breaker closes after three of them.
+const TRIAL_DEMAND: u64 = 3_000;
+
+/// What a predecessor process handed over of its membership.
+pub struct ReceivedHandover {
+    /// Its identity and its half of the grant.
+    pub handover: MemberHandover,
+    /// When this process asked for it. Validity counts from here, as the predecessor's clock is not known.
+    pub requested_at: Instant,
+}
+
+/// What a membership begins with.
+pub struct Membership<'a> {
+    /// The balancer's name in the ledger.
+    pub name: &'a str,
+    /// The file that keeps the balancer's identity in the ledger over restarts.
+    pub identity_path: PathBuf,
+    /// The fleet as the balancer's file describes it.
+    pub fleet: &'a Fleet,
+    /// Names the tenants whose budgets are shared.
+    pub settings: &'a Settings,
+    /// From a predecessor process, where there is one.
+    pub received: Option<ReceivedHandover>,
+    /// The follower of the fleet's configuration, where this balancer has one.
+    pub configuration: Option<Rc<ConfigurationTask>>,
+}
+
+/// Starts the task. Until the first grant arrives the member has nothing of any shared budget except what a predecessor
+/// handed over.
+pub fn join(board: Rc<Switchboard>, membership: Membership<'_>) -> Rc<FleetMember> {
+    let Membership { name, identity_path, fleet, settings, received, configuration } = membership;
     let now = board.clock.now();
     board.control.replace(Some(Control::default()));
-    let member = handed.map(|(handed, asked)| {
-        let asked = now.saturating_sub(tenths(asked.elapsed()));
-        Member::take_over(name, asked, first(), &handed)
+    let member = received.map(|ReceivedHandover { handover, requested_at }| {
+        let requested_at = now.saturating_sub(tenths(requested_at.elapsed()));
+        Member::take_over(name, requested_at, first_heartbeat_number(), &handover)
     });
-    let part = Rc::new(FleetMember {
-        stewards: CoordinatorClient::new(fleet, Rc::clone(&board)),
-        duties: HeldDuties::new(Rc::clone(&board), draw()),
+    let fleet_member = Rc::new(FleetMember {
+        coordinators: CoordinatorClient::new(fleet, Rc::clone(&board)),
+        duties: HeldDuties::new(Rc::clone(&board), random_identity()),
         board,
-        followed,
-        beat: duration(fleet.beat),
+        configuration,
+        heartbeat_interval: duration(fleet.beat),
         name: name.to_owned(),
         member: RefCell::new(member),
-        handed: Cell::new(false),
-        divides: fleet.divides.clone(),
-        further: RefCell::new((DemandMeter::new(now), 0)),
+        handed_over: Cell::new(false),
+        shared_budgets: fleet.divides.clone(),
+        retry_demand: RefCell::new(RetryDemand { meter: DemandMeter::new(now), counted: 0 }),
     });
-    part.divide_by(terms);
-    actix_rt::spawn(Rc::clone(&part).follow(place));
-    part
+    fleet_member.set_tenants(settings);
+    actix_rt::spawn(Rc::clone(&fleet_member).run(identity_path));
+    fleet_member
 }
 
-/// Beats are counted on from where no earlier process under the same identity was.
-fn first() -> u64 {
+/// Derived from the clock, so that no earlier process under the same identity has used the numbers that follow.
+fn first_heartbeat_number() -> u64 {
     Clock::start().now() << 8
 }
 
+/// Demand for the fleet's retry budget.
+struct RetryDemand {
+    meter: DemandMeter,
+    /// How many of the retries that the decisions wanted are in the meter already.
+    counted: u64,
+}
+
+/// This balancer as a member of its fleet.
 pub struct FleetMember {
     board: Rc<Switchboard>,
-    stewards: CoordinatorClient,
+    coordinators: CoordinatorClient,
+    /// The duties that this balancer holds.
     pub duties: HeldDuties,
-    /// The fleet's configuration, where it goes by it.
-    followed: Option<Rc<ConfigurationTask>>,
-    beat: Duration,
+    configuration: Option<Rc<ConfigurationTask>>,
+    heartbeat_interval: Duration,
     name: String,
-    /// None until it is known who this balancer is in the ledger.
+    /// `None` while unidentified. Set once by the task, then changed by replies and upgrades.
     member: RefCell<Option<Member>>,
-    /// A successor goes on under the same identity: this process says nothing more.
-    handed: Cell<bool>,
-    /// What is divided beside tenants' shares.
-    divides: Vec<&'static str>,
-    /// Transmissions beyond the first that would have been of use, and how many there had been at the last look.
-    further: RefCell<(DemandMeter, u64)>,
+    /// A successor sends the heartbeats in place of this process. Written by `hand_over` and
+    /// `resume_after_failed_upgrade`.
+    handed_over: Cell<bool>,
+    /// The budgets that are shared in addition to the tenants' ones.
+    shared_budgets: Vec<&'static str>,
+    /// Written as each heartbeat is made.
+    retry_demand: RefCell<RetryDemand>,
 }
 
 impl FleetMember {
-    /// What is asked of each tenant of these terms is counted from now on. Guards against a tenant that is new and has an even
-    /// part beside what is granted, and against one that is gone and has all grants refused with it.
-    pub fn divide_by(&self, terms: &Settings) {
+    /// Meters the demand of each tenant in these settings from now on. Guards against a new tenant that has the even
+    /// part of an ungranted budget, and against one that was removed and has the whole grant rejected.
+    pub fn set_tenants(&self, settings: &Settings) {
         let now = self.board.clock.now();
-        let count = terms.get("tenants.count").and_then(|n| n.parse().ok()).unwrap_or(0);
-        let names = (0..count).filter_map(|i: usize| terms.get(&format!("tenants.{i}.name")).cloned());
-        let mut before = self.board.asked.take().unwrap_or_default();
-        let meter = |name: String| {
-            let meter = before.remove(&name).unwrap_or_else(|| DemandMeter::new(now));
+        let count = settings.get("tenants.count").and_then(|count| count.parse().ok()).unwrap_or(0);
+        let names =
+            (0..count).filter_map(|index: usize| settings.get(&format!("tenants.{index}.name")).cloned());
+        let mut previous = self.board.asked.take().unwrap_or_default();
+        let with_meter = |name: String| {
+            let meter = previous.remove(&name).unwrap_or_else(|| DemandMeter::new(now));
             (name, meter)
         };
-        self.board.asked.replace(Some(names.map(meter).collect()));
-        self.grant();
+        self.board.asked.replace(Some(names.map(with_meter).collect()));
+        self.apply_grant();
     }
 
-    /// A successor asks for what this process holds: half of it goes over.
+    /// Gives a successor process half of the grant; `None` where there is nothing to give, or a predecessor still shares it.
     pub fn hand_over(&self) -> Option<MemberHandover> {
         self.duties.set_replaced(true);
         let now = self.board.clock.now();
-        let handed = self.member.borrow_mut().as_mut()?.hand_over(now)?;
-        self.handed.set(true);
-        self.grant();
-        Some(handed)
+        let handover = self.member.borrow_mut().as_mut()?.hand_over(now)?;
+        self.handed_over.set(true);
+        self.apply_grant();
+        Some(handover)
     }
 
-    /// The process before this one has ended.
-    pub fn take_all(&self) {
-        self.member.borrow_mut().iter_mut().for_each(Member::own_whole_grant);
-        self.grant();
+    /// Takes the whole grant: the predecessor process has ended.
+    pub fn predecessor_ended(&self) {
+        if let Some(member) = &mut *self.member.borrow_mut() {
+            member.own_whole_grant();
+        }
+        self.apply_grant();
     }
 
-    /// The successor has ended.
-    pub fn take_back(&self) {
+    /// Takes the whole grant back: the successor process has ended.
+    pub fn resume_after_failed_upgrade(&self) {
         self.duties.set_replaced(false);
-        if self.handed.replace(false) {
-            self.member.borrow_mut().iter_mut().for_each(|member| member.resume_after_handover(first()));
-            self.grant();
+        if !self.handed_over.replace(false) {
+            return;
+        }
+        if let Some(member) = &mut *self.member.borrow_mut() {
+            member.resume_after_handover(first_heartbeat_number());
         }
+        self.apply_grant();
     }
 
-    async fn follow(self: Rc<Self>, place: PathBuf) {
-        let known = self.member.borrow().is_some();
-        // Held for as long as this process lives: whoever has it knows that the process before has ended.
-        let mut lock = None;
-        if !known {
-            let (identity, held) = self.identity(&place).await;
-            lock = held;
-            self.member.replace(Some(Member::new(&self.name, identity, first())));
-        }
-        let (mut to, mut told) = (0, String::new());
+    /// The task: sends heartbeats and applies their replies for as long as the program runs.
+    async fn run(self: Rc<Self>, identity_path: PathBuf) {
+        // Held until this process ends: a process that gets the lock knows that the one before it has ended.
+        let mut identity_file = self.establish_identity(&identity_path).await;
+        let mut coordinator_index = 0;
+        let mut logged_status = String::new();
         loop {
-            if lock.is_none() {
-                // Of what was handed over: the process before this one has it until it ends.
-                lock = take(&place).ok().flatten().map(|(_, file)| file);
+            if identity_file.is_none() {
+                identity_file = lock_identity(&identity_path).ok().flatten().map(|locked| locked.file);
             }
-            let now = self.board.clock.now();
-            let wants = self.wants(now);
-            let quiet = self.handed.get();
-            let beat = self
-                .member
-                .borrow_mut()
-                .as_mut()
-                .filter(|_| !quiet)
-                .map(|member| member.heartbeat(now, wants));
-            let Some(mut beat) = beat else {
-                actix_rt::time::sleep(self.beat).await;
+            let Some(heartbeat) = self.next_heartbeat() else {
+                actix_rt::time::sleep(self.heartbeat_interval).await;
                 continue;
             };
-            beat.duties = Some(self.duties.report(beat.number));
-            beat.configuration = self.followed.as_ref().map(|followed| followed.report());
-            let said = self.say(&beat, &mut to).await;
-            match &said {
-                Ok(answer) => self.duties.hear(beat.number, answer.duties.as_ref()),
-                Err(_) => self.duties.look(),
+            let result = self.send(&heartbeat, &mut coordinator_index).await;
+            self.notify_duties_and_configuration(heartbeat.number, &result);
+            if let Some(status) = self.apply_reply(result).filter(|status| *status != logged_status) {
+                tracing::info!("{status}");
+                logged_status = status;
             }
-            if let (Some(followed), Ok(answer)) = (&self.followed, &said) {
-                followed.hear(answer.configuration);
-            }
-            let now = self.board.clock.now();
-            let hear = |answer| {
-                self.member.borrow_mut().as_mut().map_or(ReplyStatus::Stale, |m| m.on_reply(now, answer))
-            };
-            let news = match said {
-                Ok(answer) => match hear(&answer) {
-                    ReplyStatus::NewGrant | ReplyStatus::Extended => {
-                        self.grant();
-                        if answer.quotas_valid_for < 3 * tenths(self.beat) {
-                            "shares end before three beats: lengthen them, or beat more often".to_owned()
-                        } else {
-                            format!("of the fleet {}", self.stewards.cluster)
-                        }
-                    }
-                    // It was long on its way; the next one may not be.
-                    ReplyStatus::Stale | ReplyStatus::OlderEpoch => told.clone(),
-                },
-                Err(why) => format!("nothing is granted by the fleet {}: {why}", self.stewards.cluster),
-            };
-            if news != told {
-                tracing::info!("{news}");
-                told = news;
-            }
-            // A balancer that drains says so at once: another one takes its duties over.
-            let changed = self.board.phase_changed.notified();
-            let _ = actix_rt::time::timeout(self.beat, changed).await;
+            // A balancer that starts to drain reports it at once, so that another one takes over its duties.
+            let phase_changed = self.board.phase_changed.notified();
+            let _ = actix_rt::time::timeout(self.heartbeat_interval, phase_changed).await;
         }
     }
 
-    /// Who this balancer is in the ledger, over all its processes: what the file says, once no other process has it.
-    async fn identity(&self, place: &Path) -> (u64, Option<File>) {
-        loop {
-            match take(place) {
-                Ok(Some((identity, file))) => return (identity, Some(file)),
-                // The process before this one holds what there is.
-                Ok(None) => {}
-                Err(why) => {
-                    tracing::warn!("{}: {why}; a start of its own in the ledger", place.display());
-                    return (draw(), None);
-                }
+    /// Leaves the *unidentified* state. Returns the locked identity file; `None` where the identity came from a predecessor
+    /// that still has the lock, or where there can't be such a file.
+    async fn establish_identity(&self, path: &Path) -> Option<File> {
+        if self.member.borrow().is_some() {
+            return None;
+        }
+        let (identity, file) = match wait_for_identity(path).await {
+            Ok(locked) => (locked.identity, Some(locked.file)),
+            Err(error) => {
+                tracing::warn!("{}: {error}; using a new identity in the ledger", path.display());
+                (random_identity(), None)
             }
-            actix_rt::time::sleep(LOOK).await;
+        };
+        self.member.replace(Some(Member::new(&self.name, identity, first_heartbeat_number())));
+        file
+    }
+
+    /// The heartbeat to send now; `None` while a successor sends them.
+    fn next_heartbeat(&self) -> Option<Heartbeat> {
+        let now = self.board.clock.now();
+        // Also while handed over, so that the meters go on.
+        let demand = self.measure_demand(now);
+        if self.handed_over.get() {
+            return None;
         }
+        let mut heartbeat = self.member.borrow_mut().as_mut()?.heartbeat(now, demand);
+        heartbeat.duties = Some(self.duties.report(heartbeat.number));
+        heartbeat.configuration = self.configuration.as_ref().map(|configuration| configuration.report());
+        Some(heartbeat)
     }
 
-    fn wants(&self, now: Time) -> BudgetAmounts {
-        /// A breaker closes by three trials: as many in a second while any upstream is out of use.
-        const OF_TRIALS: u64 = 3_000;
-        let mut asked = self.board.asked.borrow_mut();
-        let mut wants: BudgetAmounts =
-            asked.iter_mut().flatten().map(|(name, meter)| (name.clone(), meter.demand(now))).collect();
-        for budget in &self.divides {
-            let want = match *budget {
-                TRIAL_BUDGET if self.board.standing().1 > 0 => OF_TRIALS,
-                RETRY_BUDGET => {
-                    let (meter, seen) = &mut *self.further.borrow_mut();
-                    let wished = self.board.wished();
-                    (*seen..wished).for_each(|_| meter.count(now));
-                    *seen = wished;
-                    meter.demand(now)
-                }
+    fn notify_duties_and_configuration(
+        &self,
+        heartbeat_number: u64,
+        result: &Result<HeartbeatReply, HeartbeatFailure>,
+    ) {
+        let Ok(reply) = result else { return self.duties.expire() };
+        self.duties.on_reply(heartbeat_number, reply.duties.as_ref());
+        if let Some(configuration) = &self.configuration {
+            configuration.on_heartbeat_reply(reply.configuration);
+        }
+    }
+
+    /// Applies the grant in the reply. Returns the status for the log; `None` where the reply is too old to tell any.
+    fn apply_reply(&self, result: Result<HeartbeatReply, HeartbeatFailure>) -> Option<String> {
+        let cluster = &self.coordinators.cluster;
+        let reply = match result {
+            Ok(reply) => reply,
+            Err(error) => return Some(format!("nothing is granted by the fleet {cluster}: {error}")),
+        };
+        let now = self.board.clock.now();
+        let status = self
+            .member
+            .borrow_mut()
+            .as_mut()
+            .map_or(ReplyStatus::Stale, |member| member.on_reply(now, &reply));
+        match status {
+            ReplyStatus::NewGrant | ReplyStatus::Extended => {}
+            ReplyStatus::Stale | ReplyStatus::OlderEpoch => return None,
+        }
+        self.apply_grant();
+        if reply.quotas_valid_for < MIN_HEARTBEATS_PER_QUOTA * tenths(self.heartbeat_interval) {
+            return Some("shares end before three beats: lengthen them, or beat more often".to_owned());
+        }
+        Some(format!("of the fleet {cluster}"))
+    }
+
+    /// The demand for each shared budget, in thousandths a second.
+    fn measure_demand(&self, now: Time) -> BudgetAmounts {
+        let mut tenants = self.board.asked.borrow_mut();
+        let mut demand: BudgetAmounts =
+            tenants.iter_mut().flatten().map(|(name, meter)| (name.clone(), meter.demand(now))).collect();
+        for budget in &self.shared_budgets {
+            let amount = match *budget {
+                TRIAL_BUDGET if self.has_ejected_upstreams() => TRIAL_DEMAND,
+                RETRY_BUDGET => self.measure_retry_demand(now),
                 _ => 0,
             };
-            wants.insert((*budget).to_owned(), want);
+            demand.insert((*budget).to_owned(), amount);
+        }
+        demand
+    }
+
+    fn has_ejected_upstreams(&self) -> bool {
+        let (_, ejected) = self.board.standing();
+        ejected > 0
+    }
+
+    fn measure_retry_demand(&self, now: Time) -> u64 {
+        let RetryDemand { meter, counted } = &mut *self.retry_demand.borrow_mut();
+        let wanted = self.board.wished();
+        for _ in *counted..wanted {
+            meter.count(now);
         }
-        wants
+        *counted = wanted;
+        meter.demand(now)
     }
 
-    /// What is held now reaches the decisions. Guards against a budget that has no end until it is known who this balancer
-    /// is: until then all that is divided is named, and nothing of it is held.
-    fn grant(&self) {
+    /// Passes the grant on to the decisions. Guards against an unlimited budget while unidentified: each shared budget is
+    /// always named, with nothing of it where there is no grant.
+    fn apply_grant(&self) {
         let member = self.member.borrow();
         let rates = |name| member.as_ref().map(|member| member.rates(name)).unwrap_or_default();
-        let asked = self.board.asked.borrow();
-        let tenants = asked.iter().flat_map(|asked| asked.keys().map(String::as_str));
-        let names = tenants.chain(self.divides.iter().copied());
-        let all: Vec<(&str, [(f64, Time); 2])> = names.map(|name| (name, rates(name))).collect();
-        if let Err(bad) = self.board.new_shares(&all) {
-            tracing::warn!("not taken over, all stays as it was: {bad}");
+        let tenants = self.board.asked.borrow();
+        let tenant_names = tenants.iter().flat_map(|meters| meters.keys().map(String::as_str));
+        let names = tenant_names.chain(self.shared_budgets.iter().copied());
+        let budgets: Vec<(&str, [(f64, Time); 2])> = names.map(|name| (name, rates(name))).collect();
+        if let Err(error) = self.board.new_shares(&budgets) {
+            tracing::warn!("not taken over, all stays as it was: {error}");
         }
     }
 
-    /// To the steward that answered last, or that was said to lead; then to the others. `to` is its place.
-    async fn say(&self, beat: &Heartbeat, to: &mut usize) -> Result<HeartbeatReply, String> {
-        let mut why = String::new();
-        let all = &self.stewards.addresses;
-        for _ in 0..=all.len() {
-            let at = all[*to % all.len()];
+    /// Sends to the coordinator that replied last or that is known to lead, then to the others. `index` is its place in the
+    /// list, kept from one heartbeat to the next.
+    async fn send(
+        &self,
+        heartbeat: &Heartbeat,
+        index: &mut usize,
+    ) -> Result<HeartbeatReply, HeartbeatFailure> {
+        let limits = RequestLimits { timeout: self.heartbeat_interval, max_reply_bytes: MAX_REPLY_BYTES };
+        let addresses = &self.coordinators.addresses;
+        let mut failure = HeartbeatFailure::NoCoordinator;
+        for _ in 0..=addresses.len() {
+            let coordinator = addresses[*index % addresses.len()];
             self.board.note(|control| control.beats += 1);
-            match self.stewards.ask(at, HEARTBEAT_PATH, beat, self.beat, MOST_ANSWER).await {
-                Ok(Ok(answer)) => return Ok(answer),
-                Ok(Err(HeartbeatError::Rejected(refusal))) => return Err(format!("{at}: {refusal:?}")),
+            let reply = self.coordinators.request(coordinator, HEARTBEAT_PATH, heartbeat, limits).await;
+            match reply {
+                Ok(Ok(reply)) => return Ok(reply),
+                Ok(Err(HeartbeatError::Rejected(reason))) => {
+                    return Err(HeartbeatFailure::Rejected { coordinator, reason });
+                }
                 Ok(Err(HeartbeatError::NotLeader(leader))) => {
-                    why = format!("{at}: another one leads, or none");
                     let leader = leader.and_then(|leader| leader.parse().ok());
-                    let known = all.iter().position(|at| Some(*at) == leader);
-                    *to = known.unwrap_or(*to + 1);
+                    let leader_index = addresses.iter().position(|address| Some(*address) == leader);
+                    *index = leader_index.unwrap_or(*index + 1);
+                    failure = HeartbeatFailure::NotLeader { coordinator };
                 }
-                Err(failed) => {
-                    why = format!("{at}: {failed}");
-                    *to += 1;
+                Err(source) => {
+                    *index += 1;
+                    failure = HeartbeatFailure::Request { coordinator, source };
                 }
             }
         }
-        Err(why)
+        Err(failure)
     }
 }
 
-fn draw() -> u64 {
-    use std::hash::{BuildHasher as _, RandomState};
-    RandomState::new().hash_one(std::process::id()) >> 1
+/// Why a heartbeat got no grant.
+#[derive(Debug, Error)]
+enum HeartbeatFailure {
+    #[error("no coordinator is configured")]
+    NoCoordinator,
+    #[error("{coordinator}: {reason:?}")]
+    Rejected { coordinator: SocketAddr, reason: RejectReason },
+    #[error("{coordinator}: another one leads, or none")]
+    NotLeader { coordinator: SocketAddr },
+    #[error("{coordinator}: {source}")]
+    Request { coordinator: SocketAddr, source: CoordinatorError },
+}
+
+/// A balancer's identity in the ledger, with the lock that no other process has at the same time.
+pub struct LockedIdentity {
+    /// The same over all processes of the balancer.
+    pub identity: u64,
+    /// The lock ends when this is dropped.
+    pub file: File,
+}
+
+/// Waits until no other process has the identity file locked.
+async fn wait_for_identity(path: &Path) -> io::Result<LockedIdentity> {
+    loop {
+        if let Some(locked) = lock_identity(path)? {
+            return Ok(locked);
+        }
+        actix_rt::time::sleep(IDENTITY_POLL_INTERVAL).await;
+    }
 }
 
-/// The identity that stands in the file, or a new one; none while another process has it.
-fn take(place: &Path) -> std::io::Result<Option<(u64, File)>> {
-    let mut file = File::options().create(true).truncate(false).read(true).write(true).open(place)?;
+/// Locks the identity file and reads it, or writes a new identity to it; `None` while another process has the lock.
+///
+/// # Errors
+/// When the file can't be opened, locked, read or written.
+pub fn lock_identity(path: &Path) -> io::Result<Option<LockedIdentity>> {
+    let mut file = File::options().create(true).truncate(false).read(true).write(true).open(path)?;
     match file.try_lock() {
         Ok(()) => {}
         Err(TryLockError::WouldBlock) => return Ok(None),
-        Err(TryLockError::Error(why)) => return Err(why),
+        Err(TryLockError::Error(error)) => return Err(error),
     }
     let mut text = String::new();
     file.read_to_string(&mut text)?;
     if let Ok(identity) = u64::from_str_radix(text.trim(), 16) {
-        return Ok(Some((identity, file)));
+        return Ok(Some(LockedIdentity { identity, file }));
     }
-    let identity = draw();
+    let identity = random_identity();
     file.set_len(0)?;
     file.rewind()?;
     file.write_all(format!("{identity:016x}\n").as_bytes())?;
     file.sync_all()?;
-    Ok(Some((identity, file)))
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// Guards against two processes that spend one grant each, and against a restart that is a stranger to the ledger.
-    #[test]
-    fn an_identity_is_one_processs_at_a_time_and_outlives_it() {
-        let place = std::env::temp_dir().join(format!("fernroute-{}.member", std::process::id()));
-        let (identity, held) = take(&place).expect("a file").expect("nobody has it");
-        assert!(take(&place).expect("a file").is_none());
-        drop(held);
-        let (again, held) = take(&place).expect("a file").expect("nobody has it");
-        assert_eq!(again, identity);
-        std::fs::write(&place, "no number").expect("a file");
-        drop(held);
-        let (other, _held) = take(&place).expect("a file").expect("nobody has it");
-        assert_ne!(other, identity);
-        std::fs::remove_file(&place).expect("it was there");
-        assert!(take(Path::new("/nonexistent/place")).is_err());
-    }
+    Ok(Some(LockedIdentity { identity, file }))
 }
--- a/crates/fernroute-server/src/program/instance.rs
+++ b/crates/fernroute-server/src/program/instance.rs
@@ -1,46 +1,126 @@
-//! Where this balancer stands: its name and addresses, its limits, its terms, the upstreams it knew last.
+//! What a balancer is started with: its name and addresses, its limits, its settings, the endpoint list it had last. Read
+//! from the platform's JSON file or from an operator's TOML file.
 
 use crate::protocol::list::{self, Entry, List, State};
 use crate::protocol::terms;
 use fernroute::action_queue::ActionQueue;
 use fernroute::{Balancer, InvalidSetting, Settings};
-use fernroute_config::{Fleet, LEAST_DESCRIPTORS, MOST_MEGABYTES, USUAL_DESCRIPTORS, USUAL_MEGABYTES};
+use fernroute_config::{Fault, Fleet, Plan, LEAST_DESCRIPTORS, MOST_MEGABYTES};
+use fernroute_config::{USUAL_DESCRIPTORS, USUAL_MEGABYTES};
 use serde::Deserialize;
 use serde_json::Value;
-use std::net::SocketAddr;
-use std::path::Path;
+use std::io;
+use std::net::{AddrParseError, SocketAddr};
+use std::num::ParseIntError;
+use std::path::{Path, PathBuf};
 use std::time::{SystemTime, UNIX_EPOCH};
+use thiserror::Error;
 
-/// A part that a fleet's stewards hand out: whose it is, and its text.
+/// One layer of the fleet's configuration: the name of its scope, and its text.
 pub type Layer = (String, String);
 
+/// A balancer's file can't be used.
+#[derive(Debug, Error)]
+pub enum InstanceError {
+    /// The file can't be read.
+    #[error("{}: {source}", .path.display())]
+    Read {
+        /// The file.
+        path: PathBuf,
+        /// What the system reports.
+        source: io::Error,
+    },
+    /// The file's text can't be used.
+    #[error("{}: {source}", .path.display())]
+    Decode {
+        /// The file.
+        path: PathBuf,
+        /// What is wrong with it.
+        source: DecodeError,
+    },
+    /// The operators' address in the environment is none.
+    #[error("$NODE_OPS: {value}: {source}")]
+    OpsVariable {
+        /// The variable's value.
+        value: String,
+        /// Why it is no address.
+        source: AddrParseError,
+    },
+    /// Operators and callers can't share an address.
+    #[error("ops and listen are both {0}")]
+    SameAddress(SocketAddr),
+}
+
+/// A balancer's file does not have the expected content.
+#[derive(Debug, Error)]
+pub enum DecodeError {
+    /// The platform's file is not the expected JSON.
+    #[error("{0}")]
+    Json(#[from] serde_json::Error),
+    /// All faults of an operator's file.
+    #[error("{}", .0.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "))]
+    Faults(Vec<Fault>),
+    /// Fewer descriptors than a process needs.
+    #[error("limits.sockets is under {LEAST_DESCRIPTORS}")]
+    Descriptors,
+    /// Memory out of range.
+    #[error("limits.memory_mb is not between 1 and {MOST_MEGABYTES}")]
+    Memory,
+    /// The endpoint list of before can't be read.
+    #[error("known is not a list of upstreams")]
+    Known,
+    /// The seed is no hexadecimal number.
+    #[error("seed: {0}")]
+    Seed(#[source] ParseIntError),
+}
+
+/// A setting that the decisions reject, by its path in the file.
+#[derive(Debug, Error)]
+#[error("settings: {} {}", .0.why, fernroute_settings::path(&.0.setting))]
+pub struct SettingError(#[source] pub InvalidSetting);
+
+/// For programs that report their errors as text.
+impl From<InstanceError> for String {
+    fn from(error: InstanceError) -> Self {
+        error.to_string()
+    }
+}
+
+/// For programs that report their errors as text.
+impl From<SettingError> for String {
+    fn from(error: SettingError) -> Self {
+        error.to_string()
+    }
+}
+
+/// What a balancer is started with.
 #[derive(Clone, Debug)]
 pub struct Instance {
+    /// The name of the balancer, in logs and in its fleet.
     pub name: String,
+    /// Where callers connect.
     pub listen: SocketAddr,
+    /// Where discovery serves the endpoint list.
     pub discovery: SocketAddr,
-    /// Where operators are answered, if anywhere.
+    /// Where operators connect, if anywhere.
     pub ops: Option<SocketAddr>,
+    /// The seed of the decisions' random numbers.
     pub seed: u64,
-    /// The most descriptors that the program may hold.
+    /// How many file descriptors the balancer may have open.
     pub descriptors: usize,
-    /// The most memory that it may hold, in bytes.
+    /// How much memory it may use, in bytes.
     pub memory: usize,
-    /// The list as this balancer had it last, if it ever had one.
+    /// The endpoint list that this balancer had last, if it ever had one.
     pub known: Option<List>,
-    /// Discovery's version of it, from which on changes are enough; else the whole list is asked for.
+    /// Discovery's version of that list, after which changes are enough; `None` asks for the whole list.
     pub since: Option<u64>,
-    /// The fleet that it is of, where its tenants' shares are divided by a ledger. The platform's files name none.
+    /// The fleet whose ledger divides the shared budgets. The platform's files name none.
     pub fleet: Option<Fleet>,
+    /// The settings of the decisions.
     pub terms: Settings,
 }
 
-/// A term that will not do, in the words of the file.
-pub fn bad_setting(bad: &InvalidSetting) -> String {
-    format!("settings: {} {}", bad.why, fernroute_settings::path(&bad.setting))
-}
-
-/// The file as it is written.
+/// The platform's file as it is written.
 #[derive(Deserialize)]
 struct RawInstance {
     name: String,
@@ -49,7 +129,7 @@
     ops: Option<SocketAddr>,
     seed: String,
     #[serde(default)]
-    limits: Limits,
+    limits: RawLimits,
     #[serde(default)]
     known: Value,
     settings: Value,
@@ -57,139 +137,184 @@
 
 #[derive(Deserialize)]
 #[serde(default)]
-struct Limits {
-    sockets: usize,
-    memory_mb: f64,
+struct RawLimits {
+    #[serde(rename = "sockets")]
+    descriptors: usize,
+    #[serde(rename = "memory_mb")]
+    memory_megabytes: f64,
 }
 
-impl Default for Limits {
+impl Default for RawLimits {
     fn default() -> Self {
-        Limits { sockets: USUAL_DESCRIPTORS, memory_mb: USUAL_MEGABYTES as f64 }
+        RawLimits { descriptors: USUAL_DESCRIPTORS, memory_megabytes: USUAL_MEGABYTES as f64 }
+    }
+}
+
+impl RawLimits {
+    fn check(&self) -> Result<(), DecodeError> {
+        if self.descriptors < LEAST_DESCRIPTORS {
+            return Err(DecodeError::Descriptors);
+        }
+        if !(1.0..=MOST_MEGABYTES as f64).contains(&self.memory_megabytes) {
+            return Err(DecodeError::Memory);
+        }
+        Ok(())
     }
 }
 
 impl Instance {
-    pub fn read(path: &Path) -> Result<Self, String> {
+    /// Reads a balancer's file; one that ends in `.toml` is an operator's.
+    ///
+    /// # Errors
+    /// When the file can't be read, or not be used.
+    pub fn read(path: &Path) -> Result<Self, InstanceError> {
         Instance::of(path, &Instance::text(path)?, &[])
     }
 
-    /// What stands in the file.
-    pub fn text(path: &Path) -> Result<String, String> {
-        std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))
+    /// The text of a balancer's file.
+    ///
+    /// # Errors
+    /// When the file can't be read.
+    pub fn text(path: &Path) -> Result<String, InstanceError> {
+        std::fs::read_to_string(path).map_err(|source| InstanceError::Read { path: path.to_owned(), source })
     }
 
-    /// The file with this text, and what a fleet's stewards hand out laid over it.
-    pub fn of(path: &Path, text: &str, parts: &[Layer]) -> Result<Self, String> {
-        let own = path.extension().is_some_and(|e| e == "toml");
-        let station = if own { Instance::decode_under(text, parts) } else { Instance::decode(text) };
-        let station = station.map_err(|e| format!("{}: {e}", path.display()))?;
-        station.with_door(std::env::var("NODE_OPS").ok().as_deref())
+    /// Decodes the text of a balancer's file, with the layers of the fleet's configuration applied over it.
+    ///
+    /// # Errors
+    /// When the text, a layer or the environment can't be used.
+    pub fn of(path: &Path, text: &str, layers: &[Layer]) -> Result<Self, InstanceError> {
+        let is_toml = path.extension().is_some_and(|extension| extension == "toml");
+        let decoded = if is_toml { Instance::decode_under(text, layers) } else { Instance::decode(text) };
+        let instance = decoded.map_err(|source| InstanceError::Decode { path: path.to_owned(), source })?;
+        instance.with_ops_variable(std::env::var("NODE_OPS").ok().as_deref())
     }
 
-    /// The operators' address from the environment comes before the file's: a tool sets it for one start.
-    fn with_door(mut self, named: Option<&str>) -> Result<Self, String> {
-        if let Some(named) = named.filter(|named| !named.is_empty()) {
-            self.ops = Some(named.parse().map_err(|e| format!("$NODE_OPS: {named}: {e}"))?);
+    /// An operators' address from the environment overrides the file's: a tool sets it for one start.
+    fn with_ops_variable(mut self, value: Option<&str>) -> Result<Self, InstanceError> {
+        if let Some(value) = value.filter(|value| !value.is_empty()) {
+            let address = value.parse();
+            self.ops = Some(
+                address.map_err(|source| InstanceError::OpsVariable { value: value.to_owned(), source })?,
+            );
         }
         if self.ops == Some(self.listen) && self.listen.port() != 0 {
-            return Err(format!("ops and listen are both {}", self.listen));
+            return Err(InstanceError::SameAddress(self.listen));
         }
         Ok(self)
     }
 
-    /// A file of an installation of its own; all that is wrong with it, in one line.
-    pub fn decode_own(text: &str) -> Result<Self, String> {
+    /// Decodes the text of an operator's file.
+    ///
+    /// # Errors
+    /// With all faults of the text.
+    pub fn decode_own(text: &str) -> Result<Self, DecodeError> {
         Instance::decode_under(text, &[])
     }
 
-    /// The same, under parts that a fleet's stewards hand out, the first the widest.
-    pub fn decode_under(text: &str, parts: &[Layer]) -> Result<Self, String> {
-        let plan = match parts {
-            [] => fernroute_config::decode(text),
-            parts => {
-                let parts: Vec<(&str, &str)> = parts.iter().map(|(of, text)| (&**of, &**text)).collect();
-                fernroute_config::layers::load(text, &parts)
-            }
+    /// Decodes the text of an operator's file with the layers of the fleet's configuration over it, the widest scope first.
+    ///
+    /// # Errors
+    /// With all faults of the text and the layers.
+    pub fn decode_under(text: &str, layers: &[Layer]) -> Result<Self, DecodeError> {
+        let plan = if layers.is_empty() {
+            fernroute_config::decode(text)
+        } else {
+            let layers: Vec<(&str, &str)> = layers.iter().map(|(scope, text)| (&**scope, &**text)).collect();
+            fernroute_config::layers::load(text, &layers)
         };
-        let plan =
-            plan.map_err(|faults| faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "))?;
-        let entry = |u: fernroute_config::Upstream| Entry {
-            id: u.id,
-            state: State::Ready,
-            address: Some(u.address),
-            zone: u.zone,
-            cell: u.cell,
-            kind: u.kind,
-            started_ms: 0,
-        };
-        let entries: Vec<Entry> = plan.upstreams.into_iter().map(entry).collect();
+        Ok(Instance::from_plan(plan.map_err(DecodeError::Faults)?))
+    }
+
+    fn from_plan(plan: Plan) -> Self {
+        let entries: Vec<Entry> = plan.upstreams.into_iter().map(ready_entry).collect();
         let known = (!entries.is_empty()).then_some(List { version: 0, full: true, entries });
-        // Another with each start, where the file does not say.
-        let by_clock = || SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_nanos() as u64;
-        Ok(Instance {
+        Instance {
             name: plan.name,
             listen: plan.listen,
             discovery: plan.discovery,
             ops: plan.ops,
-            seed: plan.seed.unwrap_or_else(by_clock),
+            seed: plan.seed.unwrap_or_else(seed_from_clock),
             descriptors: plan.descriptors,
             memory: plan.megabytes << 20,
             known,
             since: None,
             fleet: plan.fleet,
             terms: plan.terms,
-        })
+        }
     }
 
-    pub fn decode(text: &str) -> Result<Self, String> {
-        let page: RawInstance = serde_json::from_str(text).map_err(|e| e.to_string())?;
-        if page.limits.sockets < LEAST_DESCRIPTORS {
-            return Err(format!("limits.sockets is under {LEAST_DESCRIPTORS}"));
-        }
-        if !(1.0..=MOST_MEGABYTES as f64).contains(&page.limits.memory_mb) {
-            return Err(format!("limits.memory_mb is not between 1 and {MOST_MEGABYTES}"));
-        }
-        let known = match page.known {
+    /// Decodes the text of the platform's file.
+    ///
+    /// # Errors
+    /// With the first fault of the text.
+    pub fn decode(text: &str) -> Result<Self, DecodeError> {
+        let raw: RawInstance = serde_json::from_str(text)?;
+        raw.limits.check()?;
+        let known = match raw.known {
             Value::Null => None,
-            known => Some(list::decode(&known).ok_or("known is not a list of upstreams")?),
+            known => Some(list::decode(&known).ok_or(DecodeError::Known)?),
         };
         Ok(Instance {
-            name: page.name,
-            listen: page.listen,
-            discovery: page.discovery,
-            ops: page.ops,
-            seed: u64::from_str_radix(&page.seed, 16).map_err(|e| format!("seed: {e}"))?,
-            descriptors: page.limits.sockets,
-            memory: (page.limits.memory_mb * (1 << 20) as f64) as usize,
+            name: raw.name,
+            listen: raw.listen,
+            discovery: raw.discovery,
+            ops: raw.ops,
+            seed: u64::from_str_radix(&raw.seed, 16).map_err(DecodeError::Seed)?,
+            descriptors: raw.limits.descriptors,
+            memory: (raw.limits.memory_megabytes * (1 << 20) as f64) as usize,
             since: known.as_ref().map(|known| known.version),
             known,
             fleet: None,
-            terms: terms::decode(&page.settings),
+            terms: terms::decode(&raw.settings),
         })
     }
 
-    /// What `new` says otherwise that a running balancer can't take over. The seed is for starts alone, and the
-    /// list that was known is older than the one that this balancer has.
+    /// The names of the values in `new` that differ and that a running balancer can't adopt. The seed counts at a start
+    /// alone, and the list in a file is older than the one that a running balancer has.
     pub fn differs(&self, new: &Instance) -> Vec<String> {
-        let mut what = Vec::new();
-        let mut note = |differs: bool, name: &str| what.extend(differs.then(|| name.to_owned()));
-        note(self.name != new.name, "name");
-        note(self.listen != new.listen, "listen");
-        note(self.ops != new.ops, "ops");
-        note(self.fleet != new.fleet, "fleet");
-        note(self.memory != new.memory, "limits.memory_mb");
-        note(self.descriptors != new.descriptors, "limits.sockets");
-        // Connections are made with these when an upstream is first named.
-        for name in ["limits.connect_time_out", "limits.keep_alive"] {
-            let path = format!("settings.{}", fernroute_settings::path(name));
-            note(self.terms.get(name) != new.terms.get(name), &path);
+        let values = [
+            (self.name != new.name, "name"),
+            (self.listen != new.listen, "listen"),
+            (self.ops != new.ops, "ops"),
+            (self.fleet != new.fleet, "fleet"),
+            (self.memory != new.memory, "limits.memory_mb"),
+            (self.descriptors != new.descriptors, "limits.sockets"),
+        ];
+        let changed = values.into_iter().filter(|(differs, _)| *differs);
+        let mut names: Vec<String> = changed.map(|(_, name)| name.to_owned()).collect();
+        // An upstream's connections are made with these when it is first listed.
+        for setting in ["limits.connect_time_out", "limits.keep_alive"] {
+            if self.terms.get(setting) != new.terms.get(setting) {
+                names.push(format!("settings.{}", fernroute_settings::path(setting)));
+            }
         }
-        what
+        names
     }
 
-    /// Whether a balancer can start with these terms.
-    pub fn check(&self) -> Result<(), String> {
+    /// Checks that a balancer can start with these settings.
+    ///
+    /// # Errors
+    /// With the first setting that the decisions reject.
+    pub fn check(&self) -> Result<(), SettingError> {
         let balancer = Balancer::new(ActionQueue::default(), 0, self.seed, &self.terms);
-        balancer.map(drop).map_err(|bad| bad_setting(&bad))
+        balancer.map(drop).map_err(SettingError)
+    }
+}
+
+fn ready_entry(upstream: fernroute_config::Upstream) -> Entry {
+    Entry {
+        id: upstream.id,
+        state: State::Ready,
+        address: Some(upstream.address),
+        zone: upstream.zone,
+        cell: upstream.cell,
+        kind: upstream.kind,
+        started_ms: 0,
     }
 }
+
+/// Another one with each start.
+fn seed_from_clock() -> u64 {
+    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_nanos() as u64
+}
--- a/crates/fernroute-server/src/program/log.rs
+++ b/crates/fernroute-server/src/program/log.rs
@@ -1,4 +1,4 @@
-//! The program's log: a line to standard error, with the balancer's name, or as JSON.
+//! The program's log on standard error: lines with the balancer's name, or JSON.
 
 use std::fmt;
 use tracing::{Event, Subscriber};
@@ -9,36 +9,48 @@
 use tracing_subscriber::registry::LookupSpan;
 use tracing_subscriber::util::SubscriberInitExt as _;
 
-/// `NAME level: what happened`.
-struct Lines {
+const LEVEL_VARIABLE: &str = "FERNROUTE_LOG";
+const JSON_VARIABLE: &str = "FERNROUTE_LOG_JSON";
+
+/// Formats an event as `NAME level: message`.
+struct LineFormat {
     name: String,
 }
 
-impl<S, N> FormatEvent<S, N> for Lines
+impl<S, N> FormatEvent<S, N> for LineFormat
 where
     S: Subscriber + for<'a> LookupSpan<'a>,
     N: for<'a> FormatFields<'a> + 'static,
 {
-    fn format_event(&self, all: &FmtContext<'_, S, N>, mut to: Writer<'_>, event: &Event<'_>) -> fmt::Result {
-        write!(to, "{} {}: ", self.name, event.metadata().level().as_str().to_ascii_lowercase())?;
-        all.format_fields(to.by_ref(), event)?;
-        writeln!(to)
+    fn format_event(
+        &self,
+        context: &FmtContext<'_, S, N>,
+        mut writer: Writer<'_>,
+        event: &Event<'_>,
+    ) -> fmt::Result {
+        let level = event.metadata().level().as_str().to_ascii_lowercase();
+        write!(writer, "{} {level}: ", self.name)?;
+        context.format_fields(writer.by_ref(), event)?;
+        writeln!(writer)
     }
 }
 
-/// From here on the program logs, at the level that `FERNROUTE_LOG` names; info where it names none. As JSON, with times, where
-/// `FERNROUTE_LOG_JSON` is 1. What the libraries have to say of single connections is for debugging alone.
+/// Starts the log of this process, at the level that `FERNROUTE_LOG` names, else at info. It is JSON with times where
+/// `FERNROUTE_LOG_JSON` is 1. The libraries' events about single connections appear from debug on.
 pub fn start(name: &str) {
-    let level = std::env::var("FERNROUTE_LOG").ok().and_then(|l| l.parse().ok()).unwrap_or(LevelFilter::INFO);
-    let libraries = if level >= LevelFilter::DEBUG { level } else { LevelFilter::OFF };
-    let which = Targets::new().with_default(libraries).with_target("fernroute", level);
-    // Nobody may be reading: that is no reason to fail, or to say so to nobody.
+    let level = std::env::var(LEVEL_VARIABLE).ok().and_then(|level| level.parse().ok());
+    let level = level.unwrap_or(LevelFilter::INFO);
+    let library_level = if level >= LevelFilter::DEBUG { level } else { LevelFilter::OFF };
+    let targets = Targets::new().with_default(library_level).with_target("fernroute", level);
+    // Standard error may be closed: the program goes on without a log.
     let lines = layer().with_ansi(false).with_writer(std::io::stderr).log_internal_errors(false);
-    // A second start in one process changes nothing.
-    let _ = if std::env::var("FERNROUTE_LOG_JSON").is_ok_and(|on| on == "1") {
-        tracing_subscriber::registry().with(lines.json().with_filter(which)).try_init()
+    let is_json = std::env::var(JSON_VARIABLE).is_ok_and(|value| value == "1");
+    let started = if is_json {
+        tracing_subscriber::registry().with(lines.json().with_filter(targets)).try_init()
     } else {
-        let lines = lines.event_format(Lines { name: name.to_owned() });
-        tracing_subscriber::registry().with(lines.with_filter(which)).try_init()
+        let lines = lines.event_format(LineFormat { name: name.to_owned() });
+        tracing_subscriber::registry().with(lines.with_filter(targets)).try_init()
     };
+    // A process with several balancers keeps the log of the first one.
+    let _ = started;
 }
--- a/crates/fernroute-server/src/program/mod.rs
+++ b/crates/fernroute-server/src/program/mod.rs
@@ -1,4 +1,4 @@
-//! Starting, running and stopping the program.
+//! The program: its command line, and how a process of the balancer starts, reloads, upgrades and stops.
 
 pub mod commands;
 pub mod configuration;
@@ -10,8 +10,12 @@
 pub mod instance;
 pub mod log;
 pub mod ops;
+mod predecessor;
+mod random;
 pub mod reload;
 pub mod running;
 pub mod serve;
 pub mod shutdown;
+mod start_error;
+mod successor;
 pub mod upgrade;
--- a/crates/fernroute-server/src/program/ops.rs
+++ b/crates/fernroute-server/src/program/ops.rs
@@ -1,5 +1,6 @@
-//! What operators' calls do.
+//! The operators' interface: readiness, metrics, drain and resume.
 
+use super::start_error::StartError;
 use crate::protocol::ops::{Call, Reply};
 use crate::routing::phase::Closing;
 use crate::routing::switchboard::Switchboard;
@@ -10,42 +11,50 @@
 use std::rc::Rc;
 use tokio::net::TcpListener;
 
-/// Opens the door; returns where it is.
+/// Listens for operators; returns the address, with its port.
+///
+/// # Errors
+/// When the address can't be listened on.
 pub async fn open(
-    at: SocketAddr,
+    address: SocketAddr,
     board: &Rc<Switchboard>,
     server: &Rc<Server>,
-) -> Result<SocketAddr, String> {
-    let trouble = |e| format!("operators' door at {at}: {e}");
-    let listener = TcpListener::bind(at).await.map_err(trouble)?;
-    let address = listener.local_addr().map_err(trouble)?;
+) -> Result<SocketAddr, StartError> {
+    let listen_error = |source| StartError::OpsListen { address, source };
+    let listener = TcpListener::bind(address).await.map_err(listen_error)?;
+    let local_address = listener.local_addr().map_err(listen_error)?;
     let (board, server) = (Rc::clone(board), Rc::clone(server));
     actix_rt::spawn(door::run(listener, move |call| answer(&board, &server, call)));
-    Ok(address)
+    Ok(local_address)
 }
 
-fn answer(board: &Rc<Switchboard>, server: &Server, call: Call) -> Reply {
+fn answer(board: &Switchboard, server: &Server, call: Call) -> Reply {
     match call {
         Call::Ready if board.is_ready() => Reply::plain(StatusCode::OK, "ready"),
         Call::Ready => Reply::plain(StatusCode::SERVICE_UNAVAILABLE, "not ready"),
         Call::Metrics => Reply::figures(&board.figures()),
-        Call::Drain => {
-            if board.phase_change(|phase, now| phase.drain(now)) {
-                tracing::info!("told to drain");
-            }
-            Reply::plain(StatusCode::OK, "draining")
-        }
-        Call::Resume => {
-            if board.phase_change(|phase, _| phase.resume()) {
-                tracing::info!("told to resume");
-                // At once, also for who comes before connections are looked over again.
-                server.sweep(board.closing() >= Closing::Idle);
-            }
-            let phase = board.phase.get();
-            if phase.is_leaving() || phase.is_handing_over() {
-                return Reply::plain(StatusCode::CONFLICT, "told to stop, or a successor serves");
-            }
-            Reply::plain(StatusCode::OK, "serving")
-        }
+        Call::Drain => drain(board),
+        Call::Resume => resume(board, server),
     }
 }
+
+fn drain(board: &Switchboard) -> Reply {
+    if board.phase_change(|phase, now| phase.drain(now)) {
+        tracing::info!("told to drain");
+    }
+    Reply::plain(StatusCode::OK, "draining")
+}
+
+/// Ends a drain. Neither a shutdown nor an upgrade is undone.
+fn resume(board: &Switchboard, server: &Server) -> Reply {
+    if board.phase_change(|phase, _| phase.resume()) {
+        tracing::info!("told to resume");
+        // Not at the next sweep: a caller may connect before it.
+        server.sweep(board.closing() >= Closing::Idle);
+    }
+    let phase = board.phase.get();
+    if phase.is_leaving() || phase.is_handing_over() {
+        return Reply::plain(StatusCode::CONFLICT, "told to stop, or a successor serves");
+    }
+    Reply::plain(StatusCode::OK, "serving")
+}
--- a/crates/fernroute-server/src/program/reload.rs
+++ b/crates/fernroute-server/src/program/reload.rs
@@ -1,112 +1,150 @@
-//! New terms while the program runs, whoever brings them: the balancer's own file is read again on SIGHUP, and a fleet's
-//! stewards hand out parts that are laid over it. Both come by one path, whole or not at all: what will not do, a file
-//! half written say, changes nothing. Of signals that come together the last file counts. Once told to stop nothing is
-//! read again; in a drain and beside a successor it is as ever.
+//! New settings while the program runs. The balancer's own file is read again on SIGHUP, and the coordinators of a fleet
+//! hand out layers that are applied over it. Both take the same path, completely or not at all: a file that is half
+//! written, for example, changes nothing. Of signals that arrive together the last file counts. Reloads go on in a drain
+//! and beside a successor, and end once the program is told to stop.
 
-use super::instance::{Instance, Layer};
+use super::instance::{Instance, InstanceError, Layer, SettingError};
 use super::running::RunningInstance;
+use super::start_error::StartError;
 use std::cell::RefCell;
 use std::path::{Path, PathBuf};
+use thiserror::Error;
 use tokio::signal::unix::{signal, Signal, SignalKind};
 
-/// From here on SIGHUP no longer ends the program.
-pub fn signals() -> Result<Signal, String> {
-    signal(SignalKind::hangup()).map_err(|e| format!("signals: {e}"))
+/// Why new settings or layers were rejected.
+#[derive(Debug, Error)]
+pub enum ReloadError {
+    /// The file, by itself or with the layers, can't be used.
+    #[error(transparent)]
+    Instance(#[from] InstanceError),
+    /// The decisions reject a setting.
+    #[error(transparent)]
+    Setting(#[from] SettingError),
 }
 
-/// Reads the file again at each SIGHUP, for as long as the program runs; `taken` hears of each that is in force.
-pub async fn follow(
+/// Handles SIGHUP from now on, which ends the program no more.
+///
+/// # Errors
+/// When the system refuses the handler.
+pub fn signals() -> Result<Signal, StartError> {
+    signal(SignalKind::hangup()).map_err(StartError::Signals)
+}
+
+/// Reads the file again at each SIGHUP, for as long as the program runs. `on_reload` is called after each reload that
+/// took effect.
+pub async fn reload_on_signal(
     mut signals: Signal,
     running: &RunningInstance,
-    in_force: &ActiveConfiguration,
-    taken: impl Fn(),
+    active: &ActiveConfiguration,
+    on_reload: impl Fn(),
 ) {
     while signals.recv().await.is_some() {
-        match in_force.read_again(running) {
-            Ok(()) => taken(),
-            Err(why) => tracing::error!("not taken over, all stays as it was: {why}"),
+        match active.reload(running) {
+            Ok(()) => on_reload(),
+            Err(error) => tracing::error!("not taken over, all stays as it was: {error}"),
         }
     }
 }
 
-/// What the balancer goes by: its own file as it was read last, the fleet's parts over it, and what came of the two.
+/// The configuration in effect: the balancer's own file as it was read last, the fleet's layers over it, and the outcome
+/// of both.
 pub struct ActiveConfiguration {
     path: PathBuf,
-    own: RefCell<String>,
-    parts: RefCell<Vec<Layer>>,
-    station: RefCell<Instance>,
+    /// The text of the file. Empty without a fleet, until the first reload. Written by each reload.
+    file_text: RefCell<String>,
+    /// Written by each change of the fleet's configuration.
+    layers: RefCell<Vec<Layer>>,
+    /// The outcome of the two. Written with either.
+    instance: RefCell<Instance>,
 }
 
 impl ActiveConfiguration {
-    /// At a start: the station was read from this file.
-    pub fn new(path: &Path, station: Instance) -> Result<Self, String> {
-        // It is read twice at a start; who changes it in between sends SIGHUP anyway.
-        let own = if station.fleet.is_some() { Instance::text(path)? } else { String::new() };
-        let (path, station) = (path.to_owned(), RefCell::new(station));
-        Ok(ActiveConfiguration { path, own: RefCell::new(own), parts: RefCell::default(), station })
+    /// At a start: `instance` was read from the file at `path`.
+    ///
+    /// # Errors
+    /// When the file can't be read.
+    pub fn new(path: &Path, instance: Instance) -> Result<Self, InstanceError> {
+        // Read a second time: an operator who changes the file in between sends SIGHUP anyway.
+        let file_text = if instance.fleet.is_some() { Instance::text(path)? } else { String::new() };
+        Ok(ActiveConfiguration {
+            path: path.to_owned(),
+            file_text: RefCell::new(file_text),
+            layers: RefCell::default(),
+            instance: RefCell::new(instance),
+        })
     }
 
-    pub fn station(&self) -> Instance {
-        self.station.borrow().clone()
+    /// The outcome of the file and the layers.
+    pub fn instance(&self) -> Instance {
+        self.instance.borrow().clone()
     }
 
-    /// At a start, before anything runs: these parts count from the begin, where the outcome will do.
-    pub fn begin_with(&self, parts: Vec<Layer>) -> Result<(), String> {
-        let new = self.outcome(&self.own.borrow(), &parts)?;
+    /// At a start, before anything runs: applies these layers over the file.
+    ///
+    /// # Errors
+    /// When a balancer can't start with the outcome; nothing changes then.
+    pub fn begin_with(&self, layers: Vec<Layer>) -> Result<(), ReloadError> {
+        let new = self.decode(&self.file_text.borrow(), &layers)?;
         new.check()?;
-        self.station.replace(new);
-        self.parts.replace(parts);
+        self.instance.replace(new);
+        self.layers.replace(layers);
         Ok(())
     }
 
-    /// The file as it is now, with the parts that are in force.
-    fn read_again(&self, running: &RunningInstance) -> Result<(), String> {
-        let own = Instance::text(&self.path)?;
-        let discovery = self.station.borrow().discovery;
-        let parts = self.parts.borrow().clone();
-        for what in self.take_over(running, own, parts)? {
-            tracing::warn!("{what} has changed: that needs a restart");
+    /// Reads the file again and applies the layers in effect over it.
+    fn reload(&self, running: &RunningInstance) -> Result<(), ReloadError> {
+        let file_text = Instance::text(&self.path)?;
+        let old_discovery = self.instance.borrow().discovery;
+        let layers = self.layers.borrow().clone();
+        for name in self.activate(running, file_text, layers)? {
+            tracing::warn!("{name} has changed: that needs a restart");
         }
-        let now = self.station.borrow().discovery;
-        if now == discovery {
-            tracing::info!("read again, discovery is still at {now}");
+        let discovery = self.instance.borrow().discovery;
+        if discovery == old_discovery {
+            tracing::info!("read again, discovery is still at {discovery}");
         } else {
-            tracing::info!("read again, discovery is at {now} from now on");
+            tracing::info!("read again, discovery is at {discovery} from now on");
         }
         Ok(())
     }
 
-    /// Other parts over the file as it was read last. What needs a restart no part says, and what the file says of it has been
-    /// told as it was read.
-    pub fn lay_over(&self, running: &RunningInstance, parts: Vec<Layer>) -> Result<(), String> {
-        let own = self.own.borrow().clone();
-        self.take_over(running, own, parts).map(drop)
+    /// Applies other layers over the file as it was read last. No layer names what needs a restart, and a change of that
+    /// kind in the file was logged when it was read.
+    ///
+    /// # Errors
+    /// When the outcome can't be used; nothing changes then.
+    pub fn apply_overlay(&self, running: &RunningInstance, layers: Vec<Layer>) -> Result<(), ReloadError> {
+        let file_text = self.file_text.borrow().clone();
+        self.activate(running, file_text, layers)?;
+        Ok(())
     }
 
-    /// The one path by which new terms reach a running balancer; what of it needs a restart.
-    fn take_over(
+    /// The one path on which new settings reach a running balancer. Returns the names of changed values that need a
+    /// restart.
+    fn activate(
         &self,
         running: &RunningInstance,
-        own: String,
-        parts: Vec<Layer>,
-    ) -> Result<Vec<String>, String> {
-        let new = self.outcome(&own, &parts)?;
-        running.new_terms(&new.terms)?;
-        let mut station = self.station.borrow_mut();
-        let late = station.differs(&new);
-        if new.terms != station.terms {
+        file_text: String,
+        layers: Vec<Layer>,
+    ) -> Result<Vec<String>, ReloadError> {
+        let new = self.decode(&file_text, &layers)?;
+        running.update_settings(&new.terms)?;
+        let mut instance = self.instance.borrow_mut();
+        let need_restart = instance.differs(&new);
+        if new.terms != instance.terms {
             tracing::info!("new settings from now on");
         }
-        if new.discovery != station.discovery {
-            running.turn_to(new.discovery);
+        if new.discovery != instance.discovery {
+            running.set_discovery(new.discovery);
         }
-        (station.terms, station.discovery) = (new.terms, new.discovery);
-        self.own.replace(own);
-        self.parts.replace(parts);
-        Ok(late)
+        instance.terms = new.terms;
+        instance.discovery = new.discovery;
+        self.file_text.replace(file_text);
+        self.layers.replace(layers);
+        Ok(need_restart)
     }
 
-    fn outcome(&self, own: &str, parts: &[Layer]) -> Result<Instance, String> {
-        Instance::of(&self.path, own, parts)
+    fn decode(&self, file_text: &str, layers: &[Layer]) -> Result<Instance, InstanceError> {
+        Instance::of(&self.path, file_text, layers)
     }
 }
--- a/crates/fernroute-server/src/program/running.rs
+++ b/crates/fernroute-server/src/program/running.rs
@@ -1,8 +1,10 @@
-//! A balancer that serves, and what its other parts may do to it while it runs.
+//! A running balancer, and what the program's tasks do to it: change its settings, its discovery and its quota, and
+//! begin to serve.
 
 use super::descriptor_quota::DescriptorQuota;
 use super::fleet::FleetMember;
-use super::instance::bad_setting;
+use super::instance::SettingError;
+use super::start_error::StartError;
 use crate::protocol::handover::Known;
 use crate::routing::switchboard::Switchboard;
 use crate::transport::discovery::Watch;
@@ -16,123 +18,144 @@
 use std::rc::Rc;
 use tokio::net::TcpSocket;
 
-/// As many as the machine lets wait by default.
-pub(super) const WAITING: u32 = 1024;
+/// The system's usual limit for connections that wait to be accepted.
+pub(super) const LISTEN_BACKLOG: u32 = 1024;
 
-/// A balancer that serves.
+/// A running balancer. It is *waiting* or *serving* after its start; [`RunningInstance::begin`] moves it to *serving*.
 pub struct RunningInstance {
+    /// The requests and the decisions.
     pub board: Rc<Switchboard>,
+    /// The callers' connections.
     pub server: Rc<Server>,
+    /// Where callers connect.
     pub address: SocketAddr,
-    /// Where operators are answered, if anywhere.
+    /// Where operators connect, if anywhere.
     pub door: Option<SocketAddr>,
-    /// What callers are to come to once this process begins.
-    pub(super) bound: Cell<Option<TcpSocket>>,
+    /// The callers' socket while nobody can connect to it yet. Taken by [`RunningInstance::begin`].
+    pub(super) bound_socket: Cell<Option<TcpSocket>>,
     pub(super) name: String,
+    /// The address in the file, whose port may be 0.
     pub(super) listen: SocketAddr,
-    pub(super) share: Cell<DescriptorQuota>,
-    pub(super) memory: usize,
+    /// Written through [`RunningInstance::update_quota`].
+    pub(super) quota: Cell<DescriptorQuota>,
+    /// The balancer's memory over all its processes, in bytes.
+    pub(super) memory_bytes: usize,
+    /// Written as a watch starts.
     pub(super) discovery: Cell<SocketAddr>,
-    /// Where each watch waits for the decisions to ask.
-    pub(super) asks: Cell<bool>,
-    pub(super) watch: RefCell<Option<JoinHandle<()>>>,
-    /// Its part in a fleet, if it is of one.
-    pub(super) part: RefCell<Option<Rc<FleetMember>>>,
+    /// Whether the decisions start each poll of the endpoint list. Written with new settings.
+    pub(super) decisions_start_polls: Cell<bool>,
+    /// The task that watches the endpoint list. Replaced with each change of discovery.
+    pub(super) endpoint_watch: RefCell<Option<JoinHandle<()>>>,
+    /// The membership of a fleet, if there is one. Set once at the start.
+    pub(super) fleet_member: RefCell<Option<Rc<FleetMember>>>,
 }
 
 impl RunningInstance {
-    /// Watches the list here from now on, and nowhere else. The balancer serves on what it has until then.
-    pub fn turn_to(&self, discovery: SocketAddr) {
-        // Its versions are its own, so it is asked for all there is, and at once.
+    /// Watches the endpoint list at this address from now on, and nowhere else. The balancer serves with the list that it
+    /// has until the new one arrives.
+    pub fn set_discovery(&self, discovery: SocketAddr) {
+        // Versions belong to one discovery, so the new one is polled for the whole list, at once.
         self.board.follow.notify_one();
-        self.watch(discovery, None);
+        self.watch_endpoints(discovery, None);
     }
 
-    /// New terms from now on, whole or not at all; connections, breakers and what is open stay.
-    pub fn new_terms(&self, terms: &Settings) -> Result<(), String> {
-        self.board.new_terms(terms).map_err(|bad| bad_setting(&bad))?;
-        self.part(|part| part.divide_by(terms));
-        if self.asks.replace(asks(terms)) != asks(terms) {
-            self.turn_to(self.discovery.get());
+    /// Adopts new settings, all or none. Connections, breakers and open requests stay.
+    ///
+    /// # Errors
+    /// With the setting that the decisions reject.
+    pub fn update_settings(&self, settings: &Settings) -> Result<(), SettingError> {
+        self.board.new_terms(settings).map_err(SettingError)?;
+        if let Some(member) = self.fleet_member() {
+            member.set_tenants(settings);
+        }
+        let decisions_start_polls = decisions_start_polls(settings);
+        if self.decisions_start_polls.replace(decisions_start_polls) != decisions_start_polls {
+            self.set_discovery(self.discovery.get());
         }
         Ok(())
     }
 
-    pub(super) fn watch(&self, discovery: SocketAddr, version: Option<u64>) {
+    /// Replaces the task that watches the endpoint list, from this version of it on.
+    pub(super) fn watch_endpoints(&self, discovery: SocketAddr, version: Option<u64>) {
         self.discovery.set(discovery);
         self.board.since.set(version);
-        let told = Rc::clone(&self.board);
-        let begin = self.asks.get().then(|| Rc::clone(&self.board.follow));
-        let watch = Watch::new(discovery).run(version, begin, move |news| match news {
+        let board = Rc::clone(&self.board);
+        let poll_signal = self.decisions_start_polls.get().then(|| Rc::clone(&self.board.follow));
+        let watch = Watch::new(discovery).run(version, poll_signal, move |event| match event {
             Some(list) => {
-                told.since.set(Some(list.version));
-                told.take_list(&list, true);
+                board.since.set(Some(list.version));
+                board.take_list(&list, true);
             }
-            None => told.list_failed(),
+            None => board.list_failed(),
         });
-        if let Some(old) = self.watch.replace(Some(actix_rt::spawn(watch))) {
-            old.abort();
+        if let Some(previous) = self.endpoint_watch.replace(Some(actix_rt::spawn(watch))) {
+            previous.abort();
         }
     }
 
-    /// Callers come here from now on; an error is the machine's word that they can't.
-    pub fn begin(&self) -> Result<(), String> {
-        if let Some(bound) = self.bound.take() {
-            self.server
-                .listen(bound.listen(WAITING).map_err(|e| format!("listen on {}: {e}", self.address))?);
+    /// Serves callers from now on.
+    ///
+    /// # Errors
+    /// When the system does not let callers connect.
+    pub fn begin(&self) -> Result<(), StartError> {
+        if let Some(socket) = self.bound_socket.take() {
+            let listener = socket.listen(LISTEN_BACKLOG);
+            let address = self.address;
+            self.server.listen(listener.map_err(|source| StartError::Listen { address, source })?);
         }
         self.board.phase_change(|phase, _| phase.begin());
         self.server.set_accepting(true);
-        self.say_serving();
+        self.log_serving();
         Ok(())
     }
 
-    pub(super) fn say_serving(&self) {
-        tracing::info!(
-            "serving on {}, {} upstreams known",
-            self.address,
-            self.board.upstreams.borrow().len()
-        );
+    pub(super) fn log_serving(&self) {
+        let upstreams = self.board.upstreams.borrow().len();
+        tracing::info!("serving on {}, {upstreams} upstreams known", self.address);
     }
 
-    /// Tells its part in a fleet what becomes of this process, where it has one.
-    pub fn part(&self, tell: impl FnOnce(&FleetMember)) {
-        if let Some(part) = &*self.part.borrow() {
-            tell(part);
-        }
+    /// The membership of a fleet, if there is one.
+    pub fn fleet_member(&self) -> Option<Rc<FleetMember>> {
+        self.fleet_member.borrow().clone()
     }
 
-    /// Where a successor comes to.
-    pub fn meeting(&self) -> Result<PathBuf, String> {
-        handover::path(&self.name, self.listen)
+    /// The path of the handover socket, on which a successor process connects.
+    ///
+    /// # Errors
+    /// When there can be no such file.
+    pub fn handover_path(&self) -> Result<PathBuf, StartError> {
+        handover::path(&self.name, self.listen).map_err(StartError::HandoverPath)
     }
 
-    /// The list as this process has it.
-    pub fn known(&self) -> Known {
+    /// The endpoint list as this process has it.
+    pub fn endpoint_list(&self) -> Known {
         let upstreams = self.board.upstreams.borrow();
         Known::of(self.discovery.get(), self.board.since.get(), upstreams.values().map(|(entry, _)| entry))
     }
 
+    /// How many connections are open, to callers and to upstreams.
     pub fn connections(&self) -> usize {
         self.server.connections() + self.board.client.connections()
     }
 
-    pub fn share(&self) -> DescriptorQuota {
-        self.share.get()
+    /// What this process may have open.
+    pub fn quota(&self) -> DescriptorQuota {
+        self.quota.get()
     }
 
-    /// Changes what this process may hold; who is idle beyond that goes.
-    pub fn set_share(&self, change: impl FnOnce(&mut DescriptorQuota)) {
-        let mut share = self.share.get();
-        change(&mut share);
-        self.share.set(share);
-        let (callers, upstreams) = share.connections();
-        self.server.set_most(callers);
-        self.board.client.set_most(upstreams);
-        self.board.windows.set_memory(share.memory(self.memory));
+    /// Changes what this process may have open; idle connections beyond that are closed.
+    pub fn update_quota(&self, change: impl FnOnce(&mut DescriptorQuota)) {
+        let mut quota = self.quota.get();
+        change(&mut quota);
+        self.quota.set(quota);
+        let limits = quota.connection_limits();
+        self.server.set_most(limits.callers);
+        self.board.client.set_most(limits.upstreams);
+        self.board.windows.set_memory(quota.memory(self.memory_bytes));
     }
 }
 
-pub(super) fn asks(terms: &Settings) -> bool {
-    terms.get("list_mode").is_some_and(|mode| mode == "ask")
+/// Whether the decisions start each poll of the endpoint list; else the watch runs on its own.
+pub(super) fn decisions_start_polls(settings: &Settings) -> bool {
+    settings.get("list_mode").is_some_and(|mode| mode == "ask")
 }
--- a/crates/fernroute-server/src/program/serve.rs
+++ b/crates/fernroute-server/src/program/serve.rs
@@ -1,12 +1,17 @@
-//! Puts the layers together and runs them on one thread.
+//! Builds a balancer from its layers and runs it on one thread.
+//!
+//! A process is *waiting* after its start where another process may serve, or the fleet's configuration is followed; else
+//! it is *serving* at once. The task of [`super::upgrade`] moves it from *waiting* to *serving*, and to *handing over* as a
+//! successor becomes ready. SIGTERM moves it to *draining* ([`super::shutdown`]), which ends with the program.
 
-use super::configuration::ConfigurationTask;
+use super::configuration::{self, ConfigurationTask};
 use super::descriptor_quota::DescriptorQuota;
-use super::instance::{bad_setting, Instance};
-use super::reload::ActiveConfiguration;
-use super::running::{asks, WAITING};
-use super::upgrade::{self, Predecessor};
-use super::{configuration, fleet, ops, reload, shutdown};
+use super::fleet::{self, Membership};
+use super::instance::{Instance, SettingError};
+use super::predecessor::{self, Predecessor};
+use super::reload::{self, ActiveConfiguration};
+use super::running::{decisions_start_polls, LISTEN_BACKLOG};
+use super::{ops, shutdown, upgrade};
 use crate::protocol::handover::Known;
 use crate::routing::phase::Closing;
 use crate::routing::switchboard::Switchboard;
@@ -22,160 +27,129 @@
 use std::pin::pin;
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::net::TcpSocket;
+use tokio::net::{TcpListener, TcpSocket};
 
 pub use super::running::RunningInstance;
+pub use super::start_error::StartError;
 
-/// How often connections are looked over: their times are to a tenth.
-const SWEEP: Duration = Duration::from_millis(200);
-
-/// Serves until told to stop; `path` is the file that the station was read from.
-pub fn serve(station: Instance, path: &Path) -> Result<(), String> {
-    station.check()?;
-    let runtime = actix_rt::Runtime::new().map_err(|e| format!("runtime: {e}"))?;
-    runtime.block_on(async {
-        // Both before all else: a signal that comes early is kept, and ends nothing.
-        let (again, stop) = (reload::signals()?, shutdown::signals()?);
-        let StartedInstance { running, in_force, followed, handed_over } = begin(station, path).await?;
-        let taken = || followed.iter().for_each(|followed| followed.retry());
-        let mut stop = pin!(stop);
-        let stop = select(&mut stop, handed_over);
-        // What is read again while the program stops would change nothing any more.
-        let ended = match select(pin!(reload::follow(again, &running, &in_force, taken)), stop).await {
-            Either::Left(((), stop)) => stop.await,
-            Either::Right((ended, _)) => ended,
-        };
-        if let Either::Right((Ok(Err(why)), _)) = ended {
-            return Err(why);
-        }
-        shutdown::leave(&running.board, &running.server).await;
-        tracing::info!("all is answered, ending");
-        Ok(())
-    })
+/// How often connections are checked for their time-outs, which are exact to a tenth.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(200);
+
+/// Serves until the program is told to stop, or a successor has taken over. `path` is the file that `instance` was read
+/// from.
+///
+/// # Errors
+/// When the balancer does not start, or callers can't connect to it.
+pub fn serve(instance: Instance, path: &Path) -> Result<(), StartError> {
+    instance.check()?;
+    let runtime = actix_rt::Runtime::new().map_err(StartError::Runtime)?;
+    runtime.block_on(run(instance, path))
 }
 
-/// A balancer that has begun: all that a process of it is, but for the signals that it is told by.
-pub struct StartedInstance {
-    pub running: Rc<RunningInstance>,
-    pub in_force: Rc<ActiveConfiguration>,
-    pub followed: Option<Rc<ConfigurationTask>>,
-    /// Ends once a successor serves. It goes on while the program stops: a successor may still be told what is left to it.
-    pub handed_over: JoinHandle<Result<(), String>>,
-}
-
-/// Begins a balancer on the running thread, in the place of the process that is there, if there is one.
-pub async fn begin(station: Instance, path: &Path) -> Result<StartedInstance, String> {
-    let in_force = Rc::new(ActiveConfiguration::new(path, station.clone())?);
-    let followed = configuration::begin(&station, |parts| in_force.begin_with(parts))?;
-    let station = in_force.station();
-    let before = upgrade::look(&station.name, station.listen).await?;
-    let (running, before) = start_after(station, before, followed.clone()).await?;
-    let running = Rc::new(running);
-    if let Some(followed) = &followed {
-        let (board, on, in_force) = (Rc::clone(&running.board), Rc::clone(&running), Rc::clone(&in_force));
-        let lay = move |parts| in_force.lay_over(&on, parts);
-        actix_rt::spawn(Rc::clone(followed).follow(board, lay));
+async fn run(instance: Instance, path: &Path) -> Result<(), StartError> {
+    // Before all else: an early signal must not end the program.
+    let reload_signals = reload::signals()?;
+    let stop_signals = shutdown::signals()?;
+    let StartedInstance { running, active, configuration, handed_over } = begin(instance, path).await?;
+    let on_reload = || {
+        if let Some(configuration) = &configuration {
+            configuration.retry_rejected();
+        }
+    };
+    let mut stop_signals = pin!(stop_signals);
+    let end = select(&mut stop_signals, handed_over);
+    let reloads = pin!(reload::reload_on_signal(reload_signals, &running, &active, on_reload));
+    // Settings that are read while the program stops would take no effect.
+    let end = match select(reloads, end).await {
+        Either::Left(((), end)) => end.await,
+        Either::Right((end, _)) => end,
+    };
+    if let Either::Right((Ok(Err(error)), _)) = end {
+        return Err(error);
     }
-    let handed_over = actix_rt::spawn(upgrade::follow(Rc::clone(&running), before, followed.clone()));
-    Ok(StartedInstance { running, in_force, followed, handed_over })
+    shutdown::shut_down(&running.board, &running.server).await;
+    tracing::info!("all is answered, ending");
+    Ok(())
 }
 
-/// A socket that nobody can connect to yet. Another process may come to this address as well, where handing the socket
-/// over fails.
-fn bind(at: SocketAddr) -> io::Result<TcpSocket> {
-    let socket = if at.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
-    socket.set_reuseaddr(true)?;
-    // Not where the machine finds a port: it would find one that another process has.
-    if let Err(why) = socket.set_reuseport(at.port() != 0) {
-        tracing::debug!("no second process can listen at {at}: {why}");
-    }
-    socket.bind(at)?;
-    Ok(socket)
+/// A balancer with all tasks of its process, except those that handle signals.
+pub struct StartedInstance {
+    /// The balancer.
+    pub running: Rc<RunningInstance>,
+    /// The configuration in effect.
+    pub active: Rc<ActiveConfiguration>,
+    /// The follower of the fleet's configuration, where there is one.
+    pub configuration: Option<Rc<ConfigurationTask>>,
+    /// Ends once a successor has taken over. It runs on while the program stops, to report free descriptors to a
+    /// successor.
+    pub handed_over: JoinHandle<Result<(), StartError>>,
 }
 
-/// How many descriptors this process may hold. Guards against callers, who get a part of what the file says, that take all
-/// that the machine grants.
-fn granted(said: usize) -> usize {
-    let most = getrlimit(Resource::Nofile).current.map_or(usize::MAX, |most| most as usize);
-    if most < said {
-        tracing::warn!("limits.sockets says {said}, the machine grants {most}");
+/// Begins a balancer on the running thread, in place of the process that serves at its address, if there is one.
+///
+/// # Errors
+/// When the balancer does not start.
+pub async fn begin(instance: Instance, path: &Path) -> Result<StartedInstance, StartError> {
+    let active = Rc::new(ActiveConfiguration::new(path, instance.clone())?);
+    let configuration = configuration::begin(&instance, |layers| active.begin_with(layers))?;
+    let instance = active.instance();
+    let predecessor = predecessor::find(&instance.name, instance.listen).await?;
+    let (running, predecessor) = start_after(instance, predecessor, configuration.clone()).await?;
+    let running = Rc::new(running);
+    if let Some(configuration) = &configuration {
+        let board = Rc::clone(&running.board);
+        let (overlaid, overlay) = (Rc::clone(&running), Rc::clone(&active));
+        let apply = move |layers| overlay.apply_overlay(&overlaid, layers);
+        actix_rt::spawn(Rc::clone(configuration).run(board, apply));
     }
-    said.min(most)
+    let handed_over = upgrade::run(Rc::clone(&running), predecessor, configuration.clone());
+    let handed_over = actix_rt::spawn(handed_over);
+    Ok(StartedInstance { running, active, configuration, handed_over })
 }
 
-/// Starts a balancer on the running thread, the only process of it.
-pub async fn start(station: Instance) -> Result<RunningInstance, String> {
-    start_after(station, Predecessor::Nobody, None).await.map(|(running, _)| running)
+/// Starts a balancer on the running thread as its only process.
+///
+/// # Errors
+/// When the balancer does not start.
+pub async fn start(instance: Instance) -> Result<RunningInstance, StartError> {
+    let (running, _) = start_after(instance, Predecessor::Absent, None).await?;
+    Ok(running)
 }
 
-/// The same, in the place of the process that was there before. One that goes by the fleet's configuration is not to
-/// serve before it is told to begin.
-pub async fn start_after(
-    mut station: Instance,
-    mut before: Predecessor,
-    followed: Option<Rc<ConfigurationTask>>,
-) -> Result<(RunningInstance, Predecessor), String> {
-    let mut share = DescriptorQuota::new(granted(station.descriptors), station.ops.is_some());
-    if let Predecessor::Serving(other) = &before {
-        share.part = other.descriptors.min(share.whole);
-    }
-    let (callers, upstreams) = share.connections();
-    let board = Switchboard::new(&station.terms, station.seed, upstreams, share.memory(station.memory))
-        .map_err(|bad| bad_setting(&bad))?;
-    let serves = matches!(before, Predecessor::Nobody) && followed.is_none();
-    if !serves {
+/// Starts a balancer after its predecessor, whose remaining parts are returned. One that follows the fleet's configuration
+/// stays *waiting*.
+///
+/// # Errors
+/// When the balancer does not start.
+async fn start_after(
+    mut instance: Instance,
+    mut predecessor: Predecessor,
+    configuration: Option<Rc<ConfigurationTask>>,
+) -> Result<(RunningInstance, Predecessor), StartError> {
+    let serves_at_once = matches!(predecessor, Predecessor::Absent) && configuration.is_none();
+    let quota = initial_quota(&instance, &predecessor);
+    let board = new_board(&instance, quota)?;
+    if !serves_at_once {
         board.phase_change(|phase, _| phase.wait());
     }
-    if let Predecessor::Unknown = &before {
-        // All there is, at once: a call for what is newer waits until there is something.
-        station.since = None;
-    }
-    // What the other process was told last is newer than what this one's file says. One that knows nobody and was told
-    // nothing has nothing newer to say.
-    let told_nothing = |list: &Known| list.since.is_none() && list.upstreams.is_empty();
-    if let Some(other) = before.serving().filter(|other| !told_nothing(&other.list)) {
-        station.since = other.list.since.filter(|_| other.list.discovery == station.discovery);
-        station.known = Some(other.list.list());
-    }
-    if let Some(known) = &station.known {
+    adopt_endpoint_list(&mut instance, &predecessor);
+    if let Some(known) = &instance.known {
         board.take_list(known, false);
     }
-    let trouble = |e| format!("listen on {}: {e}", station.listen);
-    let given = match &mut before {
-        Predecessor::Serving(other) => other.listener.take(),
-        _ => None,
-    };
-    // Beside a process that may serve, nobody is to come to this one's queue before it is served from: a share of that
-    // one's callers would wait there unread.
-    let (listener, bound) = match (given, &before) {
-        (Some(listener), _) => (Some(listener), None),
-        (None, Predecessor::Unknown) => (None, Some(bind(station.listen).map_err(trouble)?)),
-        (None, _) => (Some(bind(station.listen).and_then(|s| s.listen(WAITING)).map_err(trouble)?), None),
+    let listen_error = |source| StartError::Listen { address: instance.listen, source };
+    let socket = open_socket(instance.listen, &mut predecessor).map_err(listen_error)?;
+    let address = socket.local_addr().map_err(listen_error)?;
+    let (listener, bound_socket) = match socket {
+        CallerSocket::Listening(listener) => (Some(listener), None),
+        CallerSocket::Bound(bound) => (None, Some(bound)),
     };
-    let address = match (&listener, &bound) {
-        (Some(listener), _) => listener.local_addr(),
-        (None, Some(bound)) => bound.local_addr(),
-        (None, None) => Ok(station.listen),
-    };
-    let address = address.map_err(trouble)?;
-    let server = Server::new(listener, callers);
-    let door = match station.ops {
-        Some(at) => Some(ops::open(at, &board, &server).await?),
+    let server = Server::new(listener, quota.connection_limits().callers);
+    let door = match instance.ops {
+        Some(address) => Some(ops::open(address, &board, &server).await?),
         None => None,
     };
-    server.set_accepting(serves);
-    actix_rt::spawn(Rc::clone(&board).keep_time());
-    let (swept, visited) = (Rc::clone(&board), Rc::clone(&server));
-    actix_rt::spawn(async move {
-        loop {
-            actix_rt::time::sleep(SWEEP).await;
-            swept.client.sweep();
-            visited.sweep(swept.closing() >= Closing::Idle);
-        }
-    });
-    let handled = Rc::clone(&board);
-    let handle = move |message, visit| take_in::handle(Rc::clone(&handled), message, visit);
-    actix_rt::spawn(Rc::clone(&server).run(handle));
+    server.set_accepting(serves_at_once);
+    spawn_tasks(&board, &server);
     if let Some(door) = door {
         tracing::info!("operators are answered on {door}");
     }
@@ -184,29 +158,140 @@
         server,
         address,
         door,
-        bound: Cell::new(bound),
-        name: station.name.clone(),
-        listen: station.listen,
-        share: Cell::new(share),
-        memory: station.memory,
-        discovery: Cell::new(station.discovery),
-        asks: Cell::new(asks(&station.terms)),
-        watch: RefCell::default(),
-        part: RefCell::default(),
+        bound_socket: Cell::new(bound_socket),
+        name: instance.name.clone(),
+        listen: instance.listen,
+        quota: Cell::new(quota),
+        memory_bytes: instance.memory,
+        discovery: Cell::new(instance.discovery),
+        decisions_start_polls: Cell::new(decisions_start_polls(&instance.terms)),
+        endpoint_watch: RefCell::default(),
+        fleet_member: RefCell::default(),
+    };
+    running.watch_endpoints(instance.discovery, instance.since);
+    join_fleet(&running, &instance, &mut predecessor, configuration)?;
+    if serves_at_once {
+        running.log_serving();
+    }
+    Ok((running, predecessor))
+}
+
+/// All that the file and the system allow; beside a predecessor, what that one leaves.
+fn initial_quota(instance: &Instance, predecessor: &Predecessor) -> DescriptorQuota {
+    let mut quota = DescriptorQuota::new(allowed_descriptors(instance.descriptors), instance.ops.is_some());
+    if let Some(serving) = predecessor.serving() {
+        quota.assigned = serving.descriptors.min(quota.total);
+    }
+    quota
+}
+
+/// How many descriptors this process may have open. Guards against callers, whose part is reckoned from the file, that use
+/// up all that the system allows.
+fn allowed_descriptors(configured: usize) -> usize {
+    let system_limit = getrlimit(Resource::Nofile).current.map_or(usize::MAX, |limit| limit as usize);
+    if system_limit < configured {
+        tracing::warn!("limits.sockets says {configured}, the machine grants {system_limit}");
+    }
+    configured.min(system_limit)
+}
+
+fn new_board(instance: &Instance, quota: DescriptorQuota) -> Result<Rc<Switchboard>, SettingError> {
+    let connections = quota.connection_limits().upstreams;
+    let memory = quota.memory(instance.memory);
+    Switchboard::new(&instance.terms, instance.seed, connections, memory).map_err(SettingError)
+}
+
+/// Replaces the endpoint list of the file with the predecessor's, which is newer, unless that one never had any.
+fn adopt_endpoint_list(instance: &mut Instance, predecessor: &Predecessor) {
+    if let Predecessor::Unresponsive = predecessor {
+        // Polls for the whole list: a poll for changes would wait until there is one.
+        instance.since = None;
+    }
+    let never_received = |list: &Known| list.since.is_none() && list.upstreams.is_empty();
+    let Some(serving) = predecessor.serving().filter(|serving| !never_received(&serving.list)) else {
+        return;
     };
-    running.watch(station.discovery, station.since);
-    if let Some(fleet) = &station.fleet {
-        let handed = match &mut before {
-            Predecessor::Serving(other) => other.member.take(),
-            _ => None,
-        };
-        let place = running.meeting()?.with_extension("member");
-        let (board, terms) = (Rc::clone(&running.board), &station.terms);
-        let part = fleet::join(board, &running.name, place, fleet, terms, handed, followed);
-        running.part.replace(Some(part));
+    let list = &serving.list;
+    instance.since = list.since.filter(|_| list.discovery == instance.discovery);
+    instance.known = Some(list.list());
+}
+
+/// The socket for callers.
+enum CallerSocket {
+    /// Callers can connect.
+    Listening(TcpListener),
+    /// Nobody can connect yet.
+    Bound(TcpSocket),
+}
+
+impl CallerSocket {
+    fn local_addr(&self) -> io::Result<SocketAddr> {
+        match self {
+            CallerSocket::Listening(listener) => listener.local_addr(),
+            CallerSocket::Bound(socket) => socket.local_addr(),
+        }
+    }
+}
+
+/// The predecessor's socket where there is one, else a new one. Beside a process that may serve, it does not listen yet:
+/// that process's callers would wait in a queue that nobody accepts from.
+fn open_socket(listen: SocketAddr, predecessor: &mut Predecessor) -> io::Result<CallerSocket> {
+    if let Some(listener) = predecessor.serving_mut().and_then(|serving| serving.listener.take()) {
+        return Ok(CallerSocket::Listening(listener));
     }
-    if serves {
-        running.say_serving();
+    let socket = bind(listen)?;
+    if let Predecessor::Unresponsive = predecessor {
+        return Ok(CallerSocket::Bound(socket));
     }
-    Ok((running, before))
+    Ok(CallerSocket::Listening(socket.listen(LISTEN_BACKLOG)?))
+}
+
+/// A socket that nobody can connect to yet. Another process may bind the same address, for the case that handing over the
+/// socket fails.
+fn bind(address: SocketAddr) -> io::Result<TcpSocket> {
+    let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
+    socket.set_reuseaddr(true)?;
+    // Not for port 0: the system could pick a port that another process has.
+    if let Err(error) = socket.set_reuseport(address.port() != 0) {
+        tracing::debug!("no second process can listen at {address}: {error}");
+    }
+    socket.bind(address)?;
+    Ok(socket)
+}
+
+/// Starts the timers, the sweep of connections and the callers' server.
+fn spawn_tasks(board: &Rc<Switchboard>, server: &Rc<Server>) {
+    actix_rt::spawn(Rc::clone(board).keep_time());
+    actix_rt::spawn(sweep_connections(Rc::clone(board), Rc::clone(server)));
+    let handler_board = Rc::clone(board);
+    let handle = move |message, connection| take_in::handle(Rc::clone(&handler_board), message, connection);
+    actix_rt::spawn(Rc::clone(server).run(handle));
+}
+
+async fn sweep_connections(board: Rc<Switchboard>, server: Rc<Server>) {
+    loop {
+        actix_rt::time::sleep(SWEEP_INTERVAL).await;
+        board.client.sweep();
+        server.sweep(board.closing() >= Closing::Idle);
+    }
+}
+
+fn join_fleet(
+    running: &RunningInstance,
+    instance: &Instance,
+    predecessor: &mut Predecessor,
+    configuration: Option<Rc<ConfigurationTask>>,
+) -> Result<(), StartError> {
+    let Some(fleet) = &instance.fleet else { return Ok(()) };
+    let membership = Membership {
+        name: &running.name,
+        identity_path: running.handover_path()?.with_extension("member"),
+        fleet,
+        settings: &instance.terms,
+        received: predecessor.serving_mut().and_then(|serving| serving.member.take()),
+        configuration,
+    };
+    let member = fleet::join(Rc::clone(&running.board), membership);
+    running.fleet_member.replace(Some(member));
+    Ok(())
 }
--- a/crates/fernroute-server/src/program/shutdown.rs
+++ b/crates/fernroute-server/src/program/shutdown.rs
@@ -1,47 +1,56 @@
-//! The orderly end of a balancer; its times stand with the other ways out of service, in `routing/phase.rs`.
+//! Graceful shutdown: the process is *draining* from SIGTERM or SIGINT to its end. The times of the stages are those of
+//! `routing/phase.rs`.
 
+use super::start_error::StartError;
 use crate::routing::phase::Closing;
 use crate::routing::switchboard::Switchboard;
 use crate::transport::server::Server;
-use futures_util::future::select;
+use futures_util::future::{select, Either};
 use std::future::Future;
 use std::pin::pin;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::signal::unix::{signal, SignalKind};
 
-/// How often the phase is looked at: its times are to a twentieth of a second.
-const LOOK: Duration = Duration::from_millis(20);
+/// How often the stage is checked; its times are exact to a twentieth of a second.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Ends when the program is told to stop.
-pub fn signals() -> Result<impl Future<Output = ()>, String> {
-    let trouble = |e| format!("signals: {e}");
-    let mut term = signal(SignalKind::terminate()).map_err(trouble)?;
-    let mut int = signal(SignalKind::interrupt()).map_err(trouble)?;
+/// Handles SIGTERM and SIGINT from now on; the future ends at the first of either.
+///
+/// # Errors
+/// When the system refuses a handler.
+pub fn signals() -> Result<impl Future<Output = ()>, StartError> {
+    let mut terminate = signal(SignalKind::terminate()).map_err(StartError::Signals)?;
+    let mut interrupt = signal(SignalKind::interrupt()).map_err(StartError::Signals)?;
     Ok(async move {
-        select(pin!(term.recv()), pin!(int.recv())).await;
+        select(pin!(terminate.recv()), pin!(interrupt.recv())).await;
     })
 }
 
-/// Not ready any more; serves on while clients still come and those that are here may be served, then ends each
-/// connection with its answer. Guards against an RPC that is open when the balancer is killed.
-pub async fn leave(board: &Rc<Switchboard>, server: &Server) {
+/// Drains and ends the server. The balancer is not ready any more; it serves on while callers still connect and their
+/// requests may be answered, then closes each connection with its answer. Guards against a request that is open when the
+/// process is killed.
+pub async fn shut_down(board: &Rc<Switchboard>, server: &Server) {
     tracing::info!("told to stop");
     board.phase_change(|phase, now| phase.leave(now));
-    // Whoever comes where a successor serves is its own: nothing is left to wait for once nobody is here.
-    while board.closing() < Closing::Idle
-        && !(board.phase.get().is_handing_over() && server.connections() == 0)
-    {
-        actix_rt::time::sleep(LOOK).await;
+    while !may_close_all(board, server) {
+        actix_rt::time::sleep(POLL_INTERVAL).await;
     }
     let mut end = pin!(server.end());
-    let errored = async {
-        while board.closing() < Closing::Open {
-            actix_rt::time::sleep(LOOK).await;
-        }
-    };
-    if let futures_util::future::Either::Right(_) = select(&mut end, pin!(errored)).await {
+    let last_moment = pin!(wait_for_stage(board, Closing::Open));
+    if let Either::Right(_) = select(&mut end, last_moment).await {
         board.error_all();
         end.await;
     }
 }
+
+/// Beside a successor no new caller connects to this process: it need not wait once all have gone.
+fn may_close_all(board: &Switchboard, server: &Server) -> bool {
+    board.closing() >= Closing::Idle || board.phase.get().is_handing_over() && server.connections() == 0
+}
+
+async fn wait_for_stage(board: &Switchboard, stage: Closing) {
+    while board.closing() < stage {
+        actix_rt::time::sleep(POLL_INTERVAL).await;
+    }
+}
--- /dev/null
+++ b/crates/fernroute-server/src/program/successor.rs
@@ -0,0 +1,165 @@
+//! The old process of an upgrade: hands over to a successor that connects to the handover socket.
+//!
+//! The old process is *serving*. A successor that asks gets the listening socket, the endpoint list and a part of the
+//! descriptors; both *hand over* until it reports that it is ready. From then on the old process is *draining*: it accepts
+//! nobody, closes each connection with its next answer, and reports the descriptors that become free. If the successor ends
+//! before the drain is complete, the old process takes everything back and is *serving* again.
+
+use super::predecessor::REPLY_TIMEOUT;
+use super::running::RunningInstance;
+use crate::protocol::handover::{FromNew, FromOld};
+use crate::transport::handover::{Link, Meeting};
+use futures_util::future::{select, Either};
+use std::pin::pin;
+use std::time::Duration;
+use tokio::time::timeout;
+
+/// How often free descriptors are reported to the successor.
+const REPORT_INTERVAL: Duration = Duration::from_millis(100);
+
+/// After a connection could not be accepted, the next one is accepted this much later.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(100);
+
+/// How a drain beside a successor ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum DrainEnd {
+    /// The successor has everything that this process had.
+    Complete,
+    /// The successor ended first; this process serves again.
+    SuccessorEnded,
+}
+
+/// Waits for successors until one of them has become ready, then drains beside it.
+pub(super) async fn serve_successors(running: &RunningInstance, meeting: Meeting) -> DrainEnd {
+    loop {
+        let link = accept(&meeting).await;
+        if let Some(link) = hand_over_exclusively(running, &meeting, link).await {
+            running.board.phase_change(|phase, now| phase.hand_over(now));
+            running.server.set_accepting(false);
+            running.update_quota(|quota| quota.handed_over = true);
+            tracing::info!("a successor serves");
+            // The successor opens the handover socket for the next one.
+            drop(meeting);
+            return drain_beside(running, link).await;
+        }
+        reclaim(running);
+    }
+}
+
+async fn accept(meeting: &Meeting) -> Link {
+    loop {
+        match meeting.accept().await {
+            Ok(link) => return link,
+            Err(error) => {
+                tracing::warn!("a successor: {error}");
+                actix_rt::time::sleep(ACCEPT_BACKOFF).await;
+            }
+        }
+    }
+}
+
+async fn drain_beside(running: &RunningInstance, link: Link) -> DrainEnd {
+    let end = report_until_drained(running, link).await;
+    if end == DrainEnd::SuccessorEnded {
+        tracing::warn!("the successor has ended, serving again");
+        running.board.phase_change(|phase, _| phase.take_back());
+        running.server.set_accepting(true);
+        reclaim(running);
+    }
+    end
+}
+
+/// Takes back what a successor was given.
+fn reclaim(running: &RunningInstance) {
+    running.update_quota(|quota| quota.reclaim());
+    if let Some(member) = running.fleet_member() {
+        member.resume_after_failed_upgrade();
+    }
+}
+
+/// Hands over to one successor and rejects all others meanwhile. Returns the link to a successor that is ready.
+async fn hand_over_exclusively(running: &RunningInstance, meeting: &Meeting, link: Link) -> Option<Link> {
+    let reject_others = pin!(reject_others(meeting));
+    match select(pin!(hand_over(running, link)), reject_others).await {
+        Either::Left((ready, _)) => ready,
+        Either::Right(((), _)) => None,
+    }
+}
+
+async fn reject_others(meeting: &Meeting) {
+    loop {
+        match meeting.accept().await {
+            Ok(link) => {
+                // Closing a socket with an unread message would cut off the reply.
+                let _ = timeout(REPLY_TIMEOUT, link.hear::<FromNew>()).await;
+                reject(link, "another process takes over already", false).await;
+            }
+            Err(_) => actix_rt::time::sleep(ACCEPT_BACKOFF).await,
+        }
+    }
+}
+
+async fn reject(mut link: Link, reason: &str, ending: bool) {
+    let message = FromOld::Refused { why: reason.to_owned(), ending };
+    // The other process may have ended.
+    let _ = timeout(REPLY_TIMEOUT, link.say(&message)).await;
+}
+
+/// Hands over to a successor. Returns the link once it is ready; `None` if it never will be.
+async fn hand_over(running: &RunningInstance, mut link: Link) -> Option<Link> {
+    let version_is_known = match timeout(REPLY_TIMEOUT, link.hear::<FromNew>()).await {
+        Ok(Ok(Some((message @ FromNew::Take { .. }, _)))) => message.is_known(),
+        other => {
+            tracing::warn!("who came to take over says {other:?}");
+            return None;
+        }
+    };
+    if !version_is_known {
+        reject(link, "this process can't hand over to one of that version", false).await;
+        return None;
+    }
+    let Some(socket) = running.server.listener() else {
+        reject(link, "this process is ending", true).await;
+        return None;
+    };
+    let message = prepare_handover(running);
+    match timeout(REPLY_TIMEOUT, link.say_with(&message, socket)).await {
+        Ok(Ok(())) => {}
+        _ => return None,
+    }
+    match link.hear::<FromNew>().await {
+        Ok(Some((FromNew::Ready, _))) => Some(link),
+        _ => {
+            tracing::warn!("the successor ended before it could serve");
+            None
+        }
+    }
+}
+
+/// Shrinks what this process has, and makes the message with what the successor gets.
+fn prepare_handover(running: &RunningInstance) -> FromOld {
+    running.update_quota(|quota| quota.shrink_for_successor(running.connections()));
+    let descriptors = running.quota().available_to_successor(running.connections());
+    tracing::info!("a successor comes, it gets {descriptors} descriptors");
+    let handover = running.fleet_member().and_then(|member| member.hand_over());
+    FromOld::given(running.endpoint_list(), descriptors, handover)
+}
+
+/// Reports free descriptors to the successor as connections end, until none is open or the successor has ended.
+async fn report_until_drained(running: &RunningInstance, mut link: Link) -> DrainEnd {
+    if link.say(&FromOld::Yours).await.is_err() {
+        return DrainEnd::SuccessorEnded;
+    }
+    let mut reported = 0;
+    while running.server.connections() > 0 {
+        let descriptors = running.quota().available_to_successor(running.connections());
+        if descriptors != reported && link.say(&FromOld::Left { descriptors }).await.is_err() {
+            return DrainEnd::SuccessorEnded;
+        }
+        reported = descriptors;
+        if let Ok(Ok(None) | Err(_)) = timeout(REPORT_INTERVAL, link.hear::<FromNew>()).await {
+            return DrainEnd::SuccessorEnded;
+        }
+    }
+    DrainEnd::Complete
+}
--- a/crates/fernroute-server/tests/configuration_cache.rs
+++ b/crates/fernroute-server/tests/configuration_cache.rs
@@ -41,21 +41,23 @@
             follower.on_reply(fetched).expect("it is sound")
         };
         let (first, second, third) = (snapshot("z", "a"), snapshot("z", "b"), snapshot("y", "c"));
-        assert_eq!(kept.read(&place("z")), Ok(None));
+        assert_eq!(kept.read(&place("z")).expect("it can be read"), None);
         kept.write(&place("z"), &second, within).await.expect("there is room");
         // Another process's: it has not seen what this one wrote.
         ConfigurationCache::new(path.clone())
             .write(&place("z"), &first, within)
             .await
             .expect("nothing to do");
-        assert_eq!(kept.read(&place("z")), Ok(Some(second)));
+        assert_eq!(kept.read(&place("z")).expect("it can be read"), Some(second));
         kept.write(&place("y"), &third, within).await.expect("there is room");
-        assert_eq!(kept.read(&place("y")), Ok(Some(third)));
-        assert!(kept.read(&place("z")).is_err_and(|why| why.contains("not of the balancer n0")));
+        assert_eq!(kept.read(&place("y")).expect("it can be read"), Some(third));
+        assert!(kept
+            .read(&place("z"))
+            .is_err_and(|error| error.to_string().contains("not of the balancer n0")));
         // What is damaged stands in nobody's way, nor does what a process that was killed left beside it.
         std::fs::write(&path, "{").expect("a file");
         kept.write(&place("z"), &first, within).await.expect("there is room");
-        assert_eq!(kept.read(&place("z")), Ok(Some(first.clone())));
+        assert_eq!(kept.read(&place("z")).expect("it can be read"), Some(first.clone()));
         std::fs::remove_file(&path).expect("it was there");
         std::fs::create_dir(&path).expect("a folder");
         assert!(kept.write(&place("z"), &first, within).await.is_err());
--- /dev/null
+++ b/crates/fernroute-server/tests/member_identity.rs
@@ -0,0 +1,22 @@
+//! The file with a balancer's identity in its fleet's ledger.
+
+use fernroute_server::program::fleet::lock_identity;
+use std::path::Path;
+
+/// Guards against two processes that spend one grant each, and against a restart under an identity that is new to the ledger.
+#[test]
+fn an_identity_belongs_to_one_process_at_a_time_and_outlives_it() {
+    let path = std::env::temp_dir().join(format!("fernroute-{}.member", std::process::id()));
+    let first = lock_identity(&path).expect("a file").expect("nobody has it");
+    let identity = first.identity;
+    assert!(lock_identity(&path).expect("a file").is_none());
+    drop(first);
+    let second = lock_identity(&path).expect("a file").expect("nobody has it");
+    assert_eq!(second.identity, identity);
+    std::fs::write(&path, "no number").expect("a file");
+    drop(second);
+    let third = lock_identity(&path).expect("a file").expect("nobody has it");
+    assert_ne!(third.identity, identity);
+    std::fs::remove_file(&path).expect("it was there");
+    assert!(lock_identity(Path::new("/nonexistent/place")).is_err());
+}
--- a/crates/fernroute-server/tests/program.rs
+++ b/crates/fernroute-server/tests/program.rs
@@ -187,7 +187,7 @@
         common::rested().await;
         assert_eq!(ask(b.address, rpc("GET", "/look", "")).await.status(), 200);
         assert_eq!((up.connections.get(), up.left.get()), (1, 0));
-        b.turn_to(discovery.address);
+        b.set_discovery(discovery.address);
         until(|| up.left.get() == 1).await;
         assert_eq!(ask(b.address, rpc("GET", "/look", "")).await.status(), 200);
         assert_eq!(up.connections.get(), 2);
@@ -245,7 +245,7 @@
         let mut open = send(b.address, rpc("GET", "/look", "").replace("4000", "90000")).await;
         until(|| up.seen.borrow().len() == 2).await;
         let (board, server, from) = (b.board.clone(), b.server.clone(), Instant::now());
-        let end = actix_rt::spawn(async move { shutdown::leave(&board, &server).await });
+        let end = actix_rt::spawn(async move { shutdown::shut_down(&board, &server).await });
         until(|| b.board.phase.get().is_leaving()).await;
         assert_eq!(ask(b.address, READY).await.status(), 503);
         let late = ask(b.address, rpc("GET", "/look", "")).await;
@@ -269,7 +269,7 @@
         let b = balancer(&[&up], &[]).await;
         let mut kept = connect(b.address).await;
         let (board, server, from) = (b.board.clone(), b.server.clone(), Instant::now());
-        let end = actix_rt::spawn(async move { shutdown::leave(&board, &server).await });
+        let end = actix_rt::spawn(async move { shutdown::shut_down(&board, &server).await });
         let mut served = from.elapsed();
         // Until it ends the connection.
         while kept.write_all(rpc("GET", "/look", "").as_bytes()).await.is_ok() {
--- a/crates/fernroute-server/tests/schedules.rs
+++ b/crates/fernroute-server/tests/schedules.rs
@@ -328,7 +328,7 @@
                 let text = common::page(&self.addresses, self.addresses[0], &TIMES)
                     .replace(r#""cancel":true"#, &format!(r#""cancel":{cancels}"#));
                 let station = Instance::decode(&text).expect("the file is whole");
-                self.b.new_terms(&station.terms).expect("they will do");
+                self.b.update_settings(&station.terms).expect("they will do");
             }
             Step::Rest => rested().await,
             Step::TimePasses => tokio::time::sleep(Duration::from_millis(65)).await,
--- a/crates/fernroute-server/tests/told.rs
+++ b/crates/fernroute-server/tests/told.rs
@@ -344,7 +344,7 @@
             all.push((b, new));
         }
         let from = Instant::now();
-        all.iter().for_each(|(b, new)| b.turn_to(new.address));
+        all.iter().for_each(|(b, new)| b.set_discovery(new.address));
         acts(from, TOLD_MOVED, || all.iter().all(|(b, _)| !b.board.is_ready())).await;
     });
 }
@@ -359,7 +359,7 @@
             let b = balancer(old.address, None).await;
             old.until_called(1).await;
             let from = Instant::now();
-            b.turn_to(full.address);
+            b.set_discovery(full.address);
             sleep(Duration::from_millis(100)).await;
             let there = full.let_go(|_, _| Deed::Say(answer(200, "", &change())));
             until(|| is_taken(&b)).await;
--- a/crates/fernroute-server/tests/watches.rs
+++ b/crates/fernroute-server/tests/watches.rs
@@ -154,7 +154,7 @@
         let new = stand_in(move |n, _| if n == 0 { ok(&text) } else { Deed::Silence }).await;
         let b = serve::start(station(&[up.address], old, &[])).await.expect("it starts");
         until(|| asked.get()).await;
-        b.turn_to(new.address);
+        b.set_discovery(new.address);
         // In the same turn: the call is out, its answer comes now.
         go.notify_one();
         until(|| answered.get() && new.seen.borrow().len() == 2).await;
