--- a/crates/fernroute-fleet/src/leader.rs
+++ b/crates/fernroute-fleet/src/leader.rs
@@ -1,358 +1,329 @@
-//! What only the leader of the ledger's processes knows, and decides: when it heard of whom by its own clock, what each
-//! asked for, and what to enter next. It is made anew with each leadership, and then knows nothing: it takes every member
-//! for heard of at that moment, since the leader before it may have answered until then.
+//! What the coordinators' leader knows of the members beside the ledger, and the transitions it decides on.
 //!
-//! The caller answers a beat with [`Leader::answer`] only once it is certain that it still led after the beat came, and
-//! has applied all that was entered before: a leader that is none any more must promise nothing.
+//! The coordinator's replica makes a [`Leader`] at the start of each leadership, passes it every heartbeat, enters what
+//! [`Leader::next_transition`] returns, and calls [`Leader::transition_done`] once the outcome is known. A new leader
+//! takes every member for heard at that moment, since the leader before it may have answered until then.
+//!
+//! Transitions of a member, and what proves each safe:
+//!
+//! - joined: no other member, and no other candidate, has the name.
+//! - accepted: a heartbeat has reported the epoch of the pending offer.
+//! - expired: silent for longer than the quota lease can be believed, by [`Lease::expires_after`].
+//! - removed: it has said that it leaves, or is silent for longer than the guaranteed lease can be believed.
+//!
+//! The caller sends a [`Leader::reply`] only after it has confirmed that it still led when the heartbeat arrived, and has
+//! applied all entries before. Guards against a grant from a deposed leader.
 
 use crate::configuration::register::Register;
 use crate::configuration::rollout::MemberRollout;
 use crate::configuration::{is_name, sanitize, ConfigurationReport, Target, Version, MAX_REASON_CHARS};
-use crate::division::divide;
 use crate::lease::Lease;
-use crate::ledger::{Allocation, Budget, Entry, Ledger, LedgerTransition};
+use crate::ledger::{Allocation, Entry, Ledger, LedgerTransition, Offer};
 use crate::message::{Grant, Heartbeat, HeartbeatReply, RejectReason};
-use crate::{BudgetAmounts, MemberId, MilliUnits};
+use crate::offers::{plan_offers, MemberDemand};
+use crate::{BudgetAmounts, MemberId};
 use fernroute::Time;
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeMap;
 
-/// A name longer than this is none that a person gave.
-const MOST_NAME: usize = 64;
+/// The longest name of a member.
+const MAX_MEMBER_NAME_BYTES: usize = 64;
 
-/// What the leader knows of one member.
+/// Which heartbeat brought a configuration report.
+#[derive(Clone, Copy, Debug, Default)]
+struct ReportOrigin {
+    heartbeat_number: u64,
+    received_at: Time,
+}
+
+/// What the leader knows of one member, or of a candidate that is to join.
 #[derive(Clone, Debug)]
-struct Known {
-    /// The last beat, by this leader's clock; its leadership's begin before there was one.
-    heard: Time,
-    /// What the last beat asked for; none before there was one.
-    wants: Option<BudgetAmounts>,
-    /// The epoch that it goes by.
+struct MemberState {
+    name: String,
+    /// By this leader's clock; the start of its leadership before the first heartbeat.
+    last_heard_at: Time,
+    /// The demand of the last heartbeat; none before the first.
+    demand: Option<BudgetAmounts>,
+    /// The highest epoch that it has reported.
     epoch: u64,
-    leaves: bool,
-    /// What the last beat said of the configuration, if it said anything; by its number and when it came.
+    leaving: bool,
+    /// The configuration report of the latest heartbeat, if that had one.
     report: Option<ConfigurationReport>,
-    reported: (u64, Time),
+    report_origin: ReportOrigin,
 }
 
-impl Known {
-    fn new(heard: Time) -> Self {
-        Known { heard, wants: None, epoch: 0, leaves: false, report: None, reported: (0, 0) }
+impl MemberState {
+    fn new(name: &str, now: Time) -> Self {
+        MemberState {
+            name: name.to_owned(),
+            last_heard_at: now,
+            demand: None,
+            epoch: 0,
+            leaving: false,
+            report: None,
+            report_origin: ReportOrigin::default(),
+        }
+    }
+
+    fn silence(&self, now: Time) -> Time {
+        now.saturating_sub(self.last_heard_at)
     }
 
-    /// A beat that was overtaken says nothing of what is in force now. One that is numbered lower and comes when no other
-    /// has come for long is of a machine that began to count anew.
-    fn report(&mut self, now: Time, beat: &Heartbeat, lapse: Time) {
-        let (number, at) = self.reported;
-        if beat.number < number && now.saturating_sub(at) <= lapse {
+    /// A leaving member never returns, so a heartbeat after its last is late and changes nothing.
+    fn on_heartbeat(&mut self, now: Time, heartbeat: &Heartbeat, quota_lease: Lease) {
+        if self.leaving {
             return;
         }
-        self.reported = (beat.number, now);
-        self.report = beat
-            .configuration
-            .clone()
-            .filter(|report| is_name(&report.service) && (report.zone.is_empty() || is_name(&report.zone)));
-        // Guards against a table of `status` that a member's own words break, and against long ones.
-        if let Some((_, why)) = self.report.iter_mut().find_map(|report| report.rejected.as_mut()) {
-            *why = sanitize(why, MAX_REASON_CHARS);
+        self.last_heard_at = now;
+        self.demand = Some(heartbeat.demand.clone());
+        self.epoch = self.epoch.max(heartbeat.epoch);
+        self.leaving = heartbeat.leaving;
+        self.update_report(now, heartbeat, quota_lease.expires_after());
+    }
+
+    /// An overtaken heartbeat does not replace a later report. A lower number after `max_silence` without any report is
+    /// of a process that counts from a new start.
+    fn update_report(&mut self, now: Time, heartbeat: &Heartbeat, max_silence: Time) {
+        let previous = self.report_origin;
+        let is_overtaken = heartbeat.number < previous.heartbeat_number;
+        if is_overtaken && now.saturating_sub(previous.received_at) <= max_silence {
+            return;
+        }
+        self.report_origin = ReportOrigin { heartbeat_number: heartbeat.number, received_at: now };
+        self.report = heartbeat.configuration.clone().filter(has_valid_names);
+        // Guards against a member's text that breaks the table of `status`, or is too long for it.
+        if let Some((_, reason)) = self.report.as_mut().and_then(|report| report.rejected.as_mut()) {
+            *reason = sanitize(reason, MAX_REASON_CHARS);
         }
     }
 }
 
+/// The state of one leadership.
 #[derive(Clone, Debug)]
 pub struct Leader {
-    shares: Lease,
-    floors: Lease,
-    /// Members at the most, so that all their floors fit into each whole.
-    most: usize,
-    begun: Time,
-    /// Members and those who would be; emptied as they go, and of those who would be as they are not heard of.
-    known: BTreeMap<MemberId, (String, Known)>,
-    /// What is being entered, until it is known to be applied, or never to be.
-    entering: Option<LedgerTransition>,
+    quota_lease: Lease,
+    guaranteed_lease: Lease,
+    /// As many as have their guaranteed amounts within each budget's limit.
+    max_members: usize,
+    leader_since: Time,
+    /// Members and candidates; [`Leader::remove_expired`] empties it.
+    members: BTreeMap<MemberId, MemberState>,
+    /// The transition that is being entered, until its outcome is known.
+    pending_transition: Option<LedgerTransition>,
 }
 
 impl Leader {
-    pub fn new(now: Time, ledger: &Ledger, shares: Lease, floors: Lease, most: usize) -> Self {
-        let known = |(identity, holder): (&MemberId, &Allocation)| {
-            (*identity, (holder.name.clone(), Known::new(now)))
-        };
-        let known = ledger.allocations().iter().map(known).collect();
-        Leader { shares, floors, most, begun: now, known, entering: None }
+    /// A leader elected at `now`, by its own clock.
+    pub fn new(
+        now: Time,
+        ledger: &Ledger,
+        quota_lease: Lease,
+        guaranteed_lease: Lease,
+        max_members: usize,
+    ) -> Self {
+        let mut members = BTreeMap::new();
+        for (identity, allocation) in ledger.allocations() {
+            members.insert(*identity, MemberState::new(&allocation.name, now));
+        }
+        Leader {
+            quota_lease,
+            guaranteed_lease,
+            max_members,
+            leader_since: now,
+            members,
+            pending_transition: None,
+        }
     }
 
-    /// Notes a beat. An error is an answer, too.
-    pub fn on_heartbeat(&mut self, now: Time, beat: &Heartbeat, ledger: &Ledger) -> Result<(), RejectReason> {
-        if beat.name.is_empty() || beat.name.len() > MOST_NAME {
+    /// Records a heartbeat. The error is the reply to a candidate that cannot join.
+    pub fn on_heartbeat(
+        &mut self,
+        now: Time,
+        heartbeat: &Heartbeat,
+        ledger: &Ledger,
+    ) -> Result<(), RejectReason> {
+        if heartbeat.name.is_empty() || heartbeat.name.len() > MAX_MEMBER_NAME_BYTES {
             return Err(RejectReason::InvalidName);
         }
-        if !ledger.allocations().contains_key(&beat.identity) {
-            if beat.leaving {
+        if !ledger.allocations().contains_key(&heartbeat.identity) {
+            if heartbeat.leaving {
                 return Ok(());
             }
-            let other = |(identity, (name, _)): (&MemberId, &(String, Known))| {
-                *identity != beat.identity && *name == beat.name
-            };
-            if self.known.iter().any(other) {
-                return Err(RejectReason::NameTaken);
-            }
-            if self.known.len() >= self.most && !self.known.contains_key(&beat.identity) {
-                return Err(RejectReason::Full);
-            }
+            self.check_candidate(heartbeat)?;
+        }
+        let member = self.members.entry(heartbeat.identity);
+        let member = member.or_insert_with(|| MemberState::new(&heartbeat.name, now));
+        member.on_heartbeat(now, heartbeat, self.quota_lease);
+        Ok(())
+    }
+
+    /// Whether a sender that is no member yet may become one.
+    fn check_candidate(&self, heartbeat: &Heartbeat) -> Result<(), RejectReason> {
+        let mut others = self.members.iter().filter(|(identity, _)| **identity != heartbeat.identity);
+        if others.any(|(_, other)| other.name == heartbeat.name) {
+            return Err(RejectReason::NameTaken);
         }
-        let new = || (beat.name.clone(), Known::new(now));
-        let (_, known) = self.known.entry(beat.identity).or_insert_with(new);
-        // One that says it leaves never comes again: what still comes is late.
-        if !known.leaves {
-            known.heard = now;
-            known.wants = Some(beat.demand.clone());
-            known.epoch = known.epoch.max(beat.epoch);
-            known.leaves = beat.leaving;
-            known.report(now, beat, self.shares.expires_after());
+        if self.members.len() >= self.max_members && !self.members.contains_key(&heartbeat.identity) {
+            return Err(RejectReason::Full);
         }
         Ok(())
     }
 
-    /// What the member of this beat may be told now. The version of the configuration that concerns it is told for as long
-    /// as its beats report another one, and nothing is noted of that: guards against a notice that is lost for ever.
+    /// The reply to a heartbeat. The configuration version is repeated for as long as the member's heartbeats report
+    /// another one, without a record of earlier notices. Guards against a notice that is lost for good.
     pub fn reply(
         &self,
-        beat: &Heartbeat,
+        heartbeat: &Heartbeat,
         ledger: &Ledger,
         register: &Register,
     ) -> Result<HeartbeatReply, RejectReason> {
-        let holder = ledger.allocations().get(&beat.identity).ok_or(RejectReason::RetryLater)?;
-        // Guards against a promise to a member whose lapse is being entered.
-        let ends = |step: &LedgerTransition| {
-            step.expired.contains(&beat.identity) || step.removed.contains(&beat.identity)
-        };
-        if beat.leaving || self.entering.as_ref().is_some_and(ends) {
+        let allocation = ledger.allocations().get(&heartbeat.identity).ok_or(RejectReason::RetryLater)?;
+        if heartbeat.leaving || self.is_being_expired(heartbeat.identity) {
             return Err(RejectReason::RetryLater);
         }
-        let (shares_for, floors_for) = (self.shares.duration, self.floors.duration);
-        let concerns = beat.configuration.as_ref().and_then(|report| {
-            let version = register.version_for(&place(&beat.name, report));
+        let configuration = heartbeat.configuration.as_ref().and_then(|report| {
+            let version = register.version_for(&report_target(&heartbeat.name, report));
             (version != report.active).then_some(version)
         });
         Ok(HeartbeatReply {
-            identity: beat.identity,
-            number: beat.number,
-            grant: holder.latest_grant().clone(),
-            quotas_valid_for: shares_for,
-            guaranteed_valid_for: floors_for,
-            configuration: concerns,
+            identity: heartbeat.identity,
+            number: heartbeat.number,
+            grant: allocation.latest_grant().clone(),
+            quotas_valid_for: self.quota_lease.duration,
+            guaranteed_valid_for: self.guaranteed_lease.duration,
+            configuration,
             duties: None,
         })
     }
 
-    /// How far each member is with the configuration, as of now.
+    /// Guards against a grant to a member whose expiry or removal is being entered.
+    fn is_being_expired(&self, identity: MemberId) -> bool {
+        self.pending_transition.as_ref().is_some_and(|transition| {
+            transition.expired.contains(&identity) || transition.removed.contains(&identity)
+        })
+    }
+
+    /// How far each member is with the configuration that concerns it.
     pub fn configuration_states(
         &self,
         now: Time,
         ledger: &Ledger,
         register: &Register,
     ) -> Vec<MemberRollout> {
-        let standing = |(identity, holder): (&MemberId, &Allocation)| {
-            let known = self.known.get(identity).map(|(_, known)| known);
-            // A new leader takes all for heard of, since what they hold was promised; of their configuration it has heard
-            // nothing before their first beat.
-            let heard = known.is_some_and(|known| {
-                let silent = now.saturating_sub(known.heard);
-                known.wants.is_some() && !known.leaves && silent <= self.shares.expires_after()
-            });
-            let report = known.and_then(|known| known.report.as_ref());
-            let wanted = report.map_or(0, |report| register.version_for(&place(&holder.name, report)));
-            MemberRollout::new(&holder.name, wanted, report, heard)
-        };
-        ledger.allocations().iter().map(standing).collect()
+        let mut states = Vec::new();
+        for (identity, allocation) in ledger.allocations() {
+            let member = self.members.get(identity);
+            // Nothing is known of a member's configuration before its first heartbeat to this leader.
+            let is_reachable =
+                member.is_some_and(|member| member.demand.is_some() && self.is_reachable(member, now));
+            let report = member.and_then(|member| member.report.as_ref());
+            let wanted =
+                report.map_or(0, |report| register.version_for(&report_target(&allocation.name, report)));
+            states.push(MemberRollout::new(&allocation.name, wanted, report, is_reachable));
+        }
+        states
     }
 
-    /// The highest version that any member said it goes by, or refused: [`crate::configuration::register::Put::above`]
-    /// is to be this. Guards against numbers that are given twice, where a register was lost with all stewards' disks and
-    /// balancers still go by what it said.
+    /// The highest configuration version that any member reported as active or rejected, for
+    /// [`crate::configuration::register::ConfigurationPut::min_version_exclusive`]. Guards against reuse of a version
+    /// after the register was lost with all coordinators' disks while balancers still have its entries active.
     pub fn highest_reported_version(&self) -> Version {
-        let reports = self.known.values().filter_map(|(_, known)| known.report.as_ref());
+        let reports = self.members.values().filter_map(|member| member.report.as_ref());
         let highest = |report: &ConfigurationReport| {
             report.active.max(report.rejected.as_ref().map_or(0, |(version, _)| *version))
         };
         reports.map(highest).max().unwrap_or(0)
     }
 
-    /// What is to be entered now, if anything. Until [`Leader::entered`] is called there is nothing more.
+    /// The transition to enter now, if any. There is none until [`Leader::transition_done`] has been called for the last.
     pub fn next_transition(&mut self, now: Time, ledger: &Ledger) -> Option<LedgerTransition> {
-        if self.entering.is_some() {
+        if self.pending_transition.is_some() {
             return None;
         }
-        self.forget(now, ledger);
-        let mut step = LedgerTransition { base_epoch: ledger.epoch(), ..LedgerTransition::default() };
-        for (identity, (name, known)) in &self.known {
-            let Some(holder) = ledger.allocations().get(identity) else {
-                step.joined.push((*identity, name.clone()));
-                continue;
-            };
-            let silent = now.saturating_sub(known.heard);
-            if known.leaves || silent > self.floors.expires_after() {
-                step.removed.push(*identity);
-            } else if holder.offered.as_ref().is_some_and(|offered| offered.epoch == known.epoch) {
-                step.accepted.push((*identity, known.epoch));
-            } else if silent > self.shares.expires_after() && holds_shares(holder) {
-                step.expired.push(*identity);
-            }
-        }
-        // What the members would hold after that is divided.
-        let mut after = ledger.clone();
-        let entry = Entry::Transition(step.clone());
-        if !step.is_empty() && after.apply(&entry).is_err() {
-            return None;
+        self.remove_expired(now, ledger);
+        let mut transition = self.membership_transition(now, ledger);
+        // Offers divide what the members hold after the rest of the transition.
+        let mut next_ledger = ledger.clone();
+        if !transition.is_empty() {
+            next_ledger.apply(&Entry::Transition(transition.clone())).ok()?;
         }
-        step.offers = self.divide(now, &after);
-        if step.is_empty() {
+        transition.offers = self.offers(now, &next_ledger);
+        if transition.is_empty() {
             return None;
         }
-        self.entering = Some(step.clone());
-        Some(step)
+        self.pending_transition = Some(transition.clone());
+        Some(transition)
     }
 
-    /// The step has been applied, or refused, or will never be: the ledger says which.
+    /// The pending transition was applied, was refused, or never will be applied: the ledger shows which.
     pub fn transition_done(&mut self) {
-        self.entering = None;
+        self.pending_transition = None;
     }
 
-    /// Who would be a member and is not heard of any more, and members that the ledger has let go.
-    fn forget(&mut self, now: Time, ledger: &Ledger) {
-        let lapse = self.shares.expires_after();
-        self.known.retain(|identity, (_, known)| {
-            let member = ledger.allocations().contains_key(identity);
-            member || !known.leaves && now.saturating_sub(known.heard) <= lapse
+    /// Removes former members, and candidates that have been silent for the quota lease; adds members that it lacks.
+    fn remove_expired(&mut self, now: Time, ledger: &Ledger) {
+        let max_silence = self.quota_lease.expires_after();
+        self.members.retain(|identity, member| {
+            let is_member = ledger.allocations().contains_key(identity);
+            is_member || !member.leaving && member.silence(now) <= max_silence
         });
-        for (identity, holder) in ledger.allocations() {
-            self.known.entry(*identity).or_insert_with(|| (holder.name.clone(), Known::new(now)));
+        for (identity, allocation) in ledger.allocations() {
+            let member = self.members.entry(*identity);
+            member.or_insert_with(|| MemberState::new(&allocation.name, now));
         }
     }
 
-    /// Offers to those whose share is to be another. Who is offered less frees it by accepting; what is free is offered
-    /// to who is short, so it takes two rounds.
-    ///
-    /// A member has parts of those budgets alone that it names: what there is to divide, to say and to enter grows with
-    /// what members name, and not with all budgets for each member.
-    fn divide(&self, now: Time, ledger: &Ledger) -> BTreeMap<MemberId, (BudgetAmounts, BudgetAmounts)> {
-        let mut offers: BTreeMap<MemberId, (BudgetAmounts, BudgetAmounts)> = BTreeMap::new();
-        let mut sharers: BTreeMap<&str, Vec<Sharer>> = BTreeMap::new();
-        for (identity, holder) in ledger.allocations() {
-            let known = self.known.get(identity).map(|(_, known)| known);
-            // Who is silent for longer than a share may be held gets none until it is heard of again.
-            let reached = known.filter(|known| {
-                !known.leaves && now.saturating_sub(known.heard) <= self.shares.expires_after()
-            });
-            // Of whom a new leader has not heard yet it is known only what it has.
-            let wants = known.and_then(|known| known.wants.as_ref());
-            let names = |name: &str| wants.is_none_or(|wants| wants.contains_key(name));
-            // A budget that is no more is not offered any more, and one that is not named is not to a member that hears.
-            let kept =
-                |name: &String| ledger.budgets().contains_key(name) && (reached.is_none() || names(name));
-            let had = |grant: &Grant| grant.guaranteed.keys().chain(grant.quotas.keys()).all(kept);
-            if holder.offered.is_none() && !had(&holder.accepted) {
-                let kept = |of: &BudgetAmounts| {
-                    let kept = of.iter().filter(|(name, _)| kept(name));
-                    kept.map(|(name, amount)| (name.clone(), *amount)).collect()
-                };
-                offers.insert(*identity, (kept(&holder.accepted.guaranteed), kept(&holder.accepted.quotas)));
-            }
-            let latest = holder.latest_grant();
-            let of: BTreeSet<&String> = match wants {
-                Some(wants) => wants.keys().collect(),
-                None => latest.guaranteed.keys().chain(latest.quotas.keys()).collect(),
+    /// Who joins, has accepted, expires or goes; without offers.
+    fn membership_transition(&self, now: Time, ledger: &Ledger) -> LedgerTransition {
+        let mut transition = LedgerTransition { base_epoch: ledger.epoch(), ..LedgerTransition::default() };
+        for (identity, member) in &self.members {
+            let Some(allocation) = ledger.allocations().get(identity) else {
+                transition.joined.push((*identity, member.name.clone()));
+                continue;
             };
-            for name in of {
-                let sharer = Sharer { identity: *identity, holder, reached: reached.is_some(), wants };
-                sharers.entry(name).or_default().push(sharer);
+            let silence = member.silence(now);
+            let offered_epoch = allocation.offered.as_ref().map(|offered| offered.epoch);
+            if member.leaving || silence > self.guaranteed_lease.expires_after() {
+                transition.removed.push(*identity);
+            } else if offered_epoch == Some(member.epoch) {
+                transition.accepted.push((*identity, member.epoch));
+            } else if silence > self.quota_lease.expires_after() && has_quotas(allocation) {
+                transition.expired.push(*identity);
             }
         }
-        let held = ledger.total_allocated_by_budget();
-        for (name, budget) in ledger.budgets() {
-            let Some(all) = sharers.get(name.as_str()) else { continue };
-            let held = held.get(name.as_str()).copied().unwrap_or(0);
-            for (identity, floor, share) in self.divide_one(now, all, name, budget, held) {
-                let offer = offers.entry(identity).or_insert_with(|| {
-                    let latest =
-                        ledger.allocations().get(&identity).map(|holder| holder.latest_grant().clone());
-                    let latest = latest.unwrap_or_default();
-                    (latest.guaranteed, latest.quotas)
-                });
-                offer.0.insert(name.clone(), floor);
-                offer.1.insert(name.clone(), share);
-            }
-        }
-        offers
+        transition
     }
 
-    /// Floors and shares of one budget that are to be others than they are; `all` have a part in it, and `held` is what
-    /// members hold of it together, those too that name it no more.
-    fn divide_one(
-        &self,
-        now: Time,
-        all: &[Sharer],
-        name: &str,
-        budget: &Budget,
-        held: MilliUnits,
-    ) -> Vec<(MemberId, MilliUnits, MilliUnits)> {
-        let amount = |shares: &BudgetAmounts| shares.get(name).copied().unwrap_or(0);
-        let floors = budget.guaranteed.saturating_mul(all.len() as MilliUnits).min(budget.limit);
-        let floor = floors / (all.len().max(1) as MilliUnits);
-        let shared: Vec<&Sharer> = all.iter().filter(|sharer| sharer.reached).collect();
-        let has: Vec<MilliUnits> =
-            shared.iter().map(|sharer| amount(&sharer.holder.latest_grant().quotas)).collect();
-        let wants = shared.iter().zip(&has).map(|(sharer, has)| {
-            sharer.wants.map_or(*has, |wants| amount(wants).min(budget.limit).saturating_sub(floor))
-        });
-        let wants: Vec<MilliUnits> = wants.collect();
-        let rest = budget.limit - floor * all.len() as MilliUnits;
-        // A beat or two after its begin it knows who is there and what they ask for: before that the first to come would
-        // get all, and would have to give it back.
-        let knows = now.saturating_sub(self.begun) >= self.shares.duration / 3;
-        let next = if knows { divide(rest, &wants, &has) } else { has.clone() };
-        let mut free = budget.limit.saturating_sub(held);
-        /// Less than this part of what is missing waits until more is free.
-        const FEW: MilliUnits = 8;
-        let mut offers = Vec::new();
-        for (n, sharer) in shared.iter().enumerate() {
-            let holder = sharer.holder;
-            let has_floor = amount(&holder.latest_grant().guaranteed);
-            if holder.offered.is_some() || next[n] == has[n] && has_floor == floor {
-                continue;
-            }
-            let share = next[n];
-            // More only as far as it is free; what is less is free once it is accepted.
-            let more = (floor + share).saturating_sub(holder.max_allocated(name));
-            let short = more.saturating_sub(free);
-            // Guards against a step for each crumb that is free.
-            if short > 0 && (more - short) * FEW < more {
-                continue;
-            }
-            let (floor, share) =
-                (floor.saturating_sub(short.saturating_sub(share)), share.saturating_sub(short));
-            free -= (floor + share).saturating_sub(holder.max_allocated(name)).min(free);
-            if (floor, share) != (has_floor, has[n]) {
-                offers.push((sharer.identity, floor, share));
-            }
+    fn offers(&self, now: Time, ledger: &Ledger) -> BTreeMap<MemberId, Offer> {
+        let mut members = Vec::new();
+        for (identity, allocation) in ledger.allocations() {
+            let member = self.members.get(identity);
+            members.push(MemberDemand {
+                identity: *identity,
+                allocation,
+                is_reachable: member.is_some_and(|member| self.is_reachable(member, now)),
+                demand: member.and_then(|member| member.demand.as_ref()),
+            });
         }
-        offers
+        // Guards against quotas that all go to the members whose heartbeats reach a new leader first.
+        let is_demand_known = now.saturating_sub(self.leader_since) >= self.quota_lease.duration / 3;
+        plan_offers(ledger, &members, is_demand_known)
+    }
+
+    /// Whether the member may still hold quotas, by when it was last heard.
+    fn is_reachable(&self, member: &MemberState, now: Time) -> bool {
+        !member.leaving && member.silence(now) <= self.quota_lease.expires_after()
     }
 }
 
-/// Who has a part in a budget: it names it, or has one as far as a new leader knows.
-struct Sharer<'a> {
-    identity: MemberId,
-    holder: &'a Allocation,
-    reached: bool,
-    /// What its last beat asked for; none before there was one.
-    wants: Option<&'a BudgetAmounts>,
+fn has_valid_names(report: &ConfigurationReport) -> bool {
+    is_name(&report.service) && (report.zone.is_empty() || is_name(&report.zone))
 }
 
-fn place(name: &str, report: &ConfigurationReport) -> Target {
+fn report_target(name: &str, report: &ConfigurationReport) -> Target {
     Target { name: name.to_owned(), service: report.service.clone(), zone: report.zone.clone() }
 }
 
-fn holds_shares(holder: &Allocation) -> bool {
-    let any = |grant: &Grant| grant.quotas.values().any(|share| *share > 0);
-    any(&holder.accepted) || holder.offered.as_ref().is_some_and(any)
+fn has_quotas(allocation: &Allocation) -> bool {
+    let has_quota = |grant: &Grant| grant.quotas.values().any(|quota| *quota > 0);
+    has_quota(&allocation.accepted) || allocation.offered.as_ref().is_some_and(has_quota)
 }
--- a/crates/fernroute-fleet/src/lib.rs
+++ b/crates/fernroute-fleet/src/lib.rs
@@ -21,6 +21,7 @@
 pub mod ledger;
 pub mod member;
 pub mod message;
+mod offers;
 
 use std::collections::BTreeMap;
 
