--- a/crates/fernroute-fleet/src/duties/fence.rs
+++ b/crates/fernroute-fleet/src/duties/fence.rs
@@ -1,42 +1,39 @@
-//! The protection against a holder that acts too late: whoever takes orders of a holder refuses a lower term than the highest
-//! one that it has seen. The holder's own look at its lease only makes that rare.
+//! Protection against a former holder whose order arrives late: a receiver of orders refuses every term below the highest
+//! that it has seen.
+//!
+//! The holder's own check of its lease makes such orders rare; only the fence excludes them.
 
 use super::{DutyTerms, Term};
-use std::fmt;
 
-/// An order under a term that is over.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+/// An order under a term that has ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("term {given} is over, {highest_term} is known")]
 pub struct StaleTerm {
+    /// The order's term.
     pub given: Term,
+    /// The highest term that the receiver has seen.
     pub highest_term: Term,
 }
 
-impl fmt::Display for StaleTerm {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "term {} is over, {} is known", self.given, self.highest_term)
-    }
-}
-
-impl std::error::Error for StaleTerm {}
-
-/// The highest term seen of each duty. As long as the list of duties.
+/// The highest term seen of each duty. It has as many entries as there are duties.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Fence {
-    highest: DutyTerms,
+    highest_terms: DutyTerms,
 }
 
 impl Fence {
-    /// Whether an order under this term may be followed; from then on none under a lower one is.
+    /// Admits an order under this term, and from then on none under a lower one.
     pub fn admit(&mut self, duty: &str, term: Term) -> Result<(), StaleTerm> {
-        let highest = self.highest.entry(duty.to_owned()).or_insert(0);
-        if term < *highest {
-            return Err(StaleTerm { given: term, highest_term: *highest });
+        let highest_term = self.highest_terms.entry(duty.to_owned()).or_insert(0);
+        if term < *highest_term {
+            return Err(StaleTerm { given: term, highest_term: *highest_term });
         }
-        *highest = term;
+        *highest_term = term;
         Ok(())
     }
 
+    /// The highest term seen of a duty; 0 before the first order.
     pub fn highest(&self, duty: &str) -> Term {
-        self.highest.get(duty).copied().unwrap_or(0)
+        self.highest_terms.get(duty).copied().unwrap_or(0)
     }
 }
--- a/crates/fernroute-fleet/src/duties/holder.rs
+++ b/crates/fernroute-fleet/src/duties/holder.rs
@@ -1,53 +1,75 @@
-//! A member's side: which duties it may act on now, and until when by its own clock. Whoever acts asks [`MemberDuties::term`] at each
-//! act, and sends the term with it.
+//! A member's side of the duties: which ones it may act on, and until when by its own clock.
+//!
+//! The balancer's duties task adds [`MemberDuties::report`] to each heartbeat, passes each reply to
+//! [`MemberDuties::on_reply`], and calls [`MemberDuties::term`] before each act, whose order carries the term.
+//!
+//! A duty is acquired by a reply that names a term which has not been released here, and is lost
+//!
+//! - when its lease expires by the member's clock; a later reply may renew it under the same term,
+//! - when a reply does not name it, or names another term: that term is released,
+//! - when the member drains, through [`MemberDuties::release_all`]: that term is released.
+//!
+//! Invariant: the member never acts again on a term that it has reported as released.
 
 use super::{DutyAssignments, DutyReport, DutyTerms, Term};
 use fernroute::Time;
 use std::collections::BTreeMap;
 
-/// Heartbeats that are not answered yet, at the most: an answer to an older one would find its time over.
-const MOST_OPEN: usize = 16;
+/// A reply to an older heartbeat would bring a lease that has expired.
+const MAX_UNANSWERED_HEARTBEATS: usize = 16;
 
-/// A duty that this member may act on.
+/// The lease of a duty that this member may act on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Held {
+struct HeldLease {
     term: Term,
-    /// From this moment on it does not act.
-    until: Time,
+    expires_at: Time,
 }
 
-/// What became of a duty at this member.
+/// A change of what this member may act on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// It acts on it from now on.
-    Acquired { duty: String, term: Term },
-    /// It acts on it no more.
-    Lost { duty: String, term: Term, reason: StopReason },
+    /// The member acts on the duty from now on.
+    Acquired {
+        /// The duty's name.
+        duty: String,
+        /// The term of its orders.
+        term: Term,
+    },
+    /// The member no longer acts on the duty.
+    Lost {
+        /// The duty's name.
+        duty: String,
+        /// The term that it acted under.
+        term: Term,
+        /// Why it stopped.
+        reason: StopReason,
+    },
 }
 
 /// Why a member stopped to act on a duty.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StopReason {
-    /// It heard nothing for as long as it may act; should it be told so again, it goes on under the same term.
+    /// No reply renewed the lease in time; a later one may, under the same term.
     LeaseExpired,
-    /// The stewards' answer names it no more.
+    /// A reply does not name it any more.
     Revoked,
-    /// It gave it up: it drains, or another process goes on in its place.
+    /// The member gave it up: it drains, or another process takes its place.
     Released,
 }
 
+/// The duties of one process of a member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberDuties {
     incarnation: u64,
     eligible: bool,
-    held: BTreeMap<String, Held>,
-    /// Terms that it will never act on again: the latest of each duty.
+    held: BTreeMap<String, HeldLease>,
+    /// The latest released term of each duty.
     released: DutyTerms,
-    highest: Term,
-    /// When each heartbeat left that may still be answered; `MOST_OPEN` at most.
-    open: BTreeMap<u64, Time>,
-    /// The latest heartbeat that was answered.
-    answered: u64,
+    highest_term: Term,
+    /// When each heartbeat that may still be answered was sent; at most [`MAX_UNANSWERED_HEARTBEATS`].
+    unanswered: BTreeMap<u64, Time>,
+    /// The number of the latest heartbeat that was answered.
+    last_answered: u64,
 }
 
 impl MemberDuties {
@@ -58,110 +80,122 @@
             eligible: true,
             held: BTreeMap::new(),
             released: DutyTerms::new(),
-            highest: 0,
-            open: BTreeMap::new(),
-            answered: 0,
+            highest_term: 0,
+            unanswered: BTreeMap::new(),
+            last_answered: 0,
         }
     }
 
-    /// The report of the heartbeat with this number, which leaves now.
-    pub fn report(&mut self, now: Time, number: u64) -> DutyReport {
-        if self.open.len() == MOST_OPEN {
-            self.open.pop_first();
+    /// The report of the heartbeat with this number, which is sent at `now`.
+    pub fn report(&mut self, now: Time, heartbeat_number: u64) -> DutyReport {
+        if self.unanswered.len() == MAX_UNANSWERED_HEARTBEATS {
+            self.unanswered.pop_first();
         }
-        self.open.insert(number, now);
+        self.unanswered.insert(heartbeat_number, now);
         DutyReport {
             incarnation: self.incarnation,
             eligible: self.eligible,
             released: self.released.clone(),
-            last_answered: self.answered,
-            highest_term: self.highest,
+            last_answered: self.last_answered,
+            highest_term: self.highest_term,
         }
     }
 
-    /// The term to act under now; none where it does not hold the duty, or not any more.
+    /// The term to act under at `now`; none where the member may not act on the duty.
     pub fn term(&self, now: Time, duty: &str) -> Option<Term> {
-        self.held.get(duty).filter(|held| now < held.until).map(|held| held.term)
+        self.held.get(duty).filter(|lease| now < lease.expires_at).map(|lease| lease.term)
     }
 
-    /// What it holds as of the last look: the duty, its term, and when it stops to act on it.
+    /// The duties held as of the last [`MemberDuties::expire`]: name, term, and when the lease expires.
     pub fn held(&self) -> impl Iterator<Item = (&str, Term, Time)> {
-        self.held.iter().map(|(duty, held)| (duty.as_str(), held.term, held.until))
+        self.held.iter().map(|(duty, lease)| (duty.as_str(), lease.term, lease.expires_at))
     }
 
-    /// Takes the answer to the heartbeat with this number; none where it says nothing of duties. Its time counts from when the
-    /// heartbeat left. An answer that was overtaken changes nothing.
-    pub fn on_reply(&mut self, now: Time, number: u64, told: Option<&DutyAssignments>) -> Vec<Event> {
+    /// Applies the reply to the heartbeat with this number; `assignments` is none where the reply has no part on duties.
+    /// Leases count from when the heartbeat was sent. A reply that was overtaken changes nothing.
+    pub fn on_reply(
+        &mut self,
+        now: Time,
+        heartbeat_number: u64,
+        assignments: Option<&DutyAssignments>,
+    ) -> Vec<Event> {
         let mut events = self.expire(now);
-        let asked = self.open.remove(&number).filter(|_| number > self.answered);
-        let Some(asked) = asked else { return events };
-        self.answered = number;
-        let nothing = DutyAssignments::default();
-        let told = told.unwrap_or(&nothing);
-        let until = asked.saturating_add(told.hold_duration);
-        self.drop_what_is_not_told(told, &mut events);
-        self.released.retain(|duty, _| !told.acknowledged.contains(duty));
-        for (duty, term) in &told.terms {
-            self.highest = self.highest.max(*term);
-            if !self.eligible {
-                // It was given before the stewards heard that this member drains.
-                self.released.insert(duty.clone(), *term);
-            }
-            let is_over = self.released.get(duty).is_some_and(|released| term <= released);
-            if is_over || now >= until {
-                continue;
-            }
-            let before = self.held.insert(duty.clone(), Held { term: *term, until });
-            if before.is_none() {
-                events.push(Event::Acquired { duty: duty.clone(), term: *term });
-            }
+        let sent_at = self.unanswered.remove(&heartbeat_number);
+        let Some(sent_at) = sent_at.filter(|_| heartbeat_number > self.last_answered) else {
+            return events;
+        };
+        self.last_answered = heartbeat_number;
+        let no_assignments = DutyAssignments::default();
+        let assignments = assignments.unwrap_or(&no_assignments);
+        self.drop_revoked(&assignments.terms, &mut events);
+        self.released.retain(|duty, _| !assignments.acknowledged.contains(duty));
+        let expires_at = sent_at.saturating_add(assignments.hold_duration);
+        for (duty, term) in &assignments.terms {
+            self.accept(now, duty, HeldLease { term: *term, expires_at }, &mut events);
         }
         events
     }
 
-    fn drop_what_is_not_told(&mut self, told: &DutyAssignments, events: &mut Vec<Event>) {
-        let gone: Vec<(String, Term)> = self
-            .held
-            .iter()
-            .filter(|(duty, held)| told.terms.get(*duty) != Some(&held.term))
-            .map(|(duty, held)| (duty.clone(), held.term))
-            .collect();
-        for (duty, term) in gone {
-            self.held.remove(&duty);
+    /// Takes or renews one lease, unless its term has been released or it has expired already.
+    fn accept(&mut self, now: Time, duty: &str, lease: HeldLease, events: &mut Vec<Event>) {
+        let term = lease.term;
+        self.highest_term = self.highest_term.max(term);
+        if !self.eligible {
+            // It was granted before the leader received the report that this member drains.
+            self.released.insert(duty.to_owned(), term);
+        }
+        let is_released = self.released.get(duty).is_some_and(|released| term <= *released);
+        if is_released || now >= lease.expires_at {
+            return;
+        }
+        if self.held.insert(duty.to_owned(), lease).is_none() {
+            events.push(Event::Acquired { duty: duty.to_owned(), term });
+        }
+    }
+
+    /// Releases each held duty that the assigned terms do not name under its term.
+    fn drop_revoked(&mut self, assigned: &DutyTerms, events: &mut Vec<Event>) {
+        for (duty, term) in self.remove_held(|duty, lease| assigned.get(duty) != Some(&lease.term)) {
             self.released.insert(duty.clone(), term);
             events.push(Event::Lost { duty, term, reason: StopReason::Revoked });
         }
     }
 
-    /// What has ended by the clock since the last look.
+    /// Drops the duties whose leases have expired by `now`.
     pub fn expire(&mut self, now: Time) -> Vec<Event> {
-        let over: Vec<(String, Term)> = self
-            .held
-            .iter()
-            .filter(|(_, held)| now >= held.until)
-            .map(|(duty, held)| (duty.clone(), held.term))
-            .collect();
         let mut events = Vec::new();
-        for (duty, term) in over {
-            self.held.remove(&duty);
+        for (duty, term) in self.remove_held(|_, lease| now >= lease.expires_at) {
             events.push(Event::Lost { duty, term, reason: StopReason::LeaseExpired });
         }
         events
     }
 
-    /// It drains, or is about to end: it gives up what it holds, and takes nothing until [`MemberDuties::resume`]. The next heartbeat
-    /// says so, and is best sent at once.
+    /// Removes the held duties that match, in the order of their names.
+    fn remove_held(&mut self, matches: impl Fn(&str, &HeldLease) -> bool) -> DutyTerms {
+        let mut removed = DutyTerms::new();
+        self.held.retain(|duty, lease| {
+            let is_removed = matches(duty, lease);
+            if is_removed {
+                removed.insert(duty.clone(), lease.term);
+            }
+            !is_removed
+        });
+        removed
+    }
+
+    /// Gives up all duties, and takes none until [`MemberDuties::resume`]: the member drains or is about to end. The next
+    /// heartbeat reports it, and is best sent at once.
     pub fn release_all(&mut self) -> Vec<Event> {
         self.eligible = false;
         let mut events = Vec::new();
-        for (duty, held) in std::mem::take(&mut self.held) {
-            self.released.insert(duty.clone(), held.term);
-            events.push(Event::Lost { duty, term: held.term, reason: StopReason::Released });
+        for (duty, lease) in std::mem::take(&mut self.held) {
+            self.released.insert(duty.clone(), lease.term);
+            events.push(Event::Lost { duty, term: lease.term, reason: StopReason::Released });
         }
         events
     }
 
-    /// It may be given duties again.
+    /// Makes the member eligible for duties again.
     pub fn resume(&mut self) {
         self.eligible = true;
     }
--- a/crates/fernroute-fleet/src/duties/mod.rs
+++ b/crates/fernroute-fleet/src/duties/mod.rs
@@ -1,12 +1,12 @@
-//! Duties that one balancer alone holds: each is held by at most one member at a time, under a lease with a fencing token.
+//! Duties that at most one balancer holds at a time, under a lease with a fencing token.
 //!
-//! - [`table`]: what is replicated: who holds which duty, under which term. DutyTerms only grow and are never used twice.
-//! - [`leader`]: what the leader of the stewards knows: who was heard of when, and who is to get or lose a duty.
+//! - [`table`]: the replicated state: who holds which duty, under which term. Terms only increase and are never reused.
+//! - [`leader`]: what the coordinators' leader knows beside it, and which duties it grants or ends next.
 //! - [`holder`]: a member's side: which duties it may act on, and until when by its own clock.
-//! - [`fence`]: for whoever takes orders of a holder: refuses a lower term than the highest_term one seen.
+//! - [`fence`]: for receivers of a holder's orders: refuses every term below the highest one seen.
 //! - [`placement`]: which member gets a duty that nobody holds.
 //!
-//! No I/O and no clock. What this promises and why it holds stands in `docs/duties.md`.
+//! No I/O and no clock. What is guaranteed, and why, is in `docs/duties.md`.
 
 pub mod fence;
 pub mod holder;
@@ -21,83 +21,86 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// The fencing token of a lease. Counts up acknowledged all duties; 0 is before the first.
+/// The fencing token of a lease. Increases over all duties; 0 is before the first.
 pub type Term = u64;
 
-/// DutyTerms by the name of the duty.
+/// Terms by the name of the duty.
 pub type DutyTerms = BTreeMap<String, Term>;
 
-/// Duties of a fleet, at the most.
+/// The highest number of duties of a fleet.
 pub const MAX_DUTIES: usize = 4_096;
 
-/// The longest note that a holder leaves on what it does, in characters.
+/// The longest note of a holder, in characters.
 pub const MAX_NOTE_CHARS: usize = 200;
 
-/// A holder stops this part of the lease before the stewards can give the duty away, beside what clocks may drift.
-const MARGIN_PART: Time = 8;
+/// A holder stops one part in so many of the lease early, in addition to the allowance for clock drift.
+const HOLD_MARGIN_DIVISOR: Time = 8;
 
-/// For how long a holder acts on a lease, counted from before it asked: the lease less the margin.
+/// For how long a holder acts on a lease, counted from when it sent its heartbeat: the lease without the margin.
 pub fn hold_duration(lease: &Lease) -> Time {
-    lease.duration - lease.duration / MARGIN_PART
+    lease.duration - lease.duration / HOLD_MARGIN_DIVISOR
 }
 
-/// One process of one member. A member that starts again is another candidate under the same identity: what its process before
-/// it held lapses like anybody's, since its orders may still be on their way.
+/// One process of one member. A restarted member is another candidate under the same identity: what its former process
+/// held has to expire, since that process's orders may still be in transit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Candidate {
+    /// The member.
     pub identity: MemberId,
-    /// Drawn at random by each process as it starts.
+    /// Drawn at random by each process at its start.
     pub incarnation: u64,
 }
 
-/// What a member's heartbeat says of duties.
+/// The part of a member's heartbeat that concerns duties.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DutyReport {
+    /// The process that reports.
     pub incarnation: u64,
-    /// It may be given duties.
+    /// Whether it may be given duties.
     pub eligible: bool,
-    /// It will never act on these terms again.
+    /// Terms that it will never act on again.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub released: DutyTerms,
-    /// Its latest heartbeat that was last_answered, by its number. Guards against duties at a member that is heard and hears nothing.
+    /// The number of its latest heartbeat that was answered. Guards against duties at a member whose heartbeats arrive
+    /// while no reply reaches it.
     #[serde(default)]
     #[serde(rename = "answered")]
     pub last_answered: u64,
-    /// The highest_term term that it knows of. Guards against terms that are used twice where the stewards lost all their disks.
+    /// The highest term that it knows of. Guards against reuse of terms after all coordinators have lost their disks.
     #[serde(default)]
     #[serde(rename = "highest")]
     pub highest_term: Term,
 }
 
-/// What the answer to a heartbeat says of duties.
+/// The part of a reply to a heartbeat that concerns duties.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DutyAssignments {
-    /// What this member holds now; what is not named it does not hold.
+    /// All duties that the member holds, with their terms.
     pub terms: DutyTerms,
-    /// For how long, from when the heartbeat left, by the member's clock.
+    /// How long it may act on them, from when the heartbeat was sent, by the member's clock.
     #[serde(rename = "holds_for")]
     pub hold_duration: Time,
-    /// Of the duties that it reported as released: the stewards know it, and it need not be said again.
+    /// Released duties that the leader has recorded, so that they need not be reported again.
     #[serde(default, skip_serializing_if = "BTreeSet::is_empty")]
     #[serde(rename = "over")]
     pub acknowledged: BTreeSet<String>,
 }
 
-/// Why a member holds a duty no more.
+/// Why a member no longer holds a duty.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EndReason {
-    /// It drains or ends, and gave it up by itself.
+    /// It drains or ends, and released the duty itself.
     Drained,
-    /// It was not heard of for longer than the lease.
+    /// No reply has renewed its lease for longer than the lease can be believed.
     #[serde(rename = "lapsed")]
     Expired,
-    /// It is heard of, and hears nothing.
+    /// Its heartbeats arrive, but no reply reaches it.
     #[serde(rename = "unanswered")]
     Unresponsive,
     /// An operator had it released.
     Operator,
-    /// The stewards' files name the duty no more.
+    /// The coordinators' configuration does not name the duty any more.
     Removed,
 }
 
--- a/crates/fernroute-fleet/src/lease.rs
+++ b/crates/fernroute-fleet/src/lease.rs
@@ -1,40 +1,44 @@
-//! How long a promise holds: for its holder by the holder's clock, for the ledger by the leader's.
+//! How long a grant or a duty may be used: by its holder's clock, and by the clock of the leader that gave it.
+//!
+//! The holder stops at [`Lease::expires_at`], counted from when it sent the request. The leader gives the same thing to
+//! another only [`Lease::expires_after`] it last heard the holder. Used by [`crate::leader`] for grants and by
+//! [`crate::duties::leader`] for duties.
 
 use fernroute::Time;
 use serde::{Deserialize, Serialize};
 
-/// A promise that ends by itself.
+/// A time-limited right.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lease {
-    /// The holder counts it from when it asked, by its own clock.
+    /// Counted by the holder, from when it sent the request, by its own clock.
     #[serde(rename = "length")]
     pub duration: Time,
-    /// The bound on how far the rate of any clock is off, in millionths: a second of a clock is between 1 - drift_ppm and
-    /// 1 + drift_ppm seconds.
+    /// The bound on the error of any clock's rate, in parts per million.
     #[serde(rename = "drift")]
     pub drift_ppm: u32,
 }
 
-const MILLION: u64 = 1_000_000;
+const PARTS_PER_MILLION: u64 = 1_000_000;
 
-/// Clocks are read in whole ticks: the reading of an earlier moment and that of a later one are each up to one short.
-const TICKS: Time = 2;
+/// Clocks are read in whole ticks, so the readings of an earlier and a later moment are each up to one tick short.
+const ROUNDING_TICKS: Time = 2;
 
 impl Lease {
-    /// When the holder of a promise that it asked for at `asked` stops to believe in it.
-    pub fn expires_at(&self, asked: Time) -> Time {
-        asked.saturating_add(self.duration)
+    /// When the holder of a lease that was requested at `requested_at` stops, by the holder's clock.
+    pub fn expires_at(&self, requested_at: Time) -> Time {
+        requested_at.saturating_add(self.duration)
     }
 
-    /// For so long after the leader last heard of the holder, by the leader's own clock, the holder may believe in it.
+    /// For how long after the leader last heard the holder the lease may still be in use, by the leader's clock.
     ///
-    /// The holder asked before the leader heard of it. It counts `duration` of its clock, which is at most
-    /// `duration / (1 - drift_ppm)` of time, and in that time the leader's clock counts at most
+    /// The holder sent its request before the leader received it. `duration` of the holder's clock is at most
+    /// `duration / (1 - drift_ppm)` of time, in which the leader's clock counts at most
     /// `duration * (1 + drift_ppm) / (1 - drift_ppm)`.
     pub fn expires_after(&self) -> Time {
-        let (slow, fast) =
-            (MILLION - u64::from(self.drift_ppm).min(MILLION / 2), MILLION + u64::from(self.drift_ppm));
-        let most = u128::from(self.duration) * u128::from(fast);
-        most.div_ceil(u128::from(slow)) as Time + TICKS
+        let drift_ppm = u64::from(self.drift_ppm);
+        let slowest_rate = PARTS_PER_MILLION - drift_ppm.min(PARTS_PER_MILLION / 2);
+        let fastest_rate = PARTS_PER_MILLION + drift_ppm;
+        let max_duration = u128::from(self.duration) * u128::from(fastest_rate);
+        max_duration.div_ceil(u128::from(slowest_rate)) as Time + ROUNDING_TICKS
     }
 }
