--- a/crates/fernroute-fleet/src/configuration/follower.rs
+++ b/crates/fernroute-fleet/src/configuration/follower.rs
@@ -1,5 +1,14 @@
-//! A balancer's side: what is in force, what it was notified_version of, and when it asks for it. The caller asks the stewards, lays
-//! the entries over the balancer's own file, applies the outcome and keeps it on its disk; it says here how that went.
+//! A balancer's side of the configuration: which entries are active, which version it was notified of, and when it
+//! fetches that.
+//!
+//! The balancer's configuration task sends what [`ConfigurationFollower::next_fetch`] returns to any coordinator. It
+//! passes the reply to [`ConfigurationFollower::on_reply`], or reports a failure with
+//! [`ConfigurationFollower::fetch_failed`]. A [`ConfigurationSnapshot`] from a reply is laid over the balancer's own file;
+//! the caller then reports [`ConfigurationFollower::activate`] or [`ConfigurationFollower::reject`], and stores an active
+//! one on its disk.
+//!
+//! Invariants: the active version never decreases, and an active snapshot is complete: its entries match the hash that
+//! the coordinator computed over all entries that concern the balancer.
 
 use super::{
     bundle_hash, content_hash, sanitize, ConfigurationReport, FetchReply, FetchRequest, Scope, ScopeEntry,
@@ -9,19 +18,21 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The first pause after a question that brought nothing, and the longest, tenths of a millisecond. They double, and each
-/// is drawn between half and all of it: balancers that failed together do not come again together.
-const FIRST_PAUSE: Time = 1_000;
-const LONGEST_PAUSE: Time = 10_000;
+/// The first backoff after a failed fetch, in tenths of a millisecond. Each further one doubles.
+const MIN_BACKOFF: Time = 1_000;
 
-/// All entries that concern a balancer, as of one version: what is kept on its disk, too.
+/// The longest backoff, in tenths of a millisecond.
+const MAX_BACKOFF: Time = 10_000;
+
+/// All entries that concern a balancer, as of one version. Also the form in which they are stored on its disk.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigurationSnapshot {
-    /// Whom it concerns. Guards against a copy that is taken by a balancer that stands elsewhere by now: entries that it has
-    /// never seen may be older than the copy, and would never be asked for.
+    /// The balancer that it concerns. Guards against a stored copy from before the balancer was moved: older entries that
+    /// concern it now would never be fetched.
     #[serde(default)]
     #[serde(rename = "place")]
     target: Target,
+    /// The highest version of its entries; 0 without any.
     pub version: Version,
     /// As [`bundle_hash`] makes it.
     #[serde(default)]
@@ -32,198 +43,226 @@
 }
 
 impl ConfigurationSnapshot {
-    /// Of a balancer that goes by its own file alone.
-    fn none(target: Target) -> Self {
-        ConfigurationSnapshot {
-            bundle_hash: bundle_hash(&target, 0, []),
-            target,
-            version: 0,
-            entries: BTreeMap::new(),
-        }
+    /// For a balancer that uses its own file alone.
+    fn empty(target: Target) -> Self {
+        let bundle_hash = bundle_hash(&target, 0, []);
+        ConfigurationSnapshot { target, version: 0, bundle_hash, entries: BTreeMap::new() }
     }
 
-    /// From the widest scope to the narrowest, those that say something.
+    /// The contents that are not empty, from the widest scope to the narrowest.
     pub fn contents(&self) -> impl Iterator<Item = &str> {
-        self.entries.values().map(|part| part.content.as_str()).filter(|content| !content.is_empty())
+        self.entries.values().map(|entry| entry.content.as_str()).filter(|content| !content.is_empty())
     }
 
-    /// All entries, from the widest scope to the narrowest; those that say nothing any more too.
+    /// All entries, from the widest scope to the narrowest, including those of cleared scopes.
     pub fn entries(&self) -> impl Iterator<Item = &ScopeEntry> {
         self.entries.values()
     }
 
-    /// Whether each content is what its content_hash says, and all together are one bundle_hash: no part is missing, of another version
-    /// or of another balancer.
+    /// Whether each content matches its hash, and all entries together match the bundle's: none is missing, of another
+    /// version, or of another balancer.
     pub fn is_sound(&self) -> bool {
-        let scopes = self.target.scopes();
-        let sound = |(scope, part): (&Scope, &ScopeEntry)| {
-            *scope == part.scope && scopes.contains(scope) && content_hash(&part.content) == part.content_hash
-        };
-        let newest = self.entries.values().map(|part| part.version).max().unwrap_or(0);
-        self.entries.iter().all(sound)
-            && newest == self.version
+        let newest_version = self.entries.values().map(|entry| entry.version).max().unwrap_or(0);
+        self.entries.iter().all(|(scope, entry)| self.is_entry_sound(scope, entry))
+            && newest_version == self.version
             && bundle_hash(&self.target, self.version, self.entries.values()) == self.bundle_hash
     }
 
-    /// Whether a balancer that stands here may go by it. Only then it is to be applied before [`ConfigurationFollower::new`].
+    fn is_entry_sound(&self, scope: &Scope, entry: &ScopeEntry) -> bool {
+        *scope == entry.scope
+            && self.target.scopes().contains(scope)
+            && content_hash(&entry.content) == entry.content_hash
+    }
+
+    /// Whether the balancer may use it. Only then it is to be applied before [`ConfigurationFollower::new`].
     pub fn matches(&self, target: &Target) -> bool {
         self.target == *target && self.is_sound()
     }
 }
 
-/// Why an answer was not taken.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+/// Why a reply was not used.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FetchError {
-    /// The steward does not know it yet.
+    /// The coordinator has not applied the wanted version yet.
+    #[error("the coordinator is behind")]
     Behind,
-    /// Not newer than what is in force, or was refused.
+    /// It is no newer than the active version, or was rejected.
+    #[error("the version is not newer")]
     Older,
-    /// A content is not what its content_hash says, a part is not of this balancer, or the entries are not one bundle_hash with those that
-    /// it has: all are asked for next.
+    /// A content does not match its hash, an entry is not of this balancer, or the entries do not form one bundle with
+    /// those that the balancer has. The next request asks for all entries.
+    #[error("the entries do not match their hashes")]
     Corrupt,
-    /// Nothing was asked.
+    /// No request is unanswered.
+    #[error("nothing was requested")]
     Unsolicited,
 }
 
+/// A version that could not be applied.
+#[derive(Clone, Debug)]
+struct Rejection {
+    version: Version,
+    reason: String,
+}
+
+/// The configuration state of one balancer.
 #[derive(Clone, Debug)]
 pub struct ConfigurationFollower {
     target: Target,
     active: ConfigurationSnapshot,
-    /// The version that it was last notified_version of.
+    /// The version that the leader last notified the balancer of.
     notified_version: Version,
-    /// A version that can't be gone by, and why: not asked for again until there is a newer one.
-    refused: Option<(Version, String)>,
-    /// What it has does not fit what came: all entries are asked for.
-    all: bool,
-    /// The question that is out.
-    asked: Option<FetchRequest>,
-    /// Not before.
-    next: Time,
-    pause: Time,
+    /// Not fetched again until there is a newer version.
+    rejection: Option<Rejection>,
+    /// The last reply did not fit the active entries, so all are fetched.
+    needs_all_entries: bool,
+    /// The request that is not answered yet.
+    pending_request: Option<FetchRequest>,
+    next_fetch_at: Time,
+    backoff: Time,
 }
 
 impl ConfigurationFollower {
-    /// `kept` is what the process before this one had in force, where the disk still has it and it has been applied. One
-    /// that is not [`ConfigurationSnapshot::is_for`] this target counts for none: all entries are asked for.
-    pub fn new(target: Target, kept: Option<ConfigurationSnapshot>) -> Self {
-        let kept = kept.filter(|kept| kept.matches(&target));
-        let active = kept.unwrap_or_else(|| ConfigurationSnapshot::none(target.clone()));
+    /// `stored` is the snapshot that the former process stored, where it could be read and has been applied. One that does
+    /// not [match](ConfigurationSnapshot::matches) the target is ignored, and all entries are fetched.
+    pub fn new(target: Target, stored: Option<ConfigurationSnapshot>) -> Self {
+        let stored = stored.filter(|stored| stored.matches(&target));
+        let active = stored.unwrap_or_else(|| ConfigurationSnapshot::empty(target.clone()));
         let notified_version = active.version;
         ConfigurationFollower {
             target,
             active,
             notified_version,
-            refused: None,
-            all: false,
-            asked: None,
-            next: 0,
-            pause: FIRST_PAUSE,
+            rejection: None,
+            needs_all_entries: false,
+            pending_request: None,
+            next_fetch_at: 0,
+            backoff: MIN_BACKOFF,
         }
     }
 
+    /// The active entries.
     pub fn active(&self) -> &ConfigurationSnapshot {
         &self.active
     }
 
-    /// For the next beat.
+    /// The report for the next heartbeat.
     pub fn report(&self) -> ConfigurationReport {
-        let (service, zone) = (self.target.service.clone(), self.target.zone.clone());
-        ConfigurationReport { service, zone, active: self.active.version, rejected: self.refused.clone() }
+        let rejection = self.rejection.as_ref();
+        ConfigurationReport {
+            service: self.target.service.clone(),
+            zone: self.target.zone.clone(),
+            active: self.active.version,
+            rejected: rejection.map(|rejection| (rejection.version, rejection.reason.clone())),
+        }
     }
 
-    /// The version that it was notified_version of last.
+    /// The version that the leader last notified the balancer of.
     pub fn notified_version(&self) -> Version {
         self.notified_version
     }
 
-    /// The highest version that it knows how to do with: it goes by it, or refused it.
+    /// The highest version that is active or was rejected.
     pub fn decided_version(&self) -> Version {
-        self.refused.as_ref().map_or(0, |(version, _)| *version).max(self.active.version)
+        self.rejection.as_ref().map_or(0, |rejection| rejection.version).max(self.active.version)
     }
 
-    /// The leader said which version concerns this balancer. The last word counts, since an older one than before is of an
-    /// answer that was overtaken, and put right by the next, or of a register that was begun anew, where the higher one
-    /// would be asked for in vain for ever. Neither brings anything older than what is in force.
+    /// The leader's notice of the version that concerns this balancer. The last notice counts, even a lower one: it is of
+    /// an overtaken reply, and corrected by the next, or of a register that was set up anew, where the higher version
+    /// would be fetched in vain. Neither brings anything older than the active version.
     pub fn on_notification(&mut self, version: Version) {
         if version > self.notified_version {
-            // News: at once, however the last ones went.
-            (self.next, self.pause) = (0, FIRST_PAUSE);
+            self.reset_backoff();
         }
         self.notified_version = version;
     }
 
-    /// What to ask a steward for now, if anything. Until it is answered or failed there is nothing more.
+    /// The request to send at `now`, if any. There is none while one is unanswered.
     pub fn next_fetch(&mut self, now: Time) -> Option<FetchRequest> {
-        if self.asked.is_some() || self.notified_version <= self.decided_version() || now < self.next {
+        let is_up_to_date = self.notified_version <= self.decided_version();
+        if self.pending_request.is_some() || is_up_to_date || now < self.next_fetch_at {
             return None;
         }
-        let have = if self.all { 0 } else { self.active.version };
-        self.asked = Some(FetchRequest {
+        let known_version = if self.needs_all_entries { 0 } else { self.active.version };
+        self.pending_request = Some(FetchRequest {
             target: self.target.clone(),
-            known_version: have,
+            known_version,
             wanted_version: self.notified_version,
         });
-        self.asked.clone()
+        self.pending_request.clone()
     }
 
-    /// The steward did not answer, or not with anything that could be taken. `chance` is a draw between 0 and 1.
-    pub fn fetch_failed(&mut self, now: Time, chance: f64) {
-        self.asked = None;
-        let chance = if (0.0..=1.0).contains(&chance) { chance } else { 1.0 };
-        let pause = self.pause as f64 * (0.5 + chance / 2.0);
-        self.next = now.saturating_add(pause as Time);
-        self.pause = (2 * self.pause).min(LONGEST_PAUSE);
+    /// No reply came, or none that could be used. `jitter` is a random number between 0 and 1 that draws the backoff from
+    /// its upper half. Guards against balancers that retry together after they failed together.
+    pub fn fetch_failed(&mut self, now: Time, jitter: f64) {
+        self.pending_request = None;
+        let jitter = if (0.0..=1.0).contains(&jitter) { jitter } else { 1.0 };
+        let backoff = self.backoff as f64 * (0.5 + jitter / 2.0);
+        self.next_fetch_at = now.saturating_add(backoff as Time);
+        self.backoff = (2 * self.backoff).min(MAX_BACKOFF);
     }
 
-    /// A steward's answer: what to apply, bundle_hash. Nothing of it is in force until [`ConfigurationFollower::applied`]; what is not taken
-    /// has [`ConfigurationFollower::failed`].
-    pub fn on_reply(&mut self, fetched: FetchReply) -> Result<ConfigurationSnapshot, FetchError> {
-        let Some(asked) = &self.asked else { return Err(FetchError::Unsolicited) };
-        let FetchReply::Entries { version, bundle_hash, entries } = fetched else {
+    /// The complete snapshot to apply, from a coordinator's reply. It is not active before
+    /// [`ConfigurationFollower::activate`]; after an error the caller reports [`ConfigurationFollower::fetch_failed`].
+    pub fn on_reply(&mut self, reply: FetchReply) -> Result<ConfigurationSnapshot, FetchError> {
+        let Some(request) = &self.pending_request else { return Err(FetchError::Unsolicited) };
+        let FetchReply::Entries { version, bundle_hash, entries } = reply else {
             return Err(FetchError::Behind);
         };
         if version <= self.decided_version() {
             return Err(FetchError::Older);
         }
-        // Newer than what is in force, and older than what it was notified_version of: whoever says so has not applied that far.
-        if version < asked.wanted_version {
+        if version < request.wanted_version {
             return Err(FetchError::Behind);
         }
-        let had = if asked.known_version == 0 { BTreeMap::new() } else { self.active.entries.clone() };
-        let mut next =
-            ConfigurationSnapshot { target: self.target.clone(), version, bundle_hash, entries: had };
-        next.entries.extend(entries.into_iter().map(|part| (part.scope.clone(), part)));
-        // Whether entries are missing, too old, or of a register that never had those that stand beside them: the steward's
-        // word for the bundle_hash says so at once.
-        self.all = !next.is_sound();
-        if self.all {
+        let mut snapshot = ConfigurationSnapshot {
+            target: self.target.clone(),
+            version,
+            bundle_hash,
+            entries: BTreeMap::new(),
+        };
+        if request.known_version != 0 {
+            snapshot.entries = self.active.entries.clone();
+        }
+        for entry in entries {
+            snapshot.entries.insert(entry.scope.clone(), entry);
+        }
+        // The bundle's hash shows missing or old entries, and active ones that this register never had.
+        self.needs_all_entries = !snapshot.is_sound();
+        if self.needs_all_entries {
             return Err(FetchError::Corrupt);
         }
-        Ok(next)
+        Ok(snapshot)
     }
 
-    /// It is in force now, bundle_hash.
+    /// The snapshot has been applied completely.
     pub fn activate(&mut self, snapshot: ConfigurationSnapshot) {
-        self.asked = None;
-        self.pause = FIRST_PAUSE;
+        self.pending_request = None;
+        self.backoff = MIN_BACKOFF;
         if snapshot.version > self.active.version {
-            self.refused = self.refused.take().filter(|(version, _)| *version > snapshot.version);
+            self.rejection = self.rejection.take().filter(|rejection| rejection.version > snapshot.version);
             self.active = snapshot;
         }
     }
 
-    /// It can't be gone by here; what was in force still is.
-    pub fn reject(&mut self, version: Version, why: &str) {
-        self.asked = None;
-        self.pause = FIRST_PAUSE;
+    /// The version could not be applied; the active one stays.
+    pub fn reject(&mut self, version: Version, reason: &str) {
+        self.pending_request = None;
+        self.backoff = MIN_BACKOFF;
         if version > self.decided_version() {
-            self.refused = Some((version, sanitize(why, MAX_REASON_CHARS)));
+            self.rejection = Some(Rejection { version, reason: sanitize(reason, MAX_REASON_CHARS) });
         }
     }
 
-    /// The balancer's own file is another one: what was refused may load now, and is asked for again.
+    /// The balancer's own file has changed: a rejected version may load now, and is fetched again.
     pub fn retry_rejected(&mut self) {
-        self.refused = None;
-        (self.next, self.pause) = (0, FIRST_PAUSE);
+        self.rejection = None;
+        self.reset_backoff();
+    }
+
+    /// Lets the next fetch start at once.
+    fn reset_backoff(&mut self) {
+        self.next_fetch_at = 0;
+        self.backoff = MIN_BACKOFF;
     }
 }
--- a/crates/fernroute-fleet/src/configuration/mod.rs
+++ b/crates/fernroute-fleet/src/configuration/mod.rs
@@ -1,14 +1,15 @@
-//! Configuration for all balancers of a fleet: versioned entries in the replicated log, and who goes by which of them.
+//! Configuration for all balancers of a fleet: versioned entries in the replicated log, and which balancer uses which.
 //!
-//! An entry is a part of a balancer's file, for a [`Scope`]: all of the fleet, a service, a service in one zone, or one
-//! balancer. What concerns a balancer is laid over its own file from the widest scope to the narrowest. Versions count up
-//! over all scopes, so that the highest one that concerns a balancer says all about what it should go by.
+//! An entry is a part of a balancer's file, for a [`Scope`]: the whole fleet, a service, a service in one zone, or one
+//! balancer. The entries that concern a balancer are laid over its own file from the widest scope to the narrowest.
+//! Versions increase over all scopes, so the highest one that concerns a balancer identifies all that it should use.
 //!
-//! - [`register`]: what is replicated: the latest entry of each scope, and a history without contents.
-//! - [`follower`]: a balancer's side: what is in force, what it was told of, when it asks for it.
+//! - [`register`]: the replicated state: the latest entry of each scope, and a history without contents.
+//! - [`follower`]: a balancer's side: what is active, which version it was notified of, when it fetches that.
 //! - [`rollout`]: how far the members are, for `status`.
 //!
-//! Why an older one never lands over a newer, and none by half, stands in `docs/fleet-configuration-design.md`.
+//! Why an older entry never replaces a newer one, and none is applied in part, is in
+//! `docs/fleet-configuration-design.md`.
 
 pub mod follower;
 pub mod register;
@@ -19,7 +20,7 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// Counts up with each entry, over all scopes. 0 is before the first.
+/// The version of an entry; increases over all scopes. 0 is before the first.
 pub type Version = u64;
 
 /// The longest content of an entry: a long file of many methods and tenants.
@@ -28,32 +29,42 @@
 /// The longest name of a service, a zone, a balancer or an operator.
 pub const MAX_NAME_BYTES: usize = 64;
 
-/// The longest reason of a refusal that is told on, in characters.
+/// The longest reason of a rejection that is passed on, in characters.
 pub const MAX_REASON_CHARS: usize = 200;
 
-/// What a service, a zone or a balancer may be called in a scope: a line of a log or a table takes it as it is.
+/// The path at which a coordinator answers a [`FetchRequest`].
+pub const FETCH_PATH: &str = "/-/configuration/fetch";
+
+/// Whether a service, a zone, a balancer or a duty may have this name: it fits a scope, a log line and a table as it is.
 pub fn is_name(text: &str) -> bool {
     !text.is_empty()
         && text.len() <= MAX_NAME_BYTES
         && text.trim() == text
-        && !text.chars().any(|c| c == '/' || c.is_control())
+        && !text.chars().any(|character| character == '/' || character.is_control())
 }
 
-/// In one line of so many characters at the most.
-pub fn sanitize(text: &str, most: usize) -> String {
-    text.chars().take(most).map(|c| if c.is_control() { ' ' } else { c }).collect()
+/// The text in one line, cut after `max_chars` characters.
+pub fn sanitize(text: &str, max_chars: usize) -> String {
+    let characters = text.chars().take(max_chars);
+    characters.map(|character| if character.is_control() { ' ' } else { character }).collect()
 }
 
-/// Where a steward hands out what concerns a balancer.
-pub const FETCH_PATH: &str = "/-/configuration/fetch";
-
-/// Whose an entry is, from the widest to the narrowest.
+/// Which balancers an entry concerns, from the widest scope to the narrowest.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub enum Scope {
+    /// All balancers of the fleet.
     All,
+    /// The balancers of this service.
     Service(String),
-    Zone { service: String, zone: String },
+    /// The balancers of a service in one zone.
+    Zone {
+        /// The service's name.
+        service: String,
+        /// The zone's name.
+        zone: String,
+    },
+    /// The balancer of this name.
     Balancer(String),
 }
 
@@ -68,36 +79,44 @@
     }
 }
 
+/// Why a text is no [`Scope`]; each has the text, sanitized.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum ScopeError {
+    /// A name in it does not pass [`is_name`].
+    #[error(
+        "{0}: a name is empty, longer than {max_bytes}, or has blanks about it or control characters",
+        max_bytes = MAX_NAME_BYTES
+    )]
+    InvalidName(String),
+    /// It has the form of no scope.
+    #[error("{0}: is none of all, service/S, service/S/zone/Z, balancer/B")]
+    UnknownForm(String),
+}
+
 impl FromStr for Scope {
-    type Err = String;
-
-    fn from_str(text: &str) -> Result<Self, String> {
-        let words: Vec<&str> = text.split('/').collect();
-        if words[1..].iter().any(|word| !is_name(word)) {
-            let text = sanitize(text, MAX_REASON_CHARS);
-            return Err(format!(
-                "{text}: a name is empty, longer than {MAX_NAME_BYTES}, or has blanks about it or control characters"
-            ));
+    type Err = ScopeError;
+
+    fn from_str(text: &str) -> Result<Self, ScopeError> {
+        let segments: Vec<&str> = text.split('/').collect();
+        if segments[1..].iter().any(|segment| !is_name(segment)) {
+            return Err(ScopeError::InvalidName(sanitize(text, MAX_REASON_CHARS)));
         }
-        match words[..] {
+        match segments[..] {
             ["all"] => Ok(Scope::All),
             ["service", service] => Ok(Scope::Service(service.to_owned())),
             ["service", service, "zone", zone] => {
                 Ok(Scope::Zone { service: service.to_owned(), zone: zone.to_owned() })
             }
             ["balancer", name] => Ok(Scope::Balancer(name.to_owned())),
-            _ => Err(format!(
-                "{}: is none of all, service/S, service/S/zone/Z, balancer/B",
-                sanitize(text, MAX_REASON_CHARS)
-            )),
+            _ => Err(ScopeError::UnknownForm(sanitize(text, MAX_REASON_CHARS))),
         }
     }
 }
 
 impl TryFrom<String> for Scope {
-    type Error = String;
+    type Error = ScopeError;
 
-    fn try_from(text: String) -> Result<Self, String> {
+    fn try_from(text: String) -> Result<Self, ScopeError> {
         text.parse()
     }
 }
@@ -108,11 +127,14 @@
     }
 }
 
-/// Where a balancer stands in the fleet: what tells which entries concern it.
+/// A balancer's place in the fleet, which decides the entries that concern it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Target {
+    /// The balancer's name.
     pub name: String,
+    /// The service that it belongs to.
     pub service: String,
+    /// Its zone; empty where it has none.
     #[serde(default)]
     pub zone: String,
 }
@@ -132,76 +154,83 @@
 /// The latest entry of a scope.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ScopeEntry {
+    /// The balancers that it concerns.
     pub scope: Scope,
+    /// The version of the change that entered it.
     pub version: Version,
     /// Of the content, as [`content_hash`] makes it.
     #[serde(rename = "hash")]
     pub content_hash: String,
-    /// Part of a balancer's file; empty where the scope says nothing any more.
+    /// Part of a balancer's file; empty where the scope was cleared.
     pub content: String,
 }
 
-/// SHA-256, in hexadecimal digits.
+/// The SHA-256 of a content, in hexadecimal digits.
 pub fn content_hash(content: &str) -> String {
     Sha256::digest(content.as_bytes()).iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// SHA-256 of all that concerns a balancer as of one version, without the contents: two that say the same are the same
-/// bundle_hash. Guards against entries of one version laid over entries of another, whatever became of a part in between.
+/// The SHA-256 of all entries that concern a balancer as of one version, by their versions and content hashes. Guards
+/// against entries of one version that are combined with entries of another.
 pub fn bundle_hash<'a>(
     target: &Target,
     version: Version,
     entries: impl IntoIterator<Item = &'a ScopeEntry>,
 ) -> String {
     let mut text = format!("{}\n{}\n{}\n{version}\n", target.name, target.service, target.zone);
-    for part in entries {
-        text.push_str(&format!("{} {} {}\n", part.scope, part.version, part.content_hash));
+    for entry in entries {
+        text.push_str(&format!("{} {} {}\n", entry.scope, entry.version, entry.content_hash));
     }
     content_hash(&text)
 }
 
-/// What a balancer says in its beats of the configuration that it goes by.
+/// The part of a balancer's heartbeat that concerns its configuration.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigurationReport {
+    /// The balancer's service.
     pub service: String,
+    /// The balancer's zone; empty where it has none.
     #[serde(default)]
     pub zone: String,
-    /// The highest version that concerns it and is applied; 0 for its own file alone.
+    /// The version that is active; 0 for its own file alone.
     #[serde(rename = "in_force")]
     pub active: Version,
-    /// A version that it was told of and can't go by, and why.
+    /// A version that it could not apply, and why.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "refused")]
     pub rejected: Option<(Version, String)>,
 }
 
-/// A balancer asks any steward for what concerns it and is newer than what it has.
+/// A balancer's request for the entries that concern it and are newer than its own, to any coordinator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FetchRequest {
+    /// The balancer.
     #[serde(rename = "place")]
     pub target: Target,
-    /// It has all entries up to this one; 0 for none, and then it takes the answer for all there is.
+    /// The balancer has all entries up to this version; 0 to get all there are.
     #[serde(rename = "have")]
     pub known_version: Version,
-    /// It was told of this one: a steward that does not know it yet is behind.
+    /// The version that the balancer was notified of; a coordinator that has not applied it is behind.
     #[serde(rename = "want")]
     pub wanted_version: Version,
 }
 
-/// A steward's answer.
+/// A coordinator's reply to a [`FetchRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FetchReply {
-    /// The highest version that concerns the balancer, and the entries above what it has, from the widest to the narrowest.
-    /// The [`bundle_hash`] is of these and of those that it has.
+    /// The entries that the balancer lacks.
     #[serde(rename = "parts")]
     Entries {
+        /// The highest version that concerns the balancer.
         version: Version,
+        /// The [`bundle_hash`] of these entries and those that the balancer has.
         #[serde(rename = "whole")]
         bundle_hash: String,
+        /// The entries above [`FetchRequest::known_version`], from the widest scope to the narrowest.
         #[serde(rename = "parts")]
         entries: Vec<ScopeEntry>,
     },
-    /// This steward has not applied that far: another one, or later.
+    /// This coordinator has not applied the wanted version yet: another may have, or this one later.
     Behind,
 }
--- a/crates/fernroute-fleet/src/configuration/register.rs
+++ b/crates/fernroute-fleet/src/configuration/register.rs
@@ -1,5 +1,11 @@
-//! What is replicated of the configuration: a deterministic state machine, the same at every steward that applies the
-//! same entries. It trusts no entry.
+//! The replicated configuration: the latest entry of each scope, and a history without contents.
+//!
+//! The register is a deterministic state machine: each coordinator applies the same entries in the same order and reaches
+//! the same state. The coordinator's replica calls [`Register::apply`] for each committed [`ConfigurationPut`], and
+//! answers balancers with [`Register::fetch`]; the leader reads [`Register::version_for`].
+//!
+//! Invariants: versions increase over all scopes, an entry replaces only the version that its operator started from, and
+//! all contents together stay within a bound. An entry that would break them is refused and changes nothing.
 
 use super::{
     bundle_hash, content_hash, FetchReply, FetchRequest, Scope, ScopeEntry, Target, Version,
@@ -8,167 +14,218 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Scopes at the most: some thousand balancers' own and their services.
-const MOST_SCOPES: usize = 10_000;
+/// Enough for some thousand balancers and their services.
+const MAX_SCOPES: usize = 10_000;
 
-/// Of all contents together: each steward holds them, and sends them to one that has come back in one piece.
-const MOST_BYTES: usize = 16 << 20;
+/// Of all contents together: each coordinator holds them, and sends them in one piece to one that has restarted.
+const MAX_TOTAL_BYTES: usize = 16 << 20;
 
-/// How far an entry's version may be min_version_exclusive the last one: more entries than were ever lost with a register. Guards against
-/// a member that reports the last number there is.
-const MOST_AHEAD: Version = 1_000_000;
+/// How far a version may be above the last one. Guards against a member that reports the highest number there is.
+const MAX_VERSION_STEP: Version = 1_000_000;
 
-/// Lines of history: more than a day's changes of the largest fleet, without contents.
-const MOST_HISTORY: usize = 4_000;
+/// More than a day's changes of the largest fleet.
+const MAX_HISTORY_ENTRIES: usize = 4_000;
 
-/// An operator's word.
+/// An operator's change of one scope, as it stands in the replicated log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigurationPut {
+    /// The scope to change.
     pub scope: Scope,
     /// The scope's version that the operator started from; 0 where there was none.
     #[serde(rename = "base")]
     pub base_version: Version,
+    /// Of the content, as [`content_hash`] makes it.
     #[serde(rename = "hash")]
     pub content_hash: String,
+    /// Part of a balancer's file; empty to clear the scope.
     pub content: String,
+    /// The operator's name.
     #[serde(rename = "who")]
     pub author: String,
-    /// Unix time in milliseconds, by the steward that entered it.
+    /// Unix time in milliseconds, by the coordinator that entered it.
     #[serde(rename = "when_ms")]
     pub entered_at_ms: u64,
-    /// Its version is min_version_exclusive this one, whatever the register's last was: the highest that any member reported
-    /// ([`crate::leader::Leader::reported`]), or one less than another region's version of this entry.
+    /// The new version is above this one and above the register's last: the highest that any member reported
+    /// ([`crate::leader::Leader::highest_reported_version`]), or one less than another region's version of this entry.
     #[serde(default)]
     #[serde(rename = "above")]
     pub min_version_exclusive: Version,
 }
 
-/// A line of history.
+impl ConfigurationPut {
+    fn has_valid_author(&self) -> bool {
+        let is_named = !self.author.trim().is_empty() && self.author.len() <= MAX_NAME_BYTES;
+        is_named && !self.author.chars().any(char::is_control)
+    }
+
+    /// Guards against a scope that cannot be read again from the stored register, which would end a coordinator's next
+    /// start.
+    fn has_valid_scope(&self) -> bool {
+        self.scope.to_string().parse().as_ref() == Ok(&self.scope)
+    }
+}
+
+/// A past change, without its content.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HistoryEntry {
+    /// The change's version.
     pub version: Version,
+    /// The scope that it changed.
     pub scope: Scope,
+    /// The scope's version before.
     #[serde(rename = "base")]
     pub base_version: Version,
+    /// Of the content, as [`content_hash`] makes it.
     #[serde(rename = "hash")]
     pub content_hash: String,
+    /// The content's length.
     pub bytes: usize,
+    /// The operator's name.
     #[serde(rename = "who")]
     pub author: String,
+    /// Unix time in milliseconds, by the coordinator that entered it.
     #[serde(rename = "when_ms")]
     pub entered_at_ms: u64,
 }
 
-/// Why an entry changed nothing.
-#[derive(Clone, Debug, PartialEq, Eq)]
+/// Why the register refused a change.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PutError {
     /// The scope is at this version: the operator did not start from the latest.
+    #[error("the scope is at version {0}")]
     OutOfDate(Version),
-    /// The content is not what the content_hash says.
+    /// The content does not match its hash.
+    #[error("the content does not match its hash")]
     HashMismatch,
+    /// The content is longer than [`MAX_CONTENT_BYTES`].
+    #[error("the content is longer than {} bytes", MAX_CONTENT_BYTES)]
     TooLong,
-    /// No name, too long a one, or one that a line can't take.
+    /// The operator's name, or a name in the scope, is not valid.
+    #[error("a name is not valid")]
     InvalidName,
-    /// As many scopes, or as much content, as there may be.
+    /// The register has as many scopes, or as much content, as it may have.
+    #[error("too many scopes, or too much content")]
     LimitReached,
 }
 
+/// The replicated state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Register {
+    /// Of the last change in any scope.
     version: Version,
-    /// The latest of each scope. A scope that says nothing any more keeps its place: its version still counts.
+    /// The latest entry of each scope. A cleared scope keeps its entry, since its version still counts.
     #[serde(rename = "parts")]
     entries: BTreeMap<Scope, ScopeEntry>,
-    /// The last lines, oldest first.
+    /// The latest changes, oldest first; at most [`MAX_HISTORY_ENTRIES`].
     history: VecDeque<HistoryEntry>,
 }
 
 impl Register {
-    /// Takes one entry, whole or not at all; its version.
+    /// Applies one change completely and returns its version, or refuses it and stays unchanged.
     pub fn apply(&mut self, put: &ConfigurationPut) -> Result<Version, PutError> {
-        let at = self.latest_version(&put.scope);
-        if at != put.base_version {
-            return Err(PutError::OutOfDate(at));
+        self.check(put)?;
+        let version = self.next_version(put).ok_or(PutError::LimitReached)?;
+        self.version = version;
+        self.record(put, version);
+        let entry = ScopeEntry {
+            scope: put.scope.clone(),
+            version,
+            content_hash: put.content_hash.clone(),
+            content: put.content.clone(),
+        };
+        self.entries.insert(put.scope.clone(), entry);
+        Ok(version)
+    }
+
+    fn check(&self, put: &ConfigurationPut) -> Result<(), PutError> {
+        let latest_version = self.latest_version(&put.scope);
+        if latest_version != put.base_version {
+            return Err(PutError::OutOfDate(latest_version));
         }
         if put.content.len() > MAX_CONTENT_BYTES {
             return Err(PutError::TooLong);
         }
-        let author = !put.author.trim().is_empty() && put.author.len() <= MAX_NAME_BYTES;
-        // A scope that can't be read again from what is kept would end a steward's next start.
-        let scope = put.scope.to_string().parse().as_ref() == Ok(&put.scope);
-        if !author || put.author.chars().any(char::is_control) || !scope {
+        if !put.has_valid_author() || !put.has_valid_scope() {
             return Err(PutError::InvalidName);
         }
         if content_hash(&put.content) != put.content_hash {
             return Err(PutError::HashMismatch);
         }
-        let others = self.entries.values().filter(|part| part.scope != put.scope);
-        let bytes: usize = others.map(|part| part.content.len()).sum();
-        // What empties a scope always fits.
-        let fits = put.content.is_empty() || bytes + put.content.len() <= MOST_BYTES;
-        if at == 0 && self.entries.len() >= MOST_SCOPES || !fits {
+        let is_new_scope = latest_version == 0;
+        if is_new_scope && self.entries.len() >= MAX_SCOPES || !self.has_space_for(put) {
             return Err(PutError::LimitReached);
         }
-        let min_version_exclusive =
-            put.min_version_exclusive.clamp(self.version, self.version.saturating_add(MOST_AHEAD));
-        let version = min_version_exclusive.checked_add(1).ok_or(PutError::LimitReached)?;
-        self.version = version;
-        let (scope, content_hash, content) =
-            (put.scope.clone(), put.content_hash.clone(), put.content.clone());
+        Ok(())
+    }
+
+    /// Clearing a scope always fits.
+    fn has_space_for(&self, put: &ConfigurationPut) -> bool {
+        let others = self.entries.values().filter(|entry| entry.scope != put.scope);
+        let other_bytes: usize = others.map(|entry| entry.content.len()).sum();
+        put.content.is_empty() || other_bytes + put.content.len() <= MAX_TOTAL_BYTES
+    }
+
+    /// None where the numbers are used up.
+    fn next_version(&self, put: &ConfigurationPut) -> Option<Version> {
+        let highest_base = self.version.saturating_add(MAX_VERSION_STEP);
+        put.min_version_exclusive.clamp(self.version, highest_base).checked_add(1)
+    }
+
+    fn record(&mut self, put: &ConfigurationPut, version: Version) {
         self.history.push_back(HistoryEntry {
             version,
-            scope: scope.clone(),
+            scope: put.scope.clone(),
             base_version: put.base_version,
-            content_hash: content_hash.clone(),
-            bytes: content.len(),
+            content_hash: put.content_hash.clone(),
+            bytes: put.content.len(),
             author: put.author.clone(),
             entered_at_ms: put.entered_at_ms,
         });
-        if self.history.len() > MOST_HISTORY {
+        if self.history.len() > MAX_HISTORY_ENTRIES {
             self.history.pop_front();
         }
-        self.entries.insert(scope.clone(), ScopeEntry { scope, version, content_hash, content });
-        Ok(version)
     }
 
-    /// Of the last entry, whomever it concerns.
+    /// The version of the last change in any scope; 0 before the first.
     pub fn version(&self) -> Version {
         self.version
     }
 
-    /// Of a scope's latest entry.
+    /// The version of a scope's latest entry; 0 where there is none.
     pub fn latest_version(&self, scope: &Scope) -> Version {
-        self.entries.get(scope).map_or(0, |part| part.version)
+        self.entries.get(scope).map_or(0, |entry| entry.version)
     }
 
+    /// The latest entry of a scope.
     pub fn entry(&self, scope: &Scope) -> Option<&ScopeEntry> {
         self.entries.get(scope)
     }
 
+    /// The latest entry of each scope, from the widest scope to the narrowest.
     pub fn entries(&self) -> impl Iterator<Item = &ScopeEntry> {
         self.entries.values()
     }
 
+    /// The latest changes, oldest first.
     pub fn history(&self) -> impl DoubleEndedIterator<Item = &HistoryEntry> {
         self.history.iter()
     }
 
-    /// What a balancer that stands here should go by: the highest version that concerns it.
-    pub fn version_for(&self, place: &Target) -> Version {
-        place.scopes().iter().map(|scope| self.latest_version(scope)).max().unwrap_or(0)
+    /// The version that a balancer should have active: the highest that concerns it.
+    pub fn version_for(&self, target: &Target) -> Version {
+        target.scopes().iter().map(|scope| self.latest_version(scope)).max().unwrap_or(0)
     }
 
-    /// What a balancer asked for.
-    pub fn fetch(&self, fetch: &FetchRequest) -> FetchReply {
-        if self.version < fetch.wanted_version {
+    /// The reply to a balancer's request.
+    pub fn fetch(&self, request: &FetchRequest) -> FetchReply {
+        if self.version < request.wanted_version {
             return FetchReply::Behind;
         }
-        let scopes = fetch.target.scopes();
-        let entries: Vec<&ScopeEntry> = scopes.iter().filter_map(|scope| self.entries.get(scope)).collect();
-        let version = self.version_for(&fetch.target);
-        let whole = bundle_hash(&fetch.target, version, entries.iter().copied());
-        let entries =
-            entries.into_iter().filter(|part| part.version > fetch.known_version).cloned().collect();
-        FetchReply::Entries { version, bundle_hash: whole, entries }
+        let scopes = request.target.scopes();
+        let bundle: Vec<&ScopeEntry> = scopes.iter().filter_map(|scope| self.entries.get(scope)).collect();
+        let version = self.version_for(&request.target);
+        let bundle_hash = bundle_hash(&request.target, version, bundle.iter().copied());
+        let newer = bundle.into_iter().filter(|entry| entry.version > request.known_version);
+        FetchReply::Entries { version, bundle_hash, entries: newer.cloned().collect() }
     }
 }
--- a/crates/fernroute-fleet/src/configuration/rollout.rs
+++ b/crates/fernroute-fleet/src/configuration/rollout.rs
@@ -1,103 +1,130 @@
-//! How far the members are with the configuration that concerns them, as the leader knows it.
+//! How far each member is with the configuration that concerns it, as the leader knows it.
+//!
+//! [`crate::leader::Leader::configuration_states`] makes a [`MemberRollout`] of each member; the coordinator's `status`
+//! shows them and their [`RolloutSummary`].
 
 use super::{ConfigurationReport, Version};
 use serde::{Deserialize, Serialize};
 
-/// Where a member stands.
+/// How far a member is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RolloutState {
-    /// It goes by the version that concerns it.
+    /// The version that concerns it is active.
     #[serde(rename = "in_force")]
     Active,
-    /// It was told of it with each answer, or will be with the next.
+    /// An older version is active; replies to its heartbeats name the wanted one.
     #[serde(rename = "on_its_way")]
     Pending,
-    /// It can't go by it, and says why.
+    /// It has rejected the wanted version, and reported why.
     #[serde(rename = "refused")]
     Rejected,
-    /// It goes by a version that this register does not have: of one that was lost with all stewards' disks.
+    /// Its active version is not in this register: it is of one that was lost with all coordinators' disks.
     Ahead,
-    /// No beat for longer than a share is held, or none yet since this leader was elected.
+    /// No heartbeat for longer than the quota lease, or none yet since this leader was elected.
     #[serde(rename = "not_heard_of")]
     Unreachable,
-    /// It is heard of and says nothing of a configuration: it follows none, or is of a version that knows of none.
+    /// Its heartbeats report no configuration: it follows none, or its version does not support it.
     #[serde(rename = "follows_none")]
     NotFollowing,
 }
 
-/// One member.
+/// One member's progress.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberRollout {
+    /// The member's name.
     pub name: String,
-    /// Empty where nothing was reported; so are the others.
+    /// The member's service; empty without a report.
     pub service: String,
+    /// The member's zone; empty without a report.
     pub zone: String,
-    /// The highest version that concerns it.
+    /// The highest version that concerns it; 0 without a report.
     pub wanted: Version,
-    /// The version that it goes by, as it last said.
+    /// The version that it last reported as active; 0 without a report.
     #[serde(rename = "in_force")]
     pub active: Version,
-    /// The version that it last rejected, and why; an older one than the wanted one may stand here.
+    /// The version that it last rejected, and why; it may be older than the wanted one.
     #[serde(rename = "refused")]
     pub rejected: Option<(Version, String)>,
+    /// How far it is.
     #[serde(rename = "standing")]
     pub state: RolloutState,
 }
 
 impl MemberRollout {
-    /// `report` is the last one, if the last beat had any; `heard` says whether that was lately.
-    pub fn new(name: &str, wanted: Version, report: Option<&ConfigurationReport>, heard: bool) -> Self {
-        let state = match report {
-            _ if !heard => RolloutState::Unreachable,
-            None => RolloutState::NotFollowing,
-            Some(report) if report.active == wanted => RolloutState::Active,
-            Some(report) if report.active > wanted => RolloutState::Ahead,
-            // What was rejected before the wanted one says nothing of that.
-            Some(ConfigurationReport { rejected: Some((version, _)), .. }) if *version == wanted => {
-                RolloutState::Rejected
-            }
-            Some(_) => RolloutState::Pending,
-        };
+    /// `report` is the one of the member's last heartbeat, if that had one.
+    pub fn new(
+        name: &str,
+        wanted: Version,
+        report: Option<&ConfigurationReport>,
+        is_reachable: bool,
+    ) -> Self {
+        let state = if is_reachable { reported_state(wanted, report) } else { RolloutState::Unreachable };
         let report = report.cloned().unwrap_or_default();
         let ConfigurationReport { service, zone, active, rejected } = report;
         MemberRollout { name: name.to_owned(), service, zone, wanted, active, rejected, state }
     }
 }
 
-/// How many members stand where.
+/// The state of a reachable member.
+fn reported_state(wanted: Version, report: Option<&ConfigurationReport>) -> RolloutState {
+    let Some(report) = report else { return RolloutState::NotFollowing };
+    if report.active == wanted {
+        return RolloutState::Active;
+    }
+    if report.active > wanted {
+        return RolloutState::Ahead;
+    }
+    match report.rejected {
+        Some((rejected, _)) if rejected == wanted => RolloutState::Rejected,
+        _ => RolloutState::Pending,
+    }
+}
+
+/// The number of members in each [`RolloutState`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutSummary {
+    /// In [`RolloutState::Active`].
     #[serde(rename = "in_force")]
     pub active: usize,
+    /// In [`RolloutState::Pending`].
     #[serde(rename = "on_its_way")]
     pub pending: usize,
+    /// In [`RolloutState::Rejected`].
     #[serde(rename = "refused")]
     pub rejected: usize,
+    /// In [`RolloutState::Ahead`].
     pub ahead: usize,
+    /// In [`RolloutState::Unreachable`].
     #[serde(rename = "not_heard_of")]
     pub unreachable: usize,
+    /// In [`RolloutState::NotFollowing`].
     #[serde(rename = "follows_none")]
     pub not_following: usize,
 }
 
 impl RolloutSummary {
+    /// Counts each member once.
     pub fn new<'a>(members: impl IntoIterator<Item = &'a MemberRollout>) -> Self {
         let mut summary = RolloutSummary::default();
         for member in members {
-            *match member.state {
-                RolloutState::Active => &mut summary.active,
-                RolloutState::Pending => &mut summary.pending,
-                RolloutState::Rejected => &mut summary.rejected,
-                RolloutState::Ahead => &mut summary.ahead,
-                RolloutState::Unreachable => &mut summary.unreachable,
-                RolloutState::NotFollowing => &mut summary.not_following,
-            } += 1;
+            *summary.count_mut(member.state) += 1;
         }
         summary
     }
 
-    /// Whether whoever is heard of and follows any goes by what concerns it.
+    fn count_mut(&mut self, state: RolloutState) -> &mut usize {
+        match state {
+            RolloutState::Active => &mut self.active,
+            RolloutState::Pending => &mut self.pending,
+            RolloutState::Rejected => &mut self.rejected,
+            RolloutState::Ahead => &mut self.ahead,
+            RolloutState::Unreachable => &mut self.unreachable,
+            RolloutState::NotFollowing => &mut self.not_following,
+        }
+    }
+
+    /// Whether the wanted version is active at every reachable member that follows a configuration.
     pub fn is_complete(&self) -> bool {
         self.pending + self.rejected + self.ahead == 0
     }
--- a/crates/fernroute-fleet/src/demand.rs
+++ b/crates/fernroute-fleet/src/demand.rs
@@ -1,73 +1,97 @@
-//! What a member could use of a budget, told by what was asked of it lately.
+//! How much of a budget a member could use, estimated from its recent requests.
+//!
+//! The balancer's dispatcher counts each request in a [`DemandMeter`]; its fleet task reports the result in heartbeats.
+//!
+//! Two rates are kept. The long one is precise to a few percent while the demand is steady. Where the short one differs
+//! from it by more than chance explains, the demand has changed, and the long one starts again from the short one.
+//! Guards against a new division for each burst of requests, and against quotas sized by one.
 
 use crate::MilliUnits;
 use fernroute::host::SECOND;
 use fernroute::Time;
 
-/// A rate, from counts that fade.
+const SHORT_TIME_CONSTANT: f64 = SECOND as f64;
+const LONG_TIME_CONSTANT: f64 = 10.0 * SECOND as f64;
+
+/// A lower bound of the observed part of the time constant. Guards against a rate without bound right after the start.
+const MIN_OBSERVED_FRACTION: f64 = 0.05;
+
+/// How far the two rates may differ, in standard deviations: a smaller number is exceeded by chance too often, since the
+/// rates are compared several times a second.
+const MAX_DEVIATIONS: f64 = 3.0;
+
+/// A rate from an exponentially decaying count.
 #[derive(Clone, Debug)]
-struct Rate {
-    memory: f64,
+struct DecayingRate {
+    /// In ticks, as [`Time`].
+    time_constant: f64,
     count: f64,
-    at: Time,
-    /// How much of its memory it has seen, against all of it, is told by when it began.
-    begun: Time,
+    counted_at: Time,
+    started_at: Time,
 }
 
-impl Rate {
+impl DecayingRate {
+    fn new(now: Time, time_constant: f64) -> Self {
+        DecayingRate { time_constant, count: 0.0, counted_at: now, started_at: now }
+    }
+
     fn count(&mut self, now: Time) {
-        self.count = self.kept(now) + 1.0;
-        self.at = now;
+        self.count = self.decayed_count(now) + 1.0;
+        self.counted_at = now;
     }
 
-    fn kept(&self, now: Time) -> f64 {
-        self.count * (-(now.saturating_sub(self.at) as f64) / self.memory).exp()
+    fn decayed_count(&self, now: Time) -> f64 {
+        self.count * (-(now.saturating_sub(self.counted_at) as f64) / self.time_constant).exp()
     }
 
-    /// A second; the time before it began counts for nothing.
-    fn rate(&self, now: Time) -> f64 {
-        let seen = 1.0 - (-(now.saturating_sub(self.begun) as f64) / self.memory).exp();
-        self.kept(now) * SECOND as f64 / (self.memory * seen.max(0.05))
+    /// Per second; corrected for the time before the start, in which nothing was counted.
+    fn per_second(&self, now: Time) -> f64 {
+        let observed = 1.0 - (-(now.saturating_sub(self.started_at) as f64) / self.time_constant).exp();
+        let observed = observed.max(MIN_OBSERVED_FRACTION);
+        self.decayed_count(now) * SECOND as f64 / (self.time_constant * observed)
+    }
+
+    /// Starts again as if `per_second` had been observed for `observed_ticks`.
+    fn restart(&mut self, now: Time, per_second: f64, observed_ticks: f64) {
+        let observed = 1.0 - (-observed_ticks / self.time_constant).exp();
+        self.started_at = now - observed_ticks as Time;
+        self.count = per_second * self.time_constant / SECOND as f64 * observed;
+        self.counted_at = now;
     }
 }
 
-/// Tells a change within about a second, and a steady rate to a few percent: two memories, of which the long one starts
-/// anew from the short one where they differ by more than chance would have them. Guards against a division anew for
-/// each bunch of RPCs, and against shares sized by one.
+/// Estimates the demand for one budget.
 #[derive(Clone, Debug)]
 pub struct DemandMeter {
-    short: Rate,
-    long: Rate,
+    short: DecayingRate,
+    long: DecayingRate,
 }
 
-const SHORT: f64 = SECOND as f64;
-const LONG: f64 = 10.0 * SECOND as f64;
-
 impl DemandMeter {
+    /// A meter that starts at `now`.
     pub fn new(now: Time) -> Self {
-        let rate = |memory| Rate { memory, count: 0.0, at: now, begun: now };
-        DemandMeter { short: rate(SHORT), long: rate(LONG) }
+        DemandMeter {
+            short: DecayingRate::new(now, SHORT_TIME_CONSTANT),
+            long: DecayingRate::new(now, LONG_TIME_CONSTANT),
+        }
     }
 
+    /// Counts one request.
     pub fn count(&mut self, now: Time) {
         self.short.count(now);
         self.long.count(now);
     }
 
-    /// A second, in thousandths.
+    /// The demand per second.
     pub fn demand(&mut self, now: Time) -> MilliUnits {
-        /// In standard deviations: less comes by chance too often with several looks a second.
-        const SURE: f64 = 3.0;
-        let (short, long) = (self.short.rate(now), self.long.rate(now));
-        // Of a count that fades over a second, at this rate.
-        let chance = (long.max(1.0) / 2.0).sqrt();
-        if (short - long).abs() <= SURE * chance {
+        let (short, long) = (self.short.per_second(now), self.long.per_second(now));
+        // The standard deviation of a count that decays over one second, at this rate.
+        let deviation = (long.max(1.0) / 2.0).sqrt();
+        if (short - long).abs() <= MAX_DEVIATIONS * deviation {
             return (long * 1000.0) as MilliUnits;
         }
-        // As if the short memory's second were all that was seen.
-        let seen = SHORT.min(now.saturating_sub(self.short.begun) as f64);
-        self.long.begun = now - seen as Time;
-        (self.long.count, self.long.at) = (short * LONG / SECOND as f64 * (1.0 - (-seen / LONG).exp()), now);
+        let observed_ticks = SHORT_TIME_CONSTANT.min(now.saturating_sub(self.short.started_at) as f64);
+        self.long.restart(now, short, observed_ticks);
         (short * 1000.0) as MilliUnits
     }
 }
--- a/crates/fernroute-fleet/src/lib.rs
+++ b/crates/fernroute-fleet/src/lib.rs
@@ -1,16 +1,21 @@
-//! The decisions of a fleet: who may spend how much of what all balancers share. No I/O and no clock: time is passed in,
-//! in tenths of a millisecond of the caller's own clock, which counts while its process stands still.
+//! The decisions of a fleet of balancers: budgets that all share, duties that one holds, configuration that all follow.
 //!
-//! - [`ledger`]: what is replicated: who is a member, and what each may hold at the most. It refuses whatever would let
-//!   all together hold more than the whole, whoever asks for it.
-//! - [`leader`]: what only the leader of the ledger's processes knows: when it heard of whom, and what each asked for.
-//!   It decides what to enter next, and what a member is told.
-//! - [`member`]: a balancer's side: what it holds, and until when.
-//! - [`duties`]: what one member alone does at a time, under a lease with a fencing token.
-//! - [`configuration`]: versioned entries of configuration, and who goes by which.
-//! - [`division`]: who should get how much. [`demand`]: what a member could use. [`lease`]: how long who believes what. [`message`]: what they say.
+//! No I/O and no clock: the caller passes the time in, in tenths of a millisecond of its own clock, which also counts
+//! while its process is stopped. The coordinators replicate [`ledger::Ledger`], [`duties::table::DutyTable`] and
+//! [`configuration::register::Register`]; their leader decides the next changes; balancers are members.
 //!
-//! The argument why budgets never sum to more than the whole stands in `docs/fleet.md`.
+//! - [`ledger`]: the replicated state of the budgets. It refuses whatever would let all members together hold more than a
+//!   budget's limit.
+//! - [`leader`]: what the coordinators' leader knows of members, and the changes of the ledger that it decides on.
+//! - [`member`]: a balancer's side: the grant that it holds, and when that expires.
+//! - [`duties`]: what at most one member does at a time, under a lease with a fencing token.
+//! - [`configuration`]: versioned entries of configuration, and which balancer uses which.
+//! - [`division`]: how one budget is divided. [`demand`]: what a member could use of it.
+//! - [`lease`]: how long a grant or a duty may be used, by whose clock. [`message`]: what members and leader exchange.
+//!
+//! Why the grants of a budget never sum to more than its limit is in `docs/fleet.md`.
+
+#![warn(missing_docs)]
 
 pub mod configuration;
 pub mod demand;
@@ -25,14 +30,14 @@
 
 use std::collections::BTreeMap;
 
-/// Thousandths of a budget's unit: whole numbers, so that sums are exact.
+/// Thousandths of a budget's unit: integers, so that sums are exact.
 pub type MilliUnits = u64;
 
-/// Of them make one unit.
+/// The number of [`MilliUnits`] in one unit.
 pub const MILLI_UNITS_PER_UNIT: f64 = 1000.0;
 
-/// Amounts by the name of the budget; one that is not named is none.
+/// Amounts by the name of the budget; a budget that is not named has none.
 pub type BudgetAmounts = BTreeMap<String, MilliUnits>;
 
-/// Tells members apart: drawn at random by each, and kept for as long as it is the same balancer.
+/// Identifies a member: drawn at random by each, and kept for as long as it is the same balancer.
 pub type MemberId = u64;
--- a/crates/fernroute-fleet/tests/configuration_register.rs
+++ b/crates/fernroute-fleet/tests/configuration_register.rs
@@ -33,7 +33,7 @@
         "balancer/\u{7f}",
         long.as_str(),
     ] {
-        let why = text.parse::<Scope>().expect_err(text);
+        let why = text.parse::<Scope>().expect_err(text).to_string();
         assert!(!why.contains('\n'), "{why}");
     }
 }
