--- a/crates/fernroute-coordinator/src/commands/duties.rs
+++ b/crates/fernroute-coordinator/src/commands/duties.rs
@@ -1,18 +1,19 @@
-//! `fernroute-coordinator duties`: who holds which duty.
+//! `fernroute-coordinator duties`: the holders of the duties, and the release of one.
 
-use super::operator::{print, Operator, AGAIN};
-use super::{end, refuse, run_on_one_thread};
-use crate::duties::{DutiesStatus, DutyStatus, Released, RELEASE, STATUS};
+use super::client::{Client, POLL_INTERVAL};
+use super::error::CommandError;
+use super::output::print;
+use super::run_on_one_thread;
+use crate::duties::{DutiesStatus, DutyStatus, HolderStatus, Released, RELEASE, STATUS};
 use argh::FromArgs;
-use std::fmt::Write as _;
+use std::fmt;
 use std::net::SocketAddr;
-use std::process::ExitCode;
 use std::time::{Duration, Instant};
 
-/// What `release` waits beyond the lease: a heartbeat of the next holder, and an entry in the log.
-const NEXT_WITHIN: Duration = Duration::from_secs(3);
+/// How long `release` waits after the lease expired: a heartbeat of the next holder, and an entry in the log.
+const NEXT_HOLDER_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// ReplicaInfo holds which duty: status, release.
+/// Duties, each held by one balancer at a time: status, release.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "duties")]
 pub struct Duties {
@@ -27,87 +28,94 @@
     Release(Release),
 }
 
-/// Print who holds each duty, under which term, for how long it has and how much of its lease is left.
+/// Print the holder of each duty, the term, how long it has held the duty, and the rest of its lease.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "status")]
 struct Status {
-    /// address of a steward; may be given several times
-    #[argh(option)]
-    at: Vec<SocketAddr>,
-    /// as JSON
+    /// address of a coordinator; may be given several times
+    #[argh(option, long = "at")]
+    addresses: Vec<SocketAddr>,
+    /// print JSON
     #[argh(switch)]
     json: bool,
 }
 
-/// Have the holder of a duty give it up, and wait until another member holds it.
+/// Make the holder of a duty release it, and wait until another member holds it.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "release")]
 struct Release {
-    /// the duty
+    /// name of the duty
     #[argh(positional)]
     duty: String,
-    /// address of a steward; may be given several times
-    #[argh(option)]
-    at: Vec<SocketAddr>,
+    /// address of a coordinator; may be given several times
+    #[argh(option, long = "at")]
+    addresses: Vec<SocketAddr>,
 }
 
-/// Refusals are one line and code 2; a duty that was released and that nobody holds yet is one line and code 1.
-pub fn run(command: Duties) -> ExitCode {
-    let done = match command.command {
-        Command::Status(it) => run_on_one_thread(async move {
-            let status: DutiesStatus = Operator::open(&it.at).await?.ask(STATUS, &()).await?;
-            print(it.json, &status, table(&status))
-        }),
-        Command::Release(it) => run_on_one_thread(release(it)),
-    };
-    done.unwrap_or_else(|why| refuse(&why))
+/// Runs the command.
+///
+/// # Errors
+/// The leader was not reached or rejected the call, or a released duty has no new holder in time.
+pub fn run(arguments: Duties) -> Result<(), CommandError> {
+    match arguments.command {
+        Command::Status(arguments) => run_on_one_thread(print_status(arguments)),
+        Command::Release(arguments) => run_on_one_thread(release(arguments)),
+    }
+}
+
+async fn print_status(arguments: Status) -> Result<(), CommandError> {
+    let client = Client::connect(&arguments.addresses).await?;
+    let status: DutiesStatus = client.call(STATUS, &()).await?;
+    print(arguments.json, &status, Table(&status))
 }
 
-async fn release(it: Release) -> Result<ExitCode, String> {
-    let operator = Operator::open(&it.at).await?;
-    let released: Released = operator.ask(RELEASE, &it.duty).await?;
+async fn release(arguments: Release) -> Result<(), CommandError> {
+    let client = Client::connect(&arguments.addresses).await?;
+    let duty = arguments.duty;
+    let released: Released = client.call(RELEASE, &duty).await?;
     let Released { holder, term, lapses_after_ms } = released;
-    let until = Instant::now() + Duration::from_millis(lapses_after_ms) + NEXT_WITHIN;
-    while Instant::now() < until {
-        let status: DutiesStatus = operator.ask(STATUS, &()).await?;
-        let line = status.duties.iter().find(|line| line.duty == it.duty);
-        let Some(line) = line else {
-            println!("{}: {holder} gave it up; it is named no more", it.duty);
-            return Ok(ExitCode::SUCCESS);
+    let deadline = Instant::now() + Duration::from_millis(lapses_after_ms) + NEXT_HOLDER_TIMEOUT;
+    while Instant::now() < deadline {
+        let status: DutiesStatus = client.call(STATUS, &()).await?;
+        let Some(current) = status.duties.iter().find(|current| current.duty == duty) else {
+            println!("{duty}: {holder} gave it up; it is named no more");
+            return Ok(());
         };
-        if let Some(next) = line.holder.as_ref().filter(|next| next.term > term) {
-            println!(
-                "{}: {holder} gave it up, term {term}; {} holds it, term {}",
-                it.duty, next.name, next.term
-            );
-            return Ok(ExitCode::SUCCESS);
+        if let Some(next) = current.holder.as_ref().filter(|next| next.term > term) {
+            let HolderStatus { name, term: next_term, .. } = next;
+            println!("{duty}: {holder} gave it up, term {term}; {name} holds it, term {next_term}");
+            return Ok(());
         }
-        actix_rt::time::sleep(AGAIN).await;
+        actix_rt::time::sleep(POLL_INTERVAL).await;
     }
-    Ok(end(1, &format!("{}: {holder} is to give it up, and nobody else holds it yet", it.duty)))
+    Err(CommandError::NoNewHolder { duty, holder })
 }
 
-fn table(status: &DutiesStatus) -> String {
-    let mut out =
-        format!("{}: {} leads, highest term {}\n\n", status.cluster, status.leader, status.highest_term);
-    // Writing to a text does not fail.
-    let _ =
-        writeln!(out, "{:<24} {:<24} {:>8} {:>10} {:>8}  note", "duty", "holder", "term", "held s", "left s");
-    for line in &status.duties {
-        let _ = writeln!(out, "{}", row(line));
+struct Table<'a>(&'a DutiesStatus);
+
+impl fmt::Display for Table<'_> {
+    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let DutiesStatus { cluster, leader, highest_term, duties, .. } = self.0;
+        writeln!(out, "{cluster}: {leader} leads, highest term {highest_term}\n")?;
+        writeln!(
+            out,
+            "{:<24} {:<24} {:>8} {:>10} {:>8}  note",
+            "duty", "holder", "term", "held s", "left s"
+        )?;
+        for duty in duties {
+            writeln!(out, "{}", row(duty))?;
+        }
+        Ok(())
     }
-    out
 }
 
-fn row(line: &DutyStatus) -> String {
-    let Some(holder) = &line.holder else {
-        let before =
-            line.before.as_ref().map_or(String::new(), |(name, reason)| format!("  {name}: {reason}"));
-        return format!("{:<24} {:<24}{before}", line.duty, "nobody");
+fn row(duty: &DutyStatus) -> String {
+    let Some(holder) = &duty.holder else {
+        let previous = duty.before.as_ref();
+        let previous = previous.map_or(String::new(), |(name, reason)| format!("  {name}: {reason}"));
+        return format!("{:<24} {:<24}{previous}", duty.duty, "nobody");
     };
-    let held = format!("{}{:.1}", if holder.at_least { ">" } else { "" }, holder.held_for_s);
-    format!(
-        "{:<24} {:<24} {:>8} {:>10} {:>8.1}  {}",
-        line.duty, holder.name, holder.term, held, holder.left_s, holder.note
-    )
+    let HolderStatus { name, term, note, left_s: remaining_s, .. } = holder;
+    let held_for = format!("{}{:.1}", if holder.at_least { ">" } else { "" }, holder.held_for_s);
+    format!("{:<24} {name:<24} {term:>8} {held_for:>10} {remaining_s:>8.1}  {note}", duty.duty)
 }
--- a/crates/fernroute-coordinator/src/config.rs
+++ b/crates/fernroute-coordinator/src/config.rs
@@ -1,4 +1,5 @@
-//! The steward's file: TOML, checked whole; all that is wrong is told at once, in one line.
+//! A coordinator's configuration file: TOML in, [`CoordinatorConfig`] out. The file is validated as a whole; all faults of it
+//! are reported together, in one line.
 
 use fernroute::Time;
 use fernroute_fleet::configuration::is_name;
@@ -10,264 +11,371 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// A file as it is written.
+const TICKS_PER_MS: f64 = 10.0;
+const TICKS_PER_SECOND: f64 = 10_000.0;
+const MS_PER_SECOND: f64 = 1000.0;
+
+const MAX_MEMBERS: usize = 10_000;
+const MIN_LEASE_MS: f64 = 300.0;
+const MAX_LEASE_MS: f64 = 60_000.0;
+const MIN_HEARTBEAT_MS: f64 = 10.0;
+const MAX_HEARTBEAT_MS: f64 = 10_000.0;
+const MIN_HEARTBEATS_PER_GRANT_LEASE: f64 = 3.0;
+const MIN_HEARTBEATS_PER_DUTY_LEASE: f64 = 4.0;
+const MAX_GUARANTEE_LEASE_S: f64 = 86_400.0;
+const MAX_DRIFT_PPM: u32 = 100_000;
+const MIN_BUDGET_PER_S: f64 = 0.001;
+const MAX_BUDGET_PER_S: f64 = 1e9;
+
+/// Why a configuration file cannot be used.
+#[derive(Debug, thiserror::Error)]
+pub enum ConfigError {
+    /// The file could not be read.
+    #[error("{}: {source}", path.display())]
+    Unreadable {
+        /// The file.
+        path: PathBuf,
+        /// The system's error.
+        source: std::io::Error,
+    },
+    /// The file's text is no valid configuration.
+    #[error("{}: {source}", path.display())]
+    Invalid {
+        /// The file.
+        path: PathBuf,
+        /// What is wrong with its text.
+        source: InvalidConfig,
+    },
+}
+
+/// Why a text is no valid configuration.
+#[derive(Debug, thiserror::Error)]
+pub enum InvalidConfig {
+    /// It is no TOML, or a key or the type of a value is not known.
+    #[error("line {line}: {}", source.message().replace('\n', " "))]
+    Syntax {
+        /// The line, counted from 1; 0 where the parser names no place.
+        line: usize,
+        /// The parser's error.
+        source: toml::de::Error,
+    },
+    /// Values that contradict each other or are out of range.
+    #[error("{}", joined(.0))]
+    Values(Vec<ConfigFault>),
+}
+
+/// One value of the file that is out of range or contradicts another.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{key}: {problem}")]
+pub struct ConfigFault {
+    /// The key as the file writes it, with the index of its table: `budget[0].whole`.
+    pub key: String,
+    /// What is wrong with its value.
+    pub problem: String,
+}
+
+fn joined(faults: &[ConfigFault]) -> String {
+    faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("; ")
+}
+
+/// The file as it is written. Its keys, and the names of types in the parser's errors, are the operators' interface.
 #[derive(Clone, Debug, Deserialize)]
-#[serde(deny_unknown_fields)]
+#[serde(deny_unknown_fields, rename = "Page")]
 struct RawConfig {
     cluster: String,
     name: String,
     folder: PathBuf,
-    #[serde(default = "most")]
-    members: usize,
-    #[serde(default = "shares")]
-    shares_ms: f64,
-    /// How long a holder may act on a duty after it was last heard of; as long as shares where it is left out.
-    duties_ms: Option<f64>,
-    /// How often balancers beat, the slowest of them.
-    #[serde(default = "beat")]
-    beat_ms: f64,
-    #[serde(default = "floors")]
-    floors_s: f64,
-    #[serde(default = "drift")]
+    #[serde(default = "default_members", rename = "members")]
+    max_members: usize,
+    #[serde(default = "default_grant_lease_ms", rename = "shares_ms")]
+    grant_lease_ms: f64,
+    /// How long a holder may act on a duty after its last heartbeat; the grant lease where it is absent.
+    #[serde(rename = "duties_ms")]
+    duty_lease_ms: Option<f64>,
+    /// The longest heartbeat interval of any balancer.
+    #[serde(default = "default_heartbeat_ms", rename = "beat_ms")]
+    heartbeat_ms: f64,
+    #[serde(default = "default_guarantee_lease_s", rename = "floors_s")]
+    guarantee_lease_s: f64,
+    #[serde(default = "default_drift_ppm")]
     drift_ppm: u32,
-    steward: Vec<CoordinatorAddress>,
-    #[serde(default)]
-    budget: Vec<RawBudget>,
-    #[serde(default)]
-    duty: Vec<RawDuty>,
+    #[serde(rename = "steward")]
+    coordinators: Vec<CoordinatorAddress>,
+    #[serde(default, rename = "budget")]
+    budgets: Vec<RawBudget>,
+    #[serde(default, rename = "duty")]
+    duties: Vec<RawDuty>,
 }
 
-/// What one balancer alone does at a time.
+/// A duty: work that one balancer of the fleet does at a time.
 #[derive(Clone, Debug, Deserialize)]
-#[serde(deny_unknown_fields)]
+#[serde(deny_unknown_fields, rename = "DutyPage")]
 struct RawDuty {
     name: String,
 }
 
-fn most() -> usize {
-    1000
+/// A budget that the fleet shares.
+#[derive(Clone, Debug, Deserialize)]
+#[serde(deny_unknown_fields, rename = "BudgetPage")]
+struct RawBudget {
+    name: String,
+    /// Units per second over the fleet.
+    #[serde(rename = "whole")]
+    limit_per_s: f64,
+    /// The fraction of the limit that is guaranteed to all members together.
+    #[serde(default = "default_guaranteed_fraction", rename = "floors")]
+    guaranteed_fraction: f64,
 }
 
-fn beat() -> f64 {
-    250.0
+fn default_members() -> usize {
+    1000
 }
 
-/// Eight beats of a quarter second: some may be lost, and a new leader is found in time.
-fn shares() -> f64 {
+/// Eight heartbeats of the default interval: some may be lost, and there is time to elect a leader.
+fn default_grant_lease_ms() -> f64 {
     2000.0
 }
 
-fn floors() -> f64 {
+fn default_heartbeat_ms() -> f64 {
+    250.0
+}
+
+fn default_guarantee_lease_s() -> f64 {
     60.0
 }
 
-/// Clocks of machines are off by some tens; twenty times that is a clock that is broken.
-fn drift() -> u32 {
+/// Machine clocks drift by some tens of ppm; a clock over this bound is broken.
+fn default_drift_ppm() -> u32 {
     1000
 }
 
-/// One of the ledger's processes.
+fn default_guaranteed_fraction() -> f64 {
+    0.2
+}
+
+/// Name and address of one coordinator.
 #[derive(Clone, Debug, Deserialize)]
-#[serde(deny_unknown_fields)]
+#[serde(deny_unknown_fields, rename = "Steward")]
 pub struct CoordinatorAddress {
+    /// Its name, unique within the cluster.
     pub name: String,
+    /// The address that members, operators and the other coordinators reach it at.
     pub address: SocketAddr,
 }
 
-#[derive(Clone, Debug, Deserialize)]
-#[serde(deny_unknown_fields)]
-struct RawBudget {
-    name: String,
-    /// A second, over the fleet.
-    whole: f64,
-    /// The part of the whole that all members' floors together are.
-    #[serde(default = "part")]
-    floors: f64,
-}
-
-fn part() -> f64 {
-    0.2
-}
-
-/// A file that will do.
+/// A validated configuration of one coordinator.
 #[derive(Clone, Debug)]
 pub struct CoordinatorConfig {
+    /// The cluster's name.
     pub cluster: String,
+    /// This coordinator's name.
     pub name: String,
+    /// This coordinator's address.
     pub address: SocketAddr,
+    /// The folder of its log, votes and snapshots.
     pub folder: PathBuf,
+    /// The largest number of members that the fleet may have.
     pub members: usize,
+    /// The lease of what is granted to a member beyond its guarantee.
     pub shares: Lease,
+    /// The lease of a member's guarantee.
     pub floors: Lease,
+    /// All coordinators of the cluster, this one included, in the file's order.
     pub stewards: Vec<CoordinatorAddress>,
+    /// The budgets, by name.
     pub budgets: BTreeMap<String, Budget>,
-    /// By name.
+    /// The names of the duties.
     pub duties: BTreeSet<String>,
+    /// The lease of a duty.
     pub duty_lease: Lease,
 }
 
 impl CoordinatorConfig {
-    pub fn read(path: &Path) -> Result<Self, String> {
-        let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
-        CoordinatorConfig::decode(&text).map_err(|why| format!("{}: {why}", path.display()))
+    /// Reads and validates a file.
+    ///
+    /// # Errors
+    /// The file can't be read, or [`CoordinatorConfig::decode`] rejects its text.
+    pub fn read(path: &Path) -> Result<Self, ConfigError> {
+        let text = std::fs::read_to_string(path)
+            .map_err(|source| ConfigError::Unreadable { path: path.to_owned(), source })?;
+        CoordinatorConfig::decode(&text)
+            .map_err(|source| ConfigError::Invalid { path: path.to_owned(), source })
     }
 
-    pub fn decode(text: &str) -> Result<Self, String> {
-        let page: RawConfig = toml::from_str(text).map_err(|e| {
-            let line = e.span().map_or(0, |span| text[..span.start].matches('\n').count() + 1);
-            format!("line {line}: {}", e.message().replace('\n', " "))
+    /// Parses and validates a file's text.
+    ///
+    /// # Errors
+    /// The first syntax error, or all values that are out of range.
+    pub fn decode(text: &str) -> Result<Self, InvalidConfig> {
+        let raw: RawConfig = toml::from_str(text).map_err(|source| {
+            let line = source.span().map_or(0, |span| text[..span.start].matches('\n').count() + 1);
+            InvalidConfig::Syntax { line, source }
         })?;
-        let faults = page.faults();
+        let faults = raw.faults();
         if !faults.is_empty() {
-            return Err(faults.join("; "));
+            return Err(InvalidConfig::Values(faults));
         }
-        let own = page.steward.iter().find(|s| s.name == page.name);
-        let address = own.map(|s| s.address).ok_or("name: no steward has it")?;
-        let lease = |length: f64| Lease { duration: length.round() as Time, drift_ppm: page.drift_ppm };
-        let budget = |b: &RawBudget| (b.name.clone(), Budget::new(b.whole, b.floors, page.members));
-        Ok(CoordinatorConfig {
-            address,
-            shares: lease(page.shares_ms * 10.0),
-            floors: lease(page.floors_s * 10_000.0),
-            duty_lease: lease(page.duties_ms.unwrap_or(page.shares_ms) * 10.0),
-            budgets: page.budget.iter().map(budget).collect(),
-            duties: page.duty.into_iter().map(|duty| duty.name).collect(),
-            cluster: page.cluster,
-            name: page.name,
-            folder: page.folder,
-            members: page.members,
-            stewards: page.steward,
-        })
+        let Some(address) = raw.own_address() else {
+            let problem = "no steward has it".to_owned();
+            return Err(InvalidConfig::Values(vec![ConfigFault { key: "name".to_owned(), problem }]));
+        };
+        Ok(raw.into_config(address))
     }
 }
 
 impl RawConfig {
-    fn faults(&self) -> Vec<String> {
-        let mut faults = Vec::new();
-        let mut ask = |holds: bool, what: String| faults.extend((!holds).then_some(what));
-        let within = |value: f64, least: f64, most: f64| (least..=most).contains(&value);
-        ask(!self.cluster.trim().is_empty(), "cluster: is empty".to_owned());
-        ask(
-            within(self.members as f64, 1.0, 10_000.0),
-            format!("members: {} is not between 1 and 10000", self.members),
+    fn own_address(&self) -> Option<SocketAddr> {
+        let own = self.coordinators.iter().find(|coordinator| coordinator.name == self.name);
+        own.map(|coordinator| coordinator.address)
+    }
+
+    fn into_config(self, address: SocketAddr) -> CoordinatorConfig {
+        let lease = |ticks: f64| Lease { duration: ticks.round() as Time, drift_ppm: self.drift_ppm };
+        let duty_lease_ms = self.duty_lease_ms.unwrap_or(self.grant_lease_ms);
+        let budget = |raw: RawBudget| {
+            let budget = Budget::new(raw.limit_per_s, raw.guaranteed_fraction, self.max_members);
+            (raw.name, budget)
+        };
+        CoordinatorConfig {
+            address,
+            shares: lease(self.grant_lease_ms * TICKS_PER_MS),
+            floors: lease(self.guarantee_lease_s * TICKS_PER_SECOND),
+            duty_lease: lease(duty_lease_ms * TICKS_PER_MS),
+            budgets: self.budgets.into_iter().map(budget).collect(),
+            duties: self.duties.into_iter().map(|duty| duty.name).collect(),
+            cluster: self.cluster,
+            name: self.name,
+            folder: self.folder,
+            members: self.max_members,
+            stewards: self.coordinators,
+        }
+    }
+
+    /// All that is out of range, in the order of the file's keys.
+    fn faults(&self) -> Vec<ConfigFault> {
+        let mut faults = FaultList::default();
+        self.check_fleet(&mut faults);
+        self.check_leases(&mut faults);
+        self.check_coordinators(&mut faults);
+        self.check_budgets(&mut faults);
+        self.check_duty_lease(&mut faults);
+        self.check_duties(&mut faults);
+        faults.0
+    }
+
+    fn check_fleet(&self, faults: &mut FaultList) {
+        faults.require(!self.cluster.trim().is_empty(), "cluster", "is empty");
+        faults.require(
+            (1..=MAX_MEMBERS).contains(&self.max_members),
+            "members",
+            format!("{} is not between 1 and {MAX_MEMBERS}", self.max_members),
         );
-        ask(
-            within(self.shares_ms, 300.0, 60_000.0),
-            format!("shares_ms: {} is not between 300 and 60000", self.shares_ms),
+    }
+
+    fn check_leases(&self, faults: &mut FaultList) {
+        let (lease_ms, heartbeat_ms) = (self.grant_lease_ms, self.heartbeat_ms);
+        faults.require_lease("shares_ms", lease_ms);
+        faults.require(
+            (MIN_HEARTBEAT_MS..=MAX_HEARTBEAT_MS).contains(&heartbeat_ms),
+            "beat_ms",
+            format!("{heartbeat_ms} is not between {MIN_HEARTBEAT_MS} and {MAX_HEARTBEAT_MS}"),
         );
-        ask(
-            within(self.beat_ms, 10.0, 10_000.0),
-            format!("beat_ms: {} is not between 10 and 10000", self.beat_ms),
+        faults.require(
+            lease_ms >= MIN_HEARTBEATS_PER_GRANT_LEASE * heartbeat_ms,
+            "shares_ms",
+            format!("{lease_ms} is shorter than three beats of beat_ms: {heartbeat_ms}"),
         );
-        ask(
-            self.shares_ms >= 3.0 * self.beat_ms,
-            format!("shares_ms: {} is shorter than three beats of beat_ms: {}", self.shares_ms, self.beat_ms),
+        faults.require(
+            (lease_ms / MS_PER_SECOND..=MAX_GUARANTEE_LEASE_S).contains(&self.guarantee_lease_s),
+            "floors_s",
+            format!("{} is under shares_ms, or over a day", self.guarantee_lease_s),
         );
-        let day = 86_400.0;
-        ask(
-            within(self.floors_s, self.shares_ms / 1000.0, day),
-            format!("floors_s: {} is under shares_ms, or over a day", self.floors_s),
+        faults.require(
+            self.drift_ppm <= MAX_DRIFT_PPM,
+            "drift_ppm",
+            format!("{} is over {MAX_DRIFT_PPM}", self.drift_ppm),
         );
-        ask(self.drift_ppm <= 100_000, format!("drift_ppm: {} is over 100000", self.drift_ppm));
-        let count = self.steward.len();
-        ask(
+    }
+
+    fn check_coordinators(&self, faults: &mut FaultList) {
+        let count = self.coordinators.len();
+        faults.require(
             matches!(count, 1 | 3 | 5 | 7),
-            format!("steward: {count} of them; one, three or five outlive none, one or two"),
-        );
-        ask(
-            self.steward.iter().any(|s| s.name == self.name),
-            format!("name: no steward is called {}", self.name),
+            "steward",
+            format!("{count} of them; one, three or five outlive none, one or two"),
         );
+        faults.require(self.own_address().is_some(), "name", format!("no steward is called {}", self.name));
         let (mut names, mut addresses) = (BTreeSet::new(), BTreeSet::new());
-        for (n, s) in self.steward.iter().enumerate() {
-            ask(names.insert(&s.name), format!("steward[{n}].name: {} is there twice", s.name));
-            ask(addresses.insert(s.address), format!("steward[{n}].address: {} is there twice", s.address));
-            ask(s.address.port() != 0, format!("steward[{n}].address: {} has no port", s.address));
-        }
-        let mut budgets = BTreeSet::new();
-        for (n, b) in self.budget.iter().enumerate() {
-            ask(budgets.insert(&b.name), format!("budget[{n}].name: {} is there twice", b.name));
-            ask(
-                within(b.whole, 0.001, 1e9),
-                format!("budget[{n}].whole: {} is not between 0.001 and 1e9", b.whole),
-            );
-            ask(within(b.floors, 0.0, 1.0), format!("budget[{n}].floors: {} is beyond the whole", b.floors));
+        for (index, CoordinatorAddress { name, address }) in self.coordinators.iter().enumerate() {
+            let (name_key, address_key) =
+                (format!("steward[{index}].name"), format!("steward[{index}].address"));
+            faults.require(names.insert(name), &name_key, format!("{name} is there twice"));
+            faults.require(addresses.insert(address), &address_key, format!("{address} is there twice"));
+            faults.require(address.port() != 0, &address_key, format!("{address} has no port"));
         }
-        faults.extend(self.duty_faults());
-        faults
     }
 
-    fn duty_faults(&self) -> Vec<String> {
-        let mut faults = Vec::new();
-        if let Some(length) = self.duties_ms {
-            if !(300.0..=60_000.0).contains(&length) {
-                faults.push(format!("duties_ms: {length} is not between 300 and 60000"));
-            }
-            if length < 4.0 * self.beat_ms {
-                let beat = self.beat_ms;
-                faults.push(format!("duties_ms: {length} is shorter than four beats of beat_ms: {beat}"));
-            }
-        }
-        if self.duty.len() > MAX_DUTIES {
-            faults.push(format!("duty: {} of them, over {MAX_DUTIES}", self.duty.len()));
-        }
+    fn check_budgets(&self, faults: &mut FaultList) {
         let mut names = BTreeSet::new();
-        for (n, duty) in self.duty.iter().enumerate() {
-            if !is_name(&duty.name) {
-                faults.push(format!("duty[{n}].name: {:?} won't do", duty.name));
-            }
-            if !names.insert(&duty.name) {
-                faults.push(format!("duty[{n}].name: {} is there twice", duty.name));
-            }
+        for (index, budget) in self.budgets.iter().enumerate() {
+            faults.require(
+                names.insert(&budget.name),
+                &format!("budget[{index}].name"),
+                format!("{} is there twice", budget.name),
+            );
+            faults.require(
+                (MIN_BUDGET_PER_S..=MAX_BUDGET_PER_S).contains(&budget.limit_per_s),
+                &format!("budget[{index}].whole"),
+                format!("{} is not between 0.001 and 1e9", budget.limit_per_s),
+            );
+            faults.require(
+                (0.0..=1.0).contains(&budget.guaranteed_fraction),
+                &format!("budget[{index}].floors"),
+                format!("{} is beyond the whole", budget.guaranteed_fraction),
+            );
         }
-        faults
     }
-}
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    const FILE: &str = "cluster = \"c\"\nname = \"a\"\nfolder = \"/tmp/a\"\n\
-        [[steward]]\nname = \"a\"\naddress = \"127.0.0.1:7001\"\n\
-        [[budget]]\nname = \"acme\"\nwhole = 200\n";
-
-    #[test]
-    fn a_small_file_will_do_and_has_what_is_left_out() {
-        let terms = CoordinatorConfig::decode(FILE).expect("it will do");
-        let acme = terms.budgets.get("acme").expect("it is there");
-        assert_eq!(
-            (acme.limit, acme.guaranteed, terms.shares.duration, terms.floors.duration),
-            (200_000, 40, 20_000, 600_000)
+    fn check_duty_lease(&self, faults: &mut FaultList) {
+        let Some(lease_ms) = self.duty_lease_ms else { return };
+        let heartbeat_ms = self.heartbeat_ms;
+        faults.require_lease("duties_ms", lease_ms);
+        let is_too_short = lease_ms < MIN_HEARTBEATS_PER_DUTY_LEASE * heartbeat_ms;
+        faults.require(
+            !is_too_short,
+            "duties_ms",
+            format!("{lease_ms} is shorter than four beats of beat_ms: {heartbeat_ms}"),
         );
-        assert!(acme.guaranteed * terms.members as u64 <= acme.limit);
     }
 
-    #[test]
-    fn all_that_is_wrong_is_told_at_once() {
-        let second = "[[steward]]\nname = \"a\"\naddress = \"127.0.0.1:7001\"\n";
-        let text = format!("shares_ms = 10\n{FILE}{second}floors = 3\n")
-            .replace("whole = 200\n", "whole = 0\nfloors = 2\n");
-        let why = CoordinatorConfig::decode(&text.replace("floors = 3\n", "")).expect_err("it will not do");
-        for what in
-            ["shares_ms: 10", "2 of them", "steward[1].name", "steward[1].address", "whole: 0", "floors: 2"]
-        {
-            assert!(why.contains(what), "{what}: {why}");
+    fn check_duties(&self, faults: &mut FaultList) {
+        let count = self.duties.len();
+        faults.require(count <= MAX_DUTIES, "duty", format!("{count} of them, over {MAX_DUTIES}"));
+        let mut names = BTreeSet::new();
+        for (index, RawDuty { name }) in self.duties.iter().enumerate() {
+            let key = format!("duty[{index}].name");
+            faults.require(is_name(name), &key, format!("{name:?} won't do"));
+            faults.require(names.insert(name), &key, format!("{name} is there twice"));
         }
-        assert!(!why.contains('\n'));
-        for (old, new, what) in [
-            ("name = \"a\"\nfolder", "name = \"b\"\nfolder", "no steward is called b"),
-            ("cluster", "claster", "line 1"),
-            (
-                "folder",
-                "shares_ms = 700\nfolder",
-                "shares_ms: 700 is shorter than three beats of beat_ms: 250",
-            ),
-            ("folder", "beat_ms = 5\nfolder", "beat_ms: 5 is not between"),
-            ("127.0.0.1:7001", "127.0.0.1:0", "has no port"),
-        ] {
-            let why = CoordinatorConfig::decode(&FILE.replace(old, new)).expect_err(what);
-            assert!(why.contains(what), "{why}");
+    }
+}
+
+/// Collects faults, so that an operator sees all of them at once.
+#[derive(Default)]
+struct FaultList(Vec<ConfigFault>);
+
+impl FaultList {
+    fn require(&mut self, holds: bool, key: &str, problem: impl Into<String>) {
+        if !holds {
+            self.0.push(ConfigFault { key: key.to_owned(), problem: problem.into() });
         }
     }
+
+    fn require_lease(&mut self, key: &str, lease_ms: f64) {
+        self.require(
+            (MIN_LEASE_MS..=MAX_LEASE_MS).contains(&lease_ms),
+            key,
+            format!("{lease_ms} is not between {MIN_LEASE_MS} and {MAX_LEASE_MS}"),
+        );
+    }
 }
