--- a/crates/fernroute-coordinator/tests/common/balancer.rs
+++ b/crates/fernroute-coordinator/tests/common/balancer.rs
@@ -1,34 +1,38 @@
-//! Balancers played by the parts that decide in real ones, beating on a task of their own.
+//! Balancers that run the real decisions of membership and configuration, with a heartbeat task of their own.
 
-use super::{Asks, Stewards, WITHIN};
+use super::{Coordinators, TestMember, CALL_TIMEOUT};
 use fernroute_coordinator::peers::Peers;
 use fernroute_coordinator::replica::now;
 use fernroute_fleet::configuration::follower::ConfigurationFollower;
 use fernroute_fleet::configuration::{FetchReply, Target, Version, FETCH_PATH};
+use fernroute_fleet::MilliUnits;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// What can be seen of a balancer.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(25);
+
+/// What a test observes and controls of a balancer.
 #[derive(Default)]
-pub struct View {
-    /// All versions that it has applied, in that order, and the contents of the last.
-    pub applied: RefCell<Vec<Version>>,
+pub struct BalancerState {
+    /// All versions that it activated, in order.
+    pub activated: RefCell<Vec<Version>>,
+    /// The contents of its active version.
     pub contents: RefCell<Vec<String>>,
-    /// It does not beat.
-    pub pauses: Cell<bool>,
-    /// Beats that were answered.
-    pub beats: Cell<usize>,
-    /// Stewards that said that they are behind.
-    pub behind: Cell<usize>,
-    pub holds: Cell<u64>,
-    /// A content with these words will not do here.
-    pub refuses: RefCell<Option<String>>,
+    /// It sends no heartbeat.
+    pub is_paused: Cell<bool>,
+    /// Heartbeats that got a reply.
+    pub heartbeats: Cell<usize>,
+    /// Fetches that a coordinator could not serve because it lagged.
+    pub behind_replies: Cell<usize>,
+    pub allocated: Cell<MilliUnits>,
+    /// It rejects contents with this text.
+    pub rejected_text: RefCell<Option<String>>,
 }
 
 pub struct Balancer {
-    pub view: Rc<View>,
+    pub state: Rc<BalancerState>,
     task: actix_rt::task::JoinHandle<()>,
 }
 
@@ -39,79 +43,99 @@
 }
 
 impl Balancer {
-    /// One that follows the configuration of a service in a zone; one of a version that knows of none where there is no
-    /// service. It asks for what it was told of at one steward after another, from the one with this number on.
+    /// A balancer of a service in a zone. It fetches from the coordinator with the index `first`, then from the next ones.
     pub fn new(
-        stewards: &Stewards,
-        identity: u64,
+        coordinators: &Coordinators,
+        id: u64,
         name: &str,
         service: &str,
         zone: &str,
         first: usize,
     ) -> Self {
-        let view = Rc::new(View::default());
-        let place = Target { name: name.to_owned(), service: service.to_owned(), zone: zone.to_owned() };
-        let follower = (!service.is_empty()).then(|| ConfigurationFollower::new(place, None));
-        let asks = Asks::new(name, identity, 10_000);
-        let (peers, at) = (stewards.peers.clone(), stewards.addresses());
-        let task = actix_rt::spawn(live(Rc::clone(&view), asks, follower, peers, at, first));
-        Balancer { view, task }
+        let target = Target { name: name.to_owned(), service: service.to_owned(), zone: zone.to_owned() };
+        let follower = ConfigurationFollower::new(target, None);
+        Balancer::spawn(coordinators, TestMember::new(name, id, 10_000), Some(follower), first)
+    }
+
+    /// A balancer of a version that knows no configuration.
+    pub fn without_configuration(coordinators: &Coordinators, id: u64, name: &str) -> Self {
+        Balancer::spawn(coordinators, TestMember::new(name, id, 10_000), None, 0)
+    }
+
+    fn spawn(
+        coordinators: &Coordinators,
+        member: TestMember,
+        follower: Option<ConfigurationFollower>,
+        first: usize,
+    ) -> Self {
+        let state = Rc::new(BalancerState::default());
+        let (peers, addresses) = (coordinators.peers.clone(), coordinators.addresses());
+        let task =
+            actix_rt::spawn(run_balancer(Rc::clone(&state), member, follower, peers, addresses, first));
+        Balancer { state, task }
     }
 
-    pub fn in_force(&self) -> Version {
-        self.view.applied.borrow().last().copied().unwrap_or(0)
+    pub fn active_version(&self) -> Version {
+        self.state.activated.borrow().last().copied().unwrap_or(0)
     }
 
-    pub fn says(&self) -> Vec<String> {
-        self.view.contents.borrow().clone()
+    pub fn contents(&self) -> Vec<String> {
+        self.state.contents.borrow().clone()
     }
 
-    /// No version was ever applied after a later one.
-    pub fn is_in_order(&self) -> bool {
-        self.view.applied.borrow().is_sorted_by(|a, b| a < b)
+    /// Each version was activated after an earlier one.
+    pub fn activated_in_order(&self) -> bool {
+        self.state.activated.borrow().is_sorted_by(|earlier, later| earlier < later)
     }
 }
 
-async fn live(
-    view: Rc<View>,
-    mut asks: Asks,
+async fn run_balancer(
+    state: Rc<BalancerState>,
+    mut member: TestMember,
     mut follower: Option<ConfigurationFollower>,
     peers: Peers,
-    at: Vec<SocketAddr>,
-    mut turn: usize,
+    addresses: Vec<SocketAddr>,
+    mut next_coordinator: usize,
 ) {
     loop {
-        actix_rt::time::sleep(Duration::from_millis(25)).await;
-        if view.pauses.get() {
+        actix_rt::time::sleep(HEARTBEAT_INTERVAL).await;
+        if state.is_paused.get() {
             continue;
         }
-        asks.report = follower.as_ref().map(ConfigurationFollower::report);
-        if asks.beat(&peers, &at).await {
-            view.beats.set(view.beats.get() + 1);
-            view.holds.set(asks.holds());
+        member.report = follower.as_ref().map(ConfigurationFollower::report);
+        if member.send_heartbeat(&peers, &addresses).await {
+            state.heartbeats.set(state.heartbeats.get() + 1);
+            state.allocated.set(member.allocated());
         }
         let Some(follower) = follower.as_mut() else { continue };
-        asks.told.take().into_iter().for_each(|version| follower.on_notification(version));
-        let Some(fetch) = follower.next_fetch(now()) else { continue };
-        let steward = at[turn % at.len()].to_string();
-        turn += 1;
-        let fetched: Result<FetchReply, String> = peers.say(&steward, FETCH_PATH, 0, &fetch, WITHIN).await;
-        if let Ok(FetchReply::Behind) = fetched {
-            view.behind.set(view.behind.get() + 1);
-        }
-        let Some(snapshot) = fetched.ok().and_then(|fetched| follower.on_reply(fetched).ok()) else {
-            follower.fetch_failed(now(), 0.5);
-            continue;
-        };
-        let contents: Vec<String> = snapshot.contents().map(str::to_owned).collect();
-        let refuses = view.refuses.borrow().clone();
-        match refuses.filter(|words| contents.iter().any(|content| content.contains(words.as_str()))) {
-            Some(words) => follower.reject(snapshot.version, &format!("{words} will not do here")),
-            None => {
-                view.applied.borrow_mut().push(snapshot.version);
-                view.contents.replace(contents);
-                follower.activate(snapshot);
-            }
+        if let Some(version) = member.notified_version.take() {
+            follower.on_notification(version);
         }
+        let Some(request) = follower.next_fetch(now()) else { continue };
+        let address = addresses[next_coordinator % addresses.len()].to_string();
+        next_coordinator += 1;
+        let reply = peers.say(&address, FETCH_PATH, 0, &request, CALL_TIMEOUT).await.ok();
+        apply(&state, follower, reply);
+    }
+}
+
+/// Activates or rejects what was fetched; fetches again later where there is nothing.
+fn apply(state: &BalancerState, follower: &mut ConfigurationFollower, reply: Option<FetchReply>) {
+    if let Some(FetchReply::Behind) = reply {
+        state.behind_replies.set(state.behind_replies.get() + 1);
+    }
+    let Some(snapshot) = reply.and_then(|reply| follower.on_reply(reply).ok()) else {
+        follower.fetch_failed(now(), 0.5);
+        return;
+    };
+    let contents: Vec<String> = snapshot.contents().map(str::to_owned).collect();
+    let rejected_text = state.rejected_text.borrow().clone();
+    let rejected_text = rejected_text.filter(|text| contents.iter().any(|content| content.contains(text)));
+    if let Some(text) = rejected_text {
+        follower.reject(snapshot.version, &format!("{text} will not do here"));
+        return;
     }
+    state.activated.borrow_mut().push(snapshot.version);
+    state.contents.replace(contents);
+    follower.activate(snapshot);
 }
--- /dev/null
+++ b/crates/fernroute-coordinator/tests/common/configuration.rs
@@ -0,0 +1,121 @@
+//! Configuration as an operator enters it, and what coordinators and balancers make of it.
+
+use super::balancer::Balancer;
+use super::{wait_until, CommandOutput, Coordinators, CALL_TIMEOUT};
+use fernroute_coordinator::configuration::{PutRequest, RequestError, HISTORY, PUT};
+use fernroute_fleet::configuration::register::HistoryEntry;
+use fernroute_fleet::configuration::{
+    content_hash, FetchReply, FetchRequest, Scope, Target, Version, FETCH_PATH,
+};
+
+/// The time-out of a call to the leader.
+const LEADER_CALL_TIMEOUT: std::time::Duration = CALL_TIMEOUT.saturating_mul(10);
+
+/// A valid content, which differs for each number.
+pub fn content(number: u64) -> String {
+    format!("[limits]\nretry_after_s = {number}\n")
+}
+
+/// Writes a file next to the coordinators' own; its path.
+pub fn write_file(coordinators: &Coordinators, name: &str, content: &str) -> String {
+    let path = coordinators.folder.join(name);
+    std::fs::write(&path, content).expect("a file");
+    path.display().to_string()
+}
+
+/// Runs `put`, which succeeds; the version that it prints.
+pub async fn put(coordinators: &Coordinators, scope: &str, content: &str, options: &[&str]) -> Version {
+    let file = write_file(coordinators, "part.toml", content);
+    let arguments = [&["configuration", "put", &file, "--scope", scope], options].concat();
+    let output = coordinators.command(&arguments).await;
+    assert_eq!(output.code, 0, "{output:?}");
+    let version = output.stdout.lines().next().and_then(|line| line.strip_prefix("version "));
+    let version = version.and_then(|version| version.parse().ok());
+    version.unwrap_or_else(|| panic!("no version: {output:?}"))
+}
+
+/// Runs `get` of a scope.
+pub async fn get(coordinators: &Coordinators, scope: &str) -> CommandOutput {
+    coordinators.command(&["configuration", "get", "--scope", scope]).await
+}
+
+/// What one coordinator replies to a balancer of the service web in the zone a.
+pub async fn fetch(
+    coordinators: &Coordinators,
+    index: usize,
+    wanted_version: Version,
+) -> Result<FetchReply, String> {
+    let target = Target { name: "n9".to_owned(), service: "web".to_owned(), zone: "a".to_owned() };
+    let request = FetchRequest { target, known_version: 0, wanted_version };
+    let address = coordinators.processes[index].address.to_string();
+    let reply = coordinators.peers.say(&address, FETCH_PATH, 0, &request, CALL_TIMEOUT).await;
+    reply.map_err(|error| error.to_string())
+}
+
+/// Enters a content without a process of its own. It is repeated while the leader is too busy to be sure that it leads: the
+/// leader rejects the request then, and enters nothing.
+pub async fn put_directly(
+    coordinators: &Coordinators,
+    mut leader: usize,
+    scope: &Scope,
+    base: Version,
+    content: &str,
+) -> Version {
+    let (content, who) = (content.to_owned(), "bob".to_owned());
+    let request = PutRequest { scope: scope.clone(), base, hash: content_hash(&content), content, who };
+    loop {
+        let address = coordinators.processes[leader].address.to_string();
+        match coordinators.peers.say(&address, PUT, 0, &request, LEADER_CALL_TIMEOUT).await {
+            Ok(Ok(version)) => return version,
+            // An earlier attempt whose outcome was unknown has entered it.
+            Ok(Err(RequestError::OutOfDate(Some(latest))))
+                if latest.base_version == base && latest.content_hash == request.hash =>
+            {
+                return latest.version
+            }
+            Ok(Err(RequestError::Elsewhere(_) | RequestError::Unknown(_))) | Err(_) => {
+                leader = coordinators.leader(None).await;
+            }
+            Ok(Err(rejection)) => panic!("{rejection:?}"),
+        }
+    }
+}
+
+/// All entries, as the leader has them.
+pub async fn history(coordinators: &Coordinators) -> Vec<HistoryEntry> {
+    let all_scopes: Option<Scope> = None;
+    loop {
+        let leader = coordinators.leader(None).await;
+        let address = coordinators.processes[leader].address.to_string();
+        let reply: Result<Result<Vec<HistoryEntry>, RequestError>, _> =
+            coordinators.peers.say(&address, HISTORY, 0, &all_scopes, LEADER_CALL_TIMEOUT).await;
+        if let Ok(Ok(entries)) = reply {
+            return entries;
+        }
+    }
+}
+
+/// Waits until one coordinator serves these contents to the service web in the zone a.
+pub async fn wait_until_served(
+    coordinators: &Coordinators,
+    index: usize,
+    wanted_version: Version,
+    contents: &[String],
+) {
+    wait_until(|| async {
+        let reply = fetch(coordinators, index, wanted_version).await;
+        let Ok(FetchReply::Entries { version, entries, .. }) = reply else { return false };
+        version == wanted_version && entries.iter().map(|entry| &entry.content).eq(contents)
+    })
+    .await;
+}
+
+/// Waits until each balancer got a reply to a heartbeat.
+pub async fn wait_until_known(balancers: &[Balancer]) {
+    wait_until(|| async { balancers.iter().all(|balancer| balancer.state.heartbeats.get() > 0) }).await;
+}
+
+/// Waits until this is each balancer's active version.
+pub async fn wait_until_active(balancers: &[Balancer], version: Version) {
+    wait_until(|| async { balancers.iter().all(|balancer| balancer.active_version() == version) }).await;
+}
--- a/crates/fernroute-coordinator/tests/common/mod.rs
+++ b/crates/fernroute-coordinator/tests/common/mod.rs
@@ -1,10 +1,10 @@
-//! Real stewards on loopback, and members that beat.
+//! Coordinator processes on loopback, and members that send them heartbeats.
 
 // Each test file uses a part of it.
 #![allow(dead_code)]
 
 pub mod balancer;
-pub mod operator;
+pub mod configuration;
 
 use fernroute_coordinator::peers::{Peers, STATUS};
 use fernroute_coordinator::replica::{now, Status};
@@ -18,219 +18,300 @@
 use std::future::Future;
 use std::net::SocketAddr;
 use std::path::PathBuf;
-use std::process::Command;
+use std::process::{Command, Output};
 use std::time::Duration;
 
-pub const WHOLE: MilliUnits = 200_000;
-pub const WITHIN: Duration = Duration::from_millis(400);
+const PROGRAM: &str = env!("CARGO_BIN_EXE_fernroute-coordinator");
+const TEST_TIMEOUT: Duration = Duration::from_secs(40);
+pub const CALL_TIMEOUT: Duration = Duration::from_millis(400);
+
+/// The limit of the budget `acme` in each configuration file.
+pub const BUDGET_LIMIT: MilliUnits = 200_000;
+
+/// What is guaranteed to each member: a tenth of the limit, divided by ten members.
+pub const GUARANTEED: MilliUnits = BUDGET_LIMIT / 100;
 
 pub fn run(test: impl Future<Output = ()>) {
     let runtime = actix_rt::Runtime::new().expect("a runtime");
-    let end = runtime.block_on(async { tokio::time::timeout(Duration::from_secs(40), test).await });
-    end.expect("the test ends");
+    let result = runtime.block_on(async { tokio::time::timeout(TEST_TIMEOUT, test).await });
+    result.expect("the test ends in time");
 }
 
-/// Comes true, or the test ends by its own time-out.
-pub async fn until<F: Future<Output = bool>>(mut what: impl FnMut() -> F) {
-    while !what().await {
+/// Polls until the condition holds; the test's own time-out ends it otherwise.
+pub async fn wait_until<F: Future<Output = bool>>(mut condition: impl FnMut() -> F) {
+    while !condition().await {
         actix_rt::time::sleep(Duration::from_millis(20)).await;
     }
 }
 
-/// A steward that may be started again.
-pub struct Place {
+/// The result of a command.
+#[derive(Debug)]
+pub struct CommandOutput {
+    pub code: i32,
+    pub stdout: String,
+    pub stderr: String,
+}
+
+impl From<Output> for CommandOutput {
+    fn from(output: Output) -> Self {
+        let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
+        let code = output.status.code().expect("no signal ended it");
+        CommandOutput { code, stdout: text(&output.stdout), stderr: text(&output.stderr) }
+    }
+}
+
+impl CommandOutput {
+    /// Standard output, then standard error.
+    pub fn text(&self) -> String {
+        format!("{}{}", self.stdout, self.stderr)
+    }
+}
+
+/// A command of the program.
+pub fn program(arguments: &[&str]) -> Command {
+    let mut command = Command::new(PROGRAM);
+    command.args(arguments);
+    command
+}
+
+/// Runs a command while the test's other tasks go on.
+pub async fn run_command(mut command: Command) -> CommandOutput {
+    let output = tokio::task::spawn_blocking(move || command.output().expect("it runs"));
+    output.await.expect("it ends").into()
+}
+
+/// A coordinator with a disk and a configuration file of its own, which can be restarted.
+pub struct CoordinatorProcess {
     pub name: String,
     pub address: SocketAddr,
     pub disk: Disk,
-    pub page: PathBuf,
+    pub config_path: PathBuf,
     pub process: Option<Process>,
 }
 
-impl Place {
+impl CoordinatorProcess {
     pub fn start(&mut self) {
-        let mut command = Command::new(env!("CARGO_BIN_EXE_fernroute-coordinator"));
-        command.args(["serve", "--first", "--config"]).arg(&self.page).env_remove("FERNROUTE_LOG");
+        let mut command = program(&["serve", "--first", "--config"]);
+        command.arg(&self.config_path).env_remove("FERNROUTE_LOG");
         self.process = Some(Process::launch(ignoring_limits(&command)).expect("it starts"));
     }
 
-    /// Gives it a file that names these; the first of all there are, in their order.
-    pub fn name(&self, cluster: &str, addresses: &[SocketAddr]) {
-        let list =
-            |(n, at): (usize, &SocketAddr)| format!("[[steward]]\nname = \"s{n}\"\naddress = \"{at}\"\n");
-        let list: String = addresses.iter().enumerate().map(list).collect();
+    /// Writes a file whose coordinators are at these addresses: the first of all, in their order.
+    pub fn write_config(&self, cluster: &str, addresses: &[SocketAddr]) {
+        let coordinator = |(index, address): (usize, &SocketAddr)| {
+            format!("[[steward]]\nname = \"s{index}\"\naddress = \"{address}\"\n")
+        };
+        let coordinators: String = addresses.iter().enumerate().map(coordinator).collect();
         let text = format!(
             "cluster = \"{cluster}\"\nname = \"{}\"\nfolder = \"{}\"\nmembers = 10\nshares_ms = 3000\nfloors_s = 12\n\
-             {list}[[budget]]\nname = \"acme\"\nwhole = 200\nfloors = 0.1\n",
+             {coordinators}[[budget]]\nname = \"acme\"\nwhole = 200\nfloors = 0.1\n",
             self.name,
             self.disk.folder.display()
         );
-        std::fs::write(&self.page, text).expect("a file");
+        std::fs::write(&self.config_path, text).expect("a file");
     }
 
-    /// Puts one text of its file in place of another, before it starts.
-    pub fn change_page(&self, old: &str, new: &str) {
-        let text = std::fs::read_to_string(&self.page).expect("a file");
+    /// Replaces a text of its file; it takes effect at the next start.
+    pub fn replace_in_config(&self, old: &str, new: &str) {
+        let text = std::fs::read_to_string(&self.config_path).expect("a file");
         assert!(text.contains(old), "{old}");
-        std::fs::write(&self.page, text.replace(old, new)).expect("a file");
+        std::fs::write(&self.config_path, text.replace(old, new)).expect("a file");
     }
 
     pub fn process(&self) -> &Process {
         self.process.as_ref().expect("it was started")
     }
+
+    pub fn kill(&self) {
+        self.process().kill();
+    }
 }
 
-pub struct Stewards {
+/// The coordinators of one cluster, `s0` first.
+pub struct Coordinators {
     pub folder: PathBuf,
-    pub places: Vec<Place>,
+    pub processes: Vec<CoordinatorProcess>,
     pub peers: Peers,
 }
 
-impl Stewards {
-    pub fn new(name: &str, cluster: &str, count: usize) -> Self {
+impl Coordinators {
+    pub fn new(test: &str, cluster: &str, count: usize) -> Self {
         let folder =
-            std::env::temp_dir().join(format!("fernroute-coordinator-{name}-{}", std::process::id()));
+            std::env::temp_dir().join(format!("fernroute-coordinator-{test}-{}", std::process::id()));
         let addresses = addresses(count).expect("ports");
-        let place = |(n, address): (usize, &SocketAddr)| {
-            let disk = Disk::new(folder.join(format!("s{n}"))).expect("a folder");
-            let page = folder.join(format!("s{n}.toml"));
-            let place = Place { name: format!("s{n}"), address: *address, disk, page, process: None };
-            place.name(cluster, &addresses);
-            place
-        };
-        let places = addresses.iter().enumerate().map(place).collect();
-        Stewards { folder, places, peers: Peers::new(cluster, &[]) }
+        let mut processes = Vec::new();
+        for (index, address) in addresses.iter().copied().enumerate() {
+            let name = format!("s{index}");
+            let disk = Disk::new(folder.join(&name)).expect("a folder");
+            let config_path = folder.join(format!("{name}.toml"));
+            let process = CoordinatorProcess { name, address, disk, config_path, process: None };
+            process.write_config(cluster, &addresses);
+            processes.push(process);
+        }
+        Coordinators { folder, processes, peers: Peers::new(cluster, &[]) }
+    }
+
+    /// Starts all of them and waits until one leads.
+    pub async fn launch(test: &str, cluster: &str, count: usize) -> Self {
+        let mut coordinators = Coordinators::new(test, cluster, count);
+        coordinators.start();
+        coordinators.leader(None).await;
+        coordinators
     }
 
     pub fn start(&mut self) {
-        self.places.iter_mut().for_each(Place::start);
+        for process in &mut self.processes {
+            process.start();
+        }
     }
 
-    pub async fn status(&self, n: usize) -> Option<Status> {
-        self.peers.ask(&self.places[n].address.to_string(), STATUS, WITHIN).await.ok()
+    pub fn kill(&self) {
+        for process in &self.processes {
+            process.kill();
+        }
     }
 
     pub fn addresses(&self) -> Vec<SocketAddr> {
-        self.places.iter().map(|place| place.address).collect()
+        self.processes.iter().map(|process| process.address).collect()
     }
 
-    /// A command, and each steward's address with `--at`; its exit code, and what it said on either way.
-    pub async fn command(&self, words: &[&str]) -> (i32, String, String) {
-        let mut command = Command::new(env!("CARGO_BIN_EXE_fernroute-coordinator"));
-        command.args(words).env("USER", "ann");
-        for place in &self.places {
-            command.args(["--at".to_owned(), place.address.to_string()]);
+    pub async fn status(&self, index: usize) -> Option<Status> {
+        self.peers.ask(&self.processes[index].address.to_string(), STATUS, CALL_TIMEOUT).await.ok()
+    }
+
+    /// Runs a command with `--at` each coordinator's address.
+    pub async fn command(&self, arguments: &[&str]) -> CommandOutput {
+        let mut command = program(arguments);
+        command.env("USER", "ann");
+        for process in &self.processes {
+            command.args(["--at".to_owned(), process.address.to_string()]);
         }
-        said(command).await
+        run_command(command).await
     }
 
-    /// The command that takes in who is new; its exit code and all that it said.
-    pub fn change(&self, n: usize) -> (Option<i32>, String) {
-        let mut command = Command::new(env!("CARGO_BIN_EXE_fernroute-coordinator"));
-        let said = command.args(["change", "--config"]).arg(&self.places[n].page).output().expect("it runs");
-        let text = [said.stdout, said.stderr].concat();
-        (said.status.code(), String::from_utf8_lossy(&text).into_owned())
+    /// Runs `change` with the file of one coordinator.
+    pub fn change(&self, index: usize) -> CommandOutput {
+        let mut command = program(&["change", "--config"]);
+        command.arg(&self.processes[index].config_path).output().expect("it runs").into()
     }
 
-    pub async fn until_state(&self, n: usize, state: &str) {
-        until(|| async { self.status(n).await.is_some_and(|s| s.state == state) }).await;
+    pub async fn wait_for_state(&self, index: usize, state: &str) {
+        wait_until(|| async { self.status(index).await.is_some_and(|status| status.state == state) }).await;
     }
 
-    /// Which one leads, by its own word, once one does that is not this one.
-    pub async fn leader(&self, not: Option<usize>) -> usize {
-        let found = Cell::new(None);
-        until(|| async {
-            for n in (0..self.places.len()).filter(|n| Some(*n) != not) {
-                if self.status(n).await.is_some_and(|s| s.state == "leader") {
-                    found.set(Some(n));
+    /// Waits until a coordinator other than `except` reports that it leads.
+    pub async fn leader(&self, except: Option<usize>) -> usize {
+        let leader = Cell::new(None);
+        wait_until(|| async {
+            for index in (0..self.processes.len()).filter(|index| Some(*index) != except) {
+                if self.status(index).await.is_some_and(|status| status.state == "leader") {
+                    leader.set(Some(index));
                 }
             }
-            found.get().is_some()
+            leader.get().is_some()
         })
         .await;
-        found.get().expect("one leads")
+        leader.get().expect("one leads")
     }
 }
 
-impl Drop for Stewards {
+impl Drop for Coordinators {
     fn drop(&mut self) {
-        self.places.iter_mut().for_each(|place| place.process = None);
+        for process in &mut self.processes {
+            process.process = None;
+        }
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
-/// Runs a command beside what the test's other tasks do.
-pub async fn said(mut command: Command) -> (i32, String, String) {
-    let said =
-        tokio::task::spawn_blocking(move || command.output().expect("it runs")).await.expect("it ends");
-    let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
-    (said.status.code().expect("no signal ended it"), text(&said.stdout), text(&said.stderr))
-}
-
-/// A member as a balancer will be one: it asks one steward after another.
-pub struct Asks {
+/// A member that sends each heartbeat to one coordinator after another until one replies.
+pub struct TestMember {
     pub member: Member,
-    pub wants: MilliUnits,
-    /// The longest that it went without a share, in tenths of a millisecond, once it had one.
-    pub bare: u64,
-    pub had: bool,
-    /// Of the configuration that it goes by: none at a version that knows of none.
+    pub demand: MilliUnits,
+    /// The longest time without a grant beyond the guarantee, after the first one, in tenths of a millisecond.
+    pub longest_lapse: u64,
+    pub was_granted: bool,
+    /// Its state of configuration; none as a version without configuration.
     pub report: Option<ConfigurationReport>,
-    /// The version that the last answer told it of.
-    pub told: Option<Version>,
-    /// The duties that it holds: none at a version that knows of none.
+    /// The configuration version that the last reply notified it of.
+    pub notified_version: Option<Version>,
+    /// Its duties; none as a version without duties.
     pub duties: Option<MemberDuties>,
 }
 
-impl Asks {
-    pub fn new(name: &str, identity: u64, wants: MilliUnits) -> Self {
-        let member = Member::new(name, identity, now());
-        Asks { member, wants, bare: 0, had: false, report: None, told: None, duties: None }
+impl TestMember {
+    pub fn new(name: &str, id: u64, demand: MilliUnits) -> Self {
+        TestMember {
+            member: Member::new(name, id, now()),
+            demand,
+            longest_lapse: 0,
+            was_granted: false,
+            report: None,
+            notified_version: None,
+            duties: None,
+        }
     }
 
-    pub fn holds(&self) -> MilliUnits {
+    pub fn allocated(&self) -> MilliUnits {
         self.member.allocated(now(), "acme")
     }
 
-    pub async fn beat(&mut self, peers: &Peers, stewards: &[SocketAddr]) -> bool {
-        let bare = now().saturating_sub(self.member.expirations().0);
-        if self.had {
-            self.bare = self.bare.max(bare);
+    /// Sends one heartbeat; whether a coordinator replied to it.
+    pub async fn send_heartbeat(&mut self, peers: &Peers, coordinators: &[SocketAddr]) -> bool {
+        let lapse = now().saturating_sub(self.member.expirations().0);
+        if self.was_granted {
+            self.longest_lapse = self.longest_lapse.max(lapse);
         }
-        let mut beat = self.member.heartbeat(now(), BudgetAmounts::from([("acme".to_owned(), self.wants)]));
-        beat.configuration.clone_from(&self.report);
-        beat.duties = self.duties.as_mut().map(|duties| duties.report(now(), beat.number));
-        for at in stewards {
-            let said: Result<Result<HeartbeatReply, HeartbeatError>, String> =
-                peers.say(&at.to_string(), HEARTBEAT_PATH, 0, &beat, WITHIN).await;
-            if let Ok(Ok(answer)) = said {
-                self.told = answer.configuration;
-                self.member.on_reply(now(), &answer);
-                if let Some(duties) = &mut self.duties {
-                    duties.on_reply(now(), answer.number, answer.duties.as_ref());
-                }
-                self.had |= self.member.allocated_parts("acme").1 > 0;
+        let demand = BudgetAmounts::from([("acme".to_owned(), self.demand)]);
+        let mut heartbeat = self.member.heartbeat(now(), demand);
+        heartbeat.configuration.clone_from(&self.report);
+        heartbeat.duties = self.duties.as_mut().map(|duties| duties.report(now(), heartbeat.number));
+        for address in coordinators {
+            let reply: Result<Result<HeartbeatReply, HeartbeatError>, _> =
+                peers.say(&address.to_string(), HEARTBEAT_PATH, 0, &heartbeat, CALL_TIMEOUT).await;
+            if let Ok(Ok(reply)) = reply {
+                self.on_reply(&reply);
                 return true;
             }
         }
         false
     }
+
+    fn on_reply(&mut self, reply: &HeartbeatReply) {
+        self.notified_version = reply.configuration;
+        self.member.on_reply(now(), reply);
+        if let Some(duties) = &mut self.duties {
+            duties.on_reply(now(), reply.number, reply.duties.as_ref());
+        }
+        self.was_granted |= self.member.allocated_parts("acme").1 > 0;
+    }
 }
 
-/// Everybody beats until this is so; what all hold is held against the whole at each look.
-pub async fn beat_until(stewards: &Stewards, members: &mut [Asks], what: impl Fn(&[Asks]) -> bool) {
+/// Sends heartbeats of all members until the condition holds, and checks after each that they hold no more than the limit.
+pub async fn heartbeat_until(
+    coordinators: &Coordinators,
+    members: &mut [TestMember],
+    condition: impl Fn(&[TestMember]) -> bool,
+) {
     loop {
-        for n in 0..members.len() {
-            members[n].beat(&stewards.peers, &stewards.addresses()).await;
-            let all: MilliUnits = members.iter().map(Asks::holds).sum();
-            assert!(all <= WHOLE, "{all}");
+        for index in 0..members.len() {
+            members[index].send_heartbeat(&coordinators.peers, &coordinators.addresses()).await;
+            let total: MilliUnits = members.iter().map(TestMember::allocated).sum();
+            assert!(total <= BUDGET_LIMIT, "{total}");
         }
-        if what(members) {
+        if condition(members) {
             return;
         }
         actix_rt::time::sleep(Duration::from_millis(50)).await;
     }
 }
 
-pub fn near_all(members: &[Asks]) -> bool {
-    members.iter().map(Asks::holds).sum::<MilliUnits>() * 20 >= WHOLE * 19
+/// At least 95 percent of the limit is allocated.
+pub fn nearly_all_allocated(members: &[TestMember]) -> bool {
+    members.iter().map(TestMember::allocated).sum::<MilliUnits>() * 20 >= BUDGET_LIMIT * 19
+}
+
+/// No member holds more than its guarantee.
+pub fn only_guarantees(members: &[TestMember]) -> bool {
+    members.iter().all(|member| member.allocated() == GUARANTEED)
 }
--- a/crates/fernroute-coordinator/tests/configuration_commands.rs
+++ b/crates/fernroute-coordinator/tests/configuration_commands.rs
@@ -1,147 +1,184 @@
-//! `fernroute-coordinator configuration` at real stewards: what it prints, what it refuses, and how it ends.
+//! `fernroute-coordinator configuration`: its output, its errors and its exit codes.
 
 mod common;
 
 use common::balancer::Balancer;
-use common::operator::{content, get, history, put, until_beats, until_in_force, write};
-use common::{run, said, until, Stewards};
+use common::configuration::{content, get, history, put, wait_until_active, wait_until_known, write_file};
+use common::{program, run, run_command, wait_until, CommandOutput, Coordinators};
 use fernroute_coordinator::configuration::ConfigurationStatus;
 use fernroute_fleet::configuration::rollout::RolloutState;
 use fernroute_fleet::configuration::Scope;
 use fernroute_test_support::link::Link;
-use std::process::Command;
 
-/// One line, and the code of a refusal.
-fn is_refused((code, out, why): &(i32, String, String), what: &str) {
-    assert!(*code == 2 && out.is_empty() && why.contains(what), "{what}: {code} {out}{why}");
-    assert_eq!(why.lines().count(), 1, "{why}");
+/// Asserts exit code 2, and an error of one line with this text.
+fn assert_rejected(output: &CommandOutput, expected: &str) {
+    assert!(
+        output.code == 2 && output.stdout.is_empty() && output.stderr.contains(expected),
+        "{expected}: {output:?}"
+    );
+    assert_eq!(output.stderr.lines().count(), 1, "{output:?}");
 }
 
-/// Guards against a change by somebody who has not seen the latest one, which would be undone unseen.
+/// Guards against a change that is based on an older version than the latest, which it would silently revert.
 #[test]
-fn two_operators_at_once_one_wins_and_the_other_is_told_by_whom() {
+fn of_two_concurrent_puts_one_is_rejected_and_names_the_author_of_the_other() {
     run(async {
-        let mut stewards = Stewards::new("two", "shop", 3);
-        stewards.start();
-        stewards.leader(None).await;
-        put(&stewards, "service/web", &content(1), &["--who", "bob"]).await;
-        let file = write(&stewards, "late.toml", &content(2));
-        let words = ["configuration", "put", &file, "--scope", "service/web", "--from"];
-        let late = stewards.command(&[&words[..], &["0"]].concat()).await;
-        is_refused(&late, "service/web: version 1, by bob, 20");
-        assert!(late.2.trim_end().ends_with("the file was made from version 0"), "{}", late.2);
-        for n in 1..=5_u64 {
-            let files = [10, 20].map(|m| write(&stewards, &format!("{m}.toml"), &content(m + n)));
-            let from = n.to_string();
-            let words =
-                |m: usize| ["configuration", "put", &files[m], "--scope", "service/web", "--from", &from];
-            let (one, two) = (words(0), words(1));
-            let both = futures_util::join!(stewards.command(&one), stewards.command(&two));
-            let (wins, loses) = if both.0 .0 == 0 { both } else { (both.1, both.0) };
-            assert_eq!((wins.0, wins.1), (0, format!("version {}\n", n + 1)), "{}", wins.2);
-            is_refused(&loses, &format!("service/web: version {}, by ann", n + 1));
+        let coordinators = Coordinators::launch("two", "shop", 3).await;
+        put(&coordinators, "service/web", &content(1), &["--who", "bob"]).await;
+
+        let file = write_file(&coordinators, "late.toml", &content(2));
+        let arguments = ["configuration", "put", &file, "--scope", "service/web", "--from", "0"];
+        let late = coordinators.command(&arguments).await;
+
+        assert_rejected(&late, "service/web: version 1, by bob, 20");
+        assert!(late.stderr.trim_end().ends_with("the file was made from version 0"), "{late:?}");
+        for version in 1..=5_u64 {
+            let files = [10, 20].map(|retry_after| {
+                let name = format!("{retry_after}.toml");
+                write_file(&coordinators, &name, &content(retry_after + version))
+            });
+            let base = version.to_string();
+            let arguments = files
+                .each_ref()
+                .map(|file| ["configuration", "put", file, "--scope", "service/web", "--from", &base]);
+            let (first, second) =
+                futures_util::join!(coordinators.command(&arguments[0]), coordinators.command(&arguments[1]));
+            let (entered, rejected) = if first.code == 0 { (first, second) } else { (second, first) };
+            let expected = format!("version {}\n", version + 1);
+            assert_eq!((entered.code, &entered.stdout), (0, &expected), "{entered:?}");
+            assert_rejected(&rejected, &format!("service/web: version {}, by ann", version + 1));
         }
-        assert_eq!(history(&stewards).await.len(), 6);
+        assert_eq!(history(&coordinators).await.len(), 6);
     });
 }
 
-/// Guards against a word that is entered twice, or told as refused, because its answer was lost; and against one that comes
-/// late and lands over a newer one.
+/// Guards against a change that is entered twice or reported as rejected because the reply was lost, and against one that is
+/// delayed and overwrites a newer one.
 #[test]
-fn a_put_whose_answer_is_lost_is_known_again_and_one_that_comes_late_is_refused() {
+fn a_put_with_a_lost_reply_is_recognized_and_a_delayed_one_is_rejected() {
     run(async {
-        let mut stewards = Stewards::new("lost", "shop", 1);
-        stewards.start();
-        stewards.leader(None).await;
-        let link = Link::to(stewards.places[0].address).await.expect("a link");
-        let file = write(&stewards, "part.toml", &content(1));
-        let command = |who: &str| {
-            let mut command = Command::new(env!("CARGO_BIN_EXE_fernroute-coordinator"));
-            command.args(["configuration", "put", &file, "--scope", "all", "--who", who, "--at"]);
+        let coordinators = Coordinators::launch("lost", "shop", 1).await;
+        let link = Link::to(coordinators.processes[0].address).await.expect("a link");
+        let file = write_file(&coordinators, "part.toml", &content(1));
+        let put_by_link = || {
+            let mut command =
+                program(&["configuration", "put", &file, "--scope", "all", "--who", "ann", "--at"]);
             command.arg(link.address.to_string());
-            command
+            run_command(command)
         };
+
         link.catch("/-/configuration/put");
-        let let_go = async {
-            until(|| async { link.has_caught() }).await;
-            link.let_go().await.expect("it is answered");
+        let release = async {
+            wait_until(|| async { link.has_caught() }).await;
+            link.let_go().await.expect("a reply");
         };
-        let (ended, ()) = futures_util::join!(said(command("ann")), let_go);
-        assert_eq!((ended.0, ended.1.as_str()), (0, "version 1\n"), "{}", ended.2);
-        assert_eq!(history(&stewards).await.len(), 1);
+        let (output, ()) = futures_util::join!(put_by_link(), release);
+        assert_eq!((output.code, output.stdout.as_str()), (0, "version 1\n"), "{output:?}");
+        assert_eq!(history(&coordinators).await.len(), 1);
+
         link.catch("/-/configuration/put");
-        let overtake = async {
-            until(|| async { link.has_caught() }).await;
-            assert_eq!(put(&stewards, "all", &content(2), &["--who", "bob"]).await, 2);
-            link.let_go().await.expect("it is answered");
+        let overtake_and_release = async {
+            wait_until(|| async { link.has_caught() }).await;
+            assert_eq!(put(&coordinators, "all", &content(2), &["--who", "bob"]).await, 2);
+            link.let_go().await.expect("a reply");
         };
-        let (late, ()) = futures_util::join!(said(command("ann")), overtake);
-        is_refused(&late, "all: version 2, by bob");
-        let lines = history(&stewards).await;
-        assert!(lines.len() == 2 && get(&stewards, "all").await.1 == content(2), "{lines:?}");
+        let (delayed, ()) = futures_util::join!(put_by_link(), overtake_and_release);
+        assert_rejected(&delayed, "all: version 2, by bob");
+        let entries = history(&coordinators).await;
+        let latest = get(&coordinators, "all").await.stdout;
+        assert!(entries.len() == 2 && latest == content(2), "{entries:?}");
     });
 }
 
-/// Guards against `put --wait` that says done where it is not, and against a status that hides who is missing.
-#[test]
-fn who_refuses_or_is_on_its_way_is_named_by_put_and_by_status() {
-    run(async {
-        let mut stewards = Stewards::new("wait", "shop", 3);
-        stewards.start();
-        stewards.leader(None).await;
+/// A cluster with three balancers that follow its configuration, and one of an older version that does not.
+struct Fleet {
+    coordinators: Coordinators,
+    balancers: [Balancer; 3],
+    old_balancer: [Balancer; 1],
+}
+
+impl Fleet {
+    async fn new(test: &str) -> Self {
+        let coordinators = Coordinators::launch(test, "shop", 3).await;
         let balancers = [
-            Balancer::new(&stewards, 1, "n0", "web", "a", 0),
-            Balancer::new(&stewards, 2, "n1", "web", "b", 1),
-            Balancer::new(&stewards, 3, "n2", "web", "b", 2),
+            Balancer::new(&coordinators, 1, "n0", "web", "a", 0),
+            Balancer::new(&coordinators, 2, "n1", "web", "b", 1),
+            Balancer::new(&coordinators, 3, "n2", "web", "b", 2),
         ];
-        let old = [Balancer::new(&stewards, 4, "n3", "", "", 0)];
-        until_beats(&balancers).await;
-        until_beats(&old).await;
-        put(&stewards, "all", &content(1), &["--wait"]).await;
-        let put_for = |content: String, wait: &'static str| {
-            let (file, stewards) = (write(&stewards, "part.toml", &content), &stewards);
-            async move {
-                let words = ["configuration", "put", &file, "--scope", "service/web", "--wait", wait];
-                stewards.command(&words).await
-            }
-        };
-        // One will not have it: that is said as soon as nobody else is on the way.
-        balancers[1].view.refuses.replace(Some("retry_after_s = 2".to_owned()));
-        let (code, out, why) = put_for(content(2), "30").await;
-        assert_eq!((code, out.as_str()), (1, "version 2\n"), "{why}");
+        let old_balancer = [Balancer::without_configuration(&coordinators, 4, "n3")];
+        wait_until_known(&balancers).await;
+        wait_until_known(&old_balancer).await;
+        put(&coordinators, "all", &content(1), &["--wait"]).await;
+        Fleet { coordinators, balancers, old_balancer }
+    }
+
+    /// Runs `put --wait` for the service of the three.
+    async fn put_and_wait(&self, content: String, wait_s: &str) -> CommandOutput {
+        let file = write_file(&self.coordinators, "part.toml", &content);
+        let arguments = ["configuration", "put", &file, "--scope", "service/web", "--wait", wait_s];
+        self.coordinators.command(&arguments).await
+    }
+
+    async fn status_table(&self) -> String {
+        self.coordinators.command(&["configuration", "status"]).await.stdout
+    }
+
+    async fn a_rejection_is_reported_when_nothing_is_pending(&self) {
+        self.balancers[1].state.rejected_text.replace(Some("retry_after_s = 2".to_owned()));
+
+        let output = self.put_and_wait(content(2), "30").await;
+
+        assert_eq!((output.code, output.stdout.as_str()), (1, "version 2\n"), "{output:?}");
         assert_eq!(
-            why,
+            output.stderr,
             "fernroute-coordinator: version 2 is in force at 2 of 3; refused by n1: retry_after_s = 2 will not do here\n"
         );
-        let (_, out, _) = stewards.command(&["configuration", "status"]).await;
-        let line = |name: &str| out.lines().find(|line| line.starts_with(name)).unwrap_or_default();
-        assert!(line("n1").ends_with("refused: retry_after_s = 2 will not do here"), "{out}");
-        assert!(line("n0").ends_with("in force") && line("n3").ends_with("follows none"), "{out}");
-        assert!(line("service/web").contains(" 2 "), "{out}");
-        // One does not come: time is over, at once or after a while.
-        balancers[2].view.pauses.set(true);
-        for (n, wait) in [(3, "0"), (4, "0.5")] {
-            let (code, out, why) = put_for(content(n), wait).await;
-            assert_eq!((code, out), (1, format!("version {n}\n")), "{why}");
+        let table = self.status_table().await;
+        let line = |name: &str| table.lines().find(|line| line.starts_with(name)).unwrap_or_default();
+        assert!(line("n1").ends_with("refused: retry_after_s = 2 will not do here"), "{table}");
+        assert!(line("n0").ends_with("in force") && line("n3").ends_with("follows none"), "{table}");
+        assert!(line("service/web").contains(" 2 "), "{table}");
+    }
+
+    async fn a_paused_member_is_pending_until_the_wait_is_over(&self) {
+        self.balancers[2].state.is_paused.set(true);
+        for (version, wait_s) in [(3, "0"), (4, "0.5")] {
+            let output = self.put_and_wait(content(version), wait_s).await;
+
+            assert_eq!((output.code, &output.stdout), (1, &format!("version {version}\n")), "{output:?}");
             assert!(
-                why.lines().count() == 1 && why.contains("; on its way to ") && why.contains("n2"),
-                "{why}"
+                output.stderr.lines().count() == 1
+                    && output.stderr.contains("; on its way to ")
+                    && output.stderr.contains("n2"),
+                "{output:?}"
             );
         }
-        until_in_force(&balancers[..2], 4).await;
-        // It is not heard of any more, and not waited for.
-        until(|| async {
-            let (_, out, _) = stewards.command(&["configuration", "status"]).await;
-            out.lines().any(|line| line.starts_with("n2") && line.ends_with("not heard of"))
+        wait_until_active(&self.balancers[..2], 4).await;
+    }
+
+    async fn an_unreachable_member_is_not_waited_for(&self) {
+        wait_until(|| async {
+            let table = self.status_table().await;
+            table.lines().any(|line| line.starts_with("n2") && line.ends_with("not heard of"))
         })
         .await;
-        let (code, out, why) = put_for(content(5), "30").await;
-        assert!(code == 0 && out == "version 5\nin force at 2 of 2; not heard of: n2\n", "{out}{why}");
-        let (code, out, _) = stewards.command(&["configuration", "status", "--json"]).await;
-        let all: ConfigurationStatus = serde_json::from_str(&out).expect("it is JSON");
-        let standing = all.members.iter().map(|m| (m.name.as_str(), m.state, m.wanted, m.active));
+
+        let output = self.put_and_wait(content(5), "30").await;
+
+        let expected = "version 5\nin force at 2 of 2; not heard of: n2\n";
+        assert!(output.code == 0 && output.stdout == expected, "{output:?}");
+    }
+
+    async fn the_status_as_json_has_each_member_and_scope(&self) {
+        let output = self.coordinators.command(&["configuration", "status", "--json"]).await;
+
+        let status: ConfigurationStatus = serde_json::from_str(&output.stdout).expect("JSON");
+        let members = status
+            .members
+            .iter()
+            .map(|member| (member.name.as_str(), member.state, member.wanted, member.active));
         assert_eq!(
-            standing.collect::<Vec<_>>(),
+            members.collect::<Vec<_>>(),
             [
                 ("n0", RolloutState::Active, 5, 5),
                 ("n1", RolloutState::Active, 5, 5),
@@ -149,92 +186,138 @@
                 ("n3", RolloutState::NotFollowing, 0, 0),
             ]
         );
-        assert!(code == 0 && all.settled && all.cluster == "shop" && all.version == 5, "{out}");
-        assert!(all
-            .scopes
-            .iter()
-            .map(|s| (&s.scope, s.version))
-            .eq([(&Scope::All, 1), (&Scope::Service("web".to_owned()), 5)]));
-        // Just elected, a leader has heard of nobody: that is not taken for in force.
-        balancers.iter().chain(&old).for_each(|b| b.view.pauses.set(true));
-        let leader = stewards.leader(None).await;
-        stewards.places[leader].process().kill();
-        stewards.leader(Some(leader)).await;
-        let (code, _, why) = put_for(content(6), "0.2").await;
+        assert!(output.code == 0 && status.settled, "{output:?}");
+        assert!(status.cluster == "shop" && status.version == 5, "{output:?}");
+        let scopes = status.scopes.iter().map(|scope| (&scope.scope, scope.version));
+        assert!(scopes.eq([(&Scope::All, 1), (&Scope::Service("web".to_owned()), 5)]));
+    }
+
+    /// A new leader has received no heartbeat, which does not count as active.
+    async fn members_are_pending_right_after_an_election(&self) {
+        for balancer in self.balancers.iter().chain(&self.old_balancer) {
+            balancer.state.is_paused.set(true);
+        }
+        let leader = self.coordinators.leader(None).await;
+        self.coordinators.processes[leader].kill();
+        self.coordinators.leader(Some(leader)).await;
+
+        let output = self.put_and_wait(content(6), "0.2").await;
+
         assert!(
-            code == 1 && why.contains("in force at 0 of 4; on its way to n0, n1, n2, n3"),
-            "{code} {why}"
+            output.code == 1 && output.stderr.contains("in force at 0 of 4; on its way to n0, n1, n2, n3"),
+            "{output:?}"
         );
+    }
+}
+
+/// Guards against `put --wait` that succeeds before the rollout is complete, and against a status that hides members.
+#[test]
+fn put_and_status_name_the_members_where_a_rollout_is_not_complete() {
+    run(async {
+        let fleet = Fleet::new("wait").await;
+        fleet.a_rejection_is_reported_when_nothing_is_pending().await;
+        fleet.a_paused_member_is_pending_until_the_wait_is_over().await;
+        fleet.an_unreachable_member_is_not_waited_for().await;
+        fleet.the_status_as_json_has_each_member_and_scope().await;
+        fleet.members_are_pending_right_after_an_election().await;
     });
 }
 
-/// Guards against what will not load, and against a use that is taken for another.
+/// One coordinator with one entry, for all balancers.
+async fn with_one_entry(test: &str) -> Coordinators {
+    let coordinators = Coordinators::launch(test, "shop", 1).await;
+    put(&coordinators, "all", "[list]\nmode = \"ask\"\nask_within_s = 5\n", &[]).await;
+    coordinators
+}
+
+async fn assert_still_one_entry(coordinators: &Coordinators) {
+    let output = coordinators.command(&["configuration", "history"]).await;
+    assert!(
+        output.code == 0 && output.stdout.lines().count() == 2 && history(coordinators).await.len() == 1,
+        "{output:?}"
+    );
+}
+
+/// Guards against a content that balancers can't load.
 #[test]
-fn what_will_not_do_is_refused_in_one_line_and_nothing_is_entered() {
+fn invalid_contents_are_rejected_by_check_and_put_in_one_line() {
     run(async {
-        let mut stewards = Stewards::new("refused", "shop", 1);
-        stewards.start();
-        stewards.leader(None).await;
-        put(&stewards, "all", "[list]\nmode = \"ask\"\nask_within_s = 5\n", &[]).await;
-        let part = |name: &str, content: &str| write(&stewards, name, content);
-        let good = part("good.toml", &content(1));
-        let long = part("long.toml", &format!("# {}\n", "x".repeat(70_000)));
-        for (file, what) in [
+        let coordinators = with_one_entry("refused").await;
+        let part = |name: &str, content: &str| write_file(&coordinators, name, content);
+        for (file, expected) in [
             (part("a.toml", "[limits\n"), "line 1"),
             (part("b.toml", "[limits]\nretry_after_s = 1\nretry_before_s = 2\n"), "limits.retry_before_s"),
             (part("c.toml", "name = \"x\"\n"), "name: is each balancer's own"),
             (part("d.toml", "[limits]\ntransmissions = 0\n"), "limits.transmissions"),
             (part("e.toml", "[limits]\nconnect_ms = 5\n"), "limits.connect_ms: needs a restart"),
-            (long, "over 65536"),
+            (part("long.toml", &format!("# {}\n", "x".repeat(70_000))), "over 65536"),
             (part("none.toml", "") + "x", "No such file"),
         ] {
-            let mut check = Command::new(env!("CARGO_BIN_EXE_fernroute-coordinator"));
-            check.args(["configuration", "check", &file]);
-            is_refused(&said(check).await, what);
-            is_refused(&stewards.command(&["configuration", "put", &file, "--scope", "all"]).await, what);
+            let checked = run_command(program(&["configuration", "check", &file])).await;
+            assert_rejected(&checked, expected);
+            let put = coordinators.command(&["configuration", "put", &file, "--scope", "all"]).await;
+            assert_rejected(&put, expected);
         }
-        let mut check = Command::new(env!("CARGO_BIN_EXE_fernroute-coordinator"));
-        check.args(["configuration", "check", &good]);
-        let (code, out, _) = said(check).await;
-        assert!(code == 0 && out.contains("good.toml: will do: 27 bytes, "), "{out}");
-        let put = ["configuration", "put", &good];
-        let many = "x".repeat(65);
-        for (words, what) in [
+
+        let valid = part("good.toml", &content(1));
+        let output = run_command(program(&["configuration", "check", &valid])).await;
+        assert!(output.code == 0 && output.stdout.contains("good.toml: will do: 27 bytes, "), "{output:?}");
+        assert_still_one_entry(&coordinators).await;
+    });
+}
+
+/// Guards against arguments that are taken for others.
+#[test]
+fn invalid_arguments_are_rejected_in_one_line() {
+    run(async {
+        let coordinators = with_one_entry("arguments").await;
+        let file = write_file(&coordinators, "good.toml", &content(1));
+        let too_long = "x".repeat(65);
+        for (options, expected) in [
             (&["--scope", "everybody"][..], "is none of all, service/S"),
             (&["--scope", "service/"], "a name is empty"),
             (&["--scope", "all", "--from", "x"], "from"),
             (&["--scope", "all", "--who", ""], "name is empty"),
-            (&["--scope", "all", "--who", &many], "longer than 64"),
+            (&["--scope", "all", "--who", &too_long], "longer than 64"),
             (&["--scope", "all", "--wait", "-1"], "--wait"),
             (&["--scope", "all", "--from", "7"], "all: version 1, by ann"),
             (&["--scope", "service/x", "--from", "7"], "service/x"),
             (&[], "--scope"),
         ] {
-            is_refused(&stewards.command(&[&put[..], words].concat()).await, what);
+            let arguments = [&["configuration", "put", &file], options].concat();
+            assert_rejected(&coordinators.command(&arguments).await, expected);
         }
-        for (words, what) in [
+        for (arguments, expected) in [
             (&["configuration", "get", "--scope", "service/none"][..], "service/none: nothing was ever put"),
             (&["configuration", "get"], "--scope"),
             (&["configuration", "status", "more"], "more"),
             (&["configuration", "history", "--scope", "x"], "is none of"),
             (&["configuration", "undo"], "undo"),
         ] {
-            is_refused(&stewards.command(words).await, what);
+            assert_rejected(&coordinators.command(arguments).await, expected);
         }
-        for words in
-            [&["status"][..], &["history"], &["get", "--scope", "all"], &["put", &good, "--scope", "all"]]
+        assert_still_one_entry(&coordinators).await;
+        let arguments = ["configuration", "history", "--scope", "service/x", "--json"];
+        assert_eq!(coordinators.command(&arguments).await.stdout, "[]\n");
+    });
+}
+
+/// Guards against a command that succeeds or hangs without a coordinator.
+#[test]
+fn commands_without_a_reachable_coordinator_are_rejected_in_one_line() {
+    run(async {
+        let coordinators = with_one_entry("unreachable").await;
+        let file = write_file(&coordinators, "good.toml", &content(1));
+        for arguments in
+            [&["status"][..], &["history"], &["get", "--scope", "all"], &["put", &file, "--scope", "all"]]
         {
-            let mut nowhere = Command::new(env!("CARGO_BIN_EXE_fernroute-coordinator"));
-            nowhere.arg("configuration").args(words).env("USER", "ann");
-            is_refused(&said(nowhere).await, "--at");
-            let mut dead = Command::new(env!("CARGO_BIN_EXE_fernroute-coordinator"));
-            dead.arg("configuration").args(words).args(["--at", "127.0.0.1:1"]).env("USER", "ann");
-            is_refused(&said(dead).await, "127.0.0.1:1");
+            let mut without_address = program(&["configuration"]);
+            without_address.args(arguments).env("USER", "ann");
+            assert_rejected(&run_command(without_address).await, "--at");
+            let mut unreachable = program(&["configuration"]);
+            unreachable.args(arguments).args(["--at", "127.0.0.1:1"]).env("USER", "ann");
+            assert_rejected(&run_command(unreachable).await, "127.0.0.1:1");
         }
-        let (code, out, _) = stewards.command(&["configuration", "history"]).await;
-        assert!(code == 0 && out.lines().count() == 2 && history(&stewards).await.len() == 1, "{out}");
-        let (_, out, _) =
-            stewards.command(&["configuration", "history", "--scope", "service/x", "--json"]).await;
-        assert_eq!(out, "[]\n");
+        assert_still_one_entry(&coordinators).await;
     });
 }
--- a/crates/fernroute-coordinator/tests/store.rs
+++ b/crates/fernroute-coordinator/tests/store.rs
@@ -1,4 +1,4 @@
-//! What a steward keeps on its disk.
+//! A coordinator's disk: the log, and the snapshot of the state machine.
 
 use fernroute_coordinator::store::{LogStore, StateMachineStore};
 use fernroute_coordinator::RaftTypes;
@@ -11,21 +11,19 @@
 use std::path::{Path, PathBuf};
 
 const LOG: TableDefinition<'_, u64, &[u8]> = TableDefinition::new("log");
-const NOTES: TableDefinition<'_, &str, &[u8]> = TableDefinition::new("notes");
+const METADATA: TableDefinition<'_, &str, &[u8]> = TableDefinition::new("notes");
 
-fn folder(name: &str) -> PathBuf {
-    std::env::temp_dir().join(format!("fernroute-store-{name}-{}", std::process::id()))
+fn test_folder(test: &str) -> PathBuf {
+    std::env::temp_dir().join(format!("fernroute-store-{test}-{}", std::process::id()))
 }
 
-fn put(index: u64, base: u64, content: &str) -> openraft::Entry<RaftTypes> {
-    let content = content.to_owned();
-    let (hash, who) = (content_hash(&content), "ann".to_owned());
+fn put_entry(index: u64, base_version: u64, content: &str) -> openraft::Entry<RaftTypes> {
     let put = ConfigurationPut {
         scope: Scope::All,
-        base_version: base,
-        content_hash: hash,
-        content,
-        author: who,
+        base_version,
+        content_hash: content_hash(content),
+        content: content.to_owned(),
+        author: "ann".to_owned(),
         entered_at_ms: 1,
         min_version_exclusive: 0,
     };
@@ -33,98 +31,98 @@
     openraft::Entry { log_id, payload: EntryPayload::Normal(Entry::Configuration(put)) }
 }
 
-fn book(folder: &Path) -> StateMachineStore {
-    let (disk, _) = LogStore::open(folder, "c").expect("it opens");
-    StateMachineStore::open(disk).expect("it is read")
+fn open_state_machine(folder: &Path) -> StateMachineStore {
+    let (log, _) = LogStore::open(folder, "c").expect("it opens");
+    StateMachineStore::open(log).expect("it is read")
 }
 
-/// Guards against a word whose fate is not told, and a register that a snapshot leaves out.
+/// Guards against an entry without a result, and a snapshot without the register.
 #[test]
-fn applying_tells_the_version_or_why_not_and_a_snapshot_keeps_it() {
-    let folder = folder("snapshot");
+fn applying_returns_the_version_or_the_rejection_and_a_snapshot_restores_it() {
+    let folder = test_folder("snapshot");
     actix_rt::System::new().block_on(async {
-        let mut kept = book(&folder);
-        let told = kept
-            .apply([put(1, 0, "a = 1"), put(2, 0, "a = 2"), put(3, 1, "a = 3")])
+        let mut store = open_state_machine(&folder);
+        let results = store
+            .apply([put_entry(1, 0, "a = 1"), put_entry(2, 0, "a = 2"), put_entry(3, 1, "a = 3")])
             .await
             .expect("it applies");
-        assert_eq!((&told[0], &told[2]), (&Ok(1), &Ok(2)));
-        let why = told[1].as_ref().expect_err("it did not start from the latest");
-        assert_eq!((why.latest, why.why.as_str()), (Some(1), "the scope is at version 1"));
-        kept.build_snapshot().await.expect("it is kept");
-        drop(kept);
-        let kept = book(&folder);
-        let kept = kept.kept.borrow();
-        assert_eq!(kept.register.entry(&Scope::All).map(|part| part.content.as_str()), Some("a = 3"));
-        assert_eq!((kept.register.version(), kept.register.history().count()), (2, 2));
+        assert_eq!((&results[0], &results[2]), (&Ok(1), &Ok(2)));
+        let rejection = results[1].as_ref().expect_err("its base is not the latest version");
+        assert_eq!((rejection.latest, rejection.why.as_str()), (Some(1), "the scope is at version 1"));
+        store.build_snapshot().await.expect("it is written");
+        drop(store);
+        let store = open_state_machine(&folder);
+        let state = store.kept.borrow();
+        assert_eq!(state.register.entry(&Scope::All).map(|entry| entry.content.as_str()), Some("a = 3"));
+        assert_eq!((state.register.version(), state.register.history().count()), (2, 2));
     });
     let _ = std::fs::remove_dir_all(&folder);
 }
 
-/// Guards against a steward that does not start on the disk that the version before left.
+/// Guards against a coordinator that does not start with the disk of an older version.
 #[test]
-fn a_disk_of_a_version_that_knew_no_configuration_opens_with_an_empty_register() {
-    let folder = folder("before");
+fn a_disk_of_a_version_without_configuration_opens_with_an_empty_register() {
+    let folder = test_folder("older");
     actix_rt::System::new().block_on(async {
-        let mut kept = book(&folder);
-        kept.apply([put(1, 0, "a = 1")]).await.expect("it applies");
-        kept.build_snapshot().await.expect("it is kept");
-        drop(kept);
-        // As it was written before.
-        let file = Database::create(folder.join("ledger.redb")).expect("it opens");
-        let read = file.begin_read().expect("it reads").open_table(NOTES).expect("it is there");
-        let bytes = read.get("snapshot").expect("it reads").expect("it is there").value().to_vec();
-        let mut note: serde_json::Value = serde_json::from_slice(&bytes).expect("it is JSON");
-        note.as_object_mut().and_then(|note| note.remove("register")).expect("it was there");
-        let write = file.begin_write().expect("it writes");
-        let bytes = serde_json::to_vec(&note).expect("it is JSON");
-        write
-            .open_table(NOTES)
+        let mut store = open_state_machine(&folder);
+        store.apply([put_entry(1, 0, "a = 1")]).await.expect("it applies");
+        store.build_snapshot().await.expect("it is written");
+        drop(store);
+        // The older version wrote a snapshot without a register.
+        let database = Database::create(folder.join("ledger.redb")).expect("it opens");
+        let table = database.begin_read().expect("it reads").open_table(METADATA).expect("it is there");
+        let bytes = table.get("snapshot").expect("it reads").expect("it is there").value().to_vec();
+        let mut snapshot: serde_json::Value = serde_json::from_slice(&bytes).expect("it is JSON");
+        snapshot.as_object_mut().and_then(|fields| fields.remove("register")).expect("it was there");
+        let transaction = database.begin_write().expect("it writes");
+        let bytes = serde_json::to_vec(&snapshot).expect("it is JSON");
+        transaction
+            .open_table(METADATA)
             .expect("it is there")
             .insert("snapshot", bytes.as_slice())
             .expect("it is written");
-        write.commit().expect("it is kept");
-        drop((read, file));
-        let mut kept = book(&folder);
-        assert_eq!(kept.kept.borrow().register.version(), 0);
-        assert_eq!(kept.applied_state().await.expect("it is told").0.map(|at| at.index), Some(1));
-        assert_eq!(kept.apply([put(2, 0, "a = 2")]).await.expect("it applies"), [Ok(1)]);
+        transaction.commit().expect("it is written");
+        drop((table, database));
+        let mut store = open_state_machine(&folder);
+        assert_eq!(store.kept.borrow().register.version(), 0);
+        assert_eq!(store.applied_state().await.expect("it is read").0.map(|log_id| log_id.index), Some(1));
+        assert_eq!(store.apply([put_entry(2, 0, "a = 2")]).await.expect("it applies"), [Ok(1)]);
     });
     let _ = std::fs::remove_dir_all(&folder);
 }
 
-/// Guards against a message of many long entries, which does not get to another steward in the time that it has, and is
-/// sent again as long as it was.
+/// Guards against a message of many long entries, which exceeds its time-out each time it is sent.
 #[test]
-fn what_goes_to_another_steward_at_once_is_some_entries_or_one_long_one() {
-    let folder = folder("some");
+fn a_message_to_another_coordinator_has_a_few_entries_or_one_long_one() {
+    let folder = test_folder("message");
     actix_rt::System::new().block_on(async {
-        drop(book(&folder));
-        let file = Database::create(folder.join("ledger.redb")).expect("it opens");
-        let write = file.begin_write().expect("it writes");
+        drop(open_state_machine(&folder));
+        let database = Database::create(folder.join("ledger.redb")).expect("it opens");
+        let transaction = database.begin_write().expect("it writes");
         {
-            let mut log = write.open_table(LOG).expect("it is there");
-            // Five short ones, a long one, three of half that length, and short ones.
+            let mut log = transaction.open_table(LOG).expect("it is there");
+            // Five short entries, a long one, three of half that length, and two short ones.
             let lengths = [10, 10, 10, 10, 10, 65_000, 30_000, 30_000, 30_000, 10, 10];
             for (index, length) in (0..).zip(lengths) {
-                let bytes = serde_json::to_vec(&put(index, 0, &"x".repeat(length))).expect("it is JSON");
+                let bytes =
+                    serde_json::to_vec(&put_entry(index, 0, &"x".repeat(length))).expect("it is JSON");
                 log.insert(index, bytes.as_slice()).expect("it is written");
             }
         }
-        write.commit().expect("it is kept");
-        drop(file);
-        let (mut disk, _) = LogStore::open(&folder, "c").expect("it opens");
-        let mut places = Vec::new();
+        transaction.commit().expect("it is written");
+        drop(database);
+        let (mut log, _) = LogStore::open(&folder, "c").expect("it opens");
+        let mut ends = Vec::new();
         let mut next = 0;
         while next < 11 {
-            let some = disk.limited_get_log_entries(next, 11).await.expect("it reads");
-            assert!(some.iter().map(|entry| entry.log_id.index).eq(next..next + some.len() as u64));
-            next += some.len() as u64;
-            places.push(next);
+            let entries = log.limited_get_log_entries(next, 11).await.expect("it reads");
+            assert!(entries.iter().map(|entry| entry.log_id.index).eq(next..next + entries.len() as u64));
+            next += entries.len() as u64;
+            ends.push(next);
         }
-        assert_eq!(places, [6, 9, 11]);
-        assert_eq!(disk.limited_get_log_entries(5, 6).await.expect("it reads").len(), 1);
-        assert_eq!(disk.try_get_log_entries(0..11).await.expect("it reads").len(), 11);
+        assert_eq!(ends, [6, 9, 11]);
+        assert_eq!(log.limited_get_log_entries(5, 6).await.expect("it reads").len(), 1);
+        assert_eq!(log.try_get_log_entries(0..11).await.expect("it reads").len(), 11);
     });
     let _ = std::fs::remove_dir_all(&folder);
 }
--- a/crates/fernroute-coordinator/tests/stored_data.rs
+++ b/crates/fernroute-coordinator/tests/stored_data.rs
@@ -5,7 +5,7 @@
 
 mod common;
 
-use common::{run, until, Stewards};
+use common::{run, Coordinators};
 use fernroute_coordinator::duties::DutiesStatus;
 use fernroute_coordinator::store::{LogStore, StateMachineStore};
 use fernroute_fleet::configuration::register::HistoryEntry;
@@ -94,36 +94,38 @@
 #[test]
 fn a_coordinator_goes_on_from_a_stored_folder() {
     run(async {
-        let mut stewards = Stewards::new("stored", "shop", 1);
-        copy_into(&stewards.places[0].disk.folder);
+        let mut coordinators = Coordinators::new("stored", "shop", 1);
+        copy_into(&coordinators.processes[0].disk.folder);
         for name in ["compact", "report", "sweep"] {
-            stewards.places[0].change_page("[[budget]]", &format!("[[duty]]\nname = \"{name}\"\n[[budget]]"));
+            coordinators.processes[0]
+                .replace_in_config("[[budget]]", &format!("[[duty]]\nname = \"{name}\"\n[[budget]]"));
         }
-        stewards.places[0].change_page(
+        coordinators.processes[0].replace_in_config(
             "floors = 0.1\n",
             "floors = 0.1\n[[budget]]\nname = \"transmissions beyond the first\"\nwhole = 50\n",
         );
-        stewards.start();
-        stewards.leader(None).await;
-        let status = stewards.status(0).await.expect("it answers");
+        coordinators.start();
+        coordinators.leader(None).await;
+        let status = coordinators.status(0).await.expect("it answers");
         assert_eq!((status.id, status.cluster.as_str()), (IDENTITY, "shop"));
         assert!(status.term >= 3 && status.epoch >= 8, "{} {}", status.term, status.epoch);
         let members: Vec<&str> = status.members.iter().map(|member| member.name.as_str()).collect();
         assert_eq!(members, ["n0", "n2"]);
-        let (code, content, _) = stewards.command(&["configuration", "get", "--scope", "all"]).await;
-        assert_eq!((code, content.as_str()), (0, "[limits]\nretry_after_s = 3\n"));
-        let (_, history, _) = stewards.command(&["configuration", "history", "--json"]).await;
-        let history: Vec<HistoryEntry> = serde_json::from_str(&history).expect("a history");
+        let output = coordinators.command(&["configuration", "get", "--scope", "all"]).await;
+        assert_eq!((output.code, output.stdout.as_str()), (0, "[limits]\nretry_after_s = 3\n"));
+        let output = coordinators.command(&["configuration", "history", "--json"]).await;
+        let history: Vec<HistoryEntry> = serde_json::from_str(&output.stdout).expect("a history");
         let versions: Vec<u64> = history.iter().map(|line| line.version).collect();
         assert_eq!(versions, [1, 2, 7, 8, 9]);
-        let (_, duties, _) = stewards.command(&["duties", "status", "--json"]).await;
-        let duties: DutiesStatus = serde_json::from_str(&duties).expect("a status");
+        let output = coordinators.command(&["duties", "status", "--json"]).await;
+        let duties: DutiesStatus = serde_json::from_str(&output.stdout).expect("a status");
         assert_eq!((duties.highest_term, duties.duties.len()), (6, 3));
         let holder = duties.duties[0].holder.as_ref().expect("it is held");
         assert_eq!((holder.name.as_str(), holder.term, holder.note.as_str()), ("n2", 6, "begun"));
-        let file = common::operator::write(&stewards, "part.toml", "[limits]\nretry_after_s = 5\n");
-        let (_, said, _) = stewards.command(&["configuration", "put", &file, "--scope", "all"]).await;
-        assert_eq!(said, "version 10\n");
-        until(|| async { stewards.status(0).await.is_some_and(|status| status.state == "leader") }).await;
+        let file =
+            common::configuration::write_file(&coordinators, "part.toml", "[limits]\nretry_after_s = 5\n");
+        let output = coordinators.command(&["configuration", "put", &file, "--scope", "all"]).await;
+        assert_eq!(output.stdout, "version 10\n");
+        coordinators.wait_for_state(0, "leader").await;
     });
 }
