--- a/crates/fernroute-server/src/program/configuration.rs
+++ b/crates/fernroute-server/src/program/configuration.rs
@@ -16,7 +16,7 @@
 use fernroute_config::Fleet;
 use fernroute_fleet::configuration::follower::{ConfigurationFollower, ConfigurationSnapshot, FetchError};
 use fernroute_fleet::configuration::{
-    ConfigurationReport, FetchReply, FetchRequest, Target, Version, FETCH_PATH,
+    ConfigurationReport, FetchReply, FetchRequest, ScopeEntry, Target, Version, FETCH_PATH,
 };
 use std::cell::{Cell, RefCell};
 use std::fmt::Display;
@@ -128,7 +128,8 @@
 /// The layers of the snapshot; an entry that was emptied is none.
 fn layers(snapshot: &ConfigurationSnapshot) -> Vec<Layer> {
     let entries = snapshot.entries().filter(|entry| !entry.content.is_empty());
-    entries.map(|entry| (entry.scope.to_string(), entry.content.clone())).collect()
+    let layer = |entry: &ScopeEntry| Layer { scope: entry.scope.to_string(), text: entry.content.clone() };
+    entries.map(layer).collect()
 }
 
 impl ConfigurationTask {
--- a/crates/fernroute-server/src/program/instance.rs
+++ b/crates/fernroute-server/src/program/instance.rs
@@ -16,8 +16,14 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 use thiserror::Error;
 
-/// One layer of the fleet's configuration: the name of its scope, and its text.
-pub type Layer = (String, String);
+/// One layer of the fleet's configuration.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Layer {
+    /// The name of the scope that it belongs to, for error messages.
+    pub scope: String,
+    /// Settings in the syntax of an operator's file.
+    pub text: String,
+}
 
 /// A balancer's file can't be used.
 #[derive(Debug, Error)]
@@ -220,7 +226,8 @@
         let plan = if layers.is_empty() {
             fernroute_config::decode(text)
         } else {
-            let layers: Vec<(&str, &str)> = layers.iter().map(|(scope, text)| (&**scope, &**text)).collect();
+            let layers: Vec<(&str, &str)> =
+                layers.iter().map(|layer| (&*layer.scope, &*layer.text)).collect();
             fernroute_config::layers::load(text, &layers)
         };
         Ok(Instance::from_plan(plan.map_err(DecodeError::Faults)?))
--- a/crates/fernroute-server/src/program/mod.rs
+++ b/crates/fernroute-server/src/program/mod.rs
@@ -7,6 +7,7 @@
 pub mod descriptor_quota;
 mod duties;
 pub mod fleet;
+mod identity;
 pub mod instance;
 pub mod log;
 pub mod ops;
--- a/crates/fernroute-server/src/program/serve.rs
+++ b/crates/fernroute-server/src/program/serve.rs
@@ -93,9 +93,8 @@
     let active = Rc::new(ActiveConfiguration::new(path, instance.clone())?);
     let configuration = configuration::begin(&instance, |layers| active.begin_with(layers))?;
     let instance = active.instance();
-    let predecessor = predecessor::find(&instance.name, instance.listen).await?;
-    let (running, predecessor) = start_after(instance, predecessor, configuration.clone()).await?;
-    let running = Rc::new(running);
+    let mut predecessor = predecessor::find(&instance.name, instance.listen).await?;
+    let running = Rc::new(start_after(&mut predecessor, instance, configuration.clone()).await?);
     if let Some(configuration) = &configuration {
         let board = Rc::clone(&running.board);
         let (overlaid, overlay) = (Rc::clone(&running), Rc::clone(&active));
@@ -112,32 +111,49 @@
 /// # Errors
 /// When the balancer does not start.
 pub async fn start(instance: Instance) -> Result<RunningInstance, StartError> {
-    let (running, _) = start_after(instance, Predecessor::Absent, None).await?;
-    Ok(running)
+    start_after(&mut Predecessor::Absent, instance, None).await
 }
 
-/// Starts a balancer after its predecessor, whose remaining parts are returned. One that follows the fleet's configuration
-/// stays *waiting*.
-///
-/// # Errors
-/// When the balancer does not start.
+/// Starts a balancer with what its predecessor handed over, which is taken from it. A balancer that follows the fleet's
+/// configuration stays *waiting*.
 async fn start_after(
+    predecessor: &mut Predecessor,
     mut instance: Instance,
-    mut predecessor: Predecessor,
     configuration: Option<Rc<ConfigurationTask>>,
-) -> Result<(RunningInstance, Predecessor), StartError> {
+) -> Result<RunningInstance, StartError> {
     let serves_at_once = matches!(predecessor, Predecessor::Absent) && configuration.is_none();
-    let quota = initial_quota(&instance, &predecessor);
+    let quota = initial_quota(&instance, predecessor);
     let board = new_board(&instance, quota)?;
     if !serves_at_once {
         board.phase_change(|phase, _| phase.wait());
     }
-    adopt_endpoint_list(&mut instance, &predecessor);
+    adopt_endpoint_list(&mut instance, predecessor);
     if let Some(known) = &instance.known {
         board.take_list(known, false);
     }
+    let running = open_sockets(&instance, predecessor, board, quota).await?;
+    running.server.set_accepting(serves_at_once);
+    spawn_tasks(&running.board, &running.server);
+    if let Some(door) = running.door {
+        tracing::info!("operators are answered on {door}");
+    }
+    running.watch_endpoints(instance.discovery, instance.since);
+    join_fleet(&running, &instance, predecessor, configuration)?;
+    if serves_at_once {
+        running.log_serving();
+    }
+    Ok(running)
+}
+
+/// Opens the sockets for callers and operators; no task runs yet that accepts from the callers' one.
+async fn open_sockets(
+    instance: &Instance,
+    predecessor: &mut Predecessor,
+    board: Rc<Switchboard>,
+    quota: DescriptorQuota,
+) -> Result<RunningInstance, StartError> {
     let listen_error = |source| StartError::Listen { address: instance.listen, source };
-    let socket = open_socket(instance.listen, &mut predecessor).map_err(listen_error)?;
+    let socket = open_caller_socket(instance.listen, predecessor).map_err(listen_error)?;
     let address = socket.local_addr().map_err(listen_error)?;
     let (listener, bound_socket) = match socket {
         CallerSocket::Listening(listener) => (Some(listener), None),
@@ -148,12 +164,7 @@
         Some(address) => Some(ops::open(address, &board, &server).await?),
         None => None,
     };
-    server.set_accepting(serves_at_once);
-    spawn_tasks(&board, &server);
-    if let Some(door) = door {
-        tracing::info!("operators are answered on {door}");
-    }
-    let running = RunningInstance {
+    Ok(RunningInstance {
         board,
         server,
         address,
@@ -167,13 +178,7 @@
         decisions_start_polls: Cell::new(decisions_start_polls(&instance.terms)),
         endpoint_watch: RefCell::default(),
         fleet_member: RefCell::default(),
-    };
-    running.watch_endpoints(instance.discovery, instance.since);
-    join_fleet(&running, &instance, &mut predecessor, configuration)?;
-    if serves_at_once {
-        running.log_serving();
-    }
-    Ok((running, predecessor))
+    })
 }
 
 /// All that the file and the system allow; beside a predecessor, what that one leaves.
@@ -235,7 +240,7 @@
 
 /// The predecessor's socket where there is one, else a new one. Beside a process that may serve, it does not listen yet:
 /// that process's callers would wait in a queue that nobody accepts from.
-fn open_socket(listen: SocketAddr, predecessor: &mut Predecessor) -> io::Result<CallerSocket> {
+fn open_caller_socket(listen: SocketAddr, predecessor: &mut Predecessor) -> io::Result<CallerSocket> {
     if let Some(listener) = predecessor.serving_mut().and_then(|serving| serving.listener.take()) {
         return Ok(CallerSocket::Listening(listener));
     }
