--- a/crates/fernroute-fleet/tests/member.rs
+++ b/crates/fernroute-fleet/tests/member.rs
@@ -1,18 +1,18 @@
-//! A balancer's side: what it holds, and until when.
+//! A balancer's side of the budgets: the grant that it uses, and when that expires.
 
 use fernroute_fleet::member::{Member, ReplyStatus};
 use fernroute_fleet::message::{Grant, Heartbeat, HeartbeatReply};
 use fernroute_fleet::{BudgetAmounts, MilliUnits};
 
-fn grant(epoch: u64, floor: MilliUnits, share: MilliUnits) -> Grant {
-    let of = |amount| BudgetAmounts::from([("acme".to_owned(), amount)]);
-    Grant { epoch, guaranteed: of(floor), quotas: of(share) }
+fn grant(epoch: u64, guaranteed: MilliUnits, quota: MilliUnits) -> Grant {
+    let amounts = |amount| BudgetAmounts::from([("acme".to_owned(), amount)]);
+    Grant { epoch, guaranteed: amounts(guaranteed), quotas: amounts(quota) }
 }
 
-fn answer(beat: &Heartbeat, grant: Grant) -> HeartbeatReply {
+fn reply(heartbeat: &Heartbeat, grant: Grant) -> HeartbeatReply {
     HeartbeatReply {
-        identity: beat.identity,
-        number: beat.number,
+        identity: heartbeat.identity,
+        number: heartbeat.number,
         grant,
         quotas_valid_for: 100,
         guaranteed_valid_for: 1000,
@@ -21,71 +21,82 @@
     }
 }
 
-/// Guards against a process that spends what has lapsed because an answer took long, came twice or was overtaken,
-/// or because it stood still itself.
+/// Guards against a process that spends an expired grant because a reply was late, repeated or overtaken, or because the
+/// process itself was stopped.
 #[test]
-fn times_count_from_the_asking_and_what_is_late_old_or_double_brings_nothing() {
-    let mut m = Member::new("n0", 7, 0);
-    assert_eq!(m.allocated(0, "acme"), 0);
-    let first = m.heartbeat(50, BudgetAmounts::new());
-    let second = m.heartbeat(60, BudgetAmounts::new());
-    assert_eq!(m.on_reply(140, &answer(&first, grant(3, 2, 8))), ReplyStatus::NewGrant);
-    assert_eq!((m.allocated(149, "acme"), m.allocated(150, "acme"), m.allocated(1049, "acme")), (10, 2, 2));
-    assert_eq!((m.allocated(1050, "acme"), m.allocated(149, "other")), (0, 0));
-    assert_eq!(m.on_reply(141, &answer(&first, grant(3, 2, 8))), ReplyStatus::Stale);
-    assert_eq!(m.on_reply(142, &answer(&second, grant(2, 2, 90))), ReplyStatus::OlderEpoch);
-    assert_eq!(m.expirations(), (150, 1050));
-    let third = m.heartbeat(145, BudgetAmounts::new());
-    assert_eq!((third.epoch, m.on_reply(146, &answer(&third, grant(3, 2, 8)))), (3, ReplyStatus::Extended));
-    assert_eq!(m.expirations(), (245, 1145));
-    // Stopped for long, it finds out by its clock; then a ledger that was begun anew may grant again.
-    let fourth = m.heartbeat(150, BudgetAmounts::new());
-    assert_eq!(m.on_reply(5000, &answer(&fourth, grant(4, 2, 90))), ReplyStatus::Stale);
-    assert_eq!(m.allocated(5000, "acme"), 0);
-    let anew = m.heartbeat(5000, BudgetAmounts::new());
+fn a_grant_expires_by_when_its_heartbeat_was_sent_and_late_old_or_repeated_replies_add_nothing() {
+    let mut member = Member::new("n0", 7, 0);
+    assert_eq!(member.allocated(0, "acme"), 0);
+    let first = member.heartbeat(50, BudgetAmounts::new());
+    let second = member.heartbeat(60, BudgetAmounts::new());
+    assert_eq!(member.on_reply(140, &reply(&first, grant(3, 2, 8))), ReplyStatus::NewGrant);
     assert_eq!(
-        (m.on_reply(5001, &answer(&anew, grant(1, 2, 8))), m.allocated(5001, "acme")),
+        (member.allocated(149, "acme"), member.allocated(150, "acme"), member.allocated(1049, "acme")),
+        (10, 2, 2)
+    );
+    assert_eq!((member.allocated(1050, "acme"), member.allocated(149, "other")), (0, 0));
+    assert_eq!(member.on_reply(141, &reply(&first, grant(3, 2, 8))), ReplyStatus::Stale);
+    assert_eq!(member.on_reply(142, &reply(&second, grant(2, 2, 90))), ReplyStatus::OlderEpoch);
+    assert_eq!(member.expirations(), (150, 1050));
+    let third = member.heartbeat(145, BudgetAmounts::new());
+    assert_eq!(
+        (third.epoch, member.on_reply(146, &reply(&third, grant(3, 2, 8)))),
+        (3, ReplyStatus::Extended)
+    );
+    assert_eq!(member.expirations(), (245, 1145));
+    // After a long stop its clock shows that the grant has expired; then a ledger that was set up anew may grant again.
+    let fourth = member.heartbeat(150, BudgetAmounts::new());
+    assert_eq!(member.on_reply(5000, &reply(&fourth, grant(4, 2, 90))), ReplyStatus::Stale);
+    assert_eq!(member.allocated(5000, "acme"), 0);
+    let after_stop = member.heartbeat(5000, BudgetAmounts::new());
+    assert_eq!(
+        (member.on_reply(5001, &reply(&after_stop, grant(1, 2, 8))), member.allocated(5001, "acme")),
         (ReplyStatus::NewGrant, 10)
     );
-    // An answer to somebody else.
-    let fifth = m.heartbeat(5000, BudgetAmounts::new());
+    // A reply to another member.
+    let fifth = member.heartbeat(5000, BudgetAmounts::new());
     assert_eq!(
-        m.on_reply(5000, &HeartbeatReply { identity: 8, ..answer(&fifth, grant(9, 9, 9)) }),
+        member.on_reply(5000, &HeartbeatReply { identity: 8, ..reply(&fifth, grant(9, 9, 9)) }),
         ReplyStatus::Stale
     );
-    let many: Vec<Heartbeat> = (0..1000).map(|_| m.heartbeat(5000, BudgetAmounts::new())).collect();
-    // Of so many only the last sixteen are noted.
-    for (n, beat) in many.iter().enumerate() {
-        let heard = if n < 984 { ReplyStatus::Stale } else { ReplyStatus::Extended };
-        assert_eq!(m.clone().on_reply(5001, &answer(beat, grant(1, 2, 8))), heard, "{n}");
+    let unanswered: Vec<Heartbeat> =
+        (0..1000).map(|_| member.heartbeat(5000, BudgetAmounts::new())).collect();
+    // Replies to the last sixteen alone are used.
+    for (index, heartbeat) in unanswered.iter().enumerate() {
+        let expected = if index < 984 { ReplyStatus::Stale } else { ReplyStatus::Extended };
+        let status = member.clone().on_reply(5001, &reply(heartbeat, grant(1, 2, 8)));
+        assert_eq!(status, expected, "{index}");
     }
-    let last = m.leave();
+    let last = member.leave();
     assert!(last.leaving && last.number == 1007, "{last:?}");
 }
 
-/// Guards against two processes of one balancer that spend a grant each.
+/// Guards against two processes of one balancer that use a whole grant each.
 #[test]
-fn an_old_and_a_new_process_hold_one_grant_between_them() {
-    let mut old = Member::new("n0", 7, 0);
-    let beat = old.heartbeat(0, BudgetAmounts::new());
-    old.on_reply(1, &answer(&beat, grant(3, 3, 9)));
-    let handed = old.hand_over(2).expect("it holds alone");
-    let mut new = Member::take_over("n0", 2, 1 << 32, &handed);
-    assert_eq!((new.hand_over(2), new.expirations()), (None, old.expirations()));
-    assert_eq!((old.allocated(2, "acme"), new.allocated(2, "acme")), (5, 5));
-    let beat = new.heartbeat(3, BudgetAmounts::new());
-    // More than both began with is not used, and less is not said to be accepted, until the old one has ended.
-    assert_eq!(new.on_reply(4, &answer(&beat, grant(4, 4, 20))), ReplyStatus::NewGrant);
-    assert_eq!((old.allocated(5, "acme"), new.allocated(5, "acme"), new.epoch()), (5, 5, 3));
-    let beat = new.heartbeat(6, BudgetAmounts::new());
-    assert_eq!(new.on_reply(7, &answer(&beat, grant(5, 0, 4))), ReplyStatus::NewGrant);
-    assert_eq!((new.allocated(8, "acme"), new.epoch()), (2, 3));
-    new.own_whole_grant();
-    assert_eq!((new.allocated(8, "acme"), new.epoch()), (4, 5));
-    // Or the new one ends, and the old one goes on with what it had.
-    old.resume_after_handover(1 << 33);
+fn a_predecessor_and_its_successor_share_one_grant() {
+    let mut predecessor = Member::new("n0", 7, 0);
+    let heartbeat = predecessor.heartbeat(0, BudgetAmounts::new());
+    predecessor.on_reply(1, &reply(&heartbeat, grant(3, 3, 9)));
+    let handover = predecessor.hand_over(2).expect("it shares with no other process");
+    let mut successor = Member::take_over("n0", 2, 1 << 32, &handover);
+    assert_eq!((successor.hand_over(2), successor.expirations()), (None, predecessor.expirations()));
+    assert_eq!((predecessor.allocated(2, "acme"), successor.allocated(2, "acme")), (5, 5));
+    let heartbeat = successor.heartbeat(3, BudgetAmounts::new());
+    // A larger grant is not used, and a smaller one not reported as accepted, until the predecessor has ended.
+    assert_eq!(successor.on_reply(4, &reply(&heartbeat, grant(4, 4, 20))), ReplyStatus::NewGrant);
+    assert_eq!(
+        (predecessor.allocated(5, "acme"), successor.allocated(5, "acme"), successor.epoch()),
+        (5, 5, 3)
+    );
+    let heartbeat = successor.heartbeat(6, BudgetAmounts::new());
+    assert_eq!(successor.on_reply(7, &reply(&heartbeat, grant(5, 0, 4))), ReplyStatus::NewGrant);
+    assert_eq!((successor.allocated(8, "acme"), successor.epoch()), (2, 3));
+    successor.own_whole_grant();
+    assert_eq!((successor.allocated(8, "acme"), successor.epoch()), (4, 5));
+    // Where the successor ends instead, the predecessor continues with its whole grant.
+    predecessor.resume_after_handover(1 << 33);
     assert_eq!(
-        (old.allocated(8, "acme"), old.heartbeat(9, BudgetAmounts::new()).number),
+        (predecessor.allocated(8, "acme"), predecessor.heartbeat(9, BudgetAmounts::new()).number),
         (12, (1 << 33) + 1)
     );
 }
