--- a/crates/fernroute-coordinator/src/configuration.rs
+++ b/crates/fernroute-coordinator/src/configuration.rs
@@ -78,14 +78,14 @@
 }
 
 impl Replica {
-    pub(crate) fn register<T>(&self, look: impl FnOnce(&Register) -> T) -> T {
-        look(&self.book.kept.borrow().register)
+    pub(crate) fn register<T>(&self, read: impl FnOnce(&Register) -> T) -> T {
+        read(&self.state_machine.kept.borrow().register)
     }
 
     /// While this steward leads for certain, and has applied all that was entered before.
     pub(crate) async fn leads(&self) -> Result<&Raft, RequestError> {
-        self.look();
-        let leads = self.leading.borrow().is_some();
+        self.update_leadership();
+        let leads = self.leadership.borrow().is_some();
         let Some(raft) = self.raft().filter(|_| leads) else {
             return Err(RequestError::Elsewhere(self.leader_address()));
         };
@@ -105,7 +105,7 @@
         let told = format!("{scope} by {who}");
         // Numbers that members go by of a register that was lost are not given again.
         let above =
-            self.leading.borrow().as_ref().map_or(0, |leading| leading.budgets.highest_reported_version());
+            self.leadership.borrow().as_ref().map_or(0, |leading| leading.budgets.highest_reported_version());
         let put = ConfigurationPut {
             scope: scope.clone(),
             base_version: base,
@@ -151,11 +151,11 @@
         }))
     }
 
-    pub async fn standings(&self) -> Result<ConfigurationStatus, RequestError> {
+    pub async fn configuration_status(&self) -> Result<ConfigurationStatus, RequestError> {
         self.leads().await?;
-        let leading = self.leading.borrow();
+        let leading = self.leadership.borrow();
         let Some(leading) = leading.as_ref() else { return Err(RequestError::Elsewhere(None)) };
-        let kept = self.book.kept.borrow();
+        let kept = self.state_machine.kept.borrow();
         let mut members = leading.budgets.configuration_states(now(), &kept.ledger, &kept.register);
         members.sort_by(|a, b| a.name.cmp(&b.name));
         let scope = |part: &ScopeEntry| ScopeStatus {
@@ -165,10 +165,10 @@
             bytes: part.content.len(),
         };
         Ok(ConfigurationStatus {
-            cluster: self.own.cluster.clone(),
+            cluster: self.identity.cluster.clone(),
             leader: self.terms.name.clone(),
             version: kept.register.version(),
-            settled: now().saturating_sub(self.leads_from.get()) > self.terms.shares.expires_after(),
+            settled: now().saturating_sub(self.became_leader_at.get()) > self.terms.shares.expires_after(),
             scopes: kept.register.entries().map(scope).collect(),
             summary: RolloutSummary::new(&members),
             members,
--- a/crates/fernroute-coordinator/src/duties.rs
+++ b/crates/fernroute-coordinator/src/duties.rs
@@ -63,30 +63,31 @@
 }
 
 impl Replica {
-    pub(crate) fn duties<T>(&self, look: impl FnOnce(&DutyTable) -> T) -> T {
-        look(&self.book.kept.borrow().duties)
+    pub(crate) fn duties<T>(&self, read: impl FnOnce(&DutyTable) -> T) -> T {
+        read(&self.state_machine.kept.borrow().duties)
     }
 
     /// Enters the duties of the file, and what the leader decides about them. False where it is not known whether an entry
     /// was entered: this steward leads no more then.
-    pub(crate) async fn enter_duties(&self, raft: &Raft) -> bool {
+    pub(crate) async fn commit_due_duties(&self, raft: &Raft) -> bool {
         if self.duties(|table| table.names() != self.terms.duties) {
             let names = DutyEntry::Names(self.terms.duties.clone());
-            if !self.enter_for_certain(raft, ledger::Entry::Duties(names)).await {
+            if !self.commit_or_step_down(raft, ledger::Entry::Duties(names)).await {
                 return false;
             }
         }
         let change = {
-            let mut leading = self.leading.borrow_mut();
+            let mut leading = self.leadership.borrow_mut();
             let Some(leading) = leading.as_mut() else { return false };
             self.duties(|table| leading.duties.next_transition(now(), table))
         };
         let Some(change) = change else { return true };
         let before = self.duties(DutyTable::clone);
-        if !self.enter_for_certain(raft, ledger::Entry::Duties(DutyEntry::Transition(change.clone()))).await {
+        if !self.commit_or_step_down(raft, ledger::Entry::Duties(DutyEntry::Transition(change.clone()))).await
+        {
             return false;
         }
-        if let Some(leading) = self.leading.borrow_mut().as_mut() {
+        if let Some(leading) = self.leadership.borrow_mut().as_mut() {
             self.duties(|table| leading.duties.transition_done(now(), table));
         }
         self.tell(&before, &change);
@@ -108,7 +109,7 @@
 
     pub async fn duty_status(&self) -> Result<DutiesStatus, RequestError> {
         self.leads().await?;
-        let leading = self.leading.borrow();
+        let leading = self.leadership.borrow();
         let Some(leading) = leading.as_ref() else { return Err(RequestError::Elsewhere(None)) };
         let now = now();
         let line = |duty: &str, holder: &DutyHolder| {
@@ -131,7 +132,7 @@
             lines.collect()
         });
         Ok(DutiesStatus {
-            cluster: self.own.cluster.clone(),
+            cluster: self.identity.cluster.clone(),
             leader: self.terms.name.clone(),
             highest_term: self.duties(DutyTable::highest_term),
             ended: self.duties_ended.borrow().clone(),
@@ -142,7 +143,7 @@
     /// An operator wants a duty to go to another member.
     pub async fn release_duty(&self, duty: &str) -> Result<Released, RequestError> {
         self.leads().await?;
-        let mut leading = self.leading.borrow_mut();
+        let mut leading = self.leadership.borrow_mut();
         let Some(leading) = leading.as_mut() else { return Err(RequestError::Elsewhere(None)) };
         if !self.duties(|table| table.duties().contains_key(duty)) {
             return Err(RequestError::Refused(format!("{duty}: no such duty")));
--- a/crates/fernroute-coordinator/src/http.rs
+++ b/crates/fernroute-coordinator/src/http.rs
@@ -2,7 +2,7 @@
 
 use crate::configuration::{self, GET, HISTORY, PUT};
 use crate::duties;
-use crate::peers::{sent, APPEND, CHANGE, INFO_PATH, MOST_BYTES, SNAPSHOT, STATUS, VOTE};
+use crate::peers::{position_after, APPEND, CHANGE, INFO_PATH, MAX_MESSAGE_BYTES, SNAPSHOT, STATUS, VOTE};
 use crate::replica::Replica;
 use crate::store::ReplicaPosition;
 use crate::{Raft, RaftTypes};
@@ -64,18 +64,18 @@
 async fn answer(keeper: &Rc<Replica>, mut request: Request) -> Response<BoxBody> {
     let path = request.path().to_owned();
     let done = match (request.method(), path.as_str()) {
-        (&Method::GET, INFO_PATH) => json(&keeper.who()),
+        (&Method::GET, INFO_PATH) => json(&keeper.info()),
         (&Method::GET, STATUS) => json(&keeper.status()),
         (&Method::POST, APPEND | VOTE | SNAPSHOT) => steward(keeper, &path, &mut request).await,
         (&Method::POST, HEARTBEAT_PATH) => {
             match read::<Heartbeat>(keeper, &mut request, MAX_HEARTBEAT_BYTES, false).await {
-                Ok(beat) => json(&keeper.beat(&beat).await),
+                Ok(beat) => json(&keeper.on_heartbeat(&beat).await),
                 Err(why) => Err(why),
             }
         }
         (&Method::POST, CHANGE) => {
             match read::<Vec<String>>(keeper, &mut request, MAX_HEARTBEAT_BYTES, false).await {
-                Ok(names) => json(&keeper.change(&names).await),
+                Ok(names) => json(&keeper.change_membership(&names).await.map_err(|error| error.to_string())),
                 Err(why) => Err(why),
             }
         }
@@ -110,7 +110,7 @@
         Err(HttpError(status, why)) => {
             // One for another steward, or another cluster, was read.
             if matches!(status, StatusCode::BAD_REQUEST | StatusCode::PAYLOAD_TOO_LARGE) {
-                keeper.unread.set(keeper.unread.get() + 1);
+                keeper.unreadable_messages.set(keeper.unreadable_messages.get() + 1);
             }
             tracing::debug!("{path}: {why}");
             Response::build(status).body(why).map_into_boxed_body()
@@ -122,17 +122,23 @@
 async fn steward(keeper: &Replica, path: &str, request: &mut Request) -> Result<Vec<u8>, HttpError> {
     let raft = |keeper: &Replica| -> Result<Raft, HttpError> {
         let raft = keeper.raft().cloned();
-        raft.ok_or_else(|| HttpError(StatusCode::SERVICE_UNAVAILABLE, keeper.trouble().unwrap_or_default()))
+        raft.ok_or_else(|| {
+            HttpError(
+                StatusCode::SERVICE_UNAVAILABLE,
+                keeper.fault().map_or_else(String::new, |fault| fault.to_string()),
+            )
+        })
     };
-    let hear = |from: u64, mark: ReplicaPosition| keeper.peers.hear(from, mark);
+    let hear = |from: u64, mark: ReplicaPosition| keeper.peers.record_position(from, mark);
     match path {
         APPEND => {
-            let message: AppendEntriesRequest<RaftTypes> = read(keeper, request, MOST_BYTES, true).await?;
-            hear(message.vote.leader_id.node_id, sent(&message));
+            let message: AppendEntriesRequest<RaftTypes> =
+                read(keeper, request, MAX_MESSAGE_BYTES, true).await?;
+            hear(message.vote.leader_id.node_id, position_after(&message));
             json(&raft(keeper)?.append_entries(message).await)
         }
         VOTE => {
-            let message: VoteRequest<u64> = read(keeper, request, MOST_BYTES, true).await?;
+            let message: VoteRequest<u64> = read(keeper, request, MAX_MESSAGE_BYTES, true).await?;
             hear(
                 message.vote.leader_id.node_id,
                 ReplicaPosition::new(&message.vote, message.last_log_id.as_ref()),
@@ -140,7 +146,7 @@
             json(&raft(keeper)?.vote(message).await)
         }
         _ => {
-            let message = read(keeper, request, MOST_BYTES, true).await?;
+            let message = read(keeper, request, MAX_MESSAGE_BYTES, true).await?;
             json(&raft(keeper)?.install_snapshot(message).await)
         }
     }
@@ -148,7 +154,7 @@
 
 /// What concerns configuration. One that takes no part, or can't use its disk, says so: whoever asks goes to another.
 async fn configured(keeper: &Replica, path: &str, request: &mut Request) -> Result<Vec<u8>, HttpError> {
-    if let Some(why) = keeper.trouble() {
+    if let Some(why) = keeper.fault() {
         return Err(HttpError(StatusCode::SERVICE_UNAVAILABLE, format!("takes no part: {why}")));
     }
     match path {
@@ -156,7 +162,7 @@
         PUT => json(&keeper.put(read(keeper, request, MAX_PUT_BYTES, false).await?).await),
         configuration::STATUS => {
             read::<()>(keeper, request, MAX_HEARTBEAT_BYTES, false).await?;
-            json(&keeper.standings().await)
+            json(&keeper.configuration_status().await)
         }
         GET => json(&keeper.latest(&read(keeper, request, MAX_HEARTBEAT_BYTES, false).await?).await),
         _ => {
@@ -168,7 +174,7 @@
 
 /// What concerns duties.
 async fn duty(keeper: &Replica, path: &str, request: &mut Request) -> Result<Vec<u8>, HttpError> {
-    if let Some(why) = keeper.trouble() {
+    if let Some(why) = keeper.fault() {
         return Err(HttpError(StatusCode::SERVICE_UNAVAILABLE, format!("takes no part: {why}")));
     }
     match path {
@@ -212,11 +218,14 @@
     if envelope.version != PROTOCOL_VERSION {
         return Err(bad(format!("version {} is not known here, {PROTOCOL_VERSION} is", envelope.version)));
     }
-    if envelope.cluster != keeper.own.cluster {
-        return Err(HttpError(StatusCode::CONFLICT, format!("this is the cluster {}", keeper.own.cluster)));
+    if envelope.cluster != keeper.identity.cluster {
+        return Err(HttpError(
+            StatusCode::CONFLICT,
+            format!("this is the cluster {}", keeper.identity.cluster),
+        ));
     }
-    if mine && envelope.recipient != keeper.own.id {
-        return Err(HttpError(StatusCode::CONFLICT, format!("this is the steward {}", keeper.own.id)));
+    if mine && envelope.recipient != keeper.identity.id {
+        return Err(HttpError(StatusCode::CONFLICT, format!("this is the steward {}", keeper.identity.id)));
     }
     serde_json::from_value(envelope.message).map_err(|e| bad(e.to_string()))
 }
--- a/crates/fernroute-coordinator/src/peers.rs
+++ b/crates/fernroute-coordinator/src/peers.rs
@@ -1,10 +1,11 @@
-//! What stewards say to each other, and members to them: HTTP/1.1 with JSON, an envelope round each message that names the
-//! cluster, the version and whom it is for.
+//! Messages between replicas, and of members and operators' commands to them: HTTP/1.1 with JSON. An envelope round each
+//! message names the cluster, the version of the protocol and the recipient.
 
 use crate::config::CoordinatorAddress;
 use crate::store::ReplicaPosition;
 use crate::RaftTypes;
 use actix_http::error::PayloadError;
+use actix_http::StatusCode;
 use awc::error::SendRequestError;
 use awc::{Client, ClientResponse};
 use bytes::Bytes;
@@ -24,109 +25,209 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
+use thiserror::Error;
 
+/// Path of raft's `AppendEntries` requests.
 pub const APPEND: &str = "/-/append";
+/// Path of raft's `Vote` requests.
 pub const VOTE: &str = "/-/vote";
+/// Path of raft's `InstallSnapshot` requests.
 pub const SNAPSHOT: &str = "/-/snapshot";
+/// Path of a replica's [`ReplicaInfo`].
 pub const INFO_PATH: &str = "/-/who";
+/// Path of a replica's [`crate::status::Status`].
 pub const STATUS: &str = "/-/status";
+/// Path of a change of the membership.
 pub const CHANGE: &str = "/-/change";
 
-/// The longest message: a ledger of some ten thousand members.
-pub const MOST_BYTES: usize = 16 << 20;
+/// The longest message between replicas: a ledger of some ten thousand members.
+pub const MAX_MESSAGE_BYTES: usize = 16 << 20;
 
-/// ReplicaInfo a steward is, and whether it has ever been of a ledger's processes.
+/// What a replica says of itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaInfo {
+    /// The cluster of its ledger.
     pub cluster: String,
+    /// Its name in the configuration.
     pub name: String,
+    /// The identifier of its disk.
     pub id: u64,
-    pub blank: bool,
-    /// What stewards have said to this one since it started, by their ids: votes for it, and entries that they kept. As
-    /// many as have ever been of the ledger's processes.
-    #[serde(default)]
-    pub heard: BTreeMap<u64, ReplicaPosition>,
+    /// It has never belonged to a ledger.
+    #[serde(rename = "blank")]
+    pub is_uninitialized: bool,
+    /// The latest positions of other replicas since this one started, by identifier: votes and entries that they sent or
+    /// acknowledged. One for each replica that has ever belonged to the ledger, at most.
+    #[serde(rename = "heard", default)]
+    pub known_positions: BTreeMap<u64, ReplicaPosition>,
 }
 
-/// Carries messages to other stewards.
+/// Why a message got no reply that can be read.
+#[derive(Debug, Error)]
+pub enum PeerError {
+    /// The request could not be sent, or no response came in time.
+    #[error("{address}: {source}")]
+    Send {
+        /// Where the request went.
+        address: String,
+        /// Why it failed.
+        source: SendRequestError,
+    },
+    /// The response's body could not be received.
+    #[error("{address}: {source}")]
+    Body {
+        /// Where the response came from.
+        address: String,
+        /// Why it failed.
+        source: PayloadError,
+    },
+    /// The response has a status other than success.
+    #[error("{address}: {status}: {body}")]
+    Status {
+        /// Where the response came from.
+        address: String,
+        /// Its status.
+        status: StatusCode,
+        /// Its body.
+        body: String,
+    },
+    /// The response is not the expected JSON.
+    #[error("{address}: {source}")]
+    Decode {
+        /// Where the response came from.
+        address: String,
+        /// What is wrong with it.
+        source: serde_json::Error,
+    },
+    /// The configuration has no replica of this name.
+    #[error("no steward of this file is called {name}")]
+    UnknownName {
+        /// The name in the ledger's membership.
+        name: String,
+    },
+}
+
+/// Carries messages to other replicas.
 #[derive(Clone)]
 pub struct Peers {
-    pub cluster: String,
-    pub client: Client,
-    /// Where the stewards are, by their names: the ledger knows them by name alone, so that each file says where they are
-    /// from there.
-    places: Rc<BTreeMap<String, SocketAddr>>,
-    pub heard: Rc<RefCell<BTreeMap<u64, ReplicaPosition>>>,
-    /// Stewards whose last message failed: told once, and once more when one gets through. Emptied by those.
-    lost: Rc<RefCell<BTreeSet<u64>>>,
+    cluster: String,
+    client: Client,
+    /// Addresses of the configured replicas by name: the ledger knows names alone, since each configuration may reach a
+    /// replica at another address.
+    addresses: Rc<BTreeMap<String, SocketAddr>>,
+    /// Written by [`Peers::record_position`]; one entry for each replica that ever belonged to the ledger.
+    known_positions: Rc<RefCell<BTreeMap<u64, ReplicaPosition>>>,
+    /// Replicas whose last message failed, so that each change is logged once; written by [`Peer::call`].
+    unreachable: Rc<RefCell<BTreeSet<u64>>>,
 }
 
-/// What came of a message that got no answer of its own kind.
-pub type Failed = String;
-
 impl Peers {
-    pub fn new(cluster: &str, stewards: &[CoordinatorAddress]) -> Self {
-        // No redirect, no decompression; the time-out is each call's.
+    /// A client of one cluster; an empty cluster or no replicas will do for a request without an envelope.
+    pub fn new(cluster: &str, replicas: &[CoordinatorAddress]) -> Self {
+        // The time-out is each request's.
         let client = Client::builder().disable_redirects().no_default_headers().finish();
-        let places = stewards.iter().map(|s| (s.name.clone(), s.address)).collect();
+        let addresses = replicas.iter().map(|replica| (replica.name.clone(), replica.address)).collect();
         Peers {
             cluster: cluster.to_owned(),
             client,
-            places: Rc::new(places),
-            heard: Rc::default(),
-            lost: Rc::default(),
+            addresses: Rc::new(addresses),
+            known_positions: Rc::default(),
+            unreachable: Rc::default(),
         }
     }
 
-    /// Where the steward of this name is.
-    pub fn place(&self, name: &str) -> Option<SocketAddr> {
-        self.places.get(name).copied()
+    /// The configured address of the replica of this name.
+    pub(crate) fn address_of(&self, name: &str) -> Option<SocketAddr> {
+        self.addresses.get(name).copied()
+    }
+
+    pub(crate) fn known_positions(&self) -> BTreeMap<u64, ReplicaPosition> {
+        self.known_positions.borrow().clone()
     }
 
-    /// A steward has said how far it went, by an answer or by a message of its own.
-    pub fn hear(&self, id: u64, mark: ReplicaPosition) {
-        let mut heard = self.heard.borrow_mut();
-        let known = heard.entry(id).or_default();
-        *known = mark.max(*known);
+    /// Records how far a replica is, by a reply or by a message of its own.
+    pub(crate) fn record_position(&self, id: u64, position: ReplicaPosition) {
+        let mut positions = self.known_positions.borrow_mut();
+        let known = positions.entry(id).or_default();
+        *known = position.max(*known);
     }
 
-    pub async fn say<M: Serialize, A: DeserializeOwned>(
+    /// Posts a message in an envelope and reads the reply.
+    pub(crate) async fn post<M: Serialize, R: DeserializeOwned>(
         &self,
-        at: &str,
+        address: &str,
         path: &str,
-        to: u64,
+        recipient: u64,
         message: &M,
-        within: Duration,
-    ) -> Result<A, Failed> {
-        let envelope =
-            Envelope { cluster: self.cluster.clone(), version: PROTOCOL_VERSION, recipient: to, message };
-        let call = self.client.post(format!("http://{at}{path}")).timeout(within);
-        decode(at, call.send_json(&envelope).await).await
+        timeout: Duration,
+    ) -> Result<R, PeerError> {
+        let cluster = self.cluster.clone();
+        let envelope = Envelope { cluster, version: PROTOCOL_VERSION, recipient, message };
+        let request = self.client.post(format!("http://{address}{path}")).timeout(timeout);
+        decode(address, request.send_json(&envelope).await).await
     }
 
-    pub async fn ask<A: DeserializeOwned>(
+    /// Reads what is at a path.
+    pub(crate) async fn get<R: DeserializeOwned>(
         &self,
-        at: &str,
+        address: &str,
         path: &str,
-        within: Duration,
-    ) -> Result<A, Failed> {
-        decode(at, self.client.get(format!("http://{at}{path}")).timeout(within).send().await).await
+        timeout: Duration,
+    ) -> Result<R, PeerError> {
+        let request = self.client.get(format!("http://{address}{path}")).timeout(timeout);
+        decode(address, request.send().await).await
+    }
+
+    /// Posts a message in an envelope and reads the reply; for commands.
+    ///
+    /// # Errors
+    /// The one line that an operator reads.
+    pub async fn say<M: Serialize, R: DeserializeOwned>(
+        &self,
+        address: &str,
+        path: &str,
+        recipient: u64,
+        message: &M,
+        timeout: Duration,
+    ) -> Result<R, String> {
+        self.post(address, path, recipient, message, timeout).await.map_err(|error| error.to_string())
+    }
+
+    /// Reads what is at a path; for commands.
+    ///
+    /// # Errors
+    /// The one line that an operator reads.
+    pub async fn ask<R: DeserializeOwned>(
+        &self,
+        address: &str,
+        path: &str,
+        timeout: Duration,
+    ) -> Result<R, String> {
+        self.get(address, path, timeout).await.map_err(|error| error.to_string())
     }
 }
 
-async fn decode<A: DeserializeOwned, S>(
-    at: &str,
-    sent: Result<ClientResponse<S>, SendRequestError>,
-) -> Result<A, Failed>
+async fn decode<R: DeserializeOwned, S>(
+    address: &str,
+    response: Result<ClientResponse<S>, SendRequestError>,
+) -> Result<R, PeerError>
 where
     S: Stream<Item = Result<Bytes, PayloadError>>,
 {
-    let mut answer = sent.map_err(|e| format!("{at}: {e}"))?;
-    let body = answer.body().limit(MOST_BYTES).await.map_err(|e| format!("{at}: {e}"))?;
-    if !answer.status().is_success() {
-        return Err(format!("{at}: {}: {}", answer.status(), String::from_utf8_lossy(&body)));
+    let address = address.to_owned();
+    let mut response = match response {
+        Ok(response) => response,
+        Err(source) => return Err(PeerError::Send { address, source }),
+    };
+    let body = match response.body().limit(MAX_MESSAGE_BYTES).await {
+        Ok(body) => body,
+        Err(source) => return Err(PeerError::Body { address, source }),
+    };
+    let status = response.status();
+    if !status.is_success() {
+        let body = String::from_utf8_lossy(&body).into_owned();
+        return Err(PeerError::Status { address, status, body });
     }
-    serde_json::from_slice(&body).map_err(|e| format!("{at}: {e}"))
+    serde_json::from_slice(&body).map_err(|source| PeerError::Decode { address, source })
 }
 
 impl RaftNetworkFactory<RaftTypes> for Peers {
@@ -137,47 +238,56 @@
     }
 }
 
-/// The way to one other steward.
+/// Carries raft's messages to one other replica.
 pub struct Peer {
     peers: Peers,
     id: u64,
     name: String,
 }
 
-type Answer<T, E> = Result<T, RPCError<u64, BasicNode, RaftError<u64, E>>>;
+type RpcResult<R, E> = Result<R, RPCError<u64, BasicNode, RaftError<u64, E>>>;
 
 impl Peer {
-    /// An answer is what the library at the other side said, an error of its own included.
-    async fn say<M, A, E>(&self, path: &str, message: &M, within: Duration) -> Answer<A, E>
+    /// Sends one of raft's requests; the reply may be an error of raft at the other replica.
+    async fn call<M, R, E>(&self, path: &str, message: &M, timeout: Duration) -> RpcResult<R, E>
     where
         M: Serialize,
-        A: DeserializeOwned,
+        R: DeserializeOwned,
         E: DeserializeOwned + std::error::Error,
     {
-        let said: Result<Result<A, RaftError<u64, E>>, Failed> = match self.peers.place(&self.name) {
-            Some(at) => self.peers.say(&at.to_string(), path, self.id, message, within).await,
-            None => Err(format!("no steward of this file is called {}", self.name)),
+        let reply: Result<Result<R, RaftError<u64, E>>, PeerError> = match self.peers.address_of(&self.name) {
+            Some(address) => self.peers.post(&address.to_string(), path, self.id, message, timeout).await,
+            None => Err(PeerError::UnknownName { name: self.name.clone() }),
         };
-        let mut lost = self.peers.lost.borrow_mut();
-        if said.is_ok() && lost.remove(&self.id) {
-            tracing::info!("steward {} is reached again", self.name);
+        self.log_reachability(reply.as_ref().err());
+        match reply {
+            Ok(Ok(reply)) => Ok(reply),
+            Ok(Err(error)) => Err(RPCError::RemoteError(RemoteError::new(self.id, error))),
+            // Raft backs off before it tries again.
+            Err(error) => {
+                let error = NetworkError::new(&AnyError::error(error));
+                Err(RPCError::Unreachable(Unreachable::new(&error)))
+            }
         }
-        match said {
-            Ok(Ok(answer)) => Ok(answer),
-            Ok(Err(why)) => Err(RPCError::RemoteError(RemoteError::new(self.id, why))),
-            // The library waits a little before it tries again.
-            Err(why) => {
-                if lost.insert(self.id) {
-                    tracing::warn!("steward {} is not reached: {why}", self.name);
-                }
-                Err(RPCError::Unreachable(Unreachable::new(&NetworkError::new(&AnyError::error(why)))))
+    }
+
+    /// Logs a replica that became unreachable, or reachable again.
+    fn log_reachability(&self, error: Option<&PeerError>) {
+        let mut unreachable = self.peers.unreachable.borrow_mut();
+        match error {
+            None if unreachable.remove(&self.id) => {
+                tracing::info!("steward {} is reached again", self.name);
+            }
+            Some(error) if unreachable.insert(self.id) => {
+                tracing::warn!("steward {} is not reached: {error}", self.name);
             }
+            _ => {}
         }
     }
 }
 
-/// How far whoever sends or keeps this is.
-pub fn sent(message: &AppendEntriesRequest<RaftTypes>) -> ReplicaPosition {
+/// The position of a replica that sends these entries, or has stored them.
+pub(crate) fn position_after(message: &AppendEntriesRequest<RaftTypes>) -> ReplicaPosition {
     let last = message.entries.last().map(|entry| entry.log_id).or(message.prev_log_id);
     ReplicaPosition::new(&message.vote, last.as_ref())
 }
@@ -188,11 +298,11 @@
         message: AppendEntriesRequest<RaftTypes>,
         option: RPCOption,
     ) -> Result<AppendEntriesResponse<u64>, RPCError<u64, BasicNode, RaftError<u64>>> {
-        let said = self.say(APPEND, &message, option.hard_ttl()).await?;
-        if let AppendEntriesResponse::Success = said {
-            self.peers.hear(self.id, sent(&message));
+        let reply = self.call(APPEND, &message, option.hard_ttl()).await?;
+        if let AppendEntriesResponse::Success = reply {
+            self.peers.record_position(self.id, position_after(&message));
         }
-        Ok(said)
+        Ok(reply)
     }
 
     async fn install_snapshot(
@@ -201,11 +311,12 @@
         option: RPCOption,
     ) -> Result<InstallSnapshotResponse<u64>, RPCError<u64, BasicNode, RaftError<u64, InstallSnapshotError>>>
     {
-        let said: InstallSnapshotResponse<u64> = self.say(SNAPSHOT, &message, option.hard_ttl()).await?;
-        if message.done && said.vote == message.vote {
-            self.peers.hear(self.id, ReplicaPosition::new(&message.vote, message.meta.last_log_id.as_ref()));
+        let reply: InstallSnapshotResponse<u64> = self.call(SNAPSHOT, &message, option.hard_ttl()).await?;
+        if message.done && reply.vote == message.vote {
+            let position = ReplicaPosition::new(&message.vote, message.meta.last_log_id.as_ref());
+            self.peers.record_position(self.id, position);
         }
-        Ok(said)
+        Ok(reply)
     }
 
     async fn vote(
@@ -213,10 +324,10 @@
         message: VoteRequest<u64>,
         option: RPCOption,
     ) -> Result<VoteResponse<u64>, RPCError<u64, BasicNode, RaftError<u64>>> {
-        let said: VoteResponse<u64> = self.say(VOTE, &message, option.hard_ttl()).await?;
-        if said.vote_granted {
-            self.peers.hear(self.id, ReplicaPosition::new(&message.vote, None));
+        let reply: VoteResponse<u64> = self.call(VOTE, &message, option.hard_ttl()).await?;
+        if reply.vote_granted {
+            self.peers.record_position(self.id, ReplicaPosition::new(&message.vote, None));
         }
-        Ok(said)
+        Ok(reply)
     }
 }
--- a/crates/fernroute-coordinator/src/status.rs
+++ b/crates/fernroute-coordinator/src/status.rs
@@ -53,7 +53,7 @@
 }
 
 impl Replica {
-    pub(crate) fn stewards(&self) -> Vec<ReplicaStatus> {
+    pub(crate) fn members(&self) -> Vec<ReplicaStatus> {
         let Some(metrics) = self.metrics() else { return Vec::new() };
         let membership = metrics.membership_config.membership();
         let voters: BTreeSet<u64> = membership.voter_ids().collect();
@@ -66,23 +66,24 @@
     }
 
     pub fn status(&self) -> Status {
-        let (metrics, trouble, stewards) = (self.metrics(), self.trouble(), self.stewards());
+        let (metrics, trouble, stewards) =
+            (self.metrics(), self.fault().map(|fault| fault.to_string()), self.members());
         let leader = metrics.as_ref().and_then(|m| m.current_leader);
         let leader = leader.and_then(|leader| Some(stewards.iter().find(|s| s.id == leader)?.name.clone()));
         let state = match &metrics {
             None => "waiting".to_owned(),
             Some(_) if trouble.is_some() => "stopped".to_owned(),
-            Some(_) if self.who().blank => "blank".to_owned(),
+            Some(_) if self.info().is_uninitialized => "blank".to_owned(),
             Some(metrics) => format!("{:?}", metrics.state).to_lowercase(),
         };
         self.ledger(|ledger| Status {
             cluster: self.terms.cluster.clone(),
             steward: self.terms.name.clone(),
-            id: self.own.id,
+            id: self.identity.id,
             state,
             trouble,
             stewards,
-            unread: self.unread.get(),
+            unread: self.unreadable_messages.get(),
             leader,
             term: metrics.as_ref().map_or(0, |m| m.current_term),
             epoch: ledger.epoch(),
--- /dev/null
+++ b/crates/fernroute-coordinator/src/store/state_machine.rs
@@ -0,0 +1,139 @@
+//! The state that committed entries come to: ledger, configuration register and duties.
+
+use super::log_store::SNAPSHOT_KEY;
+use super::{read_error, LogStore, StoreError};
+use crate::{Applied, ApplyFailure, RaftTypes};
+use fernroute_fleet::configuration::register::{PutError, Register};
+use fernroute_fleet::configuration::MAX_CONTENT_BYTES;
+use fernroute_fleet::duties::table::DutyTable;
+use fernroute_fleet::ledger::{Entry as Command, Ledger};
+use openraft::storage::{RaftStateMachine, Snapshot};
+use openraft::{
+    BasicNode, Entry, EntryPayload, LogId, OptionalSend, SnapshotMeta, StorageError, StoredMembership,
+};
+use serde::{Deserialize, Serialize};
+use std::cell::RefCell;
+use std::io::Cursor;
+use std::rc::Rc;
+
+/// The state of the ledger after the last applied entry.
+#[derive(Clone, Debug, Default, Serialize, Deserialize)]
+pub struct StateMachine {
+    /// Budgets and what members hold of them.
+    pub ledger: Ledger,
+    /// The fleet's configuration; absent on a disk of an earlier version.
+    #[serde(default)]
+    pub register: Register,
+    /// Duties and their holders; absent on a disk of an earlier version.
+    #[serde(default)]
+    pub duties: DutyTable,
+    #[serde(rename = "applied")]
+    pub(super) last_applied: Option<LogId<u64>>,
+    pub(super) membership: StoredMembership<u64, BasicNode>,
+}
+
+impl StateMachine {
+    fn apply(&mut self, entry: Entry<RaftTypes>) -> Applied {
+        self.last_applied = Some(entry.log_id);
+        match entry.payload {
+            EntryPayload::Blank => Ok(0),
+            EntryPayload::Normal(command) => self.apply_command(command),
+            EntryPayload::Membership(membership) => {
+                self.membership = StoredMembership::new(Some(entry.log_id), membership);
+                Ok(0)
+            }
+        }
+    }
+
+    fn apply_command(&mut self, command: Command) -> Applied {
+        let failure = |why: String| ApplyFailure { why, latest: None };
+        match command {
+            Command::Configuration(put) => self.register.apply(&put).map_err(put_failure),
+            Command::Duties(entry) => {
+                self.duties.apply(&entry).map_err(|error| failure(error.to_string()))?;
+                Ok(0)
+            }
+            entry => {
+                self.ledger.apply(&entry).map_err(|error| failure(format!("{error:?}")))?;
+                Ok(0)
+            }
+        }
+    }
+}
+
+fn put_failure(error: PutError) -> ApplyFailure {
+    let latest = match error {
+        PutError::OutOfDate(latest) => Some(latest),
+        _ => None,
+    };
+    let why = match error {
+        PutError::OutOfDate(latest) => format!("the scope is at version {latest}"),
+        PutError::HashMismatch => "its content is not what its hash says".to_owned(),
+        PutError::TooLong => format!("it is longer than {MAX_CONTENT_BYTES} bytes"),
+        PutError::InvalidName => "the operator's name is empty, or too long".to_owned(),
+        PutError::LimitReached => "there are as many scopes as may be".to_owned(),
+    };
+    ApplyFailure { why, latest }
+}
+
+/// The state machine of this process. It is in memory; the disk has its last snapshot and the log behind that.
+#[derive(Clone)]
+pub struct StateMachineStore {
+    pub(super) log_store: LogStore,
+    /// The state; written by raft alone, as it applies entries or installs a snapshot.
+    pub kept: Rc<RefCell<StateMachine>>,
+}
+
+impl StateMachineStore {
+    /// Restores the state machine from the last snapshot, or starts an empty one.
+    ///
+    /// # Errors
+    /// Where the disk can't be read.
+    pub fn open(log_store: LogStore) -> Result<Self, StoreError> {
+        let state: Option<StateMachine> = log_store.read_value(SNAPSHOT_KEY)?;
+        Ok(StateMachineStore { log_store, kept: Rc::new(RefCell::new(state.unwrap_or_default())) })
+    }
+}
+
+impl RaftStateMachine<RaftTypes> for StateMachineStore {
+    type SnapshotBuilder = StateMachineStore;
+
+    async fn applied_state(
+        &mut self,
+    ) -> Result<(Option<LogId<u64>>, StoredMembership<u64, BasicNode>), StorageError<u64>> {
+        let state = self.kept.borrow();
+        Ok((state.last_applied, state.membership.clone()))
+    }
+
+    async fn apply<I>(&mut self, entries: I) -> Result<Vec<Applied>, StorageError<u64>>
+    where
+        I: IntoIterator<Item = Entry<RaftTypes>> + OptionalSend,
+        I::IntoIter: OptionalSend,
+    {
+        let mut state = self.kept.borrow_mut();
+        Ok(entries.into_iter().map(|entry| state.apply(entry)).collect())
+    }
+
+    async fn get_snapshot_builder(&mut self) -> StateMachineStore {
+        self.clone()
+    }
+
+    async fn begin_receiving_snapshot(&mut self) -> Result<Box<Cursor<Vec<u8>>>, StorageError<u64>> {
+        Ok(Box::default())
+    }
+
+    async fn install_snapshot(
+        &mut self,
+        _: &SnapshotMeta<u64, BasicNode>,
+        snapshot: Box<Cursor<Vec<u8>>>,
+    ) -> Result<(), StorageError<u64>> {
+        let state: StateMachine = serde_json::from_slice(snapshot.get_ref()).map_err(read_error)?;
+        self.log_store.write_bytes(SNAPSHOT_KEY, snapshot.get_ref())?;
+        self.kept.replace(state);
+        Ok(())
+    }
+
+    async fn get_current_snapshot(&mut self) -> Result<Option<Snapshot<RaftTypes>>, StorageError<u64>> {
+        self.stored_snapshot()
+    }
+}
