--- /dev/null
+++ b/crates/fernroute/src/latency.rs
@@ -0,0 +1,98 @@
+//! How long the attempts of a method take of late, and the soft deadline that follows for a request.
+
+use crate::host::{Time, SECOND};
+use crate::settings::{MethodPolicy, ValidatedSettings};
+use std::cell::Cell;
+
+/// Moving estimates of the latency of one method's attempts, in [`Time`] units.
+#[derive(Clone, Copy)]
+pub(crate) struct LatencyEstimate {
+    /// The mean of completed attempts.
+    pub(crate) mean: f64,
+    /// The 95th percentile of all attempts; never less than the mean.
+    pub(crate) p95: f64,
+    /// The mean of completed attempts, for each request that the upstream was estimated to have in flight.
+    pub(crate) per_queued: f64,
+    /// The longest time that a client has given one of its attempts.
+    longest_client_timeout: Time,
+}
+
+impl LatencyEstimate {
+    /// A guess before any attempt has completed.
+    fn initial(policy: &MethodPolicy) -> Self {
+        let expected = policy.soft_deadline.unwrap_or(SECOND) as f64;
+        LatencyEstimate {
+            mean: expected * 0.2,
+            p95: expected * 0.5,
+            per_queued: expected * 0.2,
+            longest_client_timeout: 0,
+        }
+    }
+
+    /// Takes an attempt that has ended; returns its latency per queued request against the usual one.
+    fn record(&mut self, latency: f64, estimated_queue: f64, completed: bool) -> f64 {
+        /// An attempt that is in flight for longer counts as overdue.
+        const QUANTILE: f64 = 0.95;
+        /// Follows a change of load within some thirty attempts.
+        const STEP: f64 = 0.03;
+        let per_queued = latency / (1.0 + estimated_queue);
+        if completed {
+            self.mean += STEP * (latency - self.mean);
+            self.per_queued += STEP * (per_queued - self.per_queued);
+        }
+        let step = if latency > self.p95 { QUANTILE } else { QUANTILE - 1.0 };
+        if completed || latency > self.p95 {
+            self.p95 *= 1.0 + STEP * step;
+        }
+        self.p95 = self.p95.max(self.mean);
+        (per_queued / self.per_queued.max(1.0)).clamp(0.2, 10.0)
+    }
+}
+
+/// A method as the settings describe it, with its latency of late.
+pub(crate) struct Method {
+    pub(crate) policy: MethodPolicy,
+    latency: Cell<LatencyEstimate>,
+}
+
+impl Method {
+    /// A method with the estimates of `previous`, the method of that name in earlier settings.
+    pub(crate) fn new(policy: &MethodPolicy, previous: Option<&Method>) -> Self {
+        let latency = previous.map_or_else(|| LatencyEstimate::initial(policy), Method::latency);
+        Method { policy: policy.clone(), latency: Cell::new(latency) }
+    }
+
+    /// The present estimates.
+    pub(crate) fn latency(&self) -> LatencyEstimate {
+        self.latency.get()
+    }
+
+    /// Takes an attempt that has ended; returns its latency per queued request against the usual one.
+    pub(crate) fn record_attempt(&self, latency: Time, estimated_queue: f64, completed: bool) -> f64 {
+        let mut estimate = self.latency.get();
+        let relative_latency = estimate.record(latency as f64, estimated_queue, completed);
+        self.latency.set(estimate);
+        relative_latency
+    }
+
+    /// Until when a response to a request that arrives now is in time. The attempts of one client share a soft deadline, so
+    /// what remains of it for a later attempt shows in how far the client has cut its time-out.
+    pub(crate) fn soft_deadline(
+        &self,
+        now: Time,
+        client_timeout: Time,
+        settings: &ValidatedSettings,
+    ) -> Time {
+        let mut estimate = self.latency.get();
+        estimate.longest_client_timeout = estimate.longest_client_timeout.max(client_timeout);
+        self.latency.set(estimate);
+        let is_cut = client_timeout + 2 * settings.tick < estimate.longest_client_timeout;
+        match (self.policy.soft_deadline, self.policy.hard_deadline) {
+            (Some(soft), Some(hard)) if settings.tier == 0 && is_cut => {
+                now.max((now + client_timeout + soft).saturating_sub(hard)).min(now + client_timeout)
+            }
+            (Some(soft), _) if settings.tier == 0 => now + soft.min(client_timeout),
+            _ => now + client_timeout,
+        }
+    }
+}
--- a/crates/fernroute/src/settings.rs
+++ b/crates/fernroute/src/settings.rs
@@ -1,189 +1,292 @@
-//! What the terms say, read and checked: whole, or not at all. Nothing is decided here.
+//! The settings of the decisions: parsed and validated as a whole. The text keys of the operators' settings appear here alone.
 
 use crate::host::{InvalidSetting, Settings, Time};
 use std::collections::BTreeSet;
 use std::rc::Rc;
 use std::str::FromStr;
 
-/// What may be sent again after it may have run, and to which upstreams.
+/// Whether a request may be sent again after it may have run, and to which upstreams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
+    /// Running it twice does no harm.
     Idempotent,
-    /// Deduped, by all upstreams, those of one zone or those of one cell.
+    /// With an idempotency key that all upstreams know for a while.
     DedupedEverywhere,
+    /// With an idempotency key that the upstreams of one zone share.
     DedupedInZone,
+    /// With an idempotency key that the upstreams of one cell share.
     DedupedInCell,
+    /// Never sent again once it may have run.
     NotIdempotent,
 }
 
-/// What is agreed of one method.
+impl Idempotency {
+    /// Whether repeats are recognized by an idempotency key.
+    pub(crate) fn is_deduped(self) -> bool {
+        !matches!(self, Idempotency::Idempotent | Idempotency::NotIdempotent)
+    }
+}
+
+/// What the settings say of one method.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MethodPolicy {
+    /// As requests name it.
     pub name: Rc<str>,
-    pub repeat: Idempotency,
-    /// How long a deduped one is remembered.
-    pub window: Time,
-    pub soft: Option<Time>,
-    pub hard: Option<Time>,
-    pub late_gain: f64,
-    /// Gain as a share of the highest one.
-    pub gain: f64,
+    /// Whether and where it may be sent again.
+    pub idempotency: Idempotency,
+    /// How long upstreams remember an idempotency key; 0 where there is none.
+    pub dedup_window: Time,
+    /// A later response is worth less.
+    pub soft_deadline: Option<Time>,
+    /// A later response is worth nothing.
+    pub hard_deadline: Option<Time>,
+    /// The weight of a response after the soft deadline, as a factor.
+    pub late_weight: f64,
+    /// The priority weight as a share of the highest one.
+    pub priority_weight: f64,
 }
 
-/// The figures of the rule on upstreams that are cold.
+/// The limit of load on upstreams that are warming up.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SlowStartRule {
-    pub from: f64,
-    pub warm_within: f64,
-    pub multiple: f64,
+    /// The share of its capacity that an upstream has at its start.
+    pub min_weight: f64,
+    /// The time until an upstream has its full capacity.
+    pub warm_up: f64,
+    /// The most load of an upstream that is warming up, as a multiple of its present capacity.
+    pub max_load_factor: f64,
+    /// The time over which that load is counted.
     pub window: f64,
 }
 
+/// The requests of one tenant that are within its quota.
+#[derive(Clone, Debug, PartialEq)]
+pub struct TenantQuota {
+    /// As requests name it.
+    pub name: String,
+    /// Over all balancers.
+    pub requests_per_second: f64,
+}
+
+/// The places of the values in a load report; none where upstreams do not report the value.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct LoadReportLayout {
+    /// The share of its capacity that an upstream uses.
+    pub utilisation: Option<usize>,
+    /// Requests in flight at the upstream.
+    pub in_flight: Option<usize>,
+    /// Requests queued at the upstream.
+    pub queued: Option<usize>,
+}
+
+impl LoadReportLayout {
+    /// Whether upstreams report how many requests are in flight or queued.
+    pub(crate) fn has_counts(&self) -> bool {
+        self.in_flight.or(self.queued).is_some()
+    }
+}
+
+/// Settings that have been parsed and validated.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ValidatedSettings {
+    /// 0 for balancers that clients call.
     pub tier: usize,
-    /// This balancer's number among those of its tier, and how many there are.
-    pub number: usize,
+    /// This balancer's number among those of its tier.
+    pub instance_number: usize,
+    /// How many balancers the tier has.
     pub instances: f64,
+    /// The zone that this balancer runs in.
     pub zone: String,
+    /// The resolution of the clock.
     pub tick: Time,
-    pub max_tx: usize,
-    pub cancel: bool,
-    /// The longest advice to callers; 0 where they get none.
-    pub max_stay_away: Time,
-    pub over_share_gain: f64,
-    /// RPCs beyond a tenant's share are exhausted, whatever room there is.
-    pub refuse_over_share: bool,
-    /// Where the list must be asked for: time within which a balancer must have asked.
-    pub ask_within: Option<Time>,
-    /// Places in a report of the utilisation, of what is held and of what waits.
-    pub report: [Option<usize>; 3],
-    /// Upstreams do less work for a key that they met lately.
-    pub warm_keys: bool,
-    /// What a transmission to another zone costs, as a share of the gain of an RPC.
-    pub crossing: f64,
-    pub cold: SlowStartRule,
+    /// Attempts of one request, the first one included.
+    pub max_attempts: usize,
+    /// Whether an attempt in flight is cancelled once its request has a final answer.
+    pub cancels_attempts: bool,
+    /// The longest `Retry-After`; 0 where callers get none.
+    pub max_retry_after: Time,
+    /// The factor on the priority weight of requests beyond a tenant's quota.
+    pub over_quota_weight: f64,
+    /// Whether requests beyond a tenant's quota are rejected, whatever the capacity.
+    pub rejects_over_quota: bool,
+    /// Where the endpoint list is polled: the time within which a poll must have been sent.
+    pub poll_within: Option<Time>,
+    /// What the load reports of upstreams contain.
+    pub load_report: LoadReportLayout,
+    /// Whether upstreams do less work for a key that they have cached.
+    pub key_affinity: bool,
+    /// The cost of an attempt to another zone, as a share of the priority weight of a request.
+    pub cross_zone_cost: f64,
+    /// The limit of load on upstreams that are warming up.
+    pub slow_start: SlowStartRule,
+    /// No two of one name.
     pub methods: Vec<MethodPolicy>,
-    /// RPCs a second over all balancers that are within a tenant's share.
-    pub tenants: Vec<(String, f64)>,
+    /// The quotas of tenants.
+    pub tenants: Vec<TenantQuota>,
+}
+
+fn invalid(key: &str, why: &'static str) -> InvalidSetting {
+    InvalidSetting { setting: key.to_owned(), why }
 }
 
-fn bad(name: &str, why: &'static str) -> InvalidSetting {
-    InvalidSetting { setting: name.to_owned(), why }
+fn optional<T: FromStr>(settings: &Settings, key: &str) -> Result<Option<T>, InvalidSetting> {
+    let unreadable = |_| invalid(key, "missing or unreadable");
+    settings.get(key).map(|text| text.parse().map_err(unreadable)).transpose()
 }
 
-fn term<T: FromStr>(terms: &Settings, name: &str) -> Result<Option<T>, InvalidSetting> {
-    terms.get(name).map(|text| text.parse().map_err(|_| bad(name, "missing or unreadable"))).transpose()
+fn required<T: FromStr>(settings: &Settings, key: &str) -> Result<T, InvalidSetting> {
+    optional(settings, key)?.ok_or_else(|| invalid(key, "missing or unreadable"))
 }
 
-fn needed<T: FromStr>(terms: &Settings, name: &str) -> Result<T, InvalidSetting> {
-    term(terms, name)?.ok_or_else(|| bad(name, "missing or unreadable"))
+fn or_default<T: FromStr + Default>(settings: &Settings, key: &str) -> Result<T, InvalidSetting> {
+    Ok(optional(settings, key)?.unwrap_or_default())
 }
 
-/// A number within these bounds, or this one where nothing is said.
+/// A number within these bounds, or the default where the setting is absent; without a default it is required.
 fn number(
-    terms: &Settings,
-    name: &str,
-    least: f64,
-    most: f64,
-    usual: Option<f64>,
+    settings: &Settings,
+    key: &str,
+    min: f64,
+    max: f64,
+    default: Option<f64>,
 ) -> Result<f64, InvalidSetting> {
-    let said = match usual {
-        Some(usual) => term(terms, name)?.unwrap_or(usual),
-        None => needed(terms, name)?,
+    let value = match default {
+        Some(default) => optional(settings, key)?.unwrap_or(default),
+        None => required(settings, key)?,
     };
-    if (least..=most).contains(&said) {
-        Ok(said)
+    if (min..=max).contains(&value) {
+        Ok(value)
     } else {
-        Err(bad(name, "out of range"))
+        Err(invalid(key, "out of range"))
     }
 }
 
-const MANY: f64 = 1e12;
+/// The upper bound of a number that has no other one.
+const MAX_NUMBER: f64 = 1e12;
 
 impl ValidatedSettings {
-    pub fn read(terms: &Settings) -> Result<Self, InvalidSetting> {
-        let count = |name: &str| Ok::<usize, InvalidSetting>(term(terms, name)?.unwrap_or(0));
-        let cold = SlowStartRule {
-            from: number(terms, "rules.cold_from", 1e-3, 1.0, None)?,
-            warm_within: number(terms, "rules.warm_within", 0.0, MANY, None)?,
-            multiple: number(terms, "rules.cold_multiple", 1e-3, MANY, None)?,
-            window: number(terms, "rules.cold_window", 1.0, MANY, None)?,
-        };
-        let mut methods: Vec<MethodPolicy> = Vec::new();
-        for i in 0..needed::<usize>(terms, "methods.count")? {
-            methods.push(promise(terms, i)?);
-        }
-        let most = methods.iter().map(|m| m.gain).fold(f64::MIN_POSITIVE, f64::max);
-        methods.iter_mut().for_each(|m| m.gain /= most);
-        let mut tenants = Vec::new();
-        for i in 0..count("tenants.count")? {
-            let name = needed(terms, &format!("tenants.{i}.name"))?;
-            tenants.push((name, number(terms, &format!("tenants.{i}.rate"), 0.0, MANY, None)?));
-        }
-        let (names, mut seen) = (methods.iter().map(|m| &*m.name), BTreeSet::new());
-        if let Some(i) = names.map(|name| seen.insert(name)).position(|new| !new) {
-            return Err(bad(&format!("methods.{i}.name"), "there already"));
-        }
-        // A word that is not known is no other's: one who means more by it would be run on a guess.
-        let ask = match terms.get("list_mode").map(String::as_str) {
-            None | Some("push") => false,
-            Some("ask") => true,
-            Some(_) => return Err(bad("list_mode", "no such mode")),
-        };
-        // Connections are made by these, not decided on; one that can't be read must not pass for one that is not there.
-        number(terms, "limits.connect_time_out", 1.0, MANY, Some(1.0))?;
-        number(terms, "limits.keep_alive", 0.0, MANY, Some(0.0))?;
-        let advice = term(terms, "limits.stay_away")?.unwrap_or(false);
-        let names = terms.get("load.names").map_or("", String::as_str);
+    /// Parses and validates all settings.
+    ///
+    /// # Errors
+    /// The first setting that is missing, unreadable, out of range or at odds with another.
+    pub fn read(settings: &Settings) -> Result<Self, InvalidSetting> {
+        let slow_start = read_slow_start(settings)?;
+        let methods = read_methods(settings)?;
+        let tenants = read_tenants(settings)?;
+        check_method_names(&methods)?;
+        let is_polled = reads_list_by_polling(settings)?;
+        // Connections follow these, not the decisions; an unreadable one must not pass for an absent one.
+        number(settings, "limits.connect_time_out", 1.0, MAX_NUMBER, Some(1.0))?;
+        number(settings, "limits.keep_alive", 0.0, MAX_NUMBER, Some(0.0))?;
+        let sends_retry_after = or_default(settings, "limits.stay_away")?;
         Ok(ValidatedSettings {
-            tier: count("tier")?,
-            number: count("number")?,
-            instances: number(terms, "instances", 1.0, MANY, Some(1.0))?,
-            zone: terms.get("zone").cloned().unwrap_or_default(),
-            tick: term(terms, "tick")?.unwrap_or(1),
-            max_tx: term(terms, "limits.max_transmissions")?.unwrap_or(1),
-            cancel: term(terms, "limits.cancel")?.unwrap_or(false),
-            max_stay_away: term(terms, "limits.max_stay_away")?.filter(|_| advice).unwrap_or(0),
-            over_share_gain: number(terms, "over_share_gain", 0.0, MANY, Some(1.0))?,
-            refuse_over_share: term(terms, "refuse_over_share")?.unwrap_or(false),
-            ask_within: if ask { Some(needed(terms, "rules.ask_within")?) } else { None },
-            report: ["utilisation", "in_flight", "queued"]
-                .map(|word| names.split(',').position(|name| name == word)),
-            warm_keys: term(terms, "warm_keys")?.unwrap_or(false),
-            crossing: number(terms, "prices.cross_zone", 0.0, MANY, Some(0.0))?,
-            cold,
+            tier: or_default(settings, "tier")?,
+            instance_number: or_default(settings, "number")?,
+            instances: number(settings, "instances", 1.0, MAX_NUMBER, Some(1.0))?,
+            zone: settings.get("zone").cloned().unwrap_or_default(),
+            tick: optional(settings, "tick")?.unwrap_or(1),
+            max_attempts: optional(settings, "limits.max_transmissions")?.unwrap_or(1),
+            cancels_attempts: or_default(settings, "limits.cancel")?,
+            max_retry_after: optional(settings, "limits.max_stay_away")?
+                .filter(|_| sends_retry_after)
+                .unwrap_or(0),
+            over_quota_weight: number(settings, "over_share_gain", 0.0, MAX_NUMBER, Some(1.0))?,
+            rejects_over_quota: or_default(settings, "refuse_over_share")?,
+            poll_within: if is_polled { Some(required(settings, "rules.ask_within")?) } else { None },
+            load_report: read_load_report(settings),
+            key_affinity: or_default(settings, "warm_keys")?,
+            cross_zone_cost: number(settings, "prices.cross_zone", 0.0, MAX_NUMBER, Some(0.0))?,
+            slow_start,
             methods,
             tenants,
         })
     }
 }
 
-fn promise(terms: &Settings, i: usize) -> Result<MethodPolicy, InvalidSetting> {
-    let at = |what: &str| format!("methods.{i}.{what}");
-    let repeat = match needed::<String>(terms, &at("effect"))?.as_str() {
+fn read_slow_start(settings: &Settings) -> Result<SlowStartRule, InvalidSetting> {
+    Ok(SlowStartRule {
+        min_weight: number(settings, "rules.cold_from", 1e-3, 1.0, None)?,
+        warm_up: number(settings, "rules.warm_within", 0.0, MAX_NUMBER, None)?,
+        max_load_factor: number(settings, "rules.cold_multiple", 1e-3, MAX_NUMBER, None)?,
+        window: number(settings, "rules.cold_window", 1.0, MAX_NUMBER, None)?,
+    })
+}
+
+fn read_methods(settings: &Settings) -> Result<Vec<MethodPolicy>, InvalidSetting> {
+    let mut methods: Vec<MethodPolicy> = Vec::new();
+    for index in 0..required::<usize>(settings, "methods.count")? {
+        methods.push(read_method(settings, index)?);
+    }
+    let highest = methods.iter().map(|method| method.priority_weight).fold(f64::MIN_POSITIVE, f64::max);
+    for method in &mut methods {
+        method.priority_weight /= highest;
+    }
+    Ok(methods)
+}
+
+fn read_method(settings: &Settings, index: usize) -> Result<MethodPolicy, InvalidSetting> {
+    let key = |field: &str| format!("methods.{index}.{field}");
+    let idempotency = match required::<String>(settings, &key("effect"))?.as_str() {
         "retriable" => Idempotency::Idempotent,
-        "deduped" => match needed::<String>(terms, &at("group"))?.as_str() {
+        "deduped" => match required::<String>(settings, &key("group"))?.as_str() {
             "all" => Idempotency::DedupedEverywhere,
             "zone" => Idempotency::DedupedInZone,
             "cell" => Idempotency::DedupedInCell,
-            _ => return Err(bad(&at("group"), "no such group")),
+            _ => return Err(invalid(&key("group"), "no such group")),
         },
         "non_retriable" => Idempotency::NotIdempotent,
-        _ => return Err(bad(&at("effect"), "no such effect")),
+        _ => return Err(invalid(&key("effect"), "no such effect")),
     };
-    let deduped = !matches!(repeat, Idempotency::Idempotent | Idempotency::NotIdempotent);
-    let (soft, hard) = (term(terms, &at("soft_deadline"))?, term(terms, &at("hard_deadline"))?);
-    if soft.zip(hard).is_some_and(|(soft, hard): (Time, Time)| soft > hard) {
-        return Err(bad(&at("soft_deadline"), "after the hard deadline"));
+    let soft_deadline: Option<Time> = optional(settings, &key("soft_deadline"))?;
+    let hard_deadline: Option<Time> = optional(settings, &key("hard_deadline"))?;
+    if soft_deadline.zip(hard_deadline).is_some_and(|(soft, hard)| soft > hard) {
+        return Err(invalid(&key("soft_deadline"), "after the hard deadline"));
     }
     Ok(MethodPolicy {
-        name: Rc::from(needed::<String>(terms, &at("name"))?),
-        repeat,
-        window: if deduped { needed(terms, &at("window"))? } else { 0 },
-        soft,
-        hard,
-        late_gain: number(terms, &at("late_gain"), 0.0, MANY, Some(0.0))?,
-        gain: number(terms, &at("gain"), 0.0, MANY, Some(1.0))?,
+        name: Rc::from(required::<String>(settings, &key("name"))?),
+        idempotency,
+        dedup_window: if idempotency.is_deduped() { required(settings, &key("window"))? } else { 0 },
+        soft_deadline,
+        hard_deadline,
+        late_weight: number(settings, &key("late_gain"), 0.0, MAX_NUMBER, Some(0.0))?,
+        priority_weight: number(settings, &key("gain"), 0.0, MAX_NUMBER, Some(1.0))?,
     })
 }
+
+fn read_tenants(settings: &Settings) -> Result<Vec<TenantQuota>, InvalidSetting> {
+    let mut tenants = Vec::new();
+    for index in 0..or_default::<usize>(settings, "tenants.count")? {
+        let name = required(settings, &format!("tenants.{index}.name"))?;
+        let rate_key = format!("tenants.{index}.rate");
+        let requests_per_second = number(settings, &rate_key, 0.0, MAX_NUMBER, None)?;
+        tenants.push(TenantQuota { name, requests_per_second });
+    }
+    Ok(tenants)
+}
+
+fn check_method_names(methods: &[MethodPolicy]) -> Result<(), InvalidSetting> {
+    let mut names = BTreeSet::new();
+    match methods.iter().position(|method| !names.insert(&method.name)) {
+        Some(index) => Err(invalid(&format!("methods.{index}.name"), "there already")),
+        None => Ok(()),
+    }
+}
+
+/// Guards against a mode of a later version that would be taken for one of these.
+fn reads_list_by_polling(settings: &Settings) -> Result<bool, InvalidSetting> {
+    match settings.get("list_mode").map(String::as_str) {
+        None | Some("push") => Ok(false),
+        Some("ask") => Ok(true),
+        Some(_) => Err(invalid("list_mode", "no such mode")),
+    }
+}
+
+fn read_load_report(settings: &Settings) -> LoadReportLayout {
+    let names = settings.get("load.names").map_or("", String::as_str);
+    let position = |value: &str| names.split(',').position(|name| name == value);
+    LoadReportLayout {
+        utilisation: position("utilisation"),
+        in_flight: position("in_flight"),
+        queued: position("queued"),
+    }
+}
