--- a/Makefile
+++ b/Makefile
@@ -10,7 +10,7 @@
 lint:
 	cargo fmt --all -- --check
 	cargo clippy --workspace --all-targets --locked -- -D warnings
-	RUSTDOCFLAGS="-D warnings" cargo doc --workspace --no-deps --locked --quiet
+	RUSTDOCFLAGS="-D warnings" cargo doc --workspace --no-deps --document-private-items --locked --quiet
 
 # A balancer on this machine's loopback, with stand-ins for the upstream and the discovery that the example names.
 run: build
--- a/crates/fernroute-coordinator/src/commands/mod.rs
+++ b/crates/fernroute-coordinator/src/commands/mod.rs
@@ -1,6 +1,6 @@
 //! The command line: one module for each command.
 //!
-//! Each command returns a [`CommandError`], which [`run`] turns into one line on standard error and an exit code. `client`
+//! Each command returns a `CommandError`, which [`run`] turns into one line on standard error and an exit code. `client`
 //! calls the coordinators of a running cluster, `output` prints what they reply.
 
 mod change;
--- a/crates/fernroute-coordinator/src/replica/mod.rs
+++ b/crates/fernroute-coordinator/src/replica/mod.rs
@@ -1,8 +1,8 @@
 //! One replica of the fleet's ledger: a raft node with its storage, and the leader's decisions while it leads.
 //!
-//! A replica starts with a check that its disk is not stale ([`disk_check`]), then starts raft ([`start`]). The first
-//! replica of the configuration creates a new ledger ([`bootstrap`]). Whichever replica is elected keeps the leader's
-//! state ([`leadership`]), answers members ([`heartbeat`]) and changes the set of voters ([`membership`]).
+//! A replica starts with a check that its disk is not stale (`disk_check`), then starts raft (`start`). The first
+//! replica of the configuration creates a new ledger (`bootstrap`). Whichever replica is elected keeps the leader's
+//! state (`leadership`), answers members (`heartbeat`) and changes the set of voters (`membership`).
 
 mod bootstrap;
 mod disk_check;
--- a/crates/fernroute-server/src/routing/switchboard.rs
+++ b/crates/fernroute-server/src/routing/switchboard.rs
@@ -162,13 +162,13 @@
         Ok(board)
     }
 
-    /// What a fleet grants of tenants' shares, as [`Balancer::new_shares`] takes it.
+    /// What a fleet grants of tenants' shares, as [`Balancer::set_budget_rates`] takes it.
     pub fn new_shares(&self, of: &[(&str, [(f64, Time); 2])]) -> Result<(), InvalidSetting> {
         let now = self.clock.now();
         self.balancer.borrow_mut().set_budget_rates(now, of)
     }
 
-    /// As [`Balancer::wished`].
+    /// As [`Balancer::retries_wanted`].
     pub fn wished(&self) -> u64 {
         self.balancer.borrow().retries_wanted()
     }
@@ -206,7 +206,7 @@
         self.phase.get().closing(self.clock.now())
     }
 
-    /// As [`Balancer::standing`].
+    /// As [`Balancer::upstream_counts`].
     pub fn standing(&self) -> (usize, usize) {
         self.balancer.borrow().upstream_counts()
     }
