--- a/crates/fernroute-server/src/program/fleet.rs
+++ b/crates/fernroute-server/src/program/fleet.rs
@@ -3,8 +3,8 @@
 //!
 //! A member's states, and what moves it between them:
 //! - *unidentified*: no identity in the ledger yet, no heartbeats, no shared budget. Ends once the identity file is locked.
-//! - *sharing*: it took over from a predecessor process and has half of its grant. Ends with the predecessor
-//!   ([`FleetMember::predecessor_ended`]).
+//! - *sharing*: it took over from a predecessor process, has half of that one's grant and sends the heartbeats. Ends with
+//!   the predecessor ([`FleetMember::predecessor_ended`]).
 //! - *sole*: it has its whole grant and sends heartbeats.
 //! - *handed over*: a successor has half of the grant and sends the heartbeats ([`FleetMember::hand_over`]). Back to *sole*
 //!   if the successor ends first ([`FleetMember::resume_after_failed_upgrade`]).
@@ -36,7 +36,7 @@
 /// Room for the guarantees and quotas of 1,024 budgets with the longest names, and as many duties.
 const MAX_REPLY_BYTES: usize = 512 << 10;
 
-/// A quota that is valid for fewer heartbeat intervals than this expires when two heartbeats are lost.
+/// A quota that is valid for fewer heartbeat intervals than this is logged as too short.
 const MIN_HEARTBEATS_PER_QUOTA: Time = 3;
 
 /// Demand for trials while any upstream is ejected, in thousandths a second: a breaker closes after three of them.
@@ -46,7 +46,7 @@
 pub struct ReceivedHandover {
     /// Its identity and its half of the grant.
     pub handover: MemberHandover,
-    /// When this process asked for it. Validity counts from here, as the predecessor's clock is not known.
+    /// When this process asked for it. The grant's validity counts from here.
     pub requested_at: Instant,
 }
 
--- a/crates/fernroute-server/src/program/serve.rs
+++ b/crates/fernroute-server/src/program/serve.rs
@@ -145,7 +145,8 @@
     Ok(running)
 }
 
-/// Opens the sockets for callers and operators; no task runs yet that accepts from the callers' one.
+/// Opens the sockets for callers and operators. Operators are answered from then on; callers are accepted later, by the
+/// server's task.
 async fn open_sockets(
     instance: &Instance,
     predecessor: &mut Predecessor,
@@ -190,7 +191,7 @@
     quota
 }
 
-/// How many descriptors this process may have open. Guards against callers, whose part is reckoned from the file, that use
+/// How many descriptors this process may have open. Guards against callers, whose part is computed from the file, that use
 /// up all that the system allows.
 fn allowed_descriptors(configured: usize) -> usize {
     let system_limit = getrlimit(Resource::Nofile).current.map_or(usize::MAX, |limit| limit as usize);
