--- a/crates/fernroute-coordinator/src/commands/change.rs
+++ b/crates/fernroute-coordinator/src/commands/change.rs
@@ -11,8 +11,8 @@
 /// How long the new coordinators may take to receive the replicated state.
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Make the coordinators that a file names the voters of the cluster: a new one, or one that lost its disk, is added; one
-/// that the file does not name is removed. All coordinators have the file already.
+/// Make the coordinators that a file names the voters of the cluster: a new one, or one that lost its disk,
+/// is added; one that the file does not name is removed. All coordinators have the file already.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "change")]
 pub struct Change {
--- a/crates/fernroute-coordinator/src/commands/configuration/mod.rs
+++ b/crates/fernroute-coordinator/src/commands/configuration/mod.rs
@@ -1,7 +1,7 @@
 //! `fernroute-coordinator configuration`: the versioned configuration of the balancers of a fleet.
 //!
-//! `put` enters a part of a balancer's file and waits for its rollout, `table` prints status and history; the shorter
-//! commands stand here.
+//! `put` enters a part of a balancer's file and waits for its rollout, `table` prints status and history; the
+//! shorter commands stand here.
 
 mod file;
 mod put;
@@ -92,8 +92,8 @@
     json: bool,
 }
 
-/// The arguments, with a number after each `--wait` of `put` that has none: the parser knows options with a value and
-/// switches without one, and nothing that is both.
+/// The arguments, with a number after each `--wait` of `put` that has none: the parser knows options with a
+/// value and switches without one, and nothing that is both.
 pub fn with_default_wait(arguments: Vec<&str>) -> Vec<&str> {
     if !arguments.starts_with(&["configuration", "put"]) {
         return arguments;
@@ -112,7 +112,8 @@
 /// Runs the command.
 ///
 /// # Errors
-/// A file can't be used, the leader was not reached or rejected the call, or a rollout is not complete in time.
+/// A file can't be used, the leader was not reached or rejected the call, or a rollout is not complete in
+/// time.
 pub fn run(arguments: Configuration) -> Result<(), CommandError> {
     match arguments.command {
         Command::Check(arguments) => check(&arguments),
--- a/crates/fernroute-coordinator/src/commands/configuration/put.rs
+++ b/crates/fernroute-coordinator/src/commands/configuration/put.rs
@@ -38,7 +38,8 @@
     /// author of the entry; defaults to $USER
     #[argh(option, long = "who")]
     author: Option<String>,
-    /// wait until the version is active at every reachable member, at most so many seconds; 60 where no number follows
+    /// wait until the version is active at every reachable member, at most so many seconds; 60 where no
+    /// number follows
     #[argh(option, long = "wait")]
     wait_s: Option<f64>,
 }
@@ -118,7 +119,8 @@
 /// Runs the command.
 ///
 /// # Errors
-/// The file can't be used, the leader was not reached or rejected the entry, or the rollout is not complete in time.
+/// The file can't be used, the leader was not reached or rejected the entry, or the rollout is not complete
+/// in time.
 pub fn run(arguments: Put) -> Result<(), CommandError> {
     let content = file::read(&arguments.file)?;
     run_on_one_thread(put(arguments, content))
@@ -149,8 +151,9 @@
     std::env::var("USER").ok().filter(|user| !user.is_empty())
 }
 
-/// Enters the request and returns its version. Guards against an entry that is reported as rejected because the reply to an
-/// earlier attempt was lost: the request names its base version, so it is entered once at most.
+/// Enters the request and returns its version. Guards against an entry that is reported as rejected because
+/// the reply to an earlier attempt was lost: the request names its base version, so it is entered once at
+/// most.
 async fn enter(client: &Client, request: &PutRequest) -> Result<Version, PutError> {
     let CallFailure { error, may_be_entered } = match client.call(PUT, request).await {
         Ok(version) => return Ok(version),
@@ -245,8 +248,8 @@
         }
     }
 
-    /// Counts every unreachable member as pending: a leader that was just elected does not know the service and zone of a
-    /// member that has not sent it a heartbeat.
+    /// Counts every unreachable member as pending: a leader that was just elected does not know the service
+    /// and zone of a member that has not sent it a heartbeat.
     fn expect_unreachable(&mut self, members: &[MemberRollout]) {
         let unreachable = members.iter().filter(|member| member.state == RolloutState::Unreachable);
         self.pending.extend(unreachable.map(|member| member.name.clone()));
--- a/crates/fernroute-coordinator/src/commands/error.rs
+++ b/crates/fernroute-coordinator/src/commands/error.rs
@@ -65,7 +65,8 @@
         CommandError::Coordinator(error.to_string())
     }
 
-    /// The exit code: 1 where the coordinators have, or may have, accepted the command; 2 where it was rejected.
+    /// The exit code: 1 where the coordinators have, or may have, accepted the command; 2 where it was
+    /// rejected.
     pub fn exit_code(&self) -> u8 {
         match self {
             CommandError::NoNewHolder { .. } => 1,
--- a/crates/fernroute-coordinator/src/commands/mod.rs
+++ b/crates/fernroute-coordinator/src/commands/mod.rs
@@ -1,7 +1,7 @@
 //! The command line: one module for each command.
 //!
-//! Each command returns a [`CommandError`], which [`run`] turns into one line on standard error and an exit code. `client`
-//! calls the coordinators of a running cluster, `output` prints what they reply.
+//! A command that fails returns a `CommandError`, which [`run`] turns into one line on standard error and an
+//! exit code. `client` calls the coordinators of a running cluster, `output` prints what they reply.
 
 mod change;
 mod client;
@@ -39,8 +39,8 @@
 
 /// Runs the command that `arguments` name; the first of them is the program.
 ///
-/// Exit code 0: done. 1: accepted by the coordinators, but not complete or of unknown outcome. 2: rejected, by bad usage, a
-/// bad file or a coordinator. An error is one line on standard error.
+/// Exit code 0: done. 1: accepted by the coordinators, but not complete or of unknown outcome. 2: rejected,
+/// by bad usage, a bad file or a coordinator. An error is one line on standard error.
 pub fn run(arguments: &[String]) -> ExitCode {
     let arguments: Vec<&str> = arguments.iter().skip(1).map(String::as_str).collect();
     let arguments = configuration::with_default_wait(arguments);
--- a/crates/fernroute-coordinator/src/commands/serve.rs
+++ b/crates/fernroute-coordinator/src/commands/serve.rs
@@ -65,8 +65,8 @@
     Ok(())
 }
 
-/// Logs to standard error from the level on that the environment names, info by default. The consensus library logs many lines a
-/// second while a coordinator is down, so its own lines are left out below debug.
+/// Logs to standard error from the level on that the environment names, info by default. The consensus
+/// library logs many lines a second while a coordinator is down, so its own lines are left out below debug.
 fn start_logging(json: bool) {
     let level = std::env::var(LOG_LEVEL_VARIABLE).ok().and_then(|name| name.parse().ok());
     let level = level.unwrap_or(LevelFilter::INFO);
--- a/crates/fernroute-coordinator/src/config.rs
+++ b/crates/fernroute-coordinator/src/config.rs
@@ -1,5 +1,5 @@
-//! A coordinator's configuration file: TOML in, [`CoordinatorConfig`] out. The file is validated as a whole; all faults of it
-//! are reported together, in one line.
+//! A coordinator's configuration file: TOML in, [`CoordinatorConfig`] out. The file is validated as a whole;
+//! all faults of it are reported together, in one line.
 
 use fernroute::Time;
 use fernroute_fleet::configuration::is_name;
@@ -78,7 +78,8 @@
     faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("; ")
 }
 
-/// The file as it is written. Its keys, and the names of types in the parser's errors, are the operators' interface.
+/// The file as it is written. Its keys, and the names of types in the parser's errors, are the operators'
+/// interface.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, rename = "Page")]
 struct RawConfig {
--- a/crates/fernroute-coordinator/tests/common/balancer.rs
+++ b/crates/fernroute-coordinator/tests/common/balancer.rs
@@ -26,11 +26,13 @@
     pub heartbeats: Cell<usize>,
     /// Fetches that a coordinator could not serve because it lagged.
     pub behind_replies: Cell<usize>,
+    /// What it may spend of the budget.
     pub allocated: Cell<MilliUnits>,
     /// It rejects contents with this text.
     pub rejected_text: RefCell<Option<String>>,
 }
 
+/// A balancer whose task ends with it.
 pub struct Balancer {
     pub state: Rc<BalancerState>,
     task: actix_rt::task::JoinHandle<()>,
@@ -43,7 +45,8 @@
 }
 
 impl Balancer {
-    /// A balancer of a service in a zone. It fetches from the coordinator with the index `first`, then from the next ones.
+    /// A balancer of a service in a zone. It fetches from the coordinator with the index `first`, then from
+    /// the next ones.
     pub fn new(
         coordinators: &Coordinators,
         id: u64,
@@ -75,10 +78,12 @@
         Balancer { state, task }
     }
 
+    /// The version that it activated last, 0 for none.
     pub fn active_version(&self) -> Version {
         self.state.activated.borrow().last().copied().unwrap_or(0)
     }
 
+    /// The contents of its active version, widest scope first.
     pub fn contents(&self) -> Vec<String> {
         self.state.contents.borrow().clone()
     }
--- a/crates/fernroute-coordinator/tests/common/configuration.rs
+++ b/crates/fernroute-coordinator/tests/common/configuration.rs
@@ -7,9 +7,10 @@
 use fernroute_fleet::configuration::{
     content_hash, FetchReply, FetchRequest, Scope, Target, Version, FETCH_PATH,
 };
+use std::time::Duration;
 
 /// The time-out of a call to the leader.
-const LEADER_CALL_TIMEOUT: std::time::Duration = CALL_TIMEOUT.saturating_mul(10);
+const LEADER_CALL_TIMEOUT: Duration = CALL_TIMEOUT.saturating_mul(10);
 
 /// A valid content, which differs for each number.
 pub fn content(number: u64) -> String {
@@ -52,8 +53,8 @@
     reply.map_err(|error| error.to_string())
 }
 
-/// Enters a content without a process of its own. It is repeated while the leader is too busy to be sure that it leads: the
-/// leader rejects the request then, and enters nothing.
+/// Enters a content without a process of its own. It is repeated while the leader is too busy to be sure that
+/// it leads: the leader rejects the request then, and enters nothing.
 pub async fn put_directly(
     coordinators: &Coordinators,
     mut leader: usize,
--- a/crates/fernroute-coordinator/tests/common/mod.rs
+++ b/crates/fernroute-coordinator/tests/common/mod.rs
@@ -23,6 +23,8 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_fernroute-coordinator");
 const TEST_TIMEOUT: Duration = Duration::from_secs(40);
+
+/// The time-out of one call to a coordinator.
 pub const CALL_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// The limit of the budget `acme` in each configuration file.
@@ -31,6 +33,7 @@
 /// What is guaranteed to each member: a tenth of the limit, divided by ten members.
 pub const GUARANTEED: MilliUnits = BUDGET_LIMIT / 100;
 
+/// Runs a test on one thread, and fails it after a time-out.
 pub fn run(test: impl Future<Output = ()>) {
     let runtime = actix_rt::Runtime::new().expect("a runtime");
     let result = runtime.block_on(async { tokio::time::timeout(TEST_TIMEOUT, test).await });
@@ -47,6 +50,7 @@
 /// The result of a command.
 #[derive(Debug)]
 pub struct CommandOutput {
+    /// The exit code.
     pub code: i32,
     pub stdout: String,
     pub stderr: String,
@@ -82,14 +86,17 @@
 
 /// A coordinator with a disk and a configuration file of its own, which can be restarted.
 pub struct CoordinatorProcess {
+    /// `s0` for the first, `s1` for the second, and so on.
     pub name: String,
     pub address: SocketAddr,
     pub disk: Disk,
     pub config_path: PathBuf,
+    /// The running process; none before the first start.
     pub process: Option<Process>,
 }
 
 impl CoordinatorProcess {
+    /// Starts it with its file and its disk.
     pub fn start(&mut self) {
         let mut command = program(&["serve", "--first", "--config"]);
         command.arg(&self.config_path).env_remove("FERNROUTE_LOG");
@@ -118,6 +125,7 @@
         std::fs::write(&self.config_path, text.replace(old, new)).expect("a file");
     }
 
+    /// The running process; panics before the first start.
     pub fn process(&self) -> &Process {
         self.process.as_ref().expect("it was started")
     }
@@ -125,16 +133,25 @@
     pub fn kill(&self) {
         self.process().kill();
     }
+
+    /// Kills it, and starts it again with an empty disk.
+    pub fn restart_without_disk(&mut self) {
+        self.kill();
+        self.disk.wipe().expect("an empty disk");
+        self.start();
+    }
 }
 
 /// The coordinators of one cluster, `s0` first.
 pub struct Coordinators {
+    /// The folder of their disks and files, removed at the end.
     pub folder: PathBuf,
     pub processes: Vec<CoordinatorProcess>,
     pub peers: Peers,
 }
 
 impl Coordinators {
+    /// Prepares disks and files under a folder of this test; starts none.
     pub fn new(test: &str, cluster: &str, count: usize) -> Self {
         let folder =
             std::env::temp_dir().join(format!("fernroute-coordinator-{test}-{}", std::process::id()));
@@ -175,6 +192,7 @@
         self.processes.iter().map(|process| process.address).collect()
     }
 
+    /// The status that one of them reports; none where it does not reply in time.
     pub async fn status(&self, index: usize) -> Option<Status> {
         self.peers.ask(&self.processes[index].address.to_string(), STATUS, CALL_TIMEOUT).await.ok()
     }
@@ -195,6 +213,7 @@
         command.arg(&self.processes[index].config_path).output().expect("it runs").into()
     }
 
+    /// Waits until one of them reports this state.
     pub async fn wait_for_state(&self, index: usize, state: &str) {
         wait_until(|| async { self.status(index).await.is_some_and(|status| status.state == state) }).await;
     }
@@ -228,8 +247,10 @@
 pub struct TestMember {
     pub member: Member,
     pub demand: MilliUnits,
-    /// The longest time without a grant beyond the guarantee, after the first one, in tenths of a millisecond.
+    /// The longest time without a grant beyond the guarantee, after the first one, in tenths of a
+    /// millisecond.
     pub longest_lapse: u64,
+    /// It has had a grant beyond its guarantee.
     pub was_granted: bool,
     /// Its state of configuration; none as a version without configuration.
     pub report: Option<ConfigurationReport>,
@@ -252,6 +273,7 @@
         }
     }
 
+    /// What it may spend of the budget now.
     pub fn allocated(&self) -> MilliUnits {
         self.member.allocated(now(), "acme")
     }
@@ -287,7 +309,8 @@
     }
 }
 
-/// Sends heartbeats of all members until the condition holds, and checks after each that they hold no more than the limit.
+/// Sends heartbeats of all members until the condition holds, and checks after each that they hold no more
+/// than the limit.
 pub async fn heartbeat_until(
     coordinators: &Coordinators,
     members: &mut [TestMember],
--- a/crates/fernroute-coordinator/tests/configuration.rs
+++ b/crates/fernroute-coordinator/tests/configuration.rs
@@ -1,4 +1,5 @@
-//! Rollout of configuration to balancers while coordinators are killed, partitioned, restarted, or have a full disk.
+//! Rollout of configuration to balancers while coordinators are killed, partitioned, restarted, or have a
+//! full disk.
 
 mod common;
 
@@ -20,8 +21,8 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Guards against a change that reaches other balancers than those of its scope; against followers that do not serve it; and
-/// against a notification that a member of an older version does not know.
+/// Guards against a change that reaches other balancers than those of its scope; against followers that do
+/// not serve it; and against a notification that a member of an older version does not know.
 #[test]
 fn a_change_reaches_the_balancers_of_its_scope_and_every_coordinator_serves_it() {
     run(async {
@@ -91,7 +92,8 @@
     });
 }
 
-/// Guards against a change that is entered twice, or reported as lost, because the leader was killed while it was entered.
+/// Guards against a change that is entered twice, or reported as lost, because the leader was killed while it
+/// was entered.
 #[test]
 fn changes_are_entered_once_and_in_order_while_leaders_are_killed() {
     run(async {
@@ -182,7 +184,8 @@
     });
 }
 
-/// Guards against a coordinator that serves an older version as the latest, and a balancer that fetches from no other.
+/// Guards against a coordinator that serves an older version as the latest, and a balancer that fetches from
+/// no other.
 #[test]
 fn a_lagging_coordinator_replies_that_it_is_behind_and_another_one_serves() {
     run(async {
@@ -214,7 +217,8 @@
     });
 }
 
-/// Guards against a partial change, and against one that is reported as entered and is not, where a disk can't be written.
+/// Guards against a partial change, and against one that is reported as entered and is not, where a disk
+/// can't be written.
 #[test]
 fn a_put_at_a_leader_with_a_full_disk_is_entered_by_another() {
     run(async {
@@ -263,8 +267,8 @@
     });
 }
 
-/// Guards against a register that is lost with a restart of all coordinators, and against entries so long that a message
-/// between coordinators exceeds its time-out.
+/// Guards against a register that is lost with a restart of all coordinators, and against entries so long
+/// that a message between coordinators exceeds its time-out.
 #[test]
 fn long_entries_are_replicated_and_survive_a_restart_of_all_coordinators() {
     run(async {
@@ -296,8 +300,8 @@
     });
 }
 
-/// Guards against a snapshot without the register, where the log is purged, and against a snapshot that is too long to be
-/// sent: 1 MB of contents, and 2,000 entries of history.
+/// Guards against a snapshot without the register, where the log is purged, and against a snapshot that is
+/// too long to be sent: 1 MB of contents, and 2,000 entries of history.
 #[test]
 fn new_coordinators_receive_the_register_as_a_snapshot() {
     run(async {
--- a/crates/fernroute-coordinator/tests/configuration_commands.rs
+++ b/crates/fernroute-coordinator/tests/configuration_commands.rs
@@ -52,8 +52,8 @@
     });
 }
 
-/// Guards against a change that is entered twice or reported as rejected because the reply was lost, and against one that is
-/// delayed and overwrites a newer one.
+/// Guards against a change that is entered twice or reported as rejected because the reply was lost, and
+/// against one that is delayed and overwrites a newer one.
 #[test]
 fn a_put_with_a_lost_reply_is_recognized_and_a_delayed_one_is_rejected() {
     run(async {
@@ -210,7 +210,8 @@
     }
 }
 
-/// Guards against `put --wait` that succeeds before the rollout is complete, and against a status that hides members.
+/// Guards against `put --wait` that succeeds before the rollout is complete, and against a status that hides
+/// members.
 #[test]
 fn put_and_status_name_the_members_where_a_rollout_is_not_complete() {
     run(async {
--- a/crates/fernroute-coordinator/tests/duties.rs
+++ b/crates/fernroute-coordinator/tests/duties.rs
@@ -79,8 +79,8 @@
     (holder.name, holder.term)
 }
 
-/// Guards against two holders where members ask at the same time, a duty at a member of a version without duties, and
-/// commands whose output differs from the state.
+/// Guards against two holders where members ask at the same time, a duty at a member of a version without
+/// duties, and commands whose output differs from the state.
 #[test]
 fn commands_print_the_holder_of_a_duty_and_release_it_to_another() {
     run(async {
@@ -113,7 +113,17 @@
         let log_line =
             format!("duty planner: {first} holds it no more, term {term}: an operator had it released");
         assert!(coordinators.processes[leader].process().says(&log_line));
+    });
+}
 
+/// Guards against a command with invalid arguments that succeeds, or is reported in more than one line.
+#[test]
+fn invalid_duty_commands_are_one_line_and_exit_code_2() {
+    run(async {
+        let mut coordinators = Coordinators::new("duty-commands", "c", 3);
+        add_duties(&coordinators, &["planner", "sweep"]);
+        coordinators.start();
+        coordinators.leader(None).await;
         for (arguments, expected) in [
             (&["duties", "release", "nothing"][..], "nothing: no such duty"),
             (&["duties", "release"][..], "duty"),
--- a/crates/fernroute-coordinator/tests/fleet.rs
+++ b/crates/fernroute-coordinator/tests/fleet.rs
@@ -1,4 +1,5 @@
-//! The ledger of a fleet while its coordinators are killed, suspended, restarted and replaced, and while disks are lost or full.
+//! The ledger of a fleet while its coordinators are killed, suspended, restarted and replaced, and while
+//! disks are lost or full.
 
 mod common;
 
@@ -10,6 +11,12 @@
 use fernroute_coordinator::replica::Status;
 use fernroute_fleet::message::HEARTBEAT_PATH;
 
+fn forget_lapses(members: &mut [TestMember]) {
+    for member in members {
+        member.longest_lapse = 0;
+    }
+}
+
 /// Guards against grants that expire because a leader was killed, and against a ledger that loses them.
 #[test]
 fn grants_do_not_expire_when_the_leader_is_killed() {
@@ -25,9 +32,7 @@
             let leader = coordinators.leader(None).await;
             let epoch = coordinators.status(leader).await.expect("a status").epoch;
             coordinators.processes[leader].kill();
-            for member in &mut members {
-                member.longest_lapse = 0;
-            }
+            forget_lapses(&mut members);
             let next = coordinators.leader(Some(leader)).await;
             heartbeat_until(&coordinators, &mut members, nearly_all_allocated).await;
             // One log line, not one for each message that fails.
@@ -44,7 +49,8 @@
     });
 }
 
-/// Guards against a minority that grants, and against guarantees that expire with the other grants. All coordinators are suspended and resumed.
+/// Guards against a minority that grants, and against guarantees that expire with the other grants. All
+/// coordinators are suspended and resumed.
 #[test]
 fn without_a_majority_members_keep_their_guarantees_alone_until_it_is_back() {
     run(async {
@@ -71,7 +77,8 @@
     });
 }
 
-/// Guards against a coordinator that votes twice because its vote was lost with its disk, or that serves another cluster.
+/// Guards against a coordinator that votes twice because its vote was lost with its disk, or that serves
+/// another cluster.
 #[test]
 fn a_coordinator_without_its_disk_or_with_one_of_another_cluster_has_no_vote() {
     run(async {
@@ -82,9 +89,7 @@
         let leader = coordinators.leader(None).await;
         let lost = (leader + 1) % 3;
         let id = coordinators.status(lost).await.expect("a status").id;
-        coordinators.processes[lost].kill();
-        coordinators.processes[lost].disk.wipe().expect("an empty disk");
-        coordinators.processes[lost].start();
+        coordinators.processes[lost].restart_without_disk();
         coordinators.wait_for_state(lost, "blank").await;
         assert_ne!(coordinators.status(lost).await.expect("a status").id, id);
         heartbeat_until(&coordinators, &mut members, nearly_all_allocated).await;
@@ -150,39 +155,44 @@
     });
 }
 
-/// Guards against a cluster that can't grow from one coordinator, or can't replace a lost one, without grants that expire.
+/// Starts the first coordinator alone, and adds the others; they are rejected until the leader's file names
+/// them and they run.
+async fn grow_from_one_to_three(coordinators: &mut Coordinators, members: &mut [TestMember]) {
+    let all = coordinators.addresses();
+    coordinators.processes[0].write_config("c", &all[..1]);
+    coordinators.processes[0].start();
+    heartbeat_until(coordinators, members, nearly_all_allocated).await;
+    // The leader's own file has to name the new ones first.
+    let output = coordinators.change(1);
+    assert!(output.code == 2 && output.text().contains("which leads, names s0"), "{output:?}");
+    // It leads alone with the new file, too.
+    coordinators.processes[0].kill();
+    coordinators.processes[0].write_config("c", &all);
+    coordinators.processes[0].start();
+    coordinators.leader(None).await;
+    let output = coordinators.change(0);
+    assert!(output.code == 2 && output.text().contains("s0: s1: "), "{output:?}");
+    coordinators.processes[1].start();
+    coordinators.processes[2].start();
+    coordinators.wait_for_state(1, "blank").await;
+    coordinators.wait_for_state(2, "blank").await;
+    let output = coordinators.change(2);
+    assert!(output.code == 0 && output.text().contains("taken in: s1, s2"), "{output:?}");
+    heartbeat_until(coordinators, members, nearly_all_allocated).await;
+}
+
+/// Guards against a cluster that can't grow from one coordinator, or can't replace a lost one, without grants
+/// that expire.
 #[test]
 fn a_cluster_grows_from_one_to_three_and_replaces_a_lost_coordinator() {
     run(async {
         let mut coordinators = Coordinators::new("grow", "c", 3);
-        let all = coordinators.addresses();
-        coordinators.processes[0].write_config("c", &all[..1]);
-        coordinators.processes[0].start();
         let mut members = [TestMember::new("n0", 1, 150_000), TestMember::new("n1", 2, 50_000)];
-        heartbeat_until(&coordinators, &mut members, nearly_all_allocated).await;
-        // The leader's own file has to name the new ones first.
-        let output = coordinators.change(1);
-        assert!(output.code == 2 && output.text().contains("which leads, names s0"), "{output:?}");
-        // It leads alone with the new file, too.
-        coordinators.processes[0].kill();
-        coordinators.processes[0].write_config("c", &all);
-        coordinators.processes[0].start();
-        coordinators.leader(None).await;
-        let output = coordinators.change(0);
-        assert!(output.code == 2 && output.text().contains("s0: s1: "), "{output:?}");
-        coordinators.processes[1].start();
-        coordinators.processes[2].start();
-        coordinators.wait_for_state(1, "blank").await;
-        coordinators.wait_for_state(2, "blank").await;
-        let output = coordinators.change(2);
-        assert!(output.code == 0 && output.text().contains("taken in: s1, s2"), "{output:?}");
-        heartbeat_until(&coordinators, &mut members, nearly_all_allocated).await;
+        grow_from_one_to_three(&mut coordinators, &mut members).await;
         // The first one is lost with its disk, and restarts with another identity.
         coordinators.processes[0].kill();
         coordinators.processes[0].disk.wipe().expect("an empty disk");
-        for member in &mut members {
-            member.longest_lapse = 0;
-        }
+        forget_lapses(&mut members);
         coordinators.leader(Some(0)).await;
         heartbeat_until(&coordinators, &mut members, nearly_all_allocated).await;
         assert!(members.iter().all(|member| member.longest_lapse == 0), "a grant expired");
@@ -202,7 +212,32 @@
     });
 }
 
-/// Guards against a coordinator that votes and accepts entries a second time because its disk is a stale copy.
+/// Copies the disk of a follower, lets the follower store more entries, and restarts it with the copy.
+async fn restart_with_stale_disk(
+    coordinators: &mut Coordinators,
+    members: &mut [TestMember; 2],
+    follower: usize,
+) {
+    coordinators.processes[follower].kill();
+    let copy_folder = coordinators.folder.join("copy");
+    let copy = coordinators.processes[follower].disk.copy(copy_folder).expect("a copy");
+    coordinators.processes[follower].start();
+    coordinators.wait_for_state(follower, "follower").await;
+    let epoch = coordinators.status(follower).await.expect("a status").epoch;
+    (members[0].demand, members[1].demand) = (50_000, 150_000);
+    heartbeat_until(coordinators, members, |members| {
+        nearly_all_allocated(members) && members[1].allocated() > members[0].allocated()
+    })
+    .await;
+    let has_stored_more = |status: Status| status.epoch > epoch;
+    wait_until(|| async { coordinators.status(follower).await.is_some_and(has_stored_more) }).await;
+    coordinators.processes[follower].kill();
+    coordinators.processes[follower].disk.become_like(&copy).expect("the copy");
+    coordinators.processes[follower].start();
+}
+
+/// Guards against a coordinator that votes and accepts entries a second time because its disk is a stale
+/// copy.
 #[test]
 fn a_coordinator_with_a_stale_copy_of_its_disk_takes_no_part_until_it_is_replaced() {
     run(async {
@@ -212,22 +247,7 @@
         heartbeat_until(&coordinators, &mut members, nearly_all_allocated).await;
         let leader = coordinators.leader(None).await;
         let (stale, other) = ((leader + 1) % 3, (leader + 2) % 3);
-        coordinators.processes[stale].kill();
-        let copy = coordinators.processes[stale].disk.copy(coordinators.folder.join("copy")).expect("a copy");
-        coordinators.processes[stale].start();
-        coordinators.wait_for_state(stale, "follower").await;
-        // It stores another entry before its disk is replaced by the copy.
-        let epoch = coordinators.status(stale).await.expect("a status").epoch;
-        (members[0].demand, members[1].demand) = (50_000, 150_000);
-        heartbeat_until(&coordinators, &mut members, |members| {
-            nearly_all_allocated(members) && members[1].allocated() > members[0].allocated()
-        })
-        .await;
-        wait_until(|| async { coordinators.status(stale).await.is_some_and(|status| status.epoch > epoch) })
-            .await;
-        coordinators.processes[stale].kill();
-        coordinators.processes[stale].disk.become_like(&copy).expect("the copy");
-        coordinators.processes[stale].start();
+        restart_with_stale_disk(&mut coordinators, &mut members, stale).await;
         coordinators.wait_for_state(stale, "waiting").await;
         let reports_stale_disk = |status: &Status| {
             status.trouble.as_ref().is_some_and(|fault| fault.contains("the disk is older than"))
@@ -243,9 +263,7 @@
         coordinators.processes[other].start();
         heartbeat_until(&coordinators, &mut members, nearly_all_allocated).await;
         // A restart without a disk, and a change, bring it back.
-        coordinators.processes[stale].kill();
-        coordinators.processes[stale].disk.wipe().expect("an empty disk");
-        coordinators.processes[stale].start();
+        coordinators.processes[stale].restart_without_disk();
         coordinators.wait_for_state(stale, "blank").await;
         let output = coordinators.change(stale);
         assert!(output.code == 0, "{output:?}");
@@ -253,7 +271,8 @@
     });
 }
 
-/// Guards against a coordinator that goes on as if its writes had succeeded, and against one that stalls the cluster.
+/// Guards against a coordinator that goes on as if its writes had succeeded, and against one that stalls the
+/// cluster.
 #[test]
 fn a_coordinator_that_cannot_write_stops_with_a_fault_and_restarts_with_its_state() {
     run(async {
