--- a/crates/fernroute-coordinator/src/config.rs
+++ b/crates/fernroute-coordinator/src/config.rs
@@ -78,10 +78,9 @@
     faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("; ")
 }
 
-/// The file as it is written. Its keys, and the names of types in the parser's errors, are the operators'
-/// interface.
+/// The file as it is written: its keys, and what the parser expects, are the operators' interface.
 #[derive(Clone, Debug, Deserialize)]
-#[serde(deny_unknown_fields, rename = "Page")]
+#[serde(deny_unknown_fields)]
 struct RawConfig {
     cluster: String,
     name: String,
@@ -110,14 +109,14 @@
 
 /// A duty: work that one balancer of the fleet does at a time.
 #[derive(Clone, Debug, Deserialize)]
-#[serde(deny_unknown_fields, rename = "DutyPage")]
+#[serde(deny_unknown_fields, expecting = "struct DutyPage")]
 struct RawDuty {
     name: String,
 }
 
 /// A budget that the fleet shares.
 #[derive(Clone, Debug, Deserialize)]
-#[serde(deny_unknown_fields, rename = "BudgetPage")]
+#[serde(deny_unknown_fields, expecting = "struct BudgetPage")]
 struct RawBudget {
     name: String,
     /// Units per second over the fleet.
@@ -156,7 +155,7 @@
 
 /// Name and address of one coordinator.
 #[derive(Clone, Debug, Deserialize)]
-#[serde(deny_unknown_fields, rename = "Steward")]
+#[serde(deny_unknown_fields, expecting = "struct Steward")]
 pub struct CoordinatorAddress {
     /// Its name, unique within the cluster.
     pub name: String,
