--- a/crates/fernroute-fleet/src/configuration/follower.rs
+++ b/crates/fernroute-fleet/src/configuration/follower.rs
@@ -1,14 +1,14 @@
-//! A balancer's side of the configuration: which entries are active, which version it was notified of, and when it
-//! fetches that.
+//! A balancer's side of the configuration: which entries are active, which version it was notified of, and
+//! when it fetches that.
 //!
-//! The balancer's configuration task sends what [`ConfigurationFollower::next_fetch`] returns to any coordinator. It
-//! passes the reply to [`ConfigurationFollower::on_reply`], or reports a failure with
-//! [`ConfigurationFollower::fetch_failed`]. A [`ConfigurationSnapshot`] from a reply is laid over the balancer's own file;
-//! the caller then reports [`ConfigurationFollower::activate`] or [`ConfigurationFollower::reject`], and stores an active
-//! one on its disk.
+//! The balancer's configuration task sends what [`ConfigurationFollower::next_fetch`] returns to any
+//! coordinator. It passes the reply to [`ConfigurationFollower::on_reply`], or reports a failure with
+//! [`ConfigurationFollower::fetch_failed`]. A [`ConfigurationSnapshot`] from a reply is laid over the
+//! balancer's own file; the caller then reports [`ConfigurationFollower::activate`] or
+//! [`ConfigurationFollower::reject`], and stores an active one on its disk.
 //!
-//! Invariants: the active version never decreases, and an active snapshot is complete: its entries match the hash that
-//! the coordinator computed over all entries that concern the balancer.
+//! Invariants: the active version never decreases, and an active snapshot is complete: its entries match the
+//! hash that the coordinator computed over all entries that concern the balancer.
 
 use super::{
     bundle_hash, content_hash, sanitize, ConfigurationReport, FetchReply, FetchRequest, Scope, ScopeEntry,
@@ -24,11 +24,12 @@
 /// The longest backoff, in tenths of a millisecond.
 const MAX_BACKOFF: Time = 10_000;
 
-/// All entries that concern a balancer, as of one version. Also the form in which they are stored on its disk.
+/// All entries that concern a balancer, as of one version. Also the form in which they are stored on its
+/// disk.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigurationSnapshot {
-    /// The balancer that it concerns. Guards against a stored copy from before the balancer was moved: older entries that
-    /// concern it now would never be fetched.
+    /// The balancer that it concerns. Guards against a stored copy from before the balancer was moved: older
+    /// entries that concern it now would never be fetched.
     #[serde(default)]
     #[serde(rename = "place")]
     target: Target,
@@ -59,8 +60,8 @@
         self.entries.values()
     }
 
-    /// Whether each content matches its hash, and all entries together match the bundle's: none is missing, of another
-    /// version, or of another balancer.
+    /// Whether each content matches its hash, and all entries together match the bundle's: none is missing,
+    /// of another version, or of another balancer.
     pub fn is_sound(&self) -> bool {
         let newest_version = self.entries.values().map(|entry| entry.version).max().unwrap_or(0);
         self.entries.iter().all(|(scope, entry)| self.is_entry_sound(scope, entry))
@@ -89,8 +90,8 @@
     /// It is no newer than the active version, or was rejected.
     #[error("the version is not newer")]
     Older,
-    /// A content does not match its hash, an entry is not of this balancer, or the entries do not form one bundle with
-    /// those that the balancer has. The next request asks for all entries.
+    /// A content does not match its hash, an entry is not of this balancer, or the entries do not form one
+    /// bundle with those that the balancer has. The next request asks for all entries.
     #[error("the entries do not match their hashes")]
     Corrupt,
     /// No request is unanswered.
@@ -123,8 +124,9 @@
 }
 
 impl ConfigurationFollower {
-    /// `stored` is the snapshot that the former process stored, where it could be read and has been applied. One that does
-    /// not [match](ConfigurationSnapshot::matches) the target is ignored, and all entries are fetched.
+    /// `stored` is the snapshot that the former process stored, where it could be read and has been applied.
+    /// One that does not [match](ConfigurationSnapshot::matches) the target is ignored, and all entries are
+    /// fetched.
     pub fn new(target: Target, stored: Option<ConfigurationSnapshot>) -> Self {
         let stored = stored.filter(|stored| stored.matches(&target));
         let active = stored.unwrap_or_else(|| ConfigurationSnapshot::empty(target.clone()));
@@ -167,9 +169,10 @@
         self.rejection.as_ref().map_or(0, |rejection| rejection.version).max(self.active.version)
     }
 
-    /// The leader's notice of the version that concerns this balancer. The last notice counts, even a lower one: it is of
-    /// an overtaken reply, and corrected by the next, or of a register that was set up anew, where the higher version
-    /// would be fetched in vain. Neither brings anything older than the active version.
+    /// The leader's notice of the version that concerns this balancer. The last notice counts, even a lower
+    /// one: it is of an overtaken reply, and corrected by the next, or of a register that was set up anew,
+    /// where the higher version would be fetched in vain. Neither brings anything older than the active
+    /// version.
     pub fn on_notification(&mut self, version: Version) {
         if version > self.notified_version {
             self.reset_backoff();
@@ -192,8 +195,8 @@
         self.pending_request.clone()
     }
 
-    /// No reply came, or none that could be used. `jitter` is a random number between 0 and 1 that draws the backoff from
-    /// its upper half. Guards against balancers that retry together after they failed together.
+    /// No reply came, or none that could be used. `jitter` is a random number between 0 and 1 that draws the
+    /// backoff from its upper half. Guards against balancers that retry together after they failed together.
     pub fn fetch_failed(&mut self, now: Time, jitter: f64) {
         self.pending_request = None;
         let jitter = if (0.0..=1.0).contains(&jitter) { jitter } else { 1.0 };
@@ -203,7 +206,8 @@
     }
 
     /// The complete snapshot to apply, from a coordinator's reply. It is not active before
-    /// [`ConfigurationFollower::activate`]; after an error the caller reports [`ConfigurationFollower::fetch_failed`].
+    /// [`ConfigurationFollower::activate`]; after an error the caller reports
+    /// [`ConfigurationFollower::fetch_failed`].
     pub fn on_reply(&mut self, reply: FetchReply) -> Result<ConfigurationSnapshot, FetchError> {
         let Some(request) = &self.pending_request else { return Err(FetchError::Unsolicited) };
         let FetchReply::Entries { version, bundle_hash, entries } = reply else {
--- a/crates/fernroute-fleet/src/configuration/mod.rs
+++ b/crates/fernroute-fleet/src/configuration/mod.rs
@@ -1,8 +1,10 @@
-//! Configuration for all balancers of a fleet: versioned entries in the replicated log, and which balancer uses which.
+//! Configuration for all balancers of a fleet: versioned entries in the replicated log, and which balancer
+//! uses which.
 //!
-//! An entry is a part of a balancer's file, for a [`Scope`]: the whole fleet, a service, a service in one zone, or one
-//! balancer. The entries that concern a balancer are laid over its own file from the widest scope to the narrowest.
-//! Versions increase over all scopes, so the highest one that concerns a balancer identifies all that it should use.
+//! An entry is a part of a balancer's file, for a [`Scope`]: the whole fleet, a service, a service in one
+//! zone, or one balancer. The entries that concern a balancer are laid over its own file from the widest
+//! scope to the narrowest. Versions increase over all scopes, so the highest one that concerns a balancer
+//! identifies all that it should use.
 //!
 //! - [`register`]: the replicated state: the latest entry of each scope, and a history without contents.
 //! - [`follower`]: a balancer's side: what is active, which version it was notified of, when it fetches that.
@@ -35,7 +37,8 @@
 /// The path at which a coordinator answers a [`FetchRequest`].
 pub const FETCH_PATH: &str = "/-/configuration/fetch";
 
-/// Whether a service, a zone, a balancer or a duty may have this name: it fits a scope, a log line and a table as it is.
+/// Whether a service, a zone, a balancer or a duty may have this name: it fits a scope, a log line and a
+/// table as it is.
 pub fn is_name(text: &str) -> bool {
     !text.is_empty()
         && text.len() <= MAX_NAME_BYTES
@@ -170,8 +173,8 @@
     Sha256::digest(content.as_bytes()).iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// The SHA-256 of all entries that concern a balancer as of one version, by their versions and content hashes. Guards
-/// against entries of one version that are combined with entries of another.
+/// The SHA-256 of all entries that concern a balancer as of one version, by their versions and content
+/// hashes. Guards against entries of one version that are combined with entries of another.
 pub fn bundle_hash<'a>(
     target: &Target,
     version: Version,
--- a/crates/fernroute-fleet/src/configuration/register.rs
+++ b/crates/fernroute-fleet/src/configuration/register.rs
@@ -1,11 +1,13 @@
 //! The replicated configuration: the latest entry of each scope, and a history without contents.
 //!
-//! The register is a deterministic state machine: each coordinator applies the same entries in the same order and reaches
-//! the same state. The coordinator's replica calls [`Register::apply`] for each committed [`ConfigurationPut`], and
-//! answers balancers with [`Register::fetch`]; the leader reads [`Register::version_for`].
+//! The register is a deterministic state machine: each coordinator applies the same entries in the same order
+//! and reaches the same state. The coordinator's replica calls [`Register::apply`] for each committed
+//! [`ConfigurationPut`], and answers balancers with [`Register::fetch`]; the leader reads
+//! [`Register::version_for`].
 //!
-//! Invariants: versions increase over all scopes, an entry replaces only the version that its operator started from, and
-//! all contents together stay within a bound. An entry that would break them is refused and changes nothing.
+//! Invariants: versions increase over all scopes, an entry replaces only the version that its operator
+//! started from, and all contents together stay within a bound. An entry that would break them is refused and
+//! changes nothing.
 
 use super::{
     bundle_hash, content_hash, FetchReply, FetchRequest, Scope, ScopeEntry, Target, Version,
@@ -17,10 +19,12 @@
 /// Enough for some thousand balancers and their services.
 const MAX_SCOPES: usize = 10_000;
 
-/// Of all contents together: each coordinator holds them, and sends them in one piece to one that has restarted.
+/// Of all contents together: each coordinator holds them, and sends them in one piece to one that has
+/// restarted.
 const MAX_TOTAL_BYTES: usize = 16 << 20;
 
-/// How far a version may be above the last one. Guards against a member that reports the highest number there is.
+/// How far a version may be above the last one. Guards against a member that reports the highest number there
+/// is.
 const MAX_VERSION_STEP: Version = 1_000_000;
 
 /// More than a day's changes of the largest fleet.
@@ -46,7 +50,8 @@
     #[serde(rename = "when_ms")]
     pub entered_at_ms: u64,
     /// The new version is above this one and above the register's last: the highest that any member reported
-    /// ([`crate::leader::Leader::highest_reported_version`]), or one less than another region's version of this entry.
+    /// ([`crate::leader::Leader::highest_reported_version`]), or one less than another region's version of
+    /// this entry.
     #[serde(default)]
     #[serde(rename = "above")]
     pub min_version_exclusive: Version,
@@ -58,8 +63,8 @@
         is_named && !self.author.chars().any(char::is_control)
     }
 
-    /// Guards against a scope that cannot be read again from the stored register, which would end a coordinator's next
-    /// start.
+    /// Guards against a scope that cannot be read again from the stored register, which would end a
+    /// coordinator's next start.
     fn has_valid_scope(&self) -> bool {
         self.scope.to_string().parse().as_ref() == Ok(&self.scope)
     }
--- a/crates/fernroute-fleet/src/configuration/rollout.rs
+++ b/crates/fernroute-fleet/src/configuration/rollout.rs
@@ -1,7 +1,7 @@
 //! How far each member is with the configuration that concerns it, as the leader knows it.
 //!
-//! [`crate::leader::Leader::configuration_states`] makes a [`MemberRollout`] of each member; the coordinator's `status`
-//! shows them and their [`RolloutSummary`].
+//! [`crate::leader::Leader::configuration_states`] makes a [`MemberRollout`] of each member; the
+//! coordinator's `status` shows them and their [`RolloutSummary`].
 
 use super::{ConfigurationReport, Version};
 use serde::{Deserialize, Serialize};
--- a/crates/fernroute-fleet/src/demand.rs
+++ b/crates/fernroute-fleet/src/demand.rs
@@ -1,10 +1,12 @@
 //! How much of a budget a member could use, estimated from its recent requests.
 //!
-//! The balancer's dispatcher counts each request in a [`DemandMeter`]; its fleet task reports the result in heartbeats.
+//! The balancer's dispatcher counts each request in a [`DemandMeter`]; its fleet task reports the result in
+//! heartbeats.
 //!
-//! Two rates are kept. The long one is precise to a few percent while the demand is steady. Where the short one differs
-//! from it by more than chance explains, the demand has changed, and the long one starts again from the short one.
-//! Guards against a new division for each burst of requests, and against quotas sized by one.
+//! Two rates are kept. The long one is precise to a few percent while the demand is steady. Where the short
+//! one differs from it by more than chance explains, the demand has changed, and the long one starts again
+//! from the short one. Guards against a new division for each burst of requests, and against quotas sized by
+//! one.
 
 use crate::MilliUnits;
 use fernroute::host::SECOND;
@@ -13,11 +15,12 @@
 const SHORT_TIME_CONSTANT: f64 = SECOND as f64;
 const LONG_TIME_CONSTANT: f64 = 10.0 * SECOND as f64;
 
-/// A lower bound of the observed part of the time constant. Guards against a rate without bound right after the start.
+/// A lower bound of the observed part of the time constant. Guards against a rate without bound right after
+/// the start.
 const MIN_OBSERVED_FRACTION: f64 = 0.05;
 
-/// How far the two rates may differ, in standard deviations: a smaller number is exceeded by chance too often, since the
-/// rates are compared several times a second.
+/// How far the two rates may differ, in standard deviations: a smaller number is exceeded by chance too
+/// often, since the rates are compared several times a second.
 const MAX_DEVIATIONS: f64 = 3.0;
 
 /// A rate from an exponentially decaying count.
--- a/crates/fernroute-fleet/src/duties/holder.rs
+++ b/crates/fernroute-fleet/src/duties/holder.rs
@@ -1,7 +1,8 @@
 //! A member's side of the duties: which ones it may act on, and until when by its own clock.
 //!
 //! The balancer's duties task adds [`MemberDuties::report`] to each heartbeat, passes each reply to
-//! [`MemberDuties::on_reply`], and calls [`MemberDuties::term`] before each act, whose order carries the term.
+//! [`MemberDuties::on_reply`], and calls [`MemberDuties::term`] before each act, whose order carries the
+//! term.
 //!
 //! A duty is acquired by a reply that names a term which has not been released here, and is lost
 //!
@@ -111,8 +112,8 @@
         self.held.iter().map(|(duty, lease)| (duty.as_str(), lease.term, lease.expires_at))
     }
 
-    /// Applies the reply to the heartbeat with this number; `assignments` is none where the reply has no part on duties.
-    /// Leases count from when the heartbeat was sent. A reply that was overtaken changes nothing.
+    /// Applies the reply to the heartbeat with this number; `assignments` is none where the reply has no part
+    /// on duties. Leases count from when the heartbeat was sent. A reply that was overtaken changes nothing.
     pub fn on_reply(
         &mut self,
         now: Time,
@@ -183,8 +184,8 @@
         removed
     }
 
-    /// Gives up all duties, and takes none until [`MemberDuties::resume`]: the member drains or is about to end. The next
-    /// heartbeat reports it, and is best sent at once.
+    /// Gives up all duties, and takes none until [`MemberDuties::resume`]: the member drains or is about to
+    /// end. The next heartbeat reports it, and is best sent at once.
     pub fn release_all(&mut self) -> Vec<Event> {
         self.eligible = false;
         let mut events = Vec::new();
--- a/crates/fernroute-fleet/src/duties/leader.rs
+++ b/crates/fernroute-fleet/src/duties/leader.rs
@@ -1,18 +1,20 @@
-//! What the coordinators' leader knows of candidates beside the table of duties, and which duties it grants or ends next.
+//! What the coordinators' leader knows of candidates beside the table of duties, and which duties it grants
+//! or ends next.
 //!
-//! The coordinator's replica makes a [`Leader`] at the start of each leadership, passes it every heartbeat, enters what
-//! [`Leader::next_transition`] returns, and calls [`Leader::transition_done`] once the outcome is known. A new leader
-//! takes every holder for heard and confirmed at that moment, since the leader before it may have replied until then.
+//! The coordinator's replica makes a [`Leader`] at the start of each leadership, passes it every heartbeat,
+//! enters what [`Leader::next_transition`] returns, and calls [`Leader::transition_done`] once the outcome is
+//! known. A new leader treats that moment as the last heartbeat and confirmation of every holder, since the
+//! leader before it may have replied until then.
 //!
 //! Transitions of a duty, and what proves each safe:
 //!
-//! - A held duty ends once its holder has reported the term as released, or once its lease cannot be believed any more:
-//!   [`Lease::expires_after`] the heartbeat of the last reply that confirmed the term.
+//! - A held duty ends once its holder has reported the term as released, or once its lease cannot be believed
+//!   any more: [`Lease::expires_after`] the heartbeat of the last reply that confirmed the term.
 //! - To take a duty from its holder, replies stop to confirm its term, so that one of the two follows.
 //! - A free duty is granted to an eligible candidate by [`crate::duties::placement`].
 //!
-//! The caller sends assignments only after it has confirmed that it still led when the heartbeat arrived, and has applied
-//! all entries before. Guards against a lease from a deposed leader.
+//! The caller sends assignments only after it has confirmed that it still led when the heartbeat arrived, and
+//! has applied all entries before. Guards against a lease from a deposed leader.
 
 use super::placement::choose;
 use super::table::{DutyEnd, DutyGrant, DutyHolder, DutyTable, DutyTransition};
@@ -29,11 +31,12 @@
     report: DutyReport,
 }
 
-/// What the leader knows of one candidate. Times are by its own clock, and the start of its leadership at first.
+/// What the leader knows of one candidate. Times are by its own clock, and the start of its leadership at
+/// first.
 #[derive(Clone, Debug)]
 struct CandidateState {
     name: String,
-    last_heard_at: Time,
+    last_heartbeat_at: Time,
     /// When a heartbeat last showed that a further reply had reached the candidate.
     last_responsive_at: Time,
     /// None before the first heartbeat.
@@ -42,12 +45,17 @@
 
 impl CandidateState {
     fn new(name: &str, now: Time) -> Self {
-        CandidateState { name: name.to_owned(), last_heard_at: now, last_responsive_at: now, latest: None }
+        CandidateState {
+            name: name.to_owned(),
+            last_heartbeat_at: now,
+            last_responsive_at: now,
+            latest: None,
+        }
     }
 
     /// An overtaken heartbeat does not replace a later report.
     fn on_heartbeat(&mut self, now: Time, heartbeat_number: u64, report: &DutyReport) {
-        self.last_heard_at = now;
+        self.last_heartbeat_at = now;
         if let Some(previous) = &self.latest {
             if heartbeat_number <= previous.heartbeat_number {
                 return;
@@ -63,7 +71,7 @@
         self.latest.as_ref().map(|latest| &latest.report)
     }
 
-    /// Whether it may be given a duty: it says so, and a reply has reached it.
+    /// Whether it may be given a duty: its report says so, and a reply has reached it.
     fn is_eligible(&self) -> bool {
         self.report().is_some_and(|report| report.eligible && report.last_answered > 0)
     }
@@ -103,7 +111,7 @@
     pending_transition: Option<DutyTransition>,
     /// Terms that replies do not confirm any more, so that they end. Emptied as they end.
     releasing: BTreeMap<(String, Term), EndReason>,
-    /// When the heartbeat of the last reply that confirmed a term was heard. Emptied as terms end.
+    /// When the heartbeat of the last reply that confirmed a term arrived. Emptied as terms end.
     confirmed_at: BTreeMap<(String, Term), Time>,
     /// Emptied as terms end.
     granted: BTreeMap<String, GrantedTerm>,
@@ -133,15 +141,16 @@
         candidate.on_heartbeat(now, heartbeat.number, report);
     }
 
-    /// The part of the reply to a heartbeat that concerns duties; none where there is nothing to confirm or acknowledge.
+    /// The part of the reply to a heartbeat that concerns duties; none where there is nothing to confirm or
+    /// acknowledge.
     pub fn assignments_for(&mut self, heartbeat: &Heartbeat, table: &DutyTable) -> Option<DutyAssignments> {
         let report = heartbeat.duties.as_ref()?;
         let candidate = sender(heartbeat, report);
         let terms = self.confirmable_terms(candidate, table);
-        // The answered heartbeat was heard no later than the candidate's latest one.
-        let last_heard_at = self.candidates.get(&candidate).map(|state| state.last_heard_at);
+        // The answered heartbeat arrived no later than the candidate's latest one.
+        let last_heartbeat_at = self.candidates.get(&candidate).map(|state| state.last_heartbeat_at);
         for (duty, term) in &terms {
-            self.confirmed_at.insert((duty.clone(), *term), last_heard_at.unwrap_or(self.leader_since));
+            self.confirmed_at.insert((duty.clone(), *term), last_heartbeat_at.unwrap_or(self.leader_since));
         }
         let acknowledged = ended_terms(&report.released, table);
         if terms.is_empty() && acknowledged.is_empty() {
@@ -150,7 +159,8 @@
         Some(DutyAssignments { terms, hold_duration: hold_duration(&self.lease), acknowledged })
     }
 
-    /// What the candidate holds and is to keep. Guards against a renewed lease of a term whose end is being entered.
+    /// What the candidate holds and is to keep. Guards against a renewed lease of a term whose end is being
+    /// entered.
     fn confirmable_terms(&self, candidate: Candidate, table: &DutyTable) -> DutyTerms {
         let mut terms = DutyTerms::new();
         for (name, duty) in table.duties() {
@@ -174,7 +184,8 @@
         Some(holder.clone())
     }
 
-    /// The transition to enter now, if any. There is none until [`Leader::transition_done`] has been called for the last.
+    /// The transition to enter now, if any. There is none until [`Leader::transition_done`] has been called
+    /// for the last.
     pub fn next_transition(&mut self, now: Time, table: &DutyTable) -> Option<DutyTransition> {
         if self.pending_transition.is_some() {
             return None;
@@ -226,8 +237,8 @@
         granted.map(|granted| granted.granted_at)
     }
 
-    /// The moment that the holder's lease counts from at the latest. A term without a confirmation counts from its grant,
-    /// or from the start of this leadership.
+    /// The moment that the holder's lease counts from at the latest. A term without a confirmation counts
+    /// from its grant, or from the start of this leadership.
     fn last_confirmed_at(&self, now: Time, duty: &str, term: Term) -> Time {
         let confirmed_at = self.confirmed_at.get(&(duty.to_owned(), term)).copied();
         confirmed_at.or(self.granted_at(duty, term)).unwrap_or(self.leader_since).min(now)
@@ -243,8 +254,8 @@
         for (name, duty) in table.duties() {
             let Some(holder) = &duty.holder else { continue };
             let Some(state) = self.candidates.get(&holder.candidate) else { continue };
-            let is_heard = self.is_recent(now, state.last_heard_at);
-            if is_heard && !self.is_recent(now, state.last_responsive_at) {
+            let sends_heartbeats = self.is_recent(now, state.last_heartbeat_at);
+            if sends_heartbeats && !self.is_recent(now, state.last_responsive_at) {
                 let held_term = (name.clone(), holder.term);
                 self.releasing.entry(held_term).or_insert(EndReason::Unresponsive);
             }
@@ -297,8 +308,8 @@
         grants
     }
 
-    /// The candidates that may be given a duty, each with the number of duties that it holds after the ends. They were
-    /// heard and responsive lately: guards against a duty for a member that has just died.
+    /// The candidates that may be given a duty, each with the number of duties that it holds after the ends.
+    /// Their last heartbeats are recent: guards against a duty for a member that has just died.
     fn eligible_with_duty_counts(
         &self,
         now: Time,
@@ -307,8 +318,8 @@
     ) -> BTreeMap<Candidate, usize> {
         let mut duty_counts = BTreeMap::new();
         for (candidate, state) in &self.candidates {
-            let is_heard = self.is_recent(now, state.last_heard_at);
-            if state.is_eligible() && is_heard && self.is_recent(now, state.last_responsive_at) {
+            let sends_heartbeats = self.is_recent(now, state.last_heartbeat_at);
+            if state.is_eligible() && sends_heartbeats && self.is_recent(now, state.last_responsive_at) {
                 duty_counts.insert(*candidate, 0);
             }
         }
@@ -328,7 +339,7 @@
         let holders: BTreeMap<Candidate, &str> =
             holders.map(|holder| (holder.candidate, holder.name.as_str())).collect();
         self.candidates.retain(|candidate, state| {
-            holders.contains_key(candidate) || now.saturating_sub(state.last_heard_at) <= max_silence
+            holders.contains_key(candidate) || now.saturating_sub(state.last_heartbeat_at) <= max_silence
         });
         for (candidate, name) in holders {
             let state = self.candidates.entry(candidate);
--- a/crates/fernroute-fleet/src/duties/mod.rs
+++ b/crates/fernroute-fleet/src/duties/mod.rs
@@ -1,6 +1,7 @@
 //! Duties that at most one balancer holds at a time, under a lease with a fencing token.
 //!
-//! - [`table`]: the replicated state: who holds which duty, under which term. Terms only increase and are never reused.
+//! - [`table`]: the replicated state: who holds which duty, under which term. Terms only increase and are
+//!   never reused.
 //! - [`leader`]: what the coordinators' leader knows beside it, and which duties it grants or ends next.
 //! - [`holder`]: a member's side: which duties it may act on, and until when by its own clock.
 //! - [`fence`]: for receivers of a holder's orders: refuses every term below the highest one seen.
@@ -36,13 +37,14 @@
 /// A holder stops one part in so many of the lease early, in addition to the allowance for clock drift.
 const HOLD_MARGIN_DIVISOR: Time = 8;
 
-/// For how long a holder acts on a lease, counted from when it sent its heartbeat: the lease without the margin.
+/// For how long a holder acts on a lease, counted from when it sent its heartbeat: the lease without the
+/// margin.
 pub fn hold_duration(lease: &Lease) -> Time {
     lease.duration - lease.duration / HOLD_MARGIN_DIVISOR
 }
 
-/// One process of one member. A restarted member is another candidate under the same identity: what its former process
-/// held has to expire, since that process's orders may still be in transit.
+/// One process of one member. A restarted member is another candidate under the same identity: what its
+/// former process held has to expire, since that process's orders may still be in transit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Candidate {
     /// The member.
@@ -61,12 +63,13 @@
     /// Terms that it will never act on again.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub released: DutyTerms,
-    /// The number of its latest heartbeat that was answered. Guards against duties at a member whose heartbeats arrive
-    /// while no reply reaches it.
+    /// The number of its latest heartbeat that was answered. Guards against duties at a member whose
+    /// heartbeats arrive while no reply reaches it.
     #[serde(default)]
     #[serde(rename = "answered")]
     pub last_answered: u64,
-    /// The highest term that it knows of. Guards against reuse of terms after all coordinators have lost their disks.
+    /// The highest term that it knows of. Guards against reuse of terms after all coordinators have lost
+    /// their disks.
     #[serde(default)]
     #[serde(rename = "highest")]
     pub highest_term: Term,
--- a/crates/fernroute-fleet/src/duties/placement.rs
+++ b/crates/fernroute-fleet/src/duties/placement.rs
@@ -1,7 +1,8 @@
 //! Which candidate gets a duty that nobody holds.
 //!
-//! Candidates with the fewest duties come first, so that duties spread over the fleet; among these rendezvous hashing
-//! decides, so that the same members get the same duties again. [`crate::duties::leader`] calls it for each grant.
+//! Candidates with the fewest duties come first, so that duties spread over the fleet; among these rendezvous
+//! hashing decides, so that the same members get the same duties again. [`crate::duties::leader`] calls it
+//! for each grant.
 
 use super::Candidate;
 use std::collections::BTreeMap;
@@ -12,7 +13,8 @@
     xxh3_64_with_seed(duty.as_bytes(), candidate.identity)
 }
 
-/// The candidate to give the duty to, from the number of duties that each candidate holds; none where there is none.
+/// The candidate to give the duty to, from the number of duties that each candidate holds; none where there
+/// is none.
 pub fn choose(duty: &str, duty_counts: &BTreeMap<Candidate, usize>) -> Option<Candidate> {
     let lowest_count = *duty_counts.values().min()?;
     let least_loaded = duty_counts.iter().filter(|(_, count)| **count == lowest_count);
--- a/crates/fernroute-fleet/src/duties/table.rs
+++ b/crates/fernroute-fleet/src/duties/table.rs
@@ -1,14 +1,14 @@
 //! The replicated record of who holds which duty.
 //!
-//! The table is a deterministic state machine: each coordinator applies the same entries in the same order and reaches
-//! the same state. The coordinator's replica calls [`DutyTable::apply`]; [`crate::duties::leader`] decides the
-//! transitions.
+//! The table is a deterministic state machine: each coordinator applies the same entries in the same order
+//! and reaches the same state. The coordinator's replica calls [`DutyTable::apply`];
+//! [`crate::duties::leader`] decides the transitions.
 //!
-//! A duty is free or held under a term. [`DutyTransition::grants`] gives a free duty a holder under a new term,
-//! [`DutyTransition::ends`] frees it. A removed duty stays until its holder's term has ended.
+//! A duty is free or held under a term. [`DutyTransition::grants`] gives a free duty a holder under a new
+//! term, [`DutyTransition::ends`] frees it. A removed duty stays until its holder's term has ended.
 //!
-//! Invariants: a held duty is granted to nobody else, and a term is granted once. An entry that would break them is
-//! refused and changes nothing.
+//! Invariants: a held duty is granted to nobody else, and a term is granted once. An entry that would break
+//! them is refused and changes nothing.
 
 use super::fence::StaleTerm;
 use super::{Candidate, EndReason, Term, MAX_DUTIES, MAX_NOTE_CHARS};
--- a/crates/fernroute-fleet/src/leader.rs
+++ b/crates/fernroute-fleet/src/leader.rs
@@ -1,18 +1,20 @@
 //! What the coordinators' leader knows of the members beside the ledger, and the transitions it decides on.
 //!
-//! The coordinator's replica makes a [`Leader`] at the start of each leadership, passes it every heartbeat, enters what
-//! [`Leader::next_transition`] returns, and calls [`Leader::transition_done`] once the outcome is known. A new leader
-//! treats that moment as the last heartbeat of every member, since the leader before it may have replied until then.
+//! The coordinator's replica makes a [`Leader`] at the start of each leadership, passes it every heartbeat,
+//! enters what [`Leader::next_transition`] returns, and calls [`Leader::transition_done`] once the outcome is
+//! known. A new leader treats that moment as the last heartbeat of every member, since the leader before it
+//! may have replied until then.
 //!
 //! Transitions of a member, and what proves each safe:
 //!
 //! - joined: no other member, and no other candidate, has the name.
 //! - accepted: a heartbeat has reported the epoch of the pending offer.
 //! - expired: silent for longer than the quota lease can be believed, by [`Lease::expires_after`].
-//! - removed: a heartbeat has reported that it leaves, or it is silent for longer than the guaranteed lease can be believed.
+//! - removed: a heartbeat has reported that it leaves, or it is silent for longer than the guaranteed lease
+//!   can be believed.
 //!
-//! The caller sends a [`Leader::reply`] only after it has confirmed that it still led when the heartbeat arrived, and has
-//! applied all entries before. Guards against a grant from a deposed leader.
+//! The caller sends a [`Leader::reply`] only after it has confirmed that it still led when the heartbeat
+//! arrived, and has applied all entries before. Guards against a grant from a deposed leader.
 
 use crate::configuration::register::Register;
 use crate::configuration::rollout::MemberRollout;
@@ -80,8 +82,8 @@
         self.update_report(now, heartbeat, quota_lease.expires_after());
     }
 
-    /// An overtaken heartbeat does not replace a later report. A lower number after `max_silence` without any report is
-    /// of a process that counts from a new start.
+    /// An overtaken heartbeat does not replace a later report. A lower number after `max_silence` without any
+    /// report is of a process that counts from a new start.
     fn update_report(&mut self, now: Time, heartbeat: &Heartbeat, max_silence: Time) {
         let previous = self.report_origin;
         let is_overtaken = heartbeat.number < previous.heartbeat_number;
@@ -168,8 +170,9 @@
         Ok(())
     }
 
-    /// The reply to a heartbeat. The configuration version is repeated for as long as the member's heartbeats report
-    /// another one, without a record of earlier notices. Guards against a notice that is lost for good.
+    /// The reply to a heartbeat. The configuration version is repeated for as long as the member's heartbeats
+    /// report another one, without a record of earlier notices. Guards against a notice that is lost for
+    /// good.
     pub fn reply(
         &self,
         heartbeat: &Heartbeat,
@@ -224,8 +227,9 @@
     }
 
     /// The highest configuration version that any member reported as active or rejected, for
-    /// [`crate::configuration::register::ConfigurationPut::min_version_exclusive`]. Guards against reuse of a version
-    /// after the register was lost with all coordinators' disks while balancers still have its entries active.
+    /// [`crate::configuration::register::ConfigurationPut::min_version_exclusive`]. Guards against reuse of a
+    /// version after the register was lost with all coordinators' disks while balancers still have its
+    /// entries active.
     pub fn highest_reported_version(&self) -> Version {
         let reports = self.members.values().filter_map(|member| member.report.as_ref());
         let highest = |report: &ConfigurationReport| {
@@ -234,7 +238,8 @@
         reports.map(highest).max().unwrap_or(0)
     }
 
-    /// The transition to enter now, if any. There is none until [`Leader::transition_done`] has been called for the last.
+    /// The transition to enter now, if any. There is none until [`Leader::transition_done`] has been called
+    /// for the last.
     pub fn next_transition(&mut self, now: Time, ledger: &Ledger) -> Option<LedgerTransition> {
         if self.pending_transition.is_some() {
             return None;
@@ -259,7 +264,8 @@
         self.pending_transition = None;
     }
 
-    /// Removes former members, and candidates that have been silent for the quota lease; adds members that it lacks.
+    /// Removes former members, and candidates that have been silent for the quota lease; adds members that it
+    /// lacks.
     fn remove_expired(&mut self, now: Time, ledger: &Ledger) {
         let max_silence = self.quota_lease.expires_after();
         self.members.retain(|identity, member| {
--- a/crates/fernroute-fleet/src/lease.rs
+++ b/crates/fernroute-fleet/src/lease.rs
@@ -1,8 +1,9 @@
-//! How long a grant or a duty may be used: by its holder's clock, and by the clock of the leader that gave it.
+//! How long a grant or a duty may be used: by its holder's clock, and by the clock of the leader that gave
+//! it.
 //!
-//! The holder stops at [`Lease::expires_at`], counted from when it sent the request. The leader gives the same thing to
-//! another only [`Lease::expires_after`] it last heard the holder. Used by [`crate::leader`] for grants and by
-//! [`crate::duties::leader`] for duties.
+//! The holder stops at [`Lease::expires_at`], counted from when it sent the request. The leader gives the
+//! same thing to another only [`Lease::expires_after`] the holder's last request arrived. Used by
+//! [`crate::leader`] for grants and by [`crate::duties::leader`] for duties.
 
 use fernroute::Time;
 use serde::{Deserialize, Serialize};
@@ -20,7 +21,8 @@
 
 const PARTS_PER_MILLION: u64 = 1_000_000;
 
-/// Clocks are read in whole ticks, so the readings of an earlier and a later moment are each up to one tick short.
+/// Clocks are read in whole ticks, so the readings of an earlier and a later moment are each up to one tick
+/// short.
 const ROUNDING_TICKS: Time = 2;
 
 impl Lease {
@@ -29,7 +31,8 @@
         requested_at.saturating_add(self.duration)
     }
 
-    /// For how long after the leader last heard the holder the lease may still be in use, by the leader's clock.
+    /// For how long after the holder's last request arrived the lease may still be in use, by the leader's
+    /// clock.
     ///
     /// The holder sent its request before the leader received it. `duration` of the holder's clock is at most
     /// `duration / (1 - drift_ppm)` of time, in which the leader's clock counts at most
--- a/crates/fernroute-fleet/src/ledger.rs
+++ b/crates/fernroute-fleet/src/ledger.rs
@@ -1,17 +1,19 @@
 //! The replicated record of what each member may hold of each budget.
 //!
-//! The ledger is a deterministic state machine: each coordinator applies the same entries in the same order and reaches
-//! the same state. The coordinator's replica calls [`Ledger::apply`] for each committed entry; the leader reads it.
+//! The ledger is a deterministic state machine: each coordinator applies the same entries in the same order
+//! and reaches the same state. The coordinator's replica calls [`Ledger::apply`] for each committed entry;
+//! the leader reads it.
 //!
 //! An [`Allocation`] has one accepted grant and at most one offered grant:
 //!
 //! - [`LedgerTransition::offers`] records an offer. From then on the member may hold either grant.
 //! - [`LedgerTransition::accepted`] replaces the accepted grant: the member has reported the offer's epoch.
-//! - [`LedgerTransition::expired`] clears the quotas of both: the quota lease has run out by the leader's clock.
+//! - [`LedgerTransition::expired`] clears the quotas of both: the quota lease has run out by the leader's
+//!   clock.
 //! - [`LedgerTransition::removed`] ends the allocation: the member left, or its guaranteed lease has run out.
 //!
-//! Invariant: no transition raises what all members may hold of a budget above its limit. An entry that would is refused
-//! and changes nothing.
+//! Invariant: no transition raises what all members may hold of a budget above its limit. An entry that would
+//! is refused and changes nothing.
 
 use crate::configuration::register::ConfigurationPut;
 use crate::duties;
@@ -32,8 +34,8 @@
 }
 
 impl Budget {
-    /// `limit` is in units per second; `guaranteed_fraction` is the part of it that `max_members` members share as their
-    /// guaranteed amounts.
+    /// `limit` is in units per second; `guaranteed_fraction` is the part of it that `max_members` members
+    /// share as their guaranteed amounts.
     pub fn new(limit: f64, guaranteed_fraction: f64, max_members: usize) -> Self {
         let limit = (limit * MILLI_UNITS_PER_UNIT).round() as MilliUnits;
         let guaranteed = (limit as f64 * guaranteed_fraction / max_members as f64) as MilliUnits;
@@ -74,8 +76,8 @@
         amounts.flat_map(|amounts| amounts.keys().map(String::as_str)).collect()
     }
 
-    /// Clears the quotas under a new epoch, so that any earlier grant is older should the member return. The guaranteed
-    /// amounts may come from either grant, so the larger one counts.
+    /// Clears the quotas under a new epoch, so that any earlier grant is older should the member return. The
+    /// guaranteed amounts may come from either grant, so the larger one counts.
     fn expire_quotas(&mut self, epoch: u64) {
         let offered = self.offered.take().map(|offered| offered.guaranteed).unwrap_or_default();
         for (budget, offered_amount) in offered {
@@ -109,8 +111,8 @@
     }
 }
 
-/// One change of allocations. It is applied completely or not at all, in the order removed, joined, accepted, expired,
-/// offers.
+/// One change of allocations. It is applied completely or not at all, in the order removed, joined, accepted,
+/// expired, offers.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LedgerTransition {
     /// The ledger's epoch that it was decided at; at any other epoch it is out of date.
@@ -151,8 +153,8 @@
 /// An entry of the replicated log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Entry {
-    /// Replaces the budgets. A lower limit binds each later offer at once; what members hold above it comes back as they
-    /// accept smaller grants, or as their leases expire.
+    /// Replaces the budgets. A lower limit binds each later offer at once; what members hold above it comes
+    /// back as they accept smaller grants, or as their leases expire.
     Budgets(BTreeMap<String, Budget>),
     /// Changes allocations.
     #[serde(rename = "Step")]
--- a/crates/fernroute-fleet/src/lib.rs
+++ b/crates/fernroute-fleet/src/lib.rs
@@ -1,17 +1,21 @@
-//! The decisions of a fleet of balancers: budgets that all share, duties that one holds, configuration that all follow.
+//! The decisions of a fleet of balancers: budgets that all share, duties that one holds, configuration that
+//! all follow.
 //!
-//! No I/O and no clock: the caller passes the time in, in tenths of a millisecond of its own clock, which also counts
-//! while its process is stopped. The coordinators replicate [`ledger::Ledger`], [`duties::table::DutyTable`] and
-//! [`configuration::register::Register`]; their leader decides the next changes; balancers are members.
+//! No I/O and no clock: the caller passes the time in, in tenths of a millisecond of its own clock, which
+//! also counts while its process is stopped. The coordinators replicate [`ledger::Ledger`],
+//! [`duties::table::DutyTable`] and [`configuration::register::Register`]; their leader decides the next
+//! changes; balancers are members.
 //!
-//! - [`ledger`]: the replicated state of the budgets. It refuses whatever would let all members together hold more than a
-//!   budget's limit.
-//! - [`leader`]: what the coordinators' leader knows of members, and the changes of the ledger that it decides on.
+//! - [`ledger`]: the replicated state of the budgets. It refuses whatever would let all members together hold
+//!   more than a budget's limit.
+//! - [`leader`]: what the coordinators' leader knows of members, and the changes of the ledger that it
+//!   decides on.
 //! - [`member`]: a balancer's side: the grant that it holds, and when that expires.
 //! - [`duties`]: what at most one member does at a time, under a lease with a fencing token.
 //! - [`configuration`]: versioned entries of configuration, and which balancer uses which.
 //! - [`division`]: how one budget is divided. [`demand`]: what a member could use of it.
-//! - [`lease`]: how long a grant or a duty may be used, by whose clock. [`message`]: what members and leader exchange.
+//! - [`lease`]: how long a grant or a duty may be used, by whose clock. [`message`]: what members and leader
+//!   exchange.
 //!
 //! Why the grants of a budget never sum to more than its limit is in `docs/fleet.md`.
 
--- a/crates/fernroute-fleet/src/member.rs
+++ b/crates/fernroute-fleet/src/member.rs
@@ -1,13 +1,15 @@
 //! A balancer's side of the budgets: the grant that it uses, and when its two parts expire by its own clock.
 //!
-//! The balancer's fleet task sends what [`Member::heartbeat`] returns and passes each reply to [`Member::on_reply`].
-//! A member holds nothing before its first grant. A grant's lifetime counts from when the answered heartbeat was sent,
-//! so a late reply adds little and a repeated one nothing; a grant of an older epoch is never used again.
+//! The balancer's fleet task sends what [`Member::heartbeat`] returns and passes each reply to
+//! [`Member::on_reply`]. A member holds nothing before its first grant. A grant's lifetime counts from when
+//! the answered heartbeat was sent, so a late reply adds little and a repeated one nothing; a grant of an
+//! older epoch is never used again.
 //!
-//! During an upgrade two processes of one balancer share its grant: [`Member::hand_over`] gives half of it to the
-//! successor, which [`Member::take_over`] starts. Until [`Member::own_whole_grant`] the successor reports the epoch that
-//! both started with and uses no more than that grant, since the predecessor may still use its half of it.
-//! [`Member::resume_after_handover`] gives the whole back to the predecessor when the successor has ended.
+//! During an upgrade two processes of one balancer share its grant: [`Member::hand_over`] gives half of it to
+//! the successor, which [`Member::take_over`] starts. Until [`Member::own_whole_grant`] the successor reports
+//! the epoch that both started with and uses no more than that grant, since the predecessor may still use its
+//! half of it. [`Member::resume_after_handover`] gives the whole back to the predecessor when the successor
+//! has ended.
 
 use crate::message::{Grant, Heartbeat, HeartbeatReply};
 use crate::{BudgetAmounts, MemberId, MilliUnits, MILLI_UNITS_PER_UNIT};
@@ -70,8 +72,8 @@
 }
 
 impl Member {
-    /// `first_number` is the number before the first heartbeat's. A process that continues an identity starts above all
-    /// numbers of the process before it, for instance by the time of day.
+    /// `first_number` is the number before the first heartbeat's. A process that continues an identity starts
+    /// above all numbers of the process before it, for instance by the time of day.
     pub fn new(name: &str, identity: MemberId, first_number: u64) -> Self {
         Member {
             name: name.to_owned(),
@@ -91,13 +93,15 @@
         self.identity
     }
 
-    /// The epoch to report. While a grant is shared with the predecessor it is that grant's: guards against a ledger that
-    /// takes a smaller grant for accepted while the predecessor still uses half of the larger one.
+    /// The epoch to report. While a grant is shared with the predecessor it is that grant's: guards against a
+    /// ledger that takes a smaller grant for accepted while the predecessor still uses half of the larger
+    /// one.
     pub fn epoch(&self) -> u64 {
         self.shared_grant.as_ref().unwrap_or(&self.grant).epoch
     }
 
-    /// The next heartbeat, to be sent at `now`. `demand` is what the balancer could use of each budget, per second.
+    /// The next heartbeat, to be sent at `now`. `demand` is what the balancer could use of each budget, per
+    /// second.
     pub fn heartbeat(&mut self, now: Time, demand: BudgetAmounts) -> Heartbeat {
         self.last_heartbeat_number += 1;
         if self.unanswered.len() == MAX_UNANSWERED_HEARTBEATS {
@@ -116,8 +120,9 @@
         }
     }
 
-    /// The last heartbeat: the process spends nothing from here on. It consumes the member, since the identity must not
-    /// be used again. Guards against a late notice of leaving that removes a successor under the same identity.
+    /// The last heartbeat: the process spends nothing from here on. It consumes the member, since the
+    /// identity must not be used again. Guards against a late notice of leaving that removes a successor
+    /// under the same identity.
     pub fn leave(mut self) -> Heartbeat {
         Heartbeat { leaving: true, ..self.heartbeat(0, BudgetAmounts::new()) }
     }
@@ -158,8 +163,8 @@
         guaranteed + quota
     }
 
-    /// The guaranteed amount and the quota of a budget, whether they have expired or not: for callers that compare
-    /// [`Member::expirations`] with the clock at each spending.
+    /// The guaranteed amount and the quota of a budget, whether they have expired or not: for callers that
+    /// compare [`Member::expirations`] with the clock at each spending.
     pub fn allocated_parts(&self, budget: &str) -> (MilliUnits, MilliUnits) {
         let usable = |part: fn(&Grant) -> &BudgetAmounts| {
             let amount = |grant: &Grant| part(grant).get(budget).copied().unwrap_or(0);
@@ -183,9 +188,9 @@
         (self.quotas_expire_at, self.guaranteed_expires_at)
     }
 
-    /// Gives half of the grant to a successor process, which continues the identity. This process keeps the other half
-    /// until it expires or the process ends, and sends no further heartbeat. None while it shares the grant with its own
-    /// predecessor: guards against three processes that hold halves.
+    /// Gives half of the grant to a successor process, which continues the identity. This process keeps the
+    /// other half until it expires or the process ends, and sends no further heartbeat. None while it shares
+    /// the grant with its own predecessor: guards against three processes that hold halves.
     pub fn hand_over(&mut self, now: Time) -> Option<MemberHandover> {
         if self.shared_grant.is_some() {
             return None;
@@ -201,8 +206,8 @@
         })
     }
 
-    /// The successor's member. `requested_at` is when it requested the hand-over, by its own clock, so that its grant
-    /// expires no later than the predecessor's. `first_number` is as in [`Member::new`].
+    /// The successor's member. `requested_at` is when it requested the hand-over, by its own clock, so that
+    /// its grant expires no later than the predecessor's. `first_number` is as in [`Member::new`].
     pub fn take_over(name: &str, requested_at: Time, first_number: u64, handover: &MemberHandover) -> Self {
         Member {
             quotas_expire_at: requested_at.saturating_add(handover.quotas_valid_for),
@@ -220,8 +225,8 @@
         self.shared_grant = None;
     }
 
-    /// The successor has ended: this process uses the whole grant again. Its heartbeats count on from `first_number`,
-    /// which is above all numbers of the successor's.
+    /// The successor has ended: this process uses the whole grant again. Its heartbeats count on from
+    /// `first_number`, which is above all numbers of the successor's.
     pub fn resume_after_handover(&mut self, first_number: u64) {
         self.permille = WHOLE_PERMILLE;
         self.last_heartbeat_number = first_number;
--- a/crates/fernroute-fleet/src/message.rs
+++ b/crates/fernroute-fleet/src/message.rs
@@ -1,7 +1,8 @@
 //! The messages between members and coordinators, whatever transport carries them.
 //!
-//! The balancer's fleet task sends a [`Heartbeat`] in an [`Envelope`] to any coordinator. The leader's replica answers
-//! with a [`HeartbeatReply`], or with a [`HeartbeatError`]. Unknown fields are ignored, so that versions can differ.
+//! The balancer's fleet task sends a [`Heartbeat`] in an [`Envelope`] to any coordinator. The leader's
+//! replica answers with a [`HeartbeatReply`], or with a [`HeartbeatError`]. Unknown fields are ignored, so
+//! that versions can differ.
 
 use crate::configuration::{ConfigurationReport, Version};
 use crate::duties;
--- a/crates/fernroute-fleet/src/offers.rs
+++ b/crates/fernroute-fleet/src/offers.rs
@@ -1,11 +1,11 @@
 //! Which grants the leader offers, so that each budget is divided by demand and its limit holds.
 //!
 //! [`crate::leader`] calls [`plan_offers`] with the ledger as it will be, and enters the result as
-//! [`crate::ledger::LedgerTransition::offers`]. A smaller grant frees its difference only once it is accepted, so moving
-//! a quota from one member to another takes two transitions.
+//! [`crate::ledger::LedgerTransition::offers`]. A smaller grant frees its difference only once it is
+//! accepted, so moving a quota from one member to another takes two transitions.
 //!
-//! A member has a part in those budgets alone that its demand names. Guards against work, messages and entries that grow
-//! with all budgets times all members.
+//! A member has a part in those budgets alone that its demand names. Guards against work, messages and
+//! entries that grow with all budgets times all members.
 
 use crate::division::divide;
 use crate::ledger::{Allocation, Budget, Ledger, Offer};
@@ -13,22 +13,23 @@
 use crate::{BudgetAmounts, MemberId, MilliUnits};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// An increase waits while less than this fraction (one in so many) of it is free. Guards against a transition for each
-/// small amount that is freed.
+/// An increase waits while less than this fraction (one in so many) of it is free. Guards against a
+/// transition for each small amount that is freed.
 const MIN_INCREASE_DIVISOR: MilliUnits = 8;
 
 /// A member as the leader sees it when budgets are divided.
 pub(crate) struct MemberDemand<'a> {
     pub identity: MemberId,
     pub allocation: &'a Allocation,
-    /// It has been heard within the quota lease and is not leaving; others are offered nothing.
+    /// Its last heartbeat is within the quota lease and it is not leaving; others are offered nothing.
     pub is_reachable: bool,
     /// The demand of its last heartbeat; none before its first to this leader.
     pub demand: Option<&'a BudgetAmounts>,
 }
 
 impl MemberDemand<'_> {
-    /// The budgets that it has a part in: those its demand names, or those of its latest grant while that is not known.
+    /// The budgets that it has a part in: those its demand names, or those of its latest grant while that is
+    /// not known.
     fn budget_names(&self) -> BTreeSet<&str> {
         let latest = self.allocation.latest_grant();
         match self.demand {
@@ -43,7 +44,8 @@
         budgets.contains_key(name) && (!self.is_reachable || is_named)
     }
 
-    /// The accepted grant without the budgets that it does not keep; none where it keeps all, or has a pending offer.
+    /// The accepted grant without the budgets that it does not keep; none where it keeps all, or has a
+    /// pending offer.
     fn offer_without_unused(&self, budgets: &BTreeMap<String, Budget>) -> Option<Offer> {
         let Grant { guaranteed, quotas, .. } = &self.allocation.accepted;
         let keeps_all = guaranteed.keys().chain(quotas.keys()).all(|name| self.keeps(budgets, name));
@@ -63,7 +65,8 @@
     }
 }
 
-/// The offers to those members whose grant is to change. While `is_demand_known` is false quotas stay as they are.
+/// The offers to those members whose grant is to change. While `is_demand_known` is false quotas stay as they
+/// are.
 pub(crate) fn plan_offers(
     ledger: &Ledger,
     members: &[MemberDemand],
@@ -105,8 +108,8 @@
         self.guaranteed + self.quota
     }
 
-    /// Reduced, quota first, so that it exceeds `allocated` by at most `free`; none where too little of the increase is
-    /// free.
+    /// Reduced, quota first, so that it exceeds `allocated` by at most `free`; none where too little of the
+    /// increase is free.
     fn limited_to(self, allocated: MilliUnits, free: MilliUnits) -> Option<Amounts> {
         let increase = self.total().saturating_sub(allocated);
         let missing = increase.saturating_sub(free);
@@ -145,7 +148,8 @@
         Amounts { guaranteed: self.amount(&latest.guaranteed), quota: self.amount(&latest.quotas) }
     }
 
-    /// What each member is guaranteed: less than the budget says where there are more members than its limit allows.
+    /// What each member is guaranteed: less than the budget says where there are more members than its limit
+    /// allows.
     fn guaranteed(&self) -> MilliUnits {
         let member_count = self.members.len() as MilliUnits;
         let total = self.budget.guaranteed.saturating_mul(member_count).min(self.budget.limit);
--- a/crates/fernroute-fleet/tests/budget_grants.rs
+++ b/crates/fernroute-fleet/tests/budget_grants.rs
@@ -92,7 +92,8 @@
     assert!(is_nearly_limit(simulation.total_allocated()) && simulation.allocated(0) > LIMIT / 3);
 }
 
-/// Its heartbeats arrive and the replies are lost: its grant expires by its own clock, and the ledger keeps it reserved.
+/// Its heartbeats arrive and the replies are lost: its grant expires by its own clock, and the ledger keeps
+/// it reserved.
 #[test]
 fn a_member_that_receives_no_reply_spends_its_guaranteed_amount() {
     let mut simulation = divided_fleet(&[900, 900]);
@@ -295,7 +296,8 @@
     }
 }
 
-/// Guards against one member that takes the budget from the others, and against names and members without bound.
+/// Guards against one member that takes the budget from the others, and against names and members without
+/// bound.
 #[test]
 fn a_demand_without_bound_gets_an_even_share_and_names_and_members_are_bounded() {
     let mut simulation = divided_fleet(&[MilliUnits::MAX, 400, 400]);
--- a/crates/fernroute-fleet/tests/budget_schedules.rs
+++ b/crates/fernroute-fleet/tests/budget_schedules.rs
@@ -1,5 +1,5 @@
-//! Grants of a budget under thousands of random schedules, the same in each run; one that exceeds the limit is shrunk to
-//! the shortest.
+//! Grants of a budget under thousands of random schedules, the same in each run; one that exceeds the limit
+//! is shrunk to the shortest.
 
 mod budget_simulation;
 
--- a/crates/fernroute-fleet/tests/budget_simulation/mod.rs
+++ b/crates/fernroute-fleet/tests/budget_simulation/mod.rs
@@ -1,6 +1,6 @@
-//! A fleet in virtual time: processes with clocks of their own, a network that loses, repeats and reorders messages, and
-//! leaders that replace each other. Consensus is taken for granted: there is one log, and only the last elected leader
-//! enters anything.
+//! A fleet in virtual time: processes with clocks of their own, a network that loses, repeats and reorders
+//! messages, and leaders that replace each other. Consensus is taken for granted: there is one log, and only
+//! the last elected leader enters anything.
 
 // Each file of tests uses a part of this.
 #![allow(dead_code)]
--- a/crates/fernroute-fleet/tests/configuration.rs
+++ b/crates/fernroute-fleet/tests/configuration.rs
@@ -1,5 +1,5 @@
-//! Configuration of a fleet, case by case: what the leader notifies members of, what it reports on them, and which version
-//! they have active.
+//! Configuration of a fleet, case by case: what the leader notifies members of, what it reports on them, and
+//! which version they have active.
 
 mod configuration_simulation;
 
@@ -11,7 +11,8 @@
 use fernroute_fleet::leader::Leader;
 use fernroute_fleet::message::{Heartbeat, HeartbeatReply};
 
-/// Guards against a notice that is lost for good, and against one to a member whose version does not support it.
+/// Guards against a notice that is lost for good, and against one to a member whose version does not support
+/// it.
 #[test]
 fn each_reply_names_the_wanted_version_until_it_is_reported() {
     let (ledger, mut leader) = ledger_and_leader();
@@ -100,8 +101,8 @@
     assert_eq!(state(&leader, now), RolloutState::Unreachable);
 }
 
-/// Guards against a state that an overtaken heartbeat sets back, and against one that is not updated after a process has
-/// started to count anew.
+/// Guards against a state that an overtaken heartbeat sets back, and against one that is not updated after a
+/// process has started to count anew.
 #[test]
 fn an_overtaken_report_is_ignored_and_one_that_counts_anew_is_used() {
     let (ledger, mut leader) = ledger_and_leader();
--- a/crates/fernroute-fleet/tests/configuration_follower.rs
+++ b/crates/fernroute-fleet/tests/configuration_follower.rs
@@ -1,4 +1,5 @@
-//! A balancer's side of the configuration: which version it fetches, which replies it uses, and which entries are active.
+//! A balancer's side of the configuration: which version it fetches, which replies it uses, and which entries
+//! are active.
 
 mod configuration_simulation;
 
@@ -53,7 +54,8 @@
         })),
         Err(FetchError::Unsolicited)
     );
-    // The fourth version is requested; a coordinator that is behind answers, or an earlier request is answered late.
+    // The fourth version is requested; a coordinator that is behind answers, or an earlier request is
+    // answered late.
     change(&mut register, parse_scope("all"), "c = 3");
     let between = register.clone();
     change(&mut register, parse_scope("all"), "c = 4");
@@ -158,7 +160,8 @@
         follower.clone().next_fetch(now + 4_900).is_none()
             && follower.clone().next_fetch(now + 5_000).is_some()
     );
-    // An invalid jitter counts as the longest; a repeated notice does not end the backoff, and a newer one does.
+    // An invalid jitter counts as the longest; a repeated notice does not end the backoff, and a newer one
+    // does.
     for jitter in [f64::INFINITY, f64::NAN, -1.0] {
         follower.fetch_failed(now, jitter);
         follower.on_notification(1);
@@ -261,7 +264,8 @@
     assert_eq!(contents(&moved), ["c = 3", "c = 1"]);
 }
 
-/// All coordinators' disks are lost and the register is set up anew, while a balancer has the former one's entries active.
+/// All coordinators' disks are lost and the register is set up anew, while a balancer has the former one's
+/// entries active.
 #[test]
 fn a_new_register_continues_the_versions_and_its_entries_replace_all_former_ones() {
     let mut old = Register::default();
--- a/crates/fernroute-fleet/tests/configuration_register.rs
+++ b/crates/fernroute-fleet/tests/configuration_register.rs
@@ -87,7 +87,8 @@
     assert_eq!(serde_json::from_str::<Register>(&stored).expect("a register"), register);
 }
 
-/// Guards against a state without bound, and against one that is too large to be sent to a restarted coordinator.
+/// Guards against a state without bound, and against one that is too large to be sent to a restarted
+/// coordinator.
 #[test]
 fn history_contents_and_scopes_are_bounded() {
     let mut register = Register::default();
--- a/crates/fernroute-fleet/tests/configuration_schedules.rs
+++ b/crates/fernroute-fleet/tests/configuration_schedules.rs
@@ -1,5 +1,5 @@
-//! Configuration under thousands of random schedules, the same in each run; one that breaks an invariant is shrunk to the
-//! shortest.
+//! Configuration under thousands of random schedules, the same in each run; one that breaks an invariant is
+//! shrunk to the shortest.
 
 mod configuration_simulation;
 
--- a/crates/fernroute-fleet/tests/configuration_simulation/mod.rs
+++ b/crates/fernroute-fleet/tests/configuration_simulation/mod.rs
@@ -1,6 +1,6 @@
-//! Configuration of a fleet in virtual time: operators, coordinators that have applied a part of one log, old and new
-//! leaders, a network that loses, repeats and reorders messages, and balancers that fetch, apply, store, crash and restart.
-//! Consensus is taken for granted: only the last elected leader enters anything.
+//! Configuration of a fleet in virtual time: operators, coordinators that have applied a part of one log, old
+//! and new leaders, a network that loses, repeats and reorders messages, and balancers that fetch, apply,
+//! store, crash and restart. Consensus is taken for granted: only the last elected leader enters anything.
 
 // Each file of tests uses a part of this.
 #![allow(dead_code)]
@@ -443,7 +443,8 @@
         (expected_version, contents)
     }
 
-    /// The contents that are applied are all that the register had at the reported version, which never decreases.
+    /// The contents that are applied are all that the register had at the reported version, which never
+    /// decreases.
     pub fn check(&mut self) -> Result<(), String> {
         for index in 0..BALANCERS {
             let Some(process) = &self.balancers[index] else { continue };
@@ -465,7 +466,8 @@
         Ok(())
     }
 
-    /// Without faults all balancers have the latest version active, or report why not; and the leader knows it.
+    /// Without faults all balancers have the latest version active, or report why not; and the leader knows
+    /// it.
     pub fn check_converged(&self) -> Result<(), String> {
         for (index, (process, rollout)) in self.balancers.iter().zip(self.rollouts()).enumerate() {
             let Some(process) = process else { continue };
--- a/crates/fernroute-fleet/tests/duties.rs
+++ b/crates/fernroute-fleet/tests/duties.rs
@@ -134,7 +134,8 @@
     assert_eq!((fence.highest("a"), fence.highest("b"), fence.highest("c")), (3, 1, 0));
 }
 
-/// Guards against duties that are all held by one member, and against a placement that changes without a reason.
+/// Guards against duties that are all held by one member, and against a placement that changes without a
+/// reason.
 #[test]
 fn duties_are_spread_and_the_same_members_get_the_same_ones() {
     let place = |members: u64| {
@@ -271,8 +272,8 @@
     }
 }
 
-/// Guards against a duty for a member whose version does not support duties, and against messages that such a member or
-/// coordinator cannot read.
+/// Guards against a duty for a member whose version does not support duties, and against messages that such a
+/// member or coordinator cannot read.
 #[test]
 fn members_and_coordinators_without_support_for_duties_are_understood() {
     let table = table(&["a"]);
@@ -301,7 +302,8 @@
     assert_eq!(duties.term(4, "a"), None);
 }
 
-/// Guards against a member that is granted duties since its heartbeats arrive, and acts on none since no reply reaches it.
+/// Guards against a member that is granted duties since its heartbeats arrive, and acts on none since no
+/// reply reaches it.
 #[test]
 fn a_member_that_no_reply_reaches_loses_its_duties_and_gets_none() {
     let mut table = table(&["a"]);
@@ -338,7 +340,8 @@
     assert_eq!(table.holder("a"), None);
 }
 
-/// Guards against traffic that grows with all members while nothing changes: long heartbeats and replies, and log entries.
+/// Guards against traffic that grows with all members while nothing changes: long heartbeats and replies, and
+/// log entries.
 #[test]
 fn twelve_hundred_members_and_fifty_duties_cause_little_traffic_while_nothing_changes() {
     const MEMBER_COUNT: u64 = 1_200;
--- a/crates/fernroute-fleet/tests/duties_schedules.rs
+++ b/crates/fernroute-fleet/tests/duties_schedules.rs
@@ -1,6 +1,6 @@
-//! Duties under thousands of random schedules, the same in each run, with clocks that drift at the stated bound; one that
-//! breaks an invariant is shrunk to the shortest. The invariants: no two holders at once, no term used twice, no order of
-//! an older holder followed after one of a newer.
+//! Duties under thousands of random schedules, the same in each run, with clocks that drift at the stated
+//! bound; one that breaks an invariant is shrunk to the shortest. The invariants: no two holders at once, no
+//! term used twice, no order of an older holder followed after one of a newer.
 
 mod duties_simulation;
 
--- a/crates/fernroute-fleet/tests/duties_simulation/mod.rs
+++ b/crates/fernroute-fleet/tests/duties_simulation/mod.rs
@@ -1,6 +1,6 @@
-//! Duties in virtual time: members and leaders with clocks of their own, a network that loses, repeats and reorders
-//! messages, and an observer with one clock that sees all members. Consensus is taken for granted: there is one table, and
-//! only the current leader enters anything.
+//! Duties in virtual time: members and leaders with clocks of their own, a network that loses, repeats and
+//! reorders messages, and an observer with one clock that sees all members. Consensus is taken for granted:
+//! there is one table, and only the current leader enters anything.
 
 // Each file of tests uses a part of it.
 #![allow(dead_code)]
@@ -298,7 +298,8 @@
         self.members[index].duties.resume();
     }
 
-    /// The process is killed, and another one starts under the same identity. Orders that were sent may still arrive.
+    /// The process is killed, and another one starts under the same identity. Orders that were sent may still
+    /// arrive.
     pub fn restart(&mut self, index: usize) {
         let member = &mut self.members[index];
         member.incarnation += 1_000;
--- a/crates/fernroute-fleet/tests/member.rs
+++ b/crates/fernroute-fleet/tests/member.rs
@@ -21,8 +21,8 @@
     }
 }
 
-/// Guards against a process that spends an expired grant because a reply was late, repeated or overtaken, or because the
-/// process itself was stopped.
+/// Guards against a process that spends an expired grant because a reply was late, repeated or overtaken, or
+/// because the process itself was stopped.
 #[test]
 fn a_grant_expires_by_when_its_heartbeat_was_sent_and_late_old_or_repeated_replies_add_nothing() {
     let mut member = Member::new("n0", 7, 0);
@@ -44,7 +44,8 @@
         (3, ReplyStatus::Extended)
     );
     assert_eq!(member.expirations(), (245, 1145));
-    // After a long stop its clock shows that the grant has expired; then a ledger that was set up anew may grant again.
+    // After a long stop its clock shows that the grant has expired; then a ledger that was set up anew may
+    // grant again.
     let fourth = member.heartbeat(150, BudgetAmounts::new());
     assert_eq!(member.on_reply(5000, &reply(&fourth, grant(4, 2, 90))), ReplyStatus::Stale);
     assert_eq!(member.allocated(5000, "acme"), 0);
@@ -82,7 +83,8 @@
     assert_eq!((successor.hand_over(2), successor.expirations()), (None, predecessor.expirations()));
     assert_eq!((predecessor.allocated(2, "acme"), successor.allocated(2, "acme")), (5, 5));
     let heartbeat = successor.heartbeat(3, BudgetAmounts::new());
-    // A larger grant is not used, and a smaller one not reported as accepted, until the predecessor has ended.
+    // A larger grant is not used, and a smaller one not reported as accepted, until the predecessor has
+    // ended.
     assert_eq!(successor.on_reply(4, &reply(&heartbeat, grant(4, 4, 20))), ReplyStatus::NewGrant);
     assert_eq!(
         (predecessor.allocated(5, "acme"), successor.allocated(5, "acme"), successor.epoch()),
