--- a/crates/fernroute-coordinator/src/http.rs
+++ b/crates/fernroute-coordinator/src/http.rs
@@ -1,12 +1,11 @@
-//! Answers other stewards, members and people.
+//! The HTTP service of a replica: one table of routes, for other replicas, members and operators.
 
-use crate::configuration::{self, GET, HISTORY, PUT};
-use crate::duties;
-use crate::peers::{position_after, APPEND, CHANGE, INFO_PATH, MAX_MESSAGE_BYTES, SNAPSHOT, STATUS, VOTE};
+use crate::peers::{self, position_after, MAX_MESSAGE_BYTES};
 use crate::replica::Replica;
 use crate::store::ReplicaPosition;
-use crate::{Raft, RaftTypes};
+use crate::{configuration, duties, Raft, RaftTypes};
 use actix_http::body::BoxBody;
+use actix_http::error::PayloadError;
 use actix_http::{HttpService, Method, Payload, Request, Response, StatusCode};
 use actix_service::{fn_service, Service as _, ServiceFactory as _};
 use fernroute_fleet::configuration::{Scope, FETCH_PATH, MAX_CONTENT_BYTES};
@@ -19,213 +18,322 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
+use thiserror::Error;
 use tokio::net::TcpListener;
 
-/// A caller has this long for a head, and gives up on an answer sooner.
-const HEAD: Duration = Duration::from_secs(5);
+/// How long a caller may take to send a request's head; callers give up on a reply sooner.
+const HEAD_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A message of a member: its name, what it wants of 1,024 budgets with the longest names, and as many duties.
+/// The pause after a connection could not be accepted.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(10);
+
+/// The longest message of a member: its name, its demand for 1,024 budgets with the longest names, and as many duties.
 pub const MAX_HEARTBEAT_BYTES: usize = 256 << 10;
 
-/// The longest content as JSON, every character of it escaped, and what stands round it.
+/// The longest content as JSON, every character of it escaped, with its envelope.
 const MAX_PUT_BYTES: usize = 6 * MAX_CONTENT_BYTES + MAX_HEARTBEAT_BYTES;
 
-/// Why a message is not taken.
-struct HttpError(StatusCode, String);
+/// Why a request gets no reply of its own kind. The text is the response's body.
+#[derive(Debug, Error)]
+enum HttpError {
+    #[error("another verb")]
+    MethodNotAllowed,
+    #[error("nothing is here")]
+    NotFound,
+    #[error("{0}")]
+    NotStarted(String),
+    #[error("takes no part: {0}")]
+    Unavailable(String),
+    #[error(transparent)]
+    Receive(#[from] PayloadError),
+    #[error("over {max_bytes} bytes")]
+    TooLong { max_bytes: usize },
+    #[error(transparent)]
+    Decode(serde_json::Error),
+    #[error("version {version} is not known here, {PROTOCOL_VERSION} is")]
+    UnknownVersion { version: u32 },
+    #[error("this is the cluster {own}")]
+    OtherCluster { own: String },
+    #[error("this is the steward {own}")]
+    OtherReplica { own: u64 },
+    #[error(transparent)]
+    Encode(serde_json::Error),
+}
+
+impl HttpError {
+    fn status(&self) -> StatusCode {
+        match self {
+            HttpError::MethodNotAllowed => StatusCode::METHOD_NOT_ALLOWED,
+            HttpError::NotFound => StatusCode::NOT_FOUND,
+            HttpError::NotStarted(_) | HttpError::Unavailable(_) => StatusCode::SERVICE_UNAVAILABLE,
+            HttpError::Receive(_) | HttpError::Decode(_) | HttpError::UnknownVersion { .. } => {
+                StatusCode::BAD_REQUEST
+            }
+            HttpError::TooLong { .. } => StatusCode::PAYLOAD_TOO_LARGE,
+            HttpError::OtherCluster { .. } | HttpError::OtherReplica { .. } => StatusCode::CONFLICT,
+            HttpError::Encode(_) => StatusCode::INTERNAL_SERVER_ERROR,
+        }
+    }
+
+    /// A message for another replica or another cluster could be read.
+    fn is_unreadable(&self) -> bool {
+        matches!(self.status(), StatusCode::BAD_REQUEST | StatusCode::PAYLOAD_TOO_LARGE)
+    }
+}
+
+/// What a path is for.
+#[derive(Clone, Copy)]
+enum Handler {
+    Info,
+    Status,
+    Append,
+    Vote,
+    Snapshot,
+    Heartbeat,
+    Membership,
+    DutyStatus,
+    DutyRelease,
+    DutyNote,
+    ConfigurationFetch,
+    ConfigurationPut,
+    ConfigurationGet,
+    ConfigurationHistory,
+    ConfigurationStatus,
+}
+
+/// One path, with the only method that it accepts.
+struct Route {
+    method: Method,
+    path: &'static str,
+    handler: Handler,
+}
+
+const fn get(path: &'static str, handler: Handler) -> Route {
+    Route { method: Method::GET, path, handler }
+}
+
+const fn post(path: &'static str, handler: Handler) -> Route {
+    Route { method: Method::POST, path, handler }
+}
+
+static ROUTES: [Route; 15] = [
+    get(peers::INFO_PATH, Handler::Info),
+    get(peers::STATUS, Handler::Status),
+    post(peers::APPEND, Handler::Append),
+    post(peers::VOTE, Handler::Vote),
+    post(peers::SNAPSHOT, Handler::Snapshot),
+    post(HEARTBEAT_PATH, Handler::Heartbeat),
+    post(peers::CHANGE, Handler::Membership),
+    post(duties::STATUS, Handler::DutyStatus),
+    post(duties::RELEASE, Handler::DutyRelease),
+    post(duties::NOTE, Handler::DutyNote),
+    post(FETCH_PATH, Handler::ConfigurationFetch),
+    post(configuration::PUT, Handler::ConfigurationPut),
+    post(configuration::GET, Handler::ConfigurationGet),
+    post(configuration::HISTORY, Handler::ConfigurationHistory),
+    post(configuration::STATUS, Handler::ConfigurationStatus),
+];
 
 /// Serves for as long as the program runs.
-pub async fn serve(keeper: Rc<Replica>, listener: TcpListener) -> Result<(), String> {
-    let answer = move |request: Request| {
-        let keeper = Rc::clone(&keeper);
-        async move { Ok::<_, Infallible>(answer(&keeper, request).await) }
+///
+/// # Errors
+/// Where the service could not be built, as the one line that an operator reads.
+pub async fn serve(replica: Rc<Replica>, listener: TcpListener) -> Result<(), String> {
+    let respond = move |request: Request| {
+        let replica = Rc::clone(&replica);
+        async move { Ok::<_, Infallible>(respond(&replica, request).await) }
     };
-    let service = HttpService::<_, _, BoxBody>::build().client_request_timeout(HEAD).h1(fn_service(answer));
+    let service =
+        HttpService::<_, _, BoxBody>::build().client_request_timeout(HEAD_TIMEOUT).h1(fn_service(respond));
     let service = service.new_service(()).await.map_err(|()| "the door did not open".to_owned())?;
     let service = Rc::new(service);
     loop {
         match listener.accept().await {
             Ok((stream, peer)) => {
-                // Only makes it quicker.
+                // A failure costs latency alone.
                 let _ = stream.set_nodelay(true);
                 let service = Rc::clone(&service);
                 actix_rt::spawn(async move {
-                    let served = service.call((stream, Some::<SocketAddr>(peer))).await;
-                    served.unwrap_or_else(|why| tracing::debug!("a connection: {why}"));
+                    if let Err(error) = service.call((stream, Some::<SocketAddr>(peer))).await {
+                        tracing::debug!(%peer, %error, "connection failed");
+                    }
                 });
             }
-            Err(why) => {
-                tracing::warn!("accept: {why}");
-                actix_rt::time::sleep(Duration::from_millis(10)).await;
+            Err(error) => {
+                tracing::warn!(%error, "could not accept a connection");
+                actix_rt::time::sleep(ACCEPT_BACKOFF).await;
             }
         }
     }
 }
 
-async fn answer(keeper: &Rc<Replica>, mut request: Request) -> Response<BoxBody> {
-    let path = request.path().to_owned();
-    let done = match (request.method(), path.as_str()) {
-        (&Method::GET, INFO_PATH) => json(&keeper.info()),
-        (&Method::GET, STATUS) => json(&keeper.status()),
-        (&Method::POST, APPEND | VOTE | SNAPSHOT) => steward(keeper, &path, &mut request).await,
-        (&Method::POST, HEARTBEAT_PATH) => {
-            match read::<Heartbeat>(keeper, &mut request, MAX_HEARTBEAT_BYTES, false).await {
-                Ok(beat) => json(&keeper.on_heartbeat(&beat).await),
-                Err(why) => Err(why),
+async fn respond(replica: &Replica, mut request: Request) -> Response<BoxBody> {
+    match handle(replica, &mut request).await {
+        Ok(body) => Response::build(StatusCode::OK).body(body).map_into_boxed_body(),
+        Err(error) => {
+            if error.is_unreadable() {
+                replica.unreadable_messages.set(replica.unreadable_messages.get() + 1);
             }
+            tracing::debug!(path = request.path(), %error, "request rejected");
+            Response::build(error.status()).body(error.to_string()).map_into_boxed_body()
         }
-        (&Method::POST, CHANGE) => {
-            match read::<Vec<String>>(keeper, &mut request, MAX_HEARTBEAT_BYTES, false).await {
-                Ok(names) => json(&keeper.change_membership(&names).await.map_err(|error| error.to_string())),
-                Err(why) => Err(why),
-            }
+    }
+}
+
+async fn handle(replica: &Replica, request: &mut Request) -> Result<Vec<u8>, HttpError> {
+    let route = ROUTES.iter().find(|route| route.path == request.path()).ok_or(HttpError::NotFound)?;
+    if route.method != *request.method() {
+        return Err(HttpError::MethodNotAllowed);
+    }
+    match route.handler {
+        Handler::Info => json(&replica.info()),
+        Handler::Status => json(&replica.status()),
+        Handler::Append | Handler::Vote | Handler::Snapshot => {
+            handle_raft(replica, route.handler, request).await
         }
-        (&Method::POST, duties::STATUS | duties::RELEASE | duties::NOTE) => {
-            duty(keeper, &path, &mut request).await
-        }
-        (&Method::POST, FETCH_PATH | PUT | GET | HISTORY | configuration::STATUS) => {
-            configured(keeper, &path, &mut request).await
-        }
-        (
-            _,
-            APPEND
-            | VOTE
-            | SNAPSHOT
-            | HEARTBEAT_PATH
-            | CHANGE
-            | INFO_PATH
-            | STATUS
-            | FETCH_PATH
-            | PUT
-            | GET
-            | HISTORY
-            | configuration::STATUS
-            | duties::STATUS
-            | duties::RELEASE
-            | duties::NOTE,
-        ) => Err(HttpError(StatusCode::METHOD_NOT_ALLOWED, "another verb".to_owned())),
-        _ => Err(HttpError(StatusCode::NOT_FOUND, "nothing is here".to_owned())),
-    };
-    match done {
-        Ok(body) => Response::build(StatusCode::OK).body(body).map_into_boxed_body(),
-        Err(HttpError(status, why)) => {
-            // One for another steward, or another cluster, was read.
-            if matches!(status, StatusCode::BAD_REQUEST | StatusCode::PAYLOAD_TOO_LARGE) {
-                keeper.unreadable_messages.set(keeper.unreadable_messages.get() + 1);
-            }
-            tracing::debug!("{path}: {why}");
-            Response::build(status).body(why).map_into_boxed_body()
+        Handler::Heartbeat => {
+            let heartbeat: Heartbeat = read(replica, request, MAX_HEARTBEAT_BYTES).await?;
+            json(&replica.on_heartbeat(&heartbeat).await)
+        }
+        Handler::Membership => {
+            let names: Vec<String> = read(replica, request, MAX_HEARTBEAT_BYTES).await?;
+            json(&replica.change_membership(&names).await.map_err(|error| error.to_string()))
         }
+        Handler::DutyStatus | Handler::DutyRelease | Handler::DutyNote => {
+            handle_duty(replica, route.handler, request).await
+        }
+        _ => handle_configuration(replica, route.handler, request).await,
     }
 }
 
-/// A message of another steward. What it says of how far that one went is noted.
-async fn steward(keeper: &Replica, path: &str, request: &mut Request) -> Result<Vec<u8>, HttpError> {
-    let raft = |keeper: &Replica| -> Result<Raft, HttpError> {
-        let raft = keeper.raft().cloned();
-        raft.ok_or_else(|| {
-            HttpError(
-                StatusCode::SERVICE_UNAVAILABLE,
-                keeper.fault().map_or_else(String::new, |fault| fault.to_string()),
-            )
-        })
-    };
-    let hear = |from: u64, mark: ReplicaPosition| keeper.peers.record_position(from, mark);
-    match path {
-        APPEND => {
-            let message: AppendEntriesRequest<RaftTypes> =
-                read(keeper, request, MAX_MESSAGE_BYTES, true).await?;
-            hear(message.vote.leader_id.node_id, position_after(&message));
-            json(&raft(keeper)?.append_entries(message).await)
-        }
-        VOTE => {
-            let message: VoteRequest<u64> = read(keeper, request, MAX_MESSAGE_BYTES, true).await?;
-            hear(
-                message.vote.leader_id.node_id,
-                ReplicaPosition::new(&message.vote, message.last_log_id.as_ref()),
-            );
-            json(&raft(keeper)?.vote(message).await)
+/// Handles one of raft's requests, and records the sender's position by it.
+async fn handle_raft(
+    replica: &Replica,
+    handler: Handler,
+    request: &mut Request,
+) -> Result<Vec<u8>, HttpError> {
+    match handler {
+        Handler::Append => {
+            let message: AppendEntriesRequest<RaftTypes> = read_from_peer(replica, request).await?;
+            replica.peers.record_position(message.vote.leader_id.node_id, position_after(&message));
+            json(&started_raft(replica)?.append_entries(message).await)
+        }
+        Handler::Vote => {
+            let message: VoteRequest<u64> = read_from_peer(replica, request).await?;
+            let position = ReplicaPosition::new(&message.vote, message.last_log_id.as_ref());
+            replica.peers.record_position(message.vote.leader_id.node_id, position);
+            json(&started_raft(replica)?.vote(message).await)
         }
         _ => {
-            let message = read(keeper, request, MAX_MESSAGE_BYTES, true).await?;
-            json(&raft(keeper)?.install_snapshot(message).await)
+            let message = read_from_peer(replica, request).await?;
+            json(&started_raft(replica)?.install_snapshot(message).await)
         }
     }
 }
 
-/// What concerns configuration. One that takes no part, or can't use its disk, says so: whoever asks goes to another.
-async fn configured(keeper: &Replica, path: &str, request: &mut Request) -> Result<Vec<u8>, HttpError> {
-    if let Some(why) = keeper.fault() {
-        return Err(HttpError(StatusCode::SERVICE_UNAVAILABLE, format!("takes no part: {why}")));
-    }
-    match path {
-        FETCH_PATH => json(&keeper.fetch(&read(keeper, request, MAX_HEARTBEAT_BYTES, false).await?)),
-        PUT => json(&keeper.put(read(keeper, request, MAX_PUT_BYTES, false).await?).await),
-        configuration::STATUS => {
-            read::<()>(keeper, request, MAX_HEARTBEAT_BYTES, false).await?;
-            json(&keeper.configuration_status().await)
-        }
-        GET => json(&keeper.latest(&read(keeper, request, MAX_HEARTBEAT_BYTES, false).await?).await),
+fn started_raft(replica: &Replica) -> Result<&Raft, HttpError> {
+    replica.raft().ok_or_else(|| {
+        HttpError::NotStarted(replica.fault().map_or_else(String::new, |fault| fault.to_string()))
+    })
+}
+
+/// A replica that takes no part says so, and the caller turns to another one.
+fn check_available(replica: &Replica) -> Result<(), HttpError> {
+    replica.fault().map_or(Ok(()), |fault| Err(HttpError::Unavailable(fault.to_string())))
+}
+
+async fn handle_configuration(
+    replica: &Replica,
+    handler: Handler,
+    request: &mut Request,
+) -> Result<Vec<u8>, HttpError> {
+    check_available(replica)?;
+    match handler {
+        Handler::ConfigurationFetch => {
+            json(&replica.fetch(&read(replica, request, MAX_HEARTBEAT_BYTES).await?))
+        }
+        Handler::ConfigurationPut => json(&replica.put(read(replica, request, MAX_PUT_BYTES).await?).await),
+        Handler::ConfigurationStatus => {
+            read::<()>(replica, request, MAX_HEARTBEAT_BYTES).await?;
+            json(&replica.configuration_status().await)
+        }
+        Handler::ConfigurationGet => {
+            json(&replica.latest(&read(replica, request, MAX_HEARTBEAT_BYTES).await?).await)
+        }
         _ => {
-            let scope: Option<Scope> = read(keeper, request, MAX_HEARTBEAT_BYTES, false).await?;
-            json(&keeper.history(scope.as_ref()).await)
+            let scope: Option<Scope> = read(replica, request, MAX_HEARTBEAT_BYTES).await?;
+            json(&replica.history(scope.as_ref()).await)
         }
     }
 }
 
-/// What concerns duties.
-async fn duty(keeper: &Replica, path: &str, request: &mut Request) -> Result<Vec<u8>, HttpError> {
-    if let Some(why) = keeper.fault() {
-        return Err(HttpError(StatusCode::SERVICE_UNAVAILABLE, format!("takes no part: {why}")));
-    }
-    match path {
-        duties::STATUS => {
-            read::<()>(keeper, request, MAX_HEARTBEAT_BYTES, false).await?;
-            json(&keeper.duty_status().await)
+async fn handle_duty(
+    replica: &Replica,
+    handler: Handler,
+    request: &mut Request,
+) -> Result<Vec<u8>, HttpError> {
+    check_available(replica)?;
+    match handler {
+        Handler::DutyStatus => {
+            read::<()>(replica, request, MAX_HEARTBEAT_BYTES).await?;
+            json(&replica.duty_status().await)
         }
-        duties::RELEASE => {
-            let duty: String = read(keeper, request, MAX_HEARTBEAT_BYTES, false).await?;
-            json(&keeper.release_duty(&duty).await)
+        Handler::DutyRelease => {
+            let duty: String = read(replica, request, MAX_HEARTBEAT_BYTES).await?;
+            json(&replica.release_duty(&duty).await)
         }
-        _ => json(&keeper.note_duty(read(keeper, request, MAX_HEARTBEAT_BYTES, false).await?).await),
+        _ => json(&replica.note_duty(read(replica, request, MAX_HEARTBEAT_BYTES).await?).await),
     }
 }
 
-fn json(what: &impl Serialize) -> Result<Vec<u8>, HttpError> {
-    serde_json::to_vec(what).map_err(|e| HttpError(StatusCode::INTERNAL_SERVER_ERROR, e.to_string()))
+fn json(reply: &impl Serialize) -> Result<Vec<u8>, HttpError> {
+    serde_json::to_vec(reply).map_err(HttpError::Encode)
 }
 
-/// The message of a request. One that is for a steward of before, whose disk is gone, is not taken: this one would vote
-/// again where that one has voted.
+/// The message of a member or an operator, to whichever replica of this cluster.
 async fn read<M: DeserializeOwned>(
-    keeper: &Replica,
+    replica: &Replica,
     request: &mut Request,
-    most: usize,
-    mine: bool,
+    max_bytes: usize,
 ) -> Result<M, HttpError> {
+    let envelope = read_envelope(replica, request, max_bytes).await?;
+    serde_json::from_value(envelope.message).map_err(HttpError::Decode)
+}
+
+/// The message of another replica. Guards against one for a former replica whose disk is lost: this one would vote again
+/// where that one has voted.
+async fn read_from_peer<M: DeserializeOwned>(
+    replica: &Replica,
+    request: &mut Request,
+) -> Result<M, HttpError> {
+    let envelope = read_envelope(replica, request, MAX_MESSAGE_BYTES).await?;
+    if envelope.recipient != replica.identity.id {
+        return Err(HttpError::OtherReplica { own: replica.identity.id });
+    }
+    serde_json::from_value(envelope.message).map_err(HttpError::Decode)
+}
+
+/// The envelope of a request, with its message as any JSON: that of another version may be unreadable.
+async fn read_envelope(
+    replica: &Replica,
+    request: &mut Request,
+    max_bytes: usize,
+) -> Result<Envelope<serde_json::Value>, HttpError> {
     let mut payload: Payload = request.take_payload();
     let mut body = Vec::new();
-    while let Some(part) = payload.next().await {
-        let part = part.map_err(|e| HttpError(StatusCode::BAD_REQUEST, e.to_string()))?;
-        if body.len() + part.len() > most {
-            return Err(HttpError(StatusCode::PAYLOAD_TOO_LARGE, format!("over {most} bytes")));
+    while let Some(chunk) = payload.next().await {
+        let chunk = chunk?;
+        if body.len() + chunk.len() > max_bytes {
+            return Err(HttpError::TooLong { max_bytes });
         }
-        body.extend_from_slice(&part);
+        body.extend_from_slice(&chunk);
     }
-    let bad = |why: String| HttpError(StatusCode::BAD_REQUEST, why);
-    // The envelope first: of another version nothing else may be readable.
-    let envelope: Envelope<serde_json::Value> =
-        serde_json::from_slice(&body).map_err(|e| bad(e.to_string()))?;
+    let envelope: Envelope<serde_json::Value> = serde_json::from_slice(&body).map_err(HttpError::Decode)?;
     if envelope.version != PROTOCOL_VERSION {
-        return Err(bad(format!("version {} is not known here, {PROTOCOL_VERSION} is", envelope.version)));
-    }
-    if envelope.cluster != keeper.identity.cluster {
-        return Err(HttpError(
-            StatusCode::CONFLICT,
-            format!("this is the cluster {}", keeper.identity.cluster),
-        ));
+        return Err(HttpError::UnknownVersion { version: envelope.version });
     }
-    if mine && envelope.recipient != keeper.identity.id {
-        return Err(HttpError(StatusCode::CONFLICT, format!("this is the steward {}", keeper.identity.id)));
+    if envelope.cluster != replica.identity.cluster {
+        return Err(HttpError::OtherCluster { own: replica.identity.cluster.clone() });
     }
-    serde_json::from_value(envelope.message).map_err(|e| bad(e.to_string()))
+    Ok(envelope)
 }
