--- a/crates/fernroute-coordinator/src/duties.rs
+++ b/crates/fernroute-coordinator/src/duties.rs
@@ -1,4 +1,4 @@
-//! Duties that one balancer alone holds: the leader gives and takes them, and tells people who holds what.
+//! Duties that one balancer holds at a time: the leader assigns and releases them, and reports their holders.
 
 use crate::configuration::RequestError;
 use crate::replica::{now, Replica};
@@ -11,50 +11,64 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
+/// Path of a [`DutiesStatus`].
 pub const STATUS: &str = "/-/duties/status";
+/// Path of an operator's release of a duty.
 pub const RELEASE: &str = "/-/duties/release";
+/// Path of a holder's note on its progress.
 pub const NOTE: &str = "/-/duties/note";
 
-/// ReplicaInfo holds a duty, for people.
+/// The holder of a duty.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HolderStatus {
+    /// The member's name.
     pub name: String,
+    /// The term of its tenure.
     pub term: Term,
-    /// For how long it has held it; at least so long where a leader before gave it.
+    /// How long it has held the duty, in seconds.
     pub held_for_s: f64,
+    /// `held_for_s` is a lower bound, since a former leader assigned the duty.
     pub at_least: bool,
-    /// Until it loses it, should nothing more be heard of it.
+    /// Seconds until its lease expires, should no heartbeat arrive.
     pub left_s: f64,
-    /// What it last said that it does.
+    /// Its last note on its progress.
     pub note: String,
 }
 
-/// A duty, for people.
+/// A duty and its holder.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DutyStatus {
+    /// The duty's name.
     pub duty: String,
+    /// The member that holds it, if any does.
     pub holder: Option<HolderStatus>,
-    /// ReplicaInfo held it before, and why no more.
+    /// The name of the previous holder, and why its tenure ended.
     pub before: Option<(String, EndReason)>,
 }
 
 /// All duties, as the leader knows them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DutiesStatus {
+    /// The cluster of the ledger.
     pub cluster: String,
+    /// The leader's name.
     pub leader: String,
+    /// The highest term that any duty has had.
     pub highest_term: Term,
-    /// How often a duty went from one holder to the next, or to nobody, since this steward started, by the reason.
+    /// How many tenures ended since this replica started, by reason.
     pub ended: BTreeMap<EndReason, u64>,
+    /// All duties, by name.
     pub duties: Vec<DutyStatus>,
 }
 
-/// Whom a duty is taken from.
+/// The holder that is asked to release a duty.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Released {
+    /// The holder's name.
     pub holder: String,
+    /// The term of its tenure.
     pub term: Term,
-    /// After so long it is over, whether or not the holder has said so.
+    /// The tenure ends after this time, in milliseconds, even without a reply of the holder.
     pub lapses_after_ms: u64,
 }
 
@@ -67,8 +81,8 @@
         read(&self.state_machine.kept.borrow().duties)
     }
 
-    /// Enters the duties of the file, and what the leader decides about them. False where it is not known whether an entry
-    /// was entered: this steward leads no more then.
+    /// Commits the duties of the configuration, and what the leader decides about them. False where a commit is
+    /// uncertain, and this replica has stepped down.
     pub(crate) async fn commit_due_duties(&self, raft: &Raft) -> bool {
         if self.duties(|table| table.names() != self.terms.duties) {
             let names = DutyEntry::Names(self.terms.duties.clone());
@@ -76,60 +90,64 @@
                 return false;
             }
         }
-        let change = {
-            let mut leading = self.leadership.borrow_mut();
-            let Some(leading) = leading.as_mut() else { return false };
-            self.duties(|table| leading.duties.next_transition(now(), table))
+        let transition = {
+            let mut leadership = self.leadership.borrow_mut();
+            let Some(leadership) = leadership.as_mut() else { return false };
+            self.duties(|table| leadership.duties.next_transition(now(), table))
         };
-        let Some(change) = change else { return true };
-        let before = self.duties(DutyTable::clone);
-        if !self.commit_or_step_down(raft, ledger::Entry::Duties(DutyEntry::Transition(change.clone()))).await
-        {
+        let Some(transition) = transition else { return true };
+        let previous = self.duties(DutyTable::clone);
+        let entry = ledger::Entry::Duties(DutyEntry::Transition(transition.clone()));
+        if !self.commit_or_step_down(raft, entry).await {
             return false;
         }
-        if let Some(leading) = self.leadership.borrow_mut().as_mut() {
-            self.duties(|table| leading.duties.transition_done(now(), table));
+        if let Some(leadership) = self.leadership.borrow_mut().as_mut() {
+            self.duties(|table| leadership.duties.transition_done(now(), table));
         }
-        self.tell(&before, &change);
+        self.record_transition(&previous, &transition);
         true
     }
 
-    /// A log line for each duty that has another holder, or none any more, and the count of it.
-    fn tell(&self, before: &DutyTable, change: &DutyTransition) {
-        for end in &change.ends {
-            let name = before.holder(&end.duty).map_or("", |holder| holder.name.as_str());
+    /// Logs each duty with another holder, or none any more, and counts the tenures that ended.
+    fn record_transition(&self, previous: &DutyTable, transition: &DutyTransition) {
+        for end in &transition.ends {
+            let name = previous.holder(&end.duty).map_or("", |holder| holder.name.as_str());
             tracing::info!("duty {}: {name} holds it no more, term {}: {}", end.duty, end.term, end.reason);
             *self.duties_ended.borrow_mut().entry(end.reason).or_insert(0) += 1;
         }
-        for grant in &change.grants {
+        for grant in &transition.grants {
             let term = self.duties(|table| table.holder(&grant.duty).map_or(0, |holder| holder.term));
             tracing::info!("duty {}: {} holds it, term {term}", grant.duty, grant.name);
         }
     }
 
+    /// All duties, as this leader knows them.
+    ///
+    /// # Errors
+    /// Where this replica does not lead.
     pub async fn duty_status(&self) -> Result<DutiesStatus, RequestError> {
         self.leads().await?;
-        let leading = self.leadership.borrow();
-        let Some(leading) = leading.as_ref() else { return Err(RequestError::Elsewhere(None)) };
+        let leadership = self.leadership.borrow();
+        let Some(leadership) = leadership.as_ref() else { return Err(RequestError::Elsewhere(None)) };
         let now = now();
-        let line = |duty: &str, holder: &DutyHolder| {
-            let standing = leading.duties.tenure(now, duty, holder);
+        let holder_status = |duty: &str, holder: &DutyHolder| {
+            let tenure = leadership.duties.tenure(now, duty, holder);
             HolderStatus {
                 name: holder.name.clone(),
                 term: holder.term,
-                held_for_s: seconds(standing.held_for),
-                at_least: standing.is_lower_bound,
-                left_s: seconds(standing.expires_in),
+                held_for_s: seconds(tenure.held_for),
+                at_least: tenure.is_lower_bound,
+                left_s: seconds(tenure.expires_in),
                 note: holder.note.clone(),
             }
         };
         let duties = self.duties(|table| {
-            let lines = table.duties().iter().map(|(name, duty)| DutyStatus {
+            let statuses = table.duties().iter().map(|(name, duty)| DutyStatus {
                 duty: name.clone(),
-                holder: duty.holder.as_ref().map(|holder| line(name, holder)),
+                holder: duty.holder.as_ref().map(|holder| holder_status(name, holder)),
                 before: duty.previous_holder.clone(),
             });
-            lines.collect()
+            statuses.collect()
         });
         Ok(DutiesStatus {
             cluster: self.identity.cluster.clone(),
@@ -140,28 +158,35 @@
         })
     }
 
-    /// An operator wants a duty to go to another member.
+    /// Asks a duty's holder to release it to another member, on behalf of an operator.
+    ///
+    /// # Errors
+    /// Where this replica does not lead, or the duty is unknown or not held.
     pub async fn release_duty(&self, duty: &str) -> Result<Released, RequestError> {
         self.leads().await?;
-        let mut leading = self.leadership.borrow_mut();
-        let Some(leading) = leading.as_mut() else { return Err(RequestError::Elsewhere(None)) };
+        let mut leadership = self.leadership.borrow_mut();
+        let Some(leadership) = leadership.as_mut() else { return Err(RequestError::Elsewhere(None)) };
         if !self.duties(|table| table.duties().contains_key(duty)) {
             return Err(RequestError::Refused(format!("{duty}: no such duty")));
         }
-        let holder = self.duties(|table| leading.duties.release(duty, table));
+        let holder = self.duties(|table| leadership.duties.release(duty, table));
         let holder = holder.ok_or_else(|| RequestError::Refused(format!("{duty}: nobody holds it")))?;
         tracing::info!("duty {duty}: an operator wants it released by {}, term {}", holder.name, holder.term);
         let lapses_after_ms = self.terms.duty_lease.expires_after() / 10;
         Ok(Released { holder: holder.name, term: holder.term, lapses_after_ms })
     }
 
-    /// A holder says what it does. Refused unless its term is the latest one of the duty.
+    /// Commits a holder's note on its progress.
+    ///
+    /// # Errors
+    /// Where this replica does not lead, the term is not the latest one of the duty, or the commit is uncertain.
     pub async fn note_duty(&self, note: DutyNote) -> Result<(), RequestError> {
         let raft = self.leads().await?;
         self.duties(|table| table.check_term(&note.duty, note.term))
-            .map_err(|why| RequestError::Refused(why.to_string()))?;
+            .map_err(|error| RequestError::Refused(error.to_string()))?;
         let entry = ledger::Entry::Duties(DutyEntry::Note(note));
-        let written = raft.client_write(entry).await.map_err(|why| RequestError::Unknown(why.to_string()))?;
-        written.data.map(|_| ()).map_err(|refused| RequestError::Refused(refused.why))
+        let response =
+            raft.client_write(entry).await.map_err(|error| RequestError::Unknown(error.to_string()))?;
+        response.data.map(|_| ()).map_err(|failure| RequestError::Refused(failure.why))
     }
 }
--- a/crates/fernroute-coordinator/src/lib.rs
+++ b/crates/fernroute-coordinator/src/lib.rs
@@ -1,8 +1,10 @@
-//! The ledger's processes. One is enough to divide budgets; three or five go on when one or two are lost.
+//! The replicated ledger of a fleet of balancers: one process divides its budgets; three or five outlive the loss of one or
+//! two.
 //!
-//! `terms` reads the file, `store` keeps log and votes on the disk, `peers` carries what stewards say to each other,
-//! `keep` holds the ledger and leads it, `configuration` enters what balancers go by and hands it out, `duties` gives out what one balancer alone does, `status` tells people,
-//! `door` answers members, stewards and people, `commands` is the command line.
+//! [`config`] reads the configuration, [`store`] keeps log, vote and snapshots on the disk, [`peers`] carries messages
+//! between replicas, [`replica`] holds the ledger and leads it, [`configuration`] commits what balancers are configured
+//! with and hands it out, [`duties`] assigns what one balancer alone does, [`status`] reports to operators, [`http`] serves
+//! members, replicas and operators, [`commands`] is the command line.
 
 pub mod commands;
 pub mod config;
@@ -19,23 +21,25 @@
 use serde::{Deserialize, Serialize};
 use std::io::Cursor;
 
-/// What became of an entry: the version of one of configuration, 0 of any other.
+/// The result of an applied entry: the new version for one of configuration, 0 for any other.
 pub type Applied = Result<Version, ApplyFailure>;
 
-/// Why an entry changed nothing.
+/// Why a committed entry changed nothing.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ApplyFailure {
+    /// The text that an operator reads.
     pub why: String,
-    /// The scope's version, where the operator did not start from it.
+    /// The scope's latest version, where the operator's change is based on another one.
     pub latest: Option<Version>,
 }
 
 openraft::declare_raft_types!(
-    /// What the consensus library is told of the ledger.
+    /// The types of the ledger that raft is instantiated with.
     pub RaftTypes:
         D = Entry,
         R = Applied,
         SnapshotData = Cursor<Vec<u8>>,
 );
 
+/// The raft node of the ledger.
 pub type Raft = openraft::Raft<RaftTypes>;
--- a/crates/fernroute-coordinator/src/status.rs
+++ b/crates/fernroute-coordinator/src/status.rs
@@ -1,78 +1,99 @@
-//! What a steward says of itself and the ledger, for people.
+//! What a replica reports of itself and the ledger to operators.
 
 use crate::replica::Replica;
+use fernroute_fleet::ledger::{Allocation, Ledger};
 use fernroute_fleet::MILLI_UNITS_PER_UNIT;
 use openraft::BasicNode;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A member of the fleet, for people.
+/// A member of the fleet.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct MemberStatus {
+    /// The member's name.
     pub name: String,
+    /// The ledger's epoch at its latest grant.
     pub epoch: u64,
-    /// What it may hold at the most, a second, by budget.
+    /// The largest amount that it may hold of each budget, in units a second.
     pub holds: BTreeMap<String, f64>,
 }
 
+/// A budget, in units a second.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct BudgetStatus {
+    /// The limit of all members together.
     pub whole: f64,
+    /// What each member is guaranteed.
     pub floor: f64,
+    /// What all members together may hold.
     pub held: f64,
 }
 
-/// One of the ledger's processes.
+/// A member of the ledger's raft cluster.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ReplicaStatus {
+    /// Its name in the configuration.
     pub name: String,
+    /// Its identifier among raft's nodes.
     pub id: u64,
-    /// One that has no vote is being taken in.
+    /// Whether it is a voter; a learner is being added.
     pub votes: bool,
 }
 
+/// One replica, and the ledger as that replica knows it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Status {
+    /// The cluster of the ledger.
     pub cluster: String,
+    /// The name of the replica that reports.
     pub steward: String,
+    /// The identifier of that replica.
     pub id: u64,
-    /// leader, follower, candidate, learner, blank, waiting (until it is known that its disk is no older one), or stopped.
+    /// leader, follower, candidate, learner, blank, waiting (until its disk is known not to be stale), or stopped.
     pub state: String,
-    /// Why it takes no part, if it takes none.
+    /// Why the replica takes no part in the cluster, if it takes none.
     pub trouble: Option<String>,
-    /// Of the ledger, as this one knows them.
+    /// The members of the raft cluster.
     pub stewards: Vec<ReplicaStatus>,
-    /// Messages that it could not read, since its start.
+    /// Messages that the replica could not read, since its start.
     pub unread: u64,
-    /// ReplicaInfo leads, by its name.
+    /// The leader's name.
     pub leader: Option<String>,
+    /// Raft's current term.
     pub term: u64,
+    /// The ledger's epoch.
     pub epoch: u64,
+    /// Budgets by name.
     pub budgets: BTreeMap<String, BudgetStatus>,
+    /// The members of the fleet.
     pub members: Vec<MemberStatus>,
 }
 
 impl Replica {
+    /// The members of the raft cluster, as this replica knows them.
     pub(crate) fn members(&self) -> Vec<ReplicaStatus> {
         let Some(metrics) = self.metrics() else { return Vec::new() };
         let membership = metrics.membership_config.membership();
         let voters: BTreeSet<u64> = membership.voter_ids().collect();
-        let line = |(id, node): (&u64, &BasicNode)| ReplicaStatus {
+        let replica_status = |(id, node): (&u64, &BasicNode)| ReplicaStatus {
             name: node.addr.clone(),
             id: *id,
             votes: voters.contains(id),
         };
-        membership.nodes().map(line).collect()
+        membership.nodes().map(replica_status).collect()
     }
 
+    /// What this replica reports of itself and the ledger.
     pub fn status(&self) -> Status {
-        let (metrics, trouble, stewards) =
-            (self.metrics(), self.fault().map(|fault| fault.to_string()), self.members());
-        let leader = metrics.as_ref().and_then(|m| m.current_leader);
-        let leader = leader.and_then(|leader| Some(stewards.iter().find(|s| s.id == leader)?.name.clone()));
+        let metrics = self.metrics();
+        let fault = self.fault().map(|fault| fault.to_string());
+        let replicas = self.members();
+        let leader_id = metrics.as_ref().and_then(|metrics| metrics.current_leader);
+        let leader = replicas.iter().find(|replica| Some(replica.id) == leader_id);
+        let leader = leader.map(|leader| leader.name.clone());
         let state = match &metrics {
             None => "waiting".to_owned(),
-            Some(_) if trouble.is_some() => "stopped".to_owned(),
+            Some(_) if fault.is_some() => "stopped".to_owned(),
             Some(_) if self.info().is_uninitialized => "blank".to_owned(),
             Some(metrics) => format!("{:?}", metrics.state).to_lowercase(),
         };
@@ -81,38 +102,40 @@
             steward: self.terms.name.clone(),
             id: self.identity.id,
             state,
-            trouble,
-            stewards,
-            unread: self.unreadable_messages.get(),
+            trouble: fault,
             leader,
-            term: metrics.as_ref().map_or(0, |m| m.current_term),
+            stewards: replicas,
+            unread: self.unreadable_messages.get(),
+            term: metrics.as_ref().map_or(0, |metrics| metrics.current_term),
             epoch: ledger.epoch(),
-            budgets: ledger
-                .budgets()
-                .iter()
-                .map(|(name, b)| {
-                    let of = |units: u64| units as f64 / MILLI_UNITS_PER_UNIT;
-                    let line = BudgetStatus {
-                        whole: of(b.limit),
-                        floor: of(b.guaranteed),
-                        held: of(ledger.total_allocated(name)),
-                    };
-                    (name.clone(), line)
-                })
-                .collect(),
-            members: ledger
-                .allocations()
-                .values()
-                .map(|holder| MemberStatus {
-                    name: holder.name.clone(),
-                    epoch: holder.latest_grant().epoch,
-                    holds: ledger
-                        .budgets()
-                        .keys()
-                        .map(|name| (name.clone(), holder.max_allocated(name) as f64 / MILLI_UNITS_PER_UNIT))
-                        .collect(),
-                })
-                .collect(),
+            budgets: budget_statuses(ledger),
+            members: ledger.allocations().values().map(|member| member_status(ledger, member)).collect(),
         })
     }
 }
+
+fn units(milli_units: u64) -> f64 {
+    milli_units as f64 / MILLI_UNITS_PER_UNIT
+}
+
+fn budget_statuses(ledger: &Ledger) -> BTreeMap<String, BudgetStatus> {
+    let mut statuses = BTreeMap::new();
+    for (name, budget) in ledger.budgets() {
+        let status = BudgetStatus {
+            whole: units(budget.limit),
+            floor: units(budget.guaranteed),
+            held: units(ledger.total_allocated(name)),
+        };
+        statuses.insert(name.clone(), status);
+    }
+    statuses
+}
+
+fn member_status(ledger: &Ledger, member: &Allocation) -> MemberStatus {
+    let budgets = ledger.budgets().keys();
+    MemberStatus {
+        name: member.name.clone(),
+        epoch: member.latest_grant().epoch,
+        holds: budgets.map(|name| (name.clone(), units(member.max_allocated(name)))).collect(),
+    }
+}
