--- a/crates/fernroute/src/decide.rs
+++ b/crates/fernroute/src/decide.rs
@@ -15,6 +15,7 @@
 //!  6. circle: a balancer of few calls draws among its own part of the upstreams, by its number; a key, where
 //!     upstreams do less work for one that they know, by its hash and what each kind of upstream takes.
 
+use crate::admission::{AdmissionControl, PresentLoad};
 use crate::budgets::{RetryTokens, SharedBudgets};
 use crate::circuit_breaker::{State, Verdict};
 use crate::endpoint_watch::EndpointWatch;
@@ -22,20 +23,17 @@
 use crate::host::{Host, InvalidSetting, Outcome, Settings, Time, Timer, SECOND};
 use crate::latency::Method;
 use crate::load_reports::LoadAverages;
-use crate::records::{Gate, Id, Rpc, Sent, Tx};
+use crate::records::{Id, Rpc, Sent, Tx};
 use crate::send_rate::SendRate;
 use crate::settings::{Idempotency, MethodPolicy, ValidatedSettings};
 use crate::slow_start::{min_send_interval, WarmTraffic};
-use crate::statistics::{decay as fade, mean};
+use crate::statistics::mean;
 use crate::upstream::Upstream;
 use crate::upstream_table::UpstreamTable;
 use nanorand::{Rng, WyRand};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// About the time of an answer: shorter is noise, longer keeps the gate open into a trouble.
-const ANSWERS_FOR: f64 = 1.5 * SECOND as f64;
-
 pub struct Balancer<H: Host> {
     host: H,
     rng: WyRand,
@@ -53,7 +51,7 @@
     key_frequencies: KeyFrequencies,
     load: LoadAverages,
     send_rate: SendRate,
-    gate: Gate,
+    admission: AdmissionControl,
 }
 
 impl<H: Host> Balancer<H> {
@@ -73,7 +71,7 @@
             key_frequencies: KeyFrequencies::new(now),
             load: LoadAverages::default(),
             send_rate: SendRate::new(now),
-            gate: Gate { calm: f64::INFINITY, ..Gate::default() },
+            admission: AdmissionControl::new(),
         };
         balancer.update_settings(now, terms)?;
         Ok(balancer)
@@ -444,94 +442,37 @@
         Some(gain).filter(|_| within).or(over)
     }
 
-    /// Whether an RPC of this value is taken on now: by Little's law the open RPCs over the rate of answers
-    /// is the time that the next answer takes, and that must leave room before the soft deadline.
-    /// Guards against overload, where all would be answered too late.
-    fn admits(&mut self, value: f64) -> bool {
-        /// The part of the soft deadline that answers may take on average: chance about doubles it.
-        const ROOM: f64 = 0.8;
-        /// Times the calm answer time: beyond it upstreams are crowded and turn slow. A fifth of it at the
-        /// least, where counts tell a jam late.
-        const STRETCH: f64 = 4.0;
-        /// Guards against shutting on slowness that shedding does not cure.
-        const KEPT: f64 = 0.8;
-        /// Guards against shutting altogether: with nothing open there are no answers to learn from.
-        const FEW: f64 = 4.0;
-        let Some(soft) = self.methods.iter().filter_map(|m| m.policy.soft_deadline).max() else {
-            return true;
-        };
-        // Guards against shedding by chance: where counts are reported, and say that there is room, there is.
-        let room = self.counted() && self.load.utilisation().is_some_and(|busy| busy < 0.5);
-        // Nothing is known of the rate of answers for half a soft deadline after the first.
-        if room || self.agreed.tier > 0 || self.gate.from.is_none_or(|from| self.now < from + soft / 2) {
+    fn present_load(&self) -> PresentLoad {
+        PresentLoad {
+            now: self.now,
+            attempts_per_second: self.send_rate.corrected_per_second(self.now),
+            usable_upstreams: self.ring.usable_upstreams(),
+            utilisation: self.load.utilisation(),
+        }
+    }
+
+    /// Whether a request of this priority weight is admitted now. Guards against overload, where all would be answered too late.
+    fn admits(&mut self, priority_weight: f64) -> bool {
+        let soft_deadlines = self.methods.iter().filter_map(|method| method.policy.soft_deadline);
+        let Some(soft_deadline) = soft_deadlines.max() else { return true };
+        // Guards against shedding by chance: where counts are reported, and say that there is capacity, there is.
+        let is_idle = self.counted() && self.load.utilisation().is_some_and(|busy| busy < 0.5);
+        if is_idle || self.agreed.tier > 0 || !self.admission.is_calibrated(soft_deadline, self.now) {
             return true;
         }
-        // Those past the soft deadline may be swallowed; merely late they count as no answers either.
-        let open = self.rpcs.values().filter(|r| !r.done && self.now < r.arrived + soft).count() as f64;
-        let memory = self.memory();
-        let kept = fade(self.now - self.gate.open_at, (memory - ANSWERS_FOR).max(1.0));
-        let open = open + (self.gate.open - open) * kept;
-        (self.gate.open, self.gate.open_at) = (open, self.now);
-        let steadier = ANSWERS_FOR / memory;
-        let target = (ROOM * soft as f64).min(STRETCH * (0.2 + 0.8 * steadier) * self.gate.calm);
-        let limit = self
-            .answer_rate()
-            .max(KEPT * (0.4 + 0.6 * steadier) * self.gate.best * self.ring.usable_upstreams())
-            * target
-            / SECOND as f64;
-        // Open RPCs scatter by the root of their mean with nothing wrong; by less over a longer time.
-        let limit = limit.max(FEW * steadier);
-        let limit = limit + (limit * steadier).sqrt();
-        // What is worth nothing stops at half the limit, two thirds of the highest gain at the limit. A small
-        // balancer tells a jam late: where upstreams are two thirds busy, it starts at a fifth.
-        let full = ((self.load.utilisation().unwrap_or(0.0) - 0.65) / 0.2).clamp(0.0, 1.0);
-        let least = 0.5 - 0.4 * full * (1.0 - steadier);
-        open < limit * (least + (1.0 - least) * (1.5 * value).min(1.0))
-    }
-
-    /// How long answers are kept for: guards against a gate that in a balancer of few RPCs sees only chance.
-    fn memory(&self) -> f64 {
-        /// A dozen answers tell the rate to a third.
-        const DOZEN: f64 = 12.0;
-        /// Longer would sleep through a burst.
-        const MOST: f64 = 6.0 * SECOND as f64;
-        let rate = self.send_rate.corrected_per_second(self.now);
-        (DOZEN * SECOND as f64 / rate.max(0.1)).clamp(ANSWERS_FOR, MOST)
-    }
-
-    /// Answers a second; the time before the first one counts for nothing.
-    fn answer_rate(&self) -> f64 {
-        let (g, memory) = (&self.gate, self.memory());
-        let seen = 1.0 - fade(self.now - g.from.unwrap_or(self.now), memory);
-        g.answers * fade(self.now - g.at, memory) * SECOND as f64 / memory / seen.max(0.01)
-    }
-
-    /// One that comes after the soft deadline counts for nothing.
-    fn count_answer(&mut self, m: &Method, arrived: Time) {
-        let (took, memory, soft) = (self.now - arrived, self.memory(), m.policy.soft_deadline);
-        let Some(took) = Some(took).filter(|took| soft.is_none_or(|soft| *took <= soft)) else { return };
-        let (g, took) = (&mut self.gate, took as f64);
-        g.from = g.from.or(Some(self.now));
-        let age = g.from.map_or(0, |from| self.now - from);
-        // Guards against quick first answers that pass for the calm time: a score after half a second tell it
-        // to a sixth. Then some twenty seconds of answers to believe that what was slow is the usual.
-        if age > SECOND / 2 {
-            g.seen += 1.0;
-            g.mean += (took - g.mean) * g.seen.recip().max(0.02);
-        }
-        if g.seen >= 20.0 {
-            g.calm = if g.mean < g.calm { g.mean } else { g.calm + 0.001 * (g.mean - g.calm) };
-        }
-        g.answers = g.answers * fade(self.now - g.at, memory) + 1.0;
-        g.best *= (1.0 - (self.now - g.at) as f64 / (12.0 * SECOND as f64)).max(0.0);
-        g.at = self.now;
-        if age > 2 * SECOND {
-            // Guards against a limit from before the fleet shrank, and against a best that is chance: the
-            // rate is kept for each upstream, and one root is taken off.
-            let rate = self.answer_rate();
-            let counted = (rate * memory / SECOND as f64).max(1.0);
-            let rate = rate * (1.0 - counted.sqrt().recip()) / self.ring.usable_upstreams();
-            self.gate.best = self.gate.best.max(rate);
+        // Those past the soft deadline may be lost; merely late they do not count as completions either.
+        let is_open = |rpc: &&Rpc| !rpc.done && self.now < rpc.arrived + soft_deadline;
+        let open_requests = self.rpcs.values().filter(is_open).count();
+        let load = self.present_load();
+        self.admission.admits(priority_weight, open_requests, soft_deadline, &load)
+    }
+
+    /// Counts a response, unless it comes after the soft deadline.
+    fn record_completion(&mut self, method: &Method, arrived_at: Time) {
+        let latency = self.now - arrived_at;
+        if method.policy.soft_deadline.is_none_or(|soft_deadline| latency <= soft_deadline) {
+            let load = self.present_load();
+            self.admission.record_completion(latency, &load);
         }
     }
 
@@ -640,7 +581,7 @@
         let Some(rpc) = self.rpcs.get(&id) else { return };
         if ended || rpc.done {
             if !rpc.done {
-                self.count_answer(&method, arrived);
+                self.record_completion(&method, arrived);
             }
             self.close(&id);
         } else if !rpc.is_out() && !self.send_further(&id) {
@@ -718,7 +659,7 @@
         let Some(rpc) = self.rpcs.get_mut(id).filter(|rpc| !rpc.done) else { return };
         rpc.done = true;
         let (method, arrived) = (Rc::clone(&rpc.method), rpc.arrived);
-        self.count_answer(&method, arrived);
+        self.record_completion(&method, arrived);
     }
 
     pub fn timer(&mut self, now: Time, timer: &Timer) {
--- a/crates/fernroute/src/lib.rs
+++ b/crates/fernroute/src/lib.rs
@@ -3,6 +3,7 @@
 //! [`Balancer`] holds every decision; it acts through the [`Host`] that it is handed at start.
 
 pub mod action_queue;
+mod admission;
 mod budgets;
 mod circuit_breaker;
 pub mod decide;
--- a/crates/fernroute/src/records.rs
+++ b/crates/fernroute/src/records.rs
@@ -66,21 +66,3 @@
     Nowhere,
     Late,
 }
-
-/// Admission under overload, at the first tier only: answers a second, and when that was brought up to date.
-#[derive(Default)]
-pub struct Gate {
-    pub answers: f64,
-    pub at: Time,
-    /// RPCs that are open, over the time that answers are kept for beyond the usual; and as of when.
-    pub open: f64,
-    pub open_at: Time,
-    /// The highest rate of answers of late for each upstream in use: falls by half in eight seconds.
-    pub best: f64,
-    /// When the first answer came.
-    pub from: Option<Time>,
-    /// How many answers there were; what they take of late, and in calm times: falls at once, rises slowly.
-    pub seen: f64,
-    pub mean: f64,
-    pub calm: f64,
-}
