--- a/crates/fernroute/src/decide.rs
+++ b/crates/fernroute/src/decide.rs
@@ -16,6 +16,7 @@
 //!     upstreams do less work for one that they know, by its hash and what each kind of upstream takes.
 
 use crate::admission::{AdmissionControl, PresentLoad};
+use crate::attempts::{attempt_timeout, is_permitted, verdict, Attempt, SendResult};
 use crate::budgets::{RetryTokens, SharedBudgets};
 use crate::circuit_breaker::{State, Verdict};
 use crate::endpoint_watch::EndpointWatch;
@@ -23,7 +24,7 @@
 use crate::host::{Host, InvalidSetting, Outcome, Settings, Time, Timer, SECOND};
 use crate::latency::Method;
 use crate::load_reports::LoadAverages;
-use crate::records::{Id, Rpc, Sent, Tx};
+use crate::requests::{Id, Request};
 use crate::send_rate::SendRate;
 use crate::settings::{Idempotency, MethodPolicy, ValidatedSettings};
 use crate::slow_start::{min_send_interval, WarmTraffic};
@@ -45,7 +46,7 @@
     retry_tokens: RetryTokens,
     upstreams: UpstreamTable,
     /// Emptied by final answers: an answered RPC leaves with its last transmission.
-    rpcs: BTreeMap<Id, Rpc>,
+    rpcs: BTreeMap<Id, Request>,
     watch: EndpointWatch,
     ring: HashRing,
     key_frequencies: KeyFrequencies,
@@ -214,25 +215,9 @@
 
     // ------------------------------------------------------------------------------------------------ pick
 
-    /// Rules 2, 3 and 4, and nothing else: whether this RPC may go to this upstream now.
-    fn may_send(&self, rpc: &Rpc, id: &str) -> bool {
-        let Some(u) = self.upstreams.get(id) else { return false };
-        let most = rpc.is_out() || rpc.txs.len() >= self.agreed.max_attempts;
-        // Told that it drains or is gone: nothing new at once, the grace is left unused.
-        let shut = !u.accepts_attempts(&self.agreed.slow_start, self.now);
-        if rpc.done || self.now >= rpc.hard || most || shut {
-            return false;
-        }
-        let m = &rpc.method.policy;
-        let Some(first) = rpc.may_have_run() else { return true };
-        let in_window = rpc.written_by(self.agreed.tick).is_none_or(|by| self.now < by);
-        match m.idempotency {
-            Idempotency::Idempotent => true,
-            Idempotency::DedupedEverywhere => in_window,
-            Idempotency::DedupedInZone => in_window && u.zone() == first.zone,
-            Idempotency::DedupedInCell => in_window && u.cell() == first.cell,
-            Idempotency::NotIdempotent => false,
-        }
+    fn may_send(&self, request: &Request, id: &str) -> bool {
+        let upstream = self.upstreams.get(id);
+        upstream.is_some_and(|upstream| is_permitted(request, upstream, &self.agreed, self.now))
     }
 
     fn estimated_queue(&self, upstream: &Upstream, method: &Method) -> f64 {
@@ -240,7 +225,7 @@
     }
 
     /// A draw among the upstreams that the rules and the breakers allow, weighted by reported headroom.
-    fn pick(&mut self, rpc: &Rpc) -> Option<Id> {
+    fn pick(&mut self, rpc: &Request) -> Option<Id> {
         /// The design's floor, well under one half: a full upstream still gets news of itself now and then.
         const FLOOR: f64 = 0.05;
         /// Own-zone upstreams weigh up to this much more, by what it costs to leave the zone: the headroom
@@ -286,7 +271,8 @@
                 continue;
             }
             let open = !passes || steady && u.breaker().state() == State::HalfOpen;
-            let list = if open || rpc.txs.iter().any(|t| t.upstream == id) { &mut shut } else { &mut near };
+            let list =
+                if open || rpc.attempts.iter().any(|t| t.upstream == id) { &mut shut } else { &mut near };
             list.push(id);
         }
         // Nothing closed: an answer from an open upstream beats none at all.
@@ -329,24 +315,25 @@
 
     // -------------------------------------------------------------------------------------------- transmit
 
-    fn send(&mut self, rpc_id: &Id) -> Sent {
+    fn send(&mut self, rpc_id: &Id) -> SendResult {
         /// News enough to give an RPC up for. Guards against a balancer of few RPCs that learns of a jam,
         /// sends nothing from then on, and never learns that it has passed.
         const NEWS: Time = 2 * SECOND;
         // Taken out for the pick, which looks at all upstreams while it reads this one RPC.
-        let Some(rpc) = self.rpcs.remove(rpc_id) else { return Sent::Nowhere };
+        let Some(rpc) = self.rpcs.remove(rpc_id) else { return SendResult::NoUpstream };
         let id = self.pick(&rpc);
         let news = |u: &&Upstream| u.has_load_report_within(NEWS, self.now);
         // Guards against work for answers that come too late, which crowds upstreams until they turn slow.
         let late = id.as_ref().and_then(|id| self.upstreams.get(id)).filter(news).is_some_and(|u| {
             let each = rpc.method.latency().per_queued * u.relative_latency(self.counted(), self.now);
-            self.now as f64 + (1.0 + self.estimated_queue(u, &rpc.method)) * each >= rpc.until as f64
+            self.now as f64 + (1.0 + self.estimated_queue(u, &rpc.method)) * each
+                >= rpc.response_deadline as f64
         });
         self.rpcs.insert(rpc_id.clone(), rpc);
         match id {
-            Some(_) if late => Sent::Late,
-            Some(id) if self.transmit(rpc_id, &id) => Sent::Out,
-            _ => Sent::Nowhere,
+            Some(_) if late => SendResult::TooLate,
+            Some(id) if self.transmit(rpc_id, &id) => SendResult::Sent,
+            _ => SendResult::NoUpstream,
         }
     }
 
@@ -363,40 +350,28 @@
             self.shared_budgets.trial_sent(self.now, u.trial_tokens_mut());
         }
         u.attempt_started(self.now);
-        rpc.waiting = false;
-        let written_by = rpc.written_by(self.agreed.tick);
-        rpc.txs.push(Tx {
+        rpc.queued = false;
+        let write_deadline = rpc.write_deadline(self.agreed.tick);
+        rpc.attempts.push(Attempt {
             upstream: id.clone(),
             zone: u.zone().to_owned(),
             cell: u.cell().to_owned(),
-            sent: self.now,
-            epoch: u.breaker().epoch(),
-            trial,
-            ahead,
-            end: None,
+            sent_at: self.now,
+            breaker_epoch: u.breaker().epoch(),
+            is_trial: trial,
+            estimated_queue: ahead,
+            outcome: None,
         });
-        self.host.start_attempt(rpc_id, id, time_out, written_by);
+        self.host.start_attempt(rpc_id, id, time_out, write_deadline);
         true
     }
 
-    /// The article's time-out of one transmission, where another may follow it in time; else what is left.
-    /// Guards against upstreams that serve most RPCs and never answer some: no breaker opens on those.
-    fn time_out(&self, rpc: &Rpc) -> Time {
-        /// Times what few exceed: of a thousand calm answers five take so long; the least that leaves room.
-        const MOST: f64 = 2.5;
-        const LEAST: f64 = 1.5;
-        /// Busier upstreams are slow because they are: giving up on them wastes what they have done.
-        const CALM: f64 = 0.6;
-        let (m, times) = (&rpc.method.policy, rpc.method.latency());
-        // The start value of the mark takes some hundred answers to wear off, that of the mean some thirty.
-        let late = times.p95.min(2.2 * times.mean);
-        let cut = (rpc.until as f64 - self.now as f64 - 1.5 * times.mean).min(MOST * late);
-        let calm = self.load.utilisation().is_none_or(|busy| busy < CALM) && cut >= LEAST * late;
-        let follows = m.idempotency != Idempotency::NotIdempotent
-            && rpc.txs.len() + 1 < self.agreed.max_attempts
+    fn time_out(&self, request: &Request) -> Time {
+        let retry_may_follow = request.method.policy.idempotency != Idempotency::NotIdempotent
+            && request.attempts.len() + 1 < self.agreed.max_attempts
             && self.retry_tokens.covers(2.0)
             && self.shared_budgets.allows_retry(self.now);
-        (if follows && calm { cut as Time } else { Time::MAX }).min(rpc.hard - self.now)
+        attempt_timeout(request, self.load.utilisation(), retry_may_follow, self.now)
     }
 
     // ----------------------------------------------------------------------------- further transmissions
@@ -407,15 +382,15 @@
         const TURNED_AWAY: f64 = 0.1;
         let Some(rpc) = self.rpcs.get(rpc_id) else { return false };
         let mean = rpc.method.latency().mean;
-        let cost = if rpc.may_have_run().is_none() { TURNED_AWAY } else { 1.0 };
+        let cost = if rpc.first_that_may_have_run().is_none() { TURNED_AWAY } else { 1.0 };
         // The operators' way: only if the time left exceeds the time that it is expected to take.
         if !self.retry_tokens.covers(cost)
-            || self.now as f64 + mean > rpc.until as f64
+            || self.now as f64 + mean > rpc.response_deadline as f64
             || !self.shared_budgets.request_retry(self.now)
         {
             return false;
         }
-        let sent = self.send(rpc_id) == Sent::Out;
+        let sent = self.send(rpc_id) == SendResult::Sent;
         if sent {
             self.retry_tokens.spend(cost);
             self.shared_budgets.retry_sent(self.now);
@@ -424,10 +399,10 @@
     }
 
     /// Takes what a finished transmission says of how long the method takes, and the upstream against others.
-    fn learn_times(&mut self, tx: &Tx, method: &Method, took: Time, completed: bool) {
-        let ratio = method.record_attempt(took, tx.ahead, completed);
+    fn learn_times(&mut self, tx: &Attempt, method: &Method, took: Time, completed: bool) {
+        let ratio = method.record_attempt(took, tx.estimated_queue, completed);
         let has_counts = self.counted();
-        if let Some(upstream) = self.upstreams.same_process_mut(&tx.upstream, tx.sent) {
+        if let Some(upstream) = self.upstreams.same_process_mut(&tx.upstream, tx.sent_at) {
             upstream.record_relative_latency(ratio, completed, has_counts, self.now);
         }
     }
@@ -461,7 +436,7 @@
             return true;
         }
         // Those past the soft deadline may be lost; merely late they do not count as completions either.
-        let is_open = |rpc: &&Rpc| !rpc.done && self.now < rpc.arrived + soft_deadline;
+        let is_open = |rpc: &&Request| !rpc.answered && self.now < rpc.arrived_at + soft_deadline;
         let open_requests = self.rpcs.values().filter(is_open).count();
         let load = self.present_load();
         self.admission.admits(priority_weight, open_requests, soft_deadline, &load)
@@ -493,8 +468,17 @@
         let admitted = value.is_some_and(|value| self.admits(value * late));
         let until = if late_gain > 0.0 { hard } else { soft };
         let key = self.count_key(key);
-        let (done, waiting, txs) = (false, false, Vec::new());
-        let rpc = Rpc { method, key, arrived: now, soft, hard, until, done, waiting, txs };
+        let rpc = Request {
+            method,
+            key,
+            arrived_at: now,
+            soft_deadline: soft,
+            hard_deadline: hard,
+            response_deadline: until,
+            answered: false,
+            queued: false,
+            attempts: Vec::new(),
+        };
         self.rpcs.insert(id.clone(), rpc);
         if admitted {
             self.send_or_hold(&id);
@@ -516,10 +500,10 @@
         /// Short against any deadline here, long against a tick.
         const LOOK: Time = SECOND / 40;
         let sent = self.send(id);
-        let Some(rpc) = self.rpcs.get_mut(id).filter(|_| sent != Sent::Out) else { return };
+        let Some(rpc) = self.rpcs.get_mut(id).filter(|_| sent != SendResult::Sent) else { return };
         let mean = rpc.method.latency().mean as Time;
-        if sent == Sent::Nowhere && self.now + LOOK + mean < rpc.soft {
-            rpc.waiting = true;
+        if sent == SendResult::NoUpstream && self.now + LOOK + mean < rpc.soft_deadline {
+            rpc.queued = true;
             self.host.set_timer(LOOK, Timer::Queued(Rc::clone(id)));
         } else {
             self.finish(id);
@@ -528,12 +512,12 @@
 
     /// The final answer of an RPC that this balancer gives up: exhausted where that is harmless.
     fn finish(&mut self, id: &Id) {
-        let Some(rpc) = self.rpcs.get(id).filter(|rpc| !rpc.done) else { return };
+        let Some(rpc) = self.rpcs.get(id).filter(|rpc| !rpc.answered) else { return };
         let repeatable =
             matches!(rpc.method.policy.idempotency, Idempotency::Idempotent | Idempotency::DedupedEverywhere);
-        if repeatable || rpc.may_have_run().is_none() {
+        if repeatable || rpc.first_that_may_have_run().is_none() {
             // Early enough that another try can still be in time, and spread; else for as long as may be.
-            let room = rpc.soft.saturating_sub(self.now) as f64 - 1.5 * rpc.method.latency().mean;
+            let room = rpc.soft_deadline.saturating_sub(self.now) as f64 - 1.5 * rpc.method.latency().mean;
             let most = self.agreed.max_retry_after as f64;
             let spread = 0.5 + 0.5 * self.rng.generate::<f64>();
             let stay_away = if room > 0.0 { room.min(most) * spread } else { most };
@@ -547,10 +531,10 @@
     /// After the final answer: calls off what is out, and forgets the RPC once nothing is.
     fn close(&mut self, id: &Id) {
         let Some(rpc) = self.rpcs.get_mut(id) else { return };
-        if !std::mem::replace(&mut rpc.done, true) && rpc.is_out() && self.agreed.cancels_attempts {
-            self.host.cancel_attempt(id, rpc.txs.len() - 1);
+        if !std::mem::replace(&mut rpc.answered, true) && rpc.is_in_flight() && self.agreed.cancels_attempts {
+            self.host.cancel_attempt(id, rpc.attempts.len() - 1);
         }
-        if !rpc.is_out() {
+        if !rpc.is_in_flight() {
             self.rpcs.remove(id);
         }
     }
@@ -569,22 +553,22 @@
         self.now = now;
         let id = Id::from(id);
         let Some(rpc) = self.rpcs.get_mut(&id) else { return };
-        let (method, arrived) = (Rc::clone(&rpc.method), rpc.arrived);
-        let Some(tx) = rpc.txs.get_mut(n).filter(|t| t.end.is_none()) else { return };
-        tx.end = Some(outcome);
+        let (method, arrived) = (Rc::clone(&rpc.method), rpc.arrived_at);
+        let Some(tx) = rpc.attempts.get_mut(n).filter(|t| t.is_in_flight()) else { return };
+        tx.outcome = Some(outcome);
         let tx = tx.clone();
         self.send_rate.record_outcome(outcome);
         self.learn_times(&tx, &method, took, outcome == Outcome::Completed);
-        self.take_report(&tx.upstream, tx.sent, loads);
-        self.upstreams.attempt_ended(&tx.upstream, tx.sent);
+        self.take_report(&tx.upstream, tx.sent_at, loads);
+        self.upstreams.attempt_ended(&tx.upstream, tx.sent_at);
         self.learn_verdict(&tx, &method, outcome, took);
         let Some(rpc) = self.rpcs.get(&id) else { return };
-        if ended || rpc.done {
-            if !rpc.done {
+        if ended || rpc.answered {
+            if !rpc.answered {
                 self.record_completion(&method, arrived);
             }
             self.close(&id);
-        } else if !rpc.is_out() && !self.send_further(&id) {
+        } else if !rpc.is_in_flight() && !self.send_further(&id) {
             self.finish(&id);
         }
     }
@@ -595,26 +579,10 @@
         }
     }
 
-    fn learn_verdict(&mut self, tx: &Tx, method: &Method, outcome: Outcome, took: Time) {
-        /// More than this many means is slow: four soft deadlines would lie past the hard one.
-        const SLOW: f64 = 3.0;
+    fn learn_verdict(&mut self, tx: &Attempt, method: &Method, outcome: Outcome, took: Time) {
         /// Reports are a little noisy; one core of a dozen idle is not full.
         const FULL: f64 = 0.95;
-        /// An error that comes in less than this part of the mean was not waited for below.
-        const AT_ONCE: f64 = 0.3;
-        let mean = method.latency().mean;
-        let slow = took as f64 > SLOW * mean;
-        let verdict = match outcome {
-            Outcome::Completed if slow => Some(Verdict::Slow),
-            Outcome::Completed => Some(Verdict::Good),
-            // Called off by this balancer, or cut to what the caller had left: only lateness is evidence.
-            Outcome::Cancelled | Outcome::TimedOut if !slow => None,
-            Outcome::NotSent => None,
-            Outcome::Failed if (took as f64) >= AT_ONCE * mean => Some(Verdict::Failed),
-            Outcome::Rejected | Outcome::Unknown => Some(Verdict::Failed),
-            // Silence, no connection, a broken one, or an error at once.
-            _ => Some(Verdict::Dead),
-        };
+        let verdict = verdict(outcome, took, method.latency().mean);
         let (now, most_open) = (self.now, self.upstreams.len() / 3);
         let open = if verdict == Some(Verdict::Good) { 0 } else { self.upstreams.count_ejected() };
         let Some(u) = self.upstreams.get_mut(&tx.upstream) else { return };
@@ -623,10 +591,10 @@
         if swamped || matches!(verdict, Some(Verdict::Failed | Verdict::Dead)) {
             u.record_failure(now, (outcome == Outcome::Rejected).then(|| method.policy.name.clone()));
         }
-        if u.breaker().epoch() != tx.epoch {
+        if u.breaker().epoch() != tx.breaker_epoch {
             return;
         }
-        if tx.trial {
+        if tx.is_trial {
             u.breaker_mut().trial_ended();
         }
         let Some(verdict) = verdict else { return };
@@ -647,25 +615,25 @@
 
     /// The last byte has come of an RPC that was sent on while it came: its times count from here.
     pub fn rpc_complete(&mut self, now: Time, id: &str) {
-        let Some(rpc) = self.rpcs.get_mut(id) else { return };
-        let late = now - std::mem::replace(&mut rpc.arrived, now);
-        [&mut rpc.soft, &mut rpc.hard, &mut rpc.until].into_iter().for_each(|at| *at += late);
+        if let Some(request) = self.rpcs.get_mut(id) {
+            request.restart_deadlines(now);
+        }
     }
 
     /// The answer has begun: it is the client's now, and nothing more is sent for it. Guards against a gate
     /// that takes answers which take long to hand on for work that upstreams do not get done.
     pub fn response_started(&mut self, now: Time, id: &str) {
         self.now = now;
-        let Some(rpc) = self.rpcs.get_mut(id).filter(|rpc| !rpc.done) else { return };
-        rpc.done = true;
-        let (method, arrived) = (Rc::clone(&rpc.method), rpc.arrived);
+        let Some(rpc) = self.rpcs.get_mut(id).filter(|rpc| !rpc.answered) else { return };
+        rpc.answered = true;
+        let (method, arrived) = (Rc::clone(&rpc.method), rpc.arrived_at);
         self.record_completion(&method, arrived);
     }
 
     pub fn timer(&mut self, now: Time, timer: &Timer) {
         self.now = now;
         match timer {
-            Timer::Queued(id) if self.rpcs.get(id).is_some_and(|rpc| rpc.waiting && !rpc.done) => {
+            Timer::Queued(id) if self.rpcs.get(id).is_some_and(|rpc| rpc.queued && !rpc.answered) => {
                 self.send_or_hold(id);
             }
             Timer::EndpointPoll(poll) if self.watch.is_due(*poll) => {
--- a/crates/fernroute/src/hash_ring.rs
+++ b/crates/fernroute/src/hash_ring.rs
@@ -5,7 +5,7 @@
 //! send it to the same few upstreams, which have it cached.
 
 use crate::host::{Time, SECOND};
-use crate::records::Id;
+use crate::requests::Id;
 use crate::settings::ValidatedSettings;
 use crate::statistics::{decay, hash};
 use crate::upstream::Upstream;
--- a/crates/fernroute/src/lib.rs
+++ b/crates/fernroute/src/lib.rs
@@ -4,6 +4,7 @@
 
 pub mod action_queue;
 mod admission;
+mod attempts;
 mod budgets;
 mod circuit_breaker;
 pub mod decide;
@@ -12,7 +13,7 @@
 pub mod host;
 mod latency;
 mod load_reports;
-mod records;
+mod requests;
 mod send_rate;
 pub mod settings;
 mod slow_start;
