--- a/crates/fernroute-config/src/lib.rs
+++ b/crates/fernroute-config/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! `fields` lists the keys, `reader` reads a text by them, `value` one value, `consistency` what has to go together;
 //! [`layers`] lays a fleet's entries over a file.
-#![warn(missing_docs)]
+#![warn(missing_docs, clippy::unwrap_used, clippy::expect_used)]
 
 mod consistency;
 mod fields;
--- a/crates/fernroute-coordinator/src/commands/client.rs
+++ b/crates/fernroute-coordinator/src/commands/client.rs
@@ -65,7 +65,7 @@
 
 fn rejection_text(error: &RequestError) -> String {
     match error {
-        RequestError::Refused(reason) => reason.clone(),
+        RequestError::Rejected(reason) => reason.clone(),
         other => format!("{other:?}"),
     }
 }
@@ -148,11 +148,11 @@
                 self.peers.say(&address, path, 0, message, LEADER_CALL_TIMEOUT).await;
             match reply {
                 Ok(Ok(reply)) => return Ok(reply),
-                Ok(Err(RequestError::Elsewhere(Some(leader)))) => {
+                Ok(Err(RequestError::NotLeader(Some(leader)))) => {
                     last_error = format!("{address}: {leader} leads, or did");
                     address = leader;
                 }
-                Ok(Err(RequestError::Elsewhere(None))) => {
+                Ok(Err(RequestError::NotLeader(None))) => {
                     return Err(AttemptError::NotLeader(format!("{address}: nobody leads")));
                 }
                 Ok(Err(RequestError::Unknown(reason))) => {
--- a/crates/fernroute-coordinator/src/commands/configuration/file.rs
+++ b/crates/fernroute-coordinator/src/commands/configuration/file.rs
@@ -1,6 +1,6 @@
 //! Reads and validates a part of a balancer's file.
 
-use crate::configuration;
+use crate::configuration::{self, ContentError};
 use fernroute_fleet::configuration::MAX_CONTENT_BYTES;
 use std::path::{Path, PathBuf};
 
@@ -32,12 +32,12 @@
         source: std::string::FromUtf8Error,
     },
     /// A balancer would reject it.
-    #[error("{}: {faults}", path.display())]
+    #[error("{}: {source}", path.display())]
     Invalid {
         /// The file.
         path: PathBuf,
-        /// All its faults, in one line.
-        faults: String,
+        /// All its faults.
+        source: ContentError,
     },
 }
 
@@ -56,6 +56,5 @@
 
 /// Whether a balancer would accept `content`, which was read from `path`.
 pub fn validate(path: &Path, content: &str) -> Result<(), FileError> {
-    configuration::check(content)
-        .map_err(|faults| FileError::Invalid { path: path.to_owned(), faults: faults.to_string() })
+    configuration::check(content).map_err(|source| FileError::Invalid { path: path.to_owned(), source })
 }
--- a/crates/fernroute-coordinator/src/commands/configuration/mod.rs
+++ b/crates/fernroute-coordinator/src/commands/configuration/mod.rs
@@ -135,9 +135,9 @@
 async fn get(arguments: Get) -> Result<(), CommandError> {
     let client = Client::connect(&arguments.addresses).await?;
     let latest: Latest = client.call(GET, &arguments.scope).await?;
-    let Some(entry) = latest.part else { return Err(CommandError::NothingPut(arguments.scope)) };
+    let Some(entry) = latest.entry else { return Err(CommandError::NothingPut(arguments.scope)) };
     print!("{}", entry.content);
-    match latest.line {
+    match latest.change {
         Some(history_entry) => eprintln!("{}", entry_summary(&history_entry)),
         None => eprintln!("{}: version {}, {}", arguments.scope, entry.version, entry.content_hash),
     }
--- a/crates/fernroute-coordinator/src/commands/configuration/put.rs
+++ b/crates/fernroute-coordinator/src/commands/configuration/put.rs
@@ -109,7 +109,7 @@
 
 fn rollout_unknown_text(error: &CallError) -> String {
     match error {
-        CallError::NoLeader(_) | CallError::Rejected(RequestError::Refused(_)) => {
+        CallError::NoLeader(_) | CallError::Rejected(RequestError::Rejected(_)) => {
             format!("where it is in force is not known: {error}")
         }
         CallError::Rejected(_) => error.to_string(),
@@ -131,13 +131,13 @@
     let wait = arguments.wait_s.map(Duration::try_from_secs_f64).transpose().map_err(PutError::from)?;
     let client = Client::connect(&arguments.addresses).await?;
     let latest: Latest = client.call(GET, &arguments.scope).await?;
-    let latest_version = latest.part.map_or(0, |entry| entry.version);
+    let latest_version = latest.entry.map_or(0, |entry| entry.version);
     let request = PutRequest {
         scope: arguments.scope,
-        base: arguments.base_version.unwrap_or(latest_version),
-        hash: content_hash(&content),
+        base_version: arguments.base_version.unwrap_or(latest_version),
+        content_hash: content_hash(&content),
         content,
-        who: author,
+        author,
     };
     let version = enter(&client, &request).await?;
     println!("version {version}");
@@ -165,7 +165,7 @@
             version.ok_or_else(|| out_of_date(latest.as_deref(), request))
         }
         CallError::NoLeader(_) if may_be_entered => {
-            Err(PutError::OutcomeUnknown { base_version: request.base, source: error })
+            Err(PutError::OutcomeUnknown { base_version: request.base_version, source: error })
         }
         CallError::NoLeader(_) | CallError::Rejected(_) => Err(PutError::Call(error)),
     }
@@ -173,7 +173,10 @@
 
 fn out_of_date(latest: Option<&HistoryEntry>, request: &PutRequest) -> PutError {
     let unknown = || format!("{}: of another version", request.scope);
-    PutError::OutOfDate { latest: latest.map_or_else(unknown, entry_summary), base_version: request.base }
+    PutError::OutOfDate {
+        latest: latest.map_or_else(unknown, entry_summary),
+        base_version: request.base_version,
+    }
 }
 
 /// The version under which the history has this very request.
@@ -181,9 +184,9 @@
     let history: Result<Vec<HistoryEntry>, CallFailure> = client.call(HISTORY, &Some(&request.scope)).await;
     let history = history.map_err(|failure| failure.error)?;
     let entry = history.iter().find(|entry| {
-        entry.base_version == request.base
-            && entry.content_hash == request.hash
-            && entry.author == request.who
+        entry.base_version == request.base_version
+            && entry.content_hash == request.content_hash
+            && entry.author == request.author
     });
     Ok(entry.map(|entry| entry.version))
 }
--- a/crates/fernroute-coordinator/src/commands/serve.rs
+++ b/crates/fernroute-coordinator/src/commands/serve.rs
@@ -107,9 +107,9 @@
 
 /// Starts the replica; ends only if that fails, since its tasks and the HTTP server do the rest.
 async fn run_consensus(replica: Rc<Replica>, bootstrap_at_once: bool) -> Result<(), CommandError> {
-    replica.begin().await.map_err(CommandError::coordinator)?;
+    replica.start().await.map_err(CommandError::coordinator)?;
     actix_rt::spawn(Rc::clone(&replica).lead());
-    replica.found(bootstrap_at_once).await;
+    replica.bootstrap(bootstrap_at_once).await;
     std::future::pending().await
 }
 
--- a/crates/fernroute-coordinator/src/configuration.rs
+++ b/crates/fernroute-coordinator/src/configuration.rs
@@ -1,8 +1,8 @@
-//! What the balancers of a fleet go by: the leader enters it, every steward hands it out.
+//! Configuration of the fleet's balancers: the leader commits an operator's change, every replica hands out what it has applied.
 
 use crate::replica::{now, Replica};
 use crate::{ApplyFailure, Raft};
-use fernroute_config::layers;
+use fernroute_config::{layers, Fault};
 use fernroute_fleet::configuration::register::{ConfigurationPut, HistoryEntry, Register};
 use fernroute_fleet::configuration::rollout::{MemberRollout, RolloutSummary};
 use fernroute_fleet::configuration::{
@@ -12,218 +12,277 @@
 use serde::{Deserialize, Serialize};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
+/// The path of a [`PutRequest`].
 pub const PUT: &str = "/-/configuration/put";
+/// The path that answers with the [`Latest`] entry of a scope.
 pub const GET: &str = "/-/configuration/get";
+/// The path that answers with the history of a scope, or of all.
 pub const HISTORY: &str = "/-/configuration/history";
+/// The path that answers with the [`ConfigurationStatus`].
 pub const STATUS: &str = "/-/configuration/status";
 
-/// How long a majority may take to keep an entry. What is not known by then may still be entered.
-const KEPT_WITHIN: Duration = Duration::from_secs(2);
+/// How long a majority may take to commit an entry. One that takes longer may still be committed.
+const COMMIT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// An operator's word, on its way to the leader.
+/// An operator's change of one scope, on its way to the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PutRequest {
+    /// The scope that is changed.
     pub scope: Scope,
-    /// The scope's version that the operator started from; 0 where there was none.
-    pub base: Version,
-    pub hash: String,
+    /// The scope's version that the change is made from; 0 where there was none.
+    #[serde(rename = "base")]
+    pub base_version: Version,
+    /// The hash of the content, as the operator's command made it.
+    #[serde(rename = "hash")]
+    pub content_hash: String,
+    /// The new content.
     pub content: String,
-    pub who: String,
+    /// Who makes the change.
+    #[serde(rename = "who")]
+    pub author: String,
 }
 
-/// Why an operator's word was not done.
+/// Why a request to the leader was not carried out, or is not known to be.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RequestError {
-    /// Another steward leads; its address, where it is known.
-    Elsewhere(Option<String>),
-    /// The scope's latest entry is another one than the operator started from; none where it has none.
+    /// Another replica leads; its address, where it is known.
+    #[serde(rename = "elsewhere")]
+    NotLeader(Option<String>),
+    /// The change was made from another version than the scope's latest entry; none where the scope has none.
     OutOfDate(Option<Box<HistoryEntry>>),
-    Refused(String),
-    /// It may be entered yet, or may be entered already: the same word again does no harm, since it names its base.
+    /// The request can't be carried out, and why.
+    #[serde(rename = "refused")]
+    Rejected(String),
+    /// The entry may be committed already, or later. To repeat the request is harmless, since it names its base version.
     Unknown(String),
 }
 
-/// A scope's latest entry, and who made it.
+/// A scope's latest entry, and the change that made it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Latest {
-    pub part: Option<ScopeEntry>,
+    /// None for a scope that was never changed.
+    #[serde(rename = "part")]
+    pub entry: Option<ScopeEntry>,
     /// None where it is older than the history.
-    pub line: Option<HistoryEntry>,
+    #[serde(rename = "line")]
+    pub change: Option<HistoryEntry>,
 }
 
-/// A scope's latest entry, for people.
+/// A scope's latest entry without its content.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ScopeStatus {
+    /// The scope.
     pub scope: Scope,
+    /// The entry's version.
     pub version: Version,
+    /// The hash of its content.
     pub hash: String,
-    /// 0 where it says nothing any more.
+    /// The length of its content; 0 for a scope that was emptied.
     pub bytes: usize,
 }
 
-/// How far the fleet is, as its leader knows it.
+/// How far the rollout of the fleet's configuration is, as its leader knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigurationStatus {
+    /// The cluster's name.
     pub cluster: String,
+    /// The leader's name.
     pub leader: String,
-    /// Of the last entry, whomever it concerns.
+    /// The version of the last entry, whichever scope it is for.
     pub version: Version,
-    /// It has led for longer than a share holds: whoever it has not heard of by then is silent. Before, a member that is
-    /// not heard of may be one that has not come yet.
+    /// The leader has led for longer than a quota's lease: a member without a heartbeat since then is unreachable. Before
+    /// that, its first heartbeat to this leader may be still to come.
     pub settled: bool,
+    /// All scopes that were ever changed.
     pub scopes: Vec<ScopeStatus>,
+    /// How many members are in which state.
     pub summary: RolloutSummary,
+    /// All members, by their names.
     pub members: Vec<MemberRollout>,
 }
 
+/// Why a content does not load as part of a balancer's file.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum ContentError {
+    /// It has faults by itself.
+    #[error("{}", one_line(.0))]
+    Faulty(Vec<Fault>),
+    /// It has faults together with the entries of wider scopes.
+    #[error("laid over {}: {}", .scopes.join(", "), one_line(.faults))]
+    FaultyOver {
+        /// The wider scopes, the widest first.
+        scopes: Vec<String>,
+        /// The faults of all entries together.
+        faults: Vec<Fault>,
+    },
+}
+
 impl Replica {
     pub(crate) fn register<T>(&self, read: impl FnOnce(&Register) -> T) -> T {
-        read(&self.state_machine.kept.borrow().register)
+        read(&self.state_machine.state.borrow().register)
     }
 
-    /// While this steward leads for certain, and has applied all that was entered before.
+    /// The raft node, once it is certain that this replica leads and has applied all that was committed before.
     pub(crate) async fn leads(&self) -> Result<&Raft, RequestError> {
         self.update_leadership();
-        let leads = self.leadership.borrow().is_some();
-        let Some(raft) = self.raft().filter(|_| leads) else {
-            return Err(RequestError::Elsewhere(self.leader_address()));
-        };
+        let is_leader = self.leadership.borrow().is_some();
+        let not_leader = || RequestError::NotLeader(self.leader_address());
+        let raft = self.raft().filter(|_| is_leader).ok_or_else(not_leader)?;
         match raft.ensure_linearizable().await {
             Ok(_) => Ok(raft),
-            Err(_) => Err(RequestError::Elsewhere(self.leader_address())),
+            Err(_) => Err(not_leader()),
         }
     }
 
-    /// Enters an operator's word, whole or not at all; its version.
-    pub async fn put(&self, wish: PutRequest) -> Result<Version, RequestError> {
+    /// Commits an operator's change, completely or not at all; its version.
+    pub async fn put(&self, request: PutRequest) -> Result<Version, RequestError> {
         let raft = self.leads().await?;
-        self.register(|register| fits(register, &wish))?;
-        let when_ms =
-            SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64);
-        let PutRequest { scope, base, hash, content, who } = wish;
-        let told = format!("{scope} by {who}");
-        // Numbers that members go by of a register that was lost are not given again.
-        let above =
-            self.leadership.borrow().as_ref().map_or(0, |leading| leading.budgets.highest_reported_version());
-        let put = ConfigurationPut {
-            scope: scope.clone(),
-            base_version: base,
-            content_hash: hash,
-            content,
-            author: who,
-            entered_at_ms: when_ms,
-            min_version_exclusive: above,
-        };
-        let unknown = |why: String| {
-            tracing::warn!("configuration of {told}: not known to be entered: {why}");
-            Err(RequestError::Unknown(why))
+        self.register(|register| validate(register, &request))?;
+        let scope = request.scope.clone();
+        let label = format!("{scope} by {}", request.author);
+        let entry = Entry::Configuration(self.entry_of(request));
+        let result = match tokio::time::timeout(COMMIT_TIMEOUT, raft.client_write(entry)).await {
+            Ok(Ok(written)) => written.data,
+            Ok(Err(error)) => return Err(unknown(&label, error.to_string())),
+            Err(_) => {
+                let reason = "a majority of the stewards has not kept it yet";
+                return Err(unknown(&label, reason.to_owned()));
+            }
         };
-        let written =
-            match tokio::time::timeout(KEPT_WITHIN, raft.client_write(Entry::Configuration(put))).await {
-                Err(_) => return unknown("a majority of the stewards has not kept it yet".to_owned()),
-                Ok(Err(why)) => return unknown(why.to_string()),
-                Ok(Ok(written)) => written,
-            };
-        match written.data {
+        match result {
             Ok(version) => {
-                tracing::info!("configuration of {told}: version {version}");
+                tracing::info!("configuration of {label}: version {version}");
                 Ok(version)
             }
-            // Another one came between.
+            // Another change of the scope was committed first.
             Err(ApplyFailure { latest: Some(_), .. }) => {
-                Err(self.register(|register| RequestError::OutOfDate(line(register, &scope).map(Box::new))))
+                Err(self.register(|register| out_of_date(register, &scope)))
             }
-            Err(refused) => Err(RequestError::Refused(refused.why)),
+            Err(failure) => Err(RequestError::Rejected(failure.why)),
+        }
+    }
+
+    /// Guards against a version that is given twice: members may still report versions of a register that was lost.
+    fn entry_of(&self, request: PutRequest) -> ConfigurationPut {
+        let leadership = self.leadership.borrow();
+        let highest_reported =
+            leadership.as_ref().map_or(0, |leadership| leadership.budgets.highest_reported_version());
+        let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
+        ConfigurationPut {
+            scope: request.scope,
+            base_version: request.base_version,
+            content_hash: request.content_hash,
+            content: request.content,
+            author: request.author,
+            entered_at_ms: since_epoch.map_or(0, |duration| duration.as_millis() as u64),
+            min_version_exclusive: highest_reported,
         }
     }
 
-    /// What concerns a balancer, as far as this steward has applied: it need not lead.
-    pub fn fetch(&self, fetch: &FetchRequest) -> FetchReply {
-        self.register(|register| register.fetch(fetch))
+    /// The entries for a balancer, as far as this replica has applied them: it need not lead.
+    pub fn fetch(&self, request: &FetchRequest) -> FetchReply {
+        self.register(|register| register.fetch(request))
     }
 
+    /// The latest entry of a scope.
     pub async fn latest(&self, scope: &Scope) -> Result<Latest, RequestError> {
         self.leads().await?;
         Ok(self.register(|register| Latest {
-            part: register.entry(scope).cloned(),
-            line: line(register, scope),
+            entry: register.entry(scope).cloned(),
+            change: latest_change(register, scope),
         }))
     }
 
+    /// How far the rollout is at each member.
     pub async fn configuration_status(&self) -> Result<ConfigurationStatus, RequestError> {
         self.leads().await?;
-        let leading = self.leadership.borrow();
-        let Some(leading) = leading.as_ref() else { return Err(RequestError::Elsewhere(None)) };
-        let kept = self.state_machine.kept.borrow();
-        let mut members = leading.budgets.configuration_states(now(), &kept.ledger, &kept.register);
+        let leadership = self.leadership.borrow();
+        let Some(leadership) = leadership.as_ref() else { return Err(RequestError::NotLeader(None)) };
+        let state = self.state_machine.state.borrow();
+        let mut members = leadership.budgets.configuration_states(now(), &state.ledger, &state.register);
         members.sort_by(|a, b| a.name.cmp(&b.name));
-        let scope = |part: &ScopeEntry| ScopeStatus {
-            scope: part.scope.clone(),
-            version: part.version,
-            hash: part.content_hash.clone(),
-            bytes: part.content.len(),
-        };
+        let led_for = now().saturating_sub(self.became_leader_at.get());
         Ok(ConfigurationStatus {
             cluster: self.identity.cluster.clone(),
-            leader: self.terms.name.clone(),
-            version: kept.register.version(),
-            settled: now().saturating_sub(self.became_leader_at.get()) > self.terms.shares.expires_after(),
-            scopes: kept.register.entries().map(scope).collect(),
+            leader: self.config.name.clone(),
+            version: state.register.version(),
+            settled: led_for > self.config.shares.expires_after(),
+            scopes: state.register.entries().map(scope_status).collect(),
             summary: RolloutSummary::new(&members),
             members,
         })
     }
 
-    /// The last lines, oldest first: of one scope, or of all.
+    /// The last changes of one scope, or of all, the oldest first.
     pub async fn history(&self, scope: Option<&Scope>) -> Result<Vec<HistoryEntry>, RequestError> {
         self.leads().await?;
-        let of = |line: &&HistoryEntry| scope.is_none_or(|scope| line.scope == *scope);
-        Ok(self.register(|register| register.history().filter(of).cloned().collect()))
+        let is_asked_for = |change: &&HistoryEntry| scope.is_none_or(|scope| change.scope == *scope);
+        Ok(self.register(|register| register.history().filter(is_asked_for).cloned().collect()))
+    }
+}
+
+fn scope_status(entry: &ScopeEntry) -> ScopeStatus {
+    ScopeStatus {
+        scope: entry.scope.clone(),
+        version: entry.version,
+        hash: entry.content_hash.clone(),
+        bytes: entry.content.len(),
     }
 }
 
-/// Of a scope's latest entry.
-fn line(register: &Register, scope: &Scope) -> Option<HistoryEntry> {
+/// The change that made a scope's latest entry, if the history reaches back to it.
+fn latest_change(register: &Register, scope: &Scope) -> Option<HistoryEntry> {
     let version = register.latest_version(scope);
-    register.history().rev().find(|line| line.version == version).cloned()
+    register.history().rev().find(|change| change.version == version).cloned()
+}
+
+fn out_of_date(register: &Register, scope: &Scope) -> RequestError {
+    RequestError::OutOfDate(latest_change(register, scope).map(Box::new))
+}
+
+fn unknown(label: &str, reason: String) -> RequestError {
+    tracing::warn!("configuration of {label}: not known to be entered: {reason}");
+    RequestError::Unknown(reason)
 }
 
-/// Whether a word may be entered: all that can be known before is said before.
-fn fits(register: &Register, wish: &PutRequest) -> Result<(), RequestError> {
-    if register.latest_version(&wish.scope) != wish.base {
-        return Err(RequestError::OutOfDate(line(register, &wish.scope).map(Box::new)));
+/// Rejects a change before it is committed, for all that can be known by then.
+fn validate(register: &Register, request: &PutRequest) -> Result<(), RequestError> {
+    if register.latest_version(&request.scope) != request.base_version {
+        return Err(out_of_date(register, &request.scope));
     }
-    let refused = |why: String| Err(RequestError::Refused(why));
-    if wish.who.is_empty() || wish.who.len() > MAX_NAME_BYTES {
-        return refused(format!("the operator's name is empty, or longer than {MAX_NAME_BYTES}"));
+    let rejected = |reason: String| Err(RequestError::Rejected(reason));
+    if request.author.is_empty() || request.author.len() > MAX_NAME_BYTES {
+        return rejected(format!("the operator's name is empty, or longer than {MAX_NAME_BYTES}"));
     }
-    if wish.content.len() > MAX_CONTENT_BYTES {
-        return refused(format!("it has {} bytes, over {MAX_CONTENT_BYTES}", wish.content.len()));
+    if request.content.len() > MAX_CONTENT_BYTES {
+        return rejected(format!("it has {} bytes, over {MAX_CONTENT_BYTES}", request.content.len()));
     }
-    if content_hash(&wish.content) != wish.hash {
-        return refused("it came otherwise than it was sent: its hash is another".to_owned());
+    if content_hash(&request.content) != request.content_hash {
+        return rejected("it came otherwise than it was sent: its hash is another".to_owned());
     }
-    loads(register, &wish.scope, &wish.content).or_else(refused)
+    check_over_wider(register, &request.scope, &request.content).or_else(|error| rejected(error.to_string()))
 }
 
-/// Whether a content loads: alone, and laid over what the wider scopes say now.
-fn loads(register: &Register, scope: &Scope, content: &str) -> Result<(), String> {
+/// Whether a content loads: by itself, and over the entries of wider scopes.
+fn check_over_wider(register: &Register, scope: &Scope, content: &str) -> Result<(), ContentError> {
     if content.is_empty() {
         return Ok(());
     }
     check(content)?;
-    let wider: Vec<&ScopeEntry> = wider(scope).iter().filter_map(|scope| register.entry(scope)).collect();
-    let mut parts: Vec<&str> = wider.iter().map(|part| part.content.as_str()).collect();
-    parts.push(content);
-    let over: Vec<String> = wider.iter().map(|part| part.scope.to_string()).collect();
-    let told = |why: String| format!("laid over {}: {why}", over.join(", "));
-    let all = layers::lay("", &parts).map_err(|faults| told(one_line(&faults)))?;
-    check(&all).map_err(told)
+    let wider: Vec<&ScopeEntry> =
+        wider_scopes(scope).iter().filter_map(|scope| register.entry(scope)).collect();
+    let mut contents: Vec<&str> = wider.iter().map(|entry| entry.content.as_str()).collect();
+    contents.push(content);
+    let merged = layers::lay("", &contents).and_then(|merged| layers::check(&merged));
+    merged.map_err(|faults| ContentError::FaultyOver {
+        scopes: wider.iter().map(|entry| entry.scope.to_string()).collect(),
+        faults,
+    })
 }
 
-/// A balancer's own are laid over its service's too, which its name does not tell.
-fn wider(scope: &Scope) -> Vec<Scope> {
+/// A balancer's own entry is laid over its service's too, which the balancer's name does not tell.
+fn wider_scopes(scope: &Scope) -> Vec<Scope> {
     match scope {
         Scope::All => Vec::new(),
         Scope::Service(_) | Scope::Balancer(_) => vec![Scope::All],
@@ -231,11 +290,11 @@
     }
 }
 
-/// Whether a part of a file loads, as a balancer would see it; all that is wrong in one line.
-pub fn check(content: &str) -> Result<(), String> {
-    layers::check(content).map_err(|faults| one_line(&faults))
+/// Whether a content loads by itself, as a balancer would load it.
+pub fn check(content: &str) -> Result<(), ContentError> {
+    layers::check(content).map_err(ContentError::Faulty)
 }
 
-fn one_line(faults: &[fernroute_config::Fault]) -> String {
+fn one_line(faults: &[Fault]) -> String {
     faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("; ")
 }
--- a/crates/fernroute-coordinator/src/duties.rs
+++ b/crates/fernroute-coordinator/src/duties.rs
@@ -78,14 +78,14 @@
 
 impl Replica {
     pub(crate) fn duties<T>(&self, read: impl FnOnce(&DutyTable) -> T) -> T {
-        read(&self.state_machine.kept.borrow().duties)
+        read(&self.state_machine.state.borrow().duties)
     }
 
     /// Commits the duties of the configuration, and what the leader decides about them. False where a commit is
     /// uncertain, and this replica has stepped down.
     pub(crate) async fn commit_due_duties(&self, raft: &Raft) -> bool {
-        if self.duties(|table| table.names() != self.terms.duties) {
-            let names = DutyEntry::Names(self.terms.duties.clone());
+        if self.duties(|table| table.names() != self.config.duties) {
+            let names = DutyEntry::Names(self.config.duties.clone());
             if !self.commit_or_step_down(raft, ledger::Entry::Duties(names)).await {
                 return false;
             }
@@ -128,7 +128,7 @@
     pub async fn duty_status(&self) -> Result<DutiesStatus, RequestError> {
         self.leads().await?;
         let leadership = self.leadership.borrow();
-        let Some(leadership) = leadership.as_ref() else { return Err(RequestError::Elsewhere(None)) };
+        let Some(leadership) = leadership.as_ref() else { return Err(RequestError::NotLeader(None)) };
         let now = now();
         let holder_status = |duty: &str, holder: &DutyHolder| {
             let tenure = leadership.duties.tenure(now, duty, holder);
@@ -151,7 +151,7 @@
         });
         Ok(DutiesStatus {
             cluster: self.identity.cluster.clone(),
-            leader: self.terms.name.clone(),
+            leader: self.config.name.clone(),
             highest_term: self.duties(DutyTable::highest_term),
             ended: self.duties_ended.borrow().clone(),
             duties,
@@ -165,14 +165,14 @@
     pub async fn release_duty(&self, duty: &str) -> Result<Released, RequestError> {
         self.leads().await?;
         let mut leadership = self.leadership.borrow_mut();
-        let Some(leadership) = leadership.as_mut() else { return Err(RequestError::Elsewhere(None)) };
+        let Some(leadership) = leadership.as_mut() else { return Err(RequestError::NotLeader(None)) };
         if !self.duties(|table| table.duties().contains_key(duty)) {
-            return Err(RequestError::Refused(format!("{duty}: no such duty")));
+            return Err(RequestError::Rejected(format!("{duty}: no such duty")));
         }
         let holder = self.duties(|table| leadership.duties.release(duty, table));
-        let holder = holder.ok_or_else(|| RequestError::Refused(format!("{duty}: nobody holds it")))?;
+        let holder = holder.ok_or_else(|| RequestError::Rejected(format!("{duty}: nobody holds it")))?;
         tracing::info!("duty {duty}: an operator wants it released by {}, term {}", holder.name, holder.term);
-        let lapses_after_ms = self.terms.duty_lease.expires_after() / 10;
+        let lapses_after_ms = self.config.duty_lease.expires_after() / 10;
         Ok(Released { holder: holder.name, term: holder.term, lapses_after_ms })
     }
 
@@ -183,10 +183,10 @@
     pub async fn note_duty(&self, note: DutyNote) -> Result<(), RequestError> {
         let raft = self.leads().await?;
         self.duties(|table| table.check_term(&note.duty, note.term))
-            .map_err(|error| RequestError::Refused(error.to_string()))?;
+            .map_err(|error| RequestError::Rejected(error.to_string()))?;
         let entry = ledger::Entry::Duties(DutyEntry::Note(note));
         let response =
             raft.client_write(entry).await.map_err(|error| RequestError::Unknown(error.to_string()))?;
-        response.data.map(|_| ()).map_err(|failure| RequestError::Refused(failure.why))
+        response.data.map(|_| ()).map_err(|failure| RequestError::Rejected(failure.why))
     }
 }
--- a/crates/fernroute-coordinator/src/lib.rs
+++ b/crates/fernroute-coordinator/src/lib.rs
@@ -6,6 +6,8 @@
 //! with and hands it out, [`duties`] assigns what one balancer alone does, [`status`] reports to operators, [`http`] serves
 //! members, replicas and operators, [`commands`] is the command line.
 
+#![warn(missing_docs, clippy::unwrap_used, clippy::expect_used)]
+
 pub mod commands;
 pub mod config;
 pub mod configuration;
--- a/crates/fernroute-coordinator/src/replica/bootstrap.rs
+++ b/crates/fernroute-coordinator/src/replica/bootstrap.rs
@@ -11,14 +11,14 @@
     /// and uninitialized, and the grants of a former ledger have expired. Guards against two ledgers of one fleet, and
     /// against one that grants again what members hold of a ledger that was lost with all its disks. With `at_once` it
     /// does not wait for grants to expire.
-    pub async fn found(&self, at_once: bool) {
+    pub async fn bootstrap(&self, at_once: bool) {
         let Some(raft) = self.raft() else { return };
-        let is_first = self.terms.stewards.first().is_some_and(|first| first.name == self.terms.name);
+        let is_first = self.config.stewards.first().is_some_and(|first| first.name == self.config.name);
         if !is_first || !self.info().is_uninitialized {
             return;
         }
         if !at_once {
-            let wait = Duration::from_micros(self.terms.floors.expires_after() * 100);
+            let wait = Duration::from_micros(self.config.floors.expires_after() * 100);
             tracing::info!(wait_s = wait.as_secs(), "waiting for grants of a former ledger to expire");
             actix_rt::time::sleep(wait).await;
         }
@@ -38,15 +38,15 @@
 
     async fn initialize(&self, raft: &Raft, replicas: BTreeMap<u64, BasicNode>) {
         match raft.initialize(replicas).await {
-            Ok(()) => tracing::info!(cluster = self.terms.cluster, "created a new ledger"),
+            Ok(()) => tracing::info!(cluster = self.config.cluster, "created a new ledger"),
             Err(error) => tracing::error!(%error, "ledger not created"),
         }
     }
 
     /// All replicas of the configuration by their identifiers; none where one of them belongs to a ledger already.
     async fn uninitialized_replicas(&self) -> Result<Option<BTreeMap<u64, BasicNode>>, IdentifyError> {
-        let mut replicas = BTreeMap::from([(self.identity.id, BasicNode::new(&self.terms.name))]);
-        for configured in self.terms.stewards.iter().filter(|other| other.name != self.terms.name) {
+        let mut replicas = BTreeMap::from([(self.identity.id, BasicNode::new(&self.config.name))]);
+        for configured in self.config.stewards.iter().filter(|other| other.name != self.config.name) {
             let info = self.identify(configured).await?;
             if !info.is_uninitialized {
                 return Ok(None);
--- a/crates/fernroute-coordinator/src/replica/disk_check.rs
+++ b/crates/fernroute-coordinator/src/replica/disk_check.rs
@@ -58,7 +58,7 @@
     }
 
     fn other_voters(&self) -> Result<Vec<Voter>, StoreError> {
-        let voters = self.log_store.stewards()?.into_iter();
+        let voters = self.log_store.voters()?.into_iter();
         let others = voters.filter(|(id, _)| *id != self.identity.id);
         Ok(others.map(|(id, name)| Voter { id, name }).collect())
     }
--- a/crates/fernroute-coordinator/src/replica/heartbeat.rs
+++ b/crates/fernroute-coordinator/src/replica/heartbeat.rs
@@ -22,7 +22,7 @@
         let Some(leadership) = leadership.as_mut() else {
             return Err(HeartbeatError::NotLeader(None));
         };
-        let state = self.state_machine.kept.borrow();
+        let state = self.state_machine.state.borrow();
         let reply = leadership.budgets.reply(heartbeat, &state.ledger, &state.register);
         let reply = reply.map_err(HeartbeatError::Rejected)?;
         Ok(HeartbeatReply { duties: leadership.duties.assignments_for(heartbeat, &state.duties), ..reply })
--- a/crates/fernroute-coordinator/src/replica/leadership.rs
+++ b/crates/fernroute-coordinator/src/replica/leadership.rs
@@ -47,7 +47,7 @@
     }
 
     fn new_leadership(&self, term: u64) -> Leadership {
-        let config = &self.terms;
+        let config = &self.config;
         Leadership {
             term,
             budgets: self
@@ -62,8 +62,8 @@
         if raft.ensure_linearizable().await.is_err() {
             return;
         }
-        if self.ledger(|ledger| *ledger.budgets() != self.terms.budgets) {
-            let _ = commit(raft, Entry::Budgets(self.terms.budgets.clone())).await;
+        if self.ledger(|ledger| *ledger.budgets() != self.config.budgets) {
+            let _ = commit(raft, Entry::Budgets(self.config.budgets.clone())).await;
         }
         let transition = {
             let mut leadership = self.leadership.borrow_mut();
--- a/crates/fernroute-coordinator/src/replica/membership.rs
+++ b/crates/fernroute-coordinator/src/replica/membership.rs
@@ -93,7 +93,7 @@
             self.members().into_iter().map(|member| (member.id, member.name)).collect();
         let mut voters = BTreeSet::new();
         let mut added = Vec::new();
-        for configured in &self.terms.stewards {
+        for configured in &self.config.stewards {
             let voter = self.voter(raft, &members, configured).await?;
             voters.insert(voter.id);
             if voter.is_new {
@@ -106,18 +106,18 @@
     }
 
     fn check_names(&self, names: &[String]) -> Result<(), MembershipError> {
-        let configured: BTreeSet<&str> = self.terms.stewards.iter().map(|s| s.name.as_str()).collect();
+        let configured: BTreeSet<&str> = self.config.stewards.iter().map(|s| s.name.as_str()).collect();
         if configured == names.iter().map(String::as_str).collect() {
             return Ok(());
         }
         Err(MembershipError::DifferentConfig {
-            leader: self.terms.name.clone(),
+            leader: self.config.name.clone(),
             names: self.configured_names(),
         })
     }
 
     fn configured_names(&self) -> String {
-        self.terms.stewards.iter().map(|s| s.name.as_str()).collect::<Vec<_>>().join(", ")
+        self.config.stewards.iter().map(|s| s.name.as_str()).collect::<Vec<_>>().join(", ")
     }
 
     /// The identifier of a configured replica, which receives the ledger first if it is new.
@@ -128,7 +128,7 @@
         configured: &CoordinatorAddress,
     ) -> Result<Voter, MembershipError> {
         let name = &configured.name;
-        if *name == self.terms.name {
+        if *name == self.config.name {
             return Ok(Voter { id: self.identity.id, is_new: false });
         }
         let info = match self.identify(configured).await {
--- a/crates/fernroute-coordinator/src/replica/mod.rs
+++ b/crates/fernroute-coordinator/src/replica/mod.rs
@@ -99,14 +99,14 @@
 /// One replica of the ledger.
 pub struct Replica {
     /// What its configuration file says.
-    pub terms: CoordinatorConfig,
+    pub config: CoordinatorConfig,
     pub(crate) identity: ReplicaIdentity,
     log_store: LogStore,
     /// The position on the disk at the start; none where it never belonged to a ledger.
     stored_position: Option<ReplicaPosition>,
-    /// Written once, by [`Replica::begin`], after the disk check has passed.
+    /// Written once, by [`Replica::start`], after the disk check has passed.
     raft: OnceCell<Raft>,
-    /// Why raft is not started; written by [`Replica::begin`].
+    /// Why raft is not started; written by [`Replica::start`].
     disk_rejection: RefCell<Option<DiskRejection>>,
     pub(crate) state_machine: StateMachineStore,
     /// Messages that could not be read, since the start; written by the HTTP service.
@@ -132,10 +132,10 @@
     pub async fn open(terms: CoordinatorConfig) -> Result<Rc<Self>, ReplicaError> {
         let (log_store, identity) = LogStore::open(&terms.folder, &terms.cluster)?;
         let state_machine = StateMachineStore::open(log_store.clone())?;
-        let stored_position = log_store.mark()?;
+        let stored_position = log_store.position()?;
         let peers = Peers::new(&terms.cluster, &terms.stewards);
         Ok(Rc::new(Replica {
-            terms,
+            config: terms,
             identity,
             log_store,
             stored_position,
@@ -176,7 +176,7 @@
             .is_some_and(|metrics| metrics.last_log_index.is_some() || metrics.vote != Vote::default());
         ReplicaInfo {
             cluster: self.identity.cluster.clone(),
-            name: self.terms.name.clone(),
+            name: self.config.name.clone(),
             id: self.identity.id,
             is_uninitialized: self.stored_position.is_none() && !stored_since_start,
             known_positions: self.peers.known_positions(),
@@ -187,13 +187,13 @@
     async fn identify(&self, configured: &CoordinatorAddress) -> Result<ReplicaInfo, IdentifyError> {
         let address = configured.address;
         let info: ReplicaInfo = self.peers.get(&address.to_string(), INFO_PATH, INFO_TIMEOUT).await?;
-        if info.cluster != self.terms.cluster || info.name != configured.name {
+        if info.cluster != self.config.cluster || info.name != configured.name {
             return Err(IdentifyError::Mismatch { address, name: info.name, cluster: info.cluster });
         }
         Ok(info)
     }
 
     pub(crate) fn ledger<T>(&self, read: impl FnOnce(&Ledger) -> T) -> T {
-        read(&self.state_machine.kept.borrow().ledger)
+        read(&self.state_machine.state.borrow().ledger)
     }
 }
--- a/crates/fernroute-coordinator/src/replica/start.rs
+++ b/crates/fernroute-coordinator/src/replica/start.rs
@@ -31,7 +31,7 @@
     ///
     /// # Errors
     /// Where the disk can't be read, or raft does not start.
-    pub async fn begin(&self) -> Result<(), ReplicaError> {
+    pub async fn start(&self) -> Result<(), ReplicaError> {
         while let Some(rejection) = self.check_disk().await? {
             let previous = self.disk_rejection.replace(Some(rejection.clone()));
             if previous.as_ref() != Some(&rejection) {
@@ -50,7 +50,7 @@
 
     fn raft_config(&self) -> Config {
         Config {
-            cluster_name: self.terms.cluster.clone(),
+            cluster_name: self.config.cluster.clone(),
             heartbeat_interval: HEARTBEAT_INTERVAL_MS,
             election_timeout_min: ELECTION_TIMEOUT_MIN_MS,
             election_timeout_max: ELECTION_TIMEOUT_MAX_MS,
--- a/crates/fernroute-coordinator/src/status.rs
+++ b/crates/fernroute-coordinator/src/status.rs
@@ -98,8 +98,8 @@
             Some(metrics) => format!("{:?}", metrics.state).to_lowercase(),
         };
         self.ledger(|ledger| Status {
-            cluster: self.terms.cluster.clone(),
-            steward: self.terms.name.clone(),
+            cluster: self.config.cluster.clone(),
+            steward: self.config.name.clone(),
             id: self.identity.id,
             state,
             trouble: fault,
--- a/crates/fernroute-coordinator/src/store/log_store.rs
+++ b/crates/fernroute-coordinator/src/store/log_store.rs
@@ -84,7 +84,7 @@
     ///
     /// # Errors
     /// Where the disk can't be read.
-    pub fn mark(&self) -> Result<Option<ReplicaPosition>, StoreError> {
+    pub fn position(&self) -> Result<Option<ReplicaPosition>, StoreError> {
         let vote: Option<Vote<u64>> = self.read_value(VOTE_KEY)?;
         let snapshot: Option<StateMachine> = self.read_value(SNAPSHOT_KEY)?;
         let purged: Option<LogId<u64>> = self.read_value(PURGED_KEY)?;
@@ -100,7 +100,7 @@
     ///
     /// # Errors
     /// Where the disk can't be read.
-    pub fn stewards(&self) -> Result<BTreeMap<u64, String>, StoreError> {
+    pub fn voters(&self) -> Result<BTreeMap<u64, String>, StoreError> {
         let membership = self.last_membership()?;
         let voters: BTreeSet<u64> = membership.voter_ids().collect();
         let nodes = membership.nodes().filter(|(id, _)| voters.contains(id));
--- a/crates/fernroute-coordinator/src/store/snapshot.rs
+++ b/crates/fernroute-coordinator/src/store/snapshot.rs
@@ -38,7 +38,7 @@
 impl RaftSnapshotBuilder<RaftTypes> for StateMachineStore {
     async fn build_snapshot(&mut self) -> Result<Snapshot<RaftTypes>, StorageError<u64>> {
         let (header, bytes) = {
-            let state = self.kept.borrow();
+            let state = self.state.borrow();
             let membership = state.membership.clone();
             let header = SnapshotHeader { last_applied: state.last_applied, membership };
             (header, serde_json::to_vec(&*state).map_err(write_error)?)
--- a/crates/fernroute-coordinator/src/store/state_machine.rs
+++ b/crates/fernroute-coordinator/src/store/state_machine.rs
@@ -81,7 +81,7 @@
 pub struct StateMachineStore {
     pub(super) log_store: LogStore,
     /// The state; written by raft alone, as it applies entries or installs a snapshot.
-    pub kept: Rc<RefCell<StateMachine>>,
+    pub state: Rc<RefCell<StateMachine>>,
 }
 
 impl StateMachineStore {
@@ -91,7 +91,7 @@
     /// Where the disk can't be read.
     pub fn open(log_store: LogStore) -> Result<Self, StoreError> {
         let state: Option<StateMachine> = log_store.read_value(SNAPSHOT_KEY)?;
-        Ok(StateMachineStore { log_store, kept: Rc::new(RefCell::new(state.unwrap_or_default())) })
+        Ok(StateMachineStore { log_store, state: Rc::new(RefCell::new(state.unwrap_or_default())) })
     }
 }
 
@@ -101,7 +101,7 @@
     async fn applied_state(
         &mut self,
     ) -> Result<(Option<LogId<u64>>, StoredMembership<u64, BasicNode>), StorageError<u64>> {
-        let state = self.kept.borrow();
+        let state = self.state.borrow();
         Ok((state.last_applied, state.membership.clone()))
     }
 
@@ -110,7 +110,7 @@
         I: IntoIterator<Item = Entry<RaftTypes>> + OptionalSend,
         I::IntoIter: OptionalSend,
     {
-        let mut state = self.kept.borrow_mut();
+        let mut state = self.state.borrow_mut();
         Ok(entries.into_iter().map(|entry| state.apply(entry)).collect())
     }
 
@@ -129,7 +129,7 @@
     ) -> Result<(), StorageError<u64>> {
         let state: StateMachine = serde_json::from_slice(snapshot.get_ref()).map_err(read_error)?;
         self.log_store.write_bytes(SNAPSHOT_KEY, snapshot.get_ref())?;
-        self.kept.replace(state);
+        self.state.replace(state);
         Ok(())
     }
 
--- a/crates/fernroute-coordinator/tests/common/configuration.rs
+++ b/crates/fernroute-coordinator/tests/common/configuration.rs
@@ -63,18 +63,24 @@
     content: &str,
 ) -> Version {
     let (content, who) = (content.to_owned(), "bob".to_owned());
-    let request = PutRequest { scope: scope.clone(), base, hash: content_hash(&content), content, who };
+    let request = PutRequest {
+        scope: scope.clone(),
+        base_version: base,
+        content_hash: content_hash(&content),
+        content,
+        author: who,
+    };
     loop {
         let address = coordinators.processes[leader].address.to_string();
         match coordinators.peers.say(&address, PUT, 0, &request, LEADER_CALL_TIMEOUT).await {
             Ok(Ok(version)) => return version,
             // An earlier attempt whose outcome was unknown has entered it.
             Ok(Err(RequestError::OutOfDate(Some(latest))))
-                if latest.base_version == base && latest.content_hash == request.hash =>
+                if latest.base_version == base && latest.content_hash == request.content_hash =>
             {
                 return latest.version
             }
-            Ok(Err(RequestError::Elsewhere(_) | RequestError::Unknown(_))) | Err(_) => {
+            Ok(Err(RequestError::NotLeader(_) | RequestError::Unknown(_))) | Err(_) => {
                 leader = coordinators.leader(None).await;
             }
             Ok(Err(rejection)) => panic!("{rejection:?}"),
--- a/crates/fernroute-coordinator/tests/store.rs
+++ b/crates/fernroute-coordinator/tests/store.rs
@@ -52,7 +52,7 @@
         store.build_snapshot().await.expect("it is written");
         drop(store);
         let store = open_state_machine(&folder);
-        let state = store.kept.borrow();
+        let state = store.state.borrow();
         assert_eq!(state.register.entry(&Scope::All).map(|entry| entry.content.as_str()), Some("a = 3"));
         assert_eq!((state.register.version(), state.register.history().count()), (2, 2));
     });
@@ -84,7 +84,7 @@
         transaction.commit().expect("it is written");
         drop((table, database));
         let mut store = open_state_machine(&folder);
-        assert_eq!(store.kept.borrow().register.version(), 0);
+        assert_eq!(store.state.borrow().register.version(), 0);
         assert_eq!(store.applied_state().await.expect("it is read").0.map(|log_id| log_id.index), Some(1));
         assert_eq!(store.apply([put_entry(2, 0, "a = 2")]).await.expect("it applies"), [Ok(1)]);
     });
--- a/crates/fernroute-coordinator/tests/stored_data.rs
+++ b/crates/fernroute-coordinator/tests/stored_data.rs
@@ -57,10 +57,10 @@
         let entries: Vec<String> =
             entries.iter().map(|entry| serde_json::to_string(entry).expect("JSON")).collect();
         assert_eq!(entries, log.lines().collect::<Vec<_>>());
-        let mark = disk.mark().expect("it is read").expect("it was of a ledger");
+        let mark = disk.position().expect("it is read").expect("it was of a ledger");
         assert_eq!(serde_json::to_string(&mark).expect("JSON"), r#"{"vote":[3,42],"entry":[3,42,23]}"#);
         assert_eq!(
-            disk.stewards().expect("it is read").into_iter().collect::<Vec<_>>(),
+            disk.voters().expect("it is read").into_iter().collect::<Vec<_>>(),
             [(IDENTITY, "s0".to_owned())]
         );
     });
@@ -81,11 +81,11 @@
         let behind = disk.try_get_log_entries(11..=LAST_INDEX).await.expect("it is read");
         let results = book.apply(behind).await.expect("it applies");
         assert!(results.iter().all(Result::is_ok), "{results:?}");
-        assert_eq!(serde_json::to_value(&*book.kept.borrow()).expect("JSON"), expected_state());
+        assert_eq!(serde_json::to_value(&*book.state.borrow()).expect("JSON"), expected_state());
         // What is stored from here on reads as before, too.
         book.build_snapshot().await.expect("it is stored");
         let again = StateMachineStore::open(disk).expect("it is read");
-        assert_eq!(serde_json::to_value(&*again.kept.borrow()).expect("JSON"), expected_state());
+        assert_eq!(serde_json::to_value(&*again.state.borrow()).expect("JSON"), expected_state());
     });
     let _ = std::fs::remove_dir_all(&folder);
 }
--- a/crates/fernroute-fleet/src/lib.rs
+++ b/crates/fernroute-fleet/src/lib.rs
@@ -19,7 +19,7 @@
 //!
 //! Why the grants of a budget never sum to more than its limit is in `docs/fleet.md`.
 
-#![warn(missing_docs)]
+#![warn(missing_docs, clippy::unwrap_used, clippy::expect_used)]
 
 pub mod configuration;
 pub mod demand;
--- a/crates/fernroute-settings/src/lib.rs
+++ b/crates/fernroute-settings/src/lib.rs
@@ -1,6 +1,6 @@
 //! The one table of settings: the operators' paths, words and units in, the settings of the decisions out. No other place knows
 //! the operators' names.
-#![warn(missing_docs)]
+#![warn(missing_docs, clippy::unwrap_used, clippy::expect_used)]
 
 use fernroute::Time;
 
--- a/crates/fernroute-testbed/src/processes/configuration.rs
+++ b/crates/fernroute-testbed/src/processes/configuration.rs
@@ -55,7 +55,7 @@
                     continue;
                 }
                 match say::<Result<A, RequestError>>("c", *at, path, message).await {
-                    Some(Err(RequestError::Elsewhere(_))) | None => {}
+                    Some(Err(RequestError::NotLeader(_))) | None => {}
                     Some(done) => return done,
                 }
             }
@@ -68,12 +68,18 @@
         let scope: Scope = scope.parse().expect("a scope");
         loop {
             let latest: Latest = self.say(GET, &scope).await.expect("the latest");
-            let base = latest.part.as_ref().map_or(0, |part| part.version);
-            if latest.part.is_some_and(|part| part.content == content) {
+            let base = latest.entry.as_ref().map_or(0, |part| part.version);
+            if latest.entry.is_some_and(|part| part.content == content) {
                 return base;
             }
             let (content, hash, who) = (content.to_owned(), content_hash(content), "op".to_owned());
-            let wish = PutRequest { scope: scope.clone(), base, hash, content, who };
+            let wish = PutRequest {
+                scope: scope.clone(),
+                base_version: base,
+                content_hash: hash,
+                content,
+                author: who,
+            };
             match self.say(PUT, &wish).await {
                 Ok(version) => return version,
                 // The answer to an earlier try was lost, or may come yet.
--- a/crates/fernroute-testbed/src/scale/changes.rs
+++ b/crates/fernroute-testbed/src/scale/changes.rs
@@ -47,15 +47,20 @@
 pub async fn put(at: SocketAddr, service: &str, number: u64) -> Option<Version> {
     let scope: Scope = format!("service/{service}").parse().ok()?;
     let latest: Result<Latest, RequestError> = say(CLUSTER, at, GET, &scope).await?;
-    let base = latest.ok()?.part.map_or(0, |part| part.version);
+    let base = latest.ok()?.entry.map_or(0, |part| part.version);
     // The one method as it is, but for the time by which an answer is worth all.
     let content = format!(
         "[[method]]\nname = \"look\"\neffect = \"retriable\"\nsoft_ms = {}\nhard_ms = 3000\n",
         1000 + number % 1000
     );
     let (hash, who) = (content_hash(&content), "scale".to_owned());
-    let done: Result<Version, RequestError> =
-        say(CLUSTER, at, PUT, &PutRequest { scope, base, hash, content, who }).await?;
+    let done: Result<Version, RequestError> = say(
+        CLUSTER,
+        at,
+        PUT,
+        &PutRequest { scope, base_version: base, content_hash: hash, content, author: who },
+    )
+    .await?;
     done.ok()
 }
 
--- a/crates/fernroute-testbed/tests/duties.rs
+++ b/crates/fernroute-testbed/tests/duties.rs
@@ -166,7 +166,7 @@
             let said: Result<Result<A, RequestError>, String> =
                 peers.say(&at.to_string(), path, 0, what, WITHIN).await;
             match said {
-                Ok(Err(RequestError::Elsewhere(_))) | Err(_) => {}
+                Ok(Err(RequestError::NotLeader(_))) | Err(_) => {}
                 Ok(said) => return said,
             }
         }
@@ -226,8 +226,8 @@
         fleet.balancers[first.balancer].go_on();
         fleet.balancers[second.balancer].go_on();
         let refused = note(&fleet, "d0", first.term).await;
-        assert!(matches!(refused, Err(RequestError::Refused(_))), "{refused:?}");
-        assert!(matches!(note(&fleet, "d0", second.term).await, Err(RequestError::Refused(_))));
+        assert!(matches!(refused, Err(RequestError::Rejected(_))), "{refused:?}");
+        assert!(matches!(note(&fleet, "d0", second.term).await, Err(RequestError::Rejected(_))));
         assert_eq!(note(&fleet, "d0", third.term).await, Ok(()));
         sleep(LEASE / 2).await;
         let now = observer.holder("d0").await;
--- a/crates/fernroute/src/action_queue.rs
+++ b/crates/fernroute/src/action_queue.rs
@@ -1,43 +1,64 @@
-//! A `Host` for whoever acts later: it is called from inside the balancer, and only notes what is to be done.
+//! A [`Host`] that queues what a balancer does. The balancer calls it from inside; the program carries the actions out once the
+//! balancer has returned, so that nothing calls the balancer while it runs.
 
 use crate::host::{Host, Time, Timer};
 use std::cell::RefCell;
 use std::collections::VecDeque;
 use std::rc::Rc;
 
+/// A call of [`Host`], to be carried out.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Action {
+    /// [`Host::start_attempt`]
     StartAttempt {
+        /// The RPC's id.
         rpc: Rc<str>,
+        /// The upstream's id.
         upstream: Rc<str>,
+        /// How long the attempt may take.
         timeout: Time,
+        /// When the last byte has to have left, if that is limited.
         write_deadline: Option<Time>,
     },
+    /// [`Host::cancel_attempt`]
     CancelAttempt {
+        /// The RPC's id.
         rpc: Rc<str>,
+        /// The attempt's number.
         attempt: usize,
     },
+    /// [`Host::reject`]
     Reject {
+        /// The RPC's id.
         rpc: Rc<str>,
+        /// When the client may come again; 0 for no advice.
         retry_after: Time,
     },
+    /// [`Host::fail`]
     Fail {
+        /// The RPC's id.
         rpc: Rc<str>,
     },
+    /// [`Host::set_timer`]
     SetTimer {
+        /// When it is due, from now.
         after: Time,
+        /// What it is for.
         timer: Timer,
     },
+    /// [`Host::watch_endpoints`]
     WatchEndpoints,
-    /// A line for the people on call.
+    /// [`Host::log`]
     Log(String),
 }
 
-/// Emptied after each call on the balancer.
+/// The actions that have not been carried out, in their order. Clones share one queue: the balancer adds, the program empties it
+/// after each call on the balancer.
 #[derive(Clone, Debug, Default)]
 pub struct ActionQueue(Rc<RefCell<VecDeque<Action>>>);
 
 impl ActionQueue {
+    /// Takes the oldest action out.
     pub fn next(&self) -> Option<Action> {
         self.0.borrow_mut().pop_front()
     }
--- a/crates/fernroute/src/decide.rs
+++ b/crates/fernroute/src/balancer.rs
@@ -1,19 +1,15 @@
-//! All decisions of a balancer; the interface that it acts through, `Host`, is defined in `host.rs`.
+//! The [`Balancer`]: one method for each event, which takes it to the modules that keep the state, and acts through the
+//! [`Host`]. It also draws the upstream of each attempt.
 //!
-//! How it is called: `Balancer::new` with a host, the clock, a seed and the terms; then one method for each
-//! thing that happens (`rpc_arrived`, `tx_ended`, `timer`, `list_begins` …), each with the clock. It acts at
-//! once, by calling the host. The same calls in the same order lead to the same acts.
-//!
-//! The design: a breaker for each upstream, fed by this balancer's own outcomes, and a random draw among
-//! closed upstreams weighted by reported headroom. Mechanisms beside it, six at most (`docs/design.md`):
-//!  1. early opening on a run of bad outcomes, where calls are too few to fill a window;
-//!  2. crowding discount: an upstream that holds more than its part of what this balancer has out, or
-//!     by its reports, draws less, and nothing that news say would be late;
-//!  3. fleet guard: troubles that most upstreams share open no breakers;
-//!  4. nearness: upstreams of the own zone draw more while they have headroom;
-//!  5. admission: under overload the least gain is exhausted first, at the first tier;
-//!  6. circle: a balancer of few calls draws among its own part of the upstreams, by its number; a key, where
-//!     upstreams do less work for one that they know, by its hash and what each kind of upstream takes.
+//! The ordinary path: a circuit breaker for each upstream, fed by this balancer's own outcomes, and a random draw among
+//! closed upstreams, weighted by reported headroom. Beside it stand six mechanisms (`docs/design.md`):
+//! 1. a breaker opens early on consecutive failures, where requests are too few to fill its window;
+//! 2. an upstream that holds more than its part of the load draws less, and nothing that reports say would be late;
+//! 3. faults that most upstreams share open no breakers;
+//! 4. upstreams of the local zone draw more while they have headroom;
+//! 5. under overload the RPCs of the lowest priority weight are rejected first, at the first tier;
+//! 6. a balancer of few requests draws from a subset of a hash ring, by its instance number; a key that upstreams cache
+//!    has its own place on the ring.
 
 use crate::admission::{AdmissionControl, PresentLoad};
 use crate::attempts::{attempt_timeout, is_permitted, verdict, Attempt, SendResult};
@@ -35,17 +31,18 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
+/// The decisions of one balancer process. It acts on its host at once, from inside the call that tells it of an event.
 pub struct Balancer<H: Host> {
     host: H,
     rng: WyRand,
     now: Time,
-    /// What the terms say; replaced whole by new ones.
+    /// Replaced completely by new settings.
     agreed: ValidatedSettings,
     methods: Vec<Rc<Method>>,
     shared_budgets: SharedBudgets,
     retry_tokens: RetryTokens,
     upstreams: UpstreamTable,
-    /// Emptied by final answers: an answered RPC leaves with its last transmission.
+    /// Emptied by final answers: an answered RPC leaves with its last attempt.
     rpcs: BTreeMap<Id, Request>,
     watch: EndpointWatch,
     ring: HashRing,
@@ -56,6 +53,7 @@
 }
 
 impl<H: Host> Balancer<H> {
+    /// A balancer with these settings; it knows no upstreams yet.
     pub fn new(host: H, now: Time, seed: u64, terms: &Settings) -> Result<Self, InvalidSetting> {
         let mut balancer = Balancer {
             host,
@@ -453,6 +451,7 @@
 
     // ----------------------------------------------------------------------------------------------- RPCs
 
+    /// An RPC came, with the time that its client has left for it. It is sent, queued or given its final answer.
     pub fn rpc_arrived(&mut self, now: Time, id: &str, method: &str, tenant: &str, key: &str, left: Time) {
         self.now = now;
         self.retry_tokens.credit_request();
@@ -539,6 +538,7 @@
         }
     }
 
+    /// An attempt ended: `ended` says that the RPC has its final answer with it, `loads` is the upstream's load report.
     #[allow(clippy::too_many_arguments)]
     pub fn attempt_ended(
         &mut self,
@@ -608,6 +608,7 @@
         }
     }
 
+    /// The client has gone: nothing more is sent for the RPC.
     pub fn rpc_abandoned(&mut self, now: Time, id: &str) {
         self.now = now;
         self.close(&Id::from(id));
@@ -630,6 +631,7 @@
         self.record_completion(&method, arrived);
     }
 
+    /// A timer that the host was asked for is due. One that has been overtaken changes nothing.
     pub fn timer(&mut self, now: Time, timer: &Timer) {
         self.now = now;
         match timer {
--- a/crates/fernroute/src/host.rs
+++ b/crates/fernroute/src/host.rs
@@ -1,60 +1,71 @@
-//! What the decisions need from the place they run in: the [`Host`] they act through, and a few small types.
+//! What the decisions need from the program that they run in: the [`Host`] through which they act, and the types of its calls.
 
 use std::collections::BTreeMap;
-use std::fmt;
 use std::rc::Rc;
 
-/// Whole tenths of a millisecond: a moment of the host's clock, or a length of time.
+/// A moment of the host's clock, or a length of time, in tenths of a millisecond.
 pub type Time = u64;
 
 /// One second, as a [`Time`].
 pub const SECOND: Time = 10_000;
 
-/// What the balancer is told at start: names to values, times already in [`Time`] units.
+/// The settings of a balancer by their names; times are in units of [`Time`] already. [`crate::settings`] reads them.
 pub type Settings = BTreeMap<String, String>;
 
-/// Everything a balancer can do. Calls take effect at the moment they are made.
+/// Everything that a balancer can do. A call takes effect at the moment that it is made.
 pub trait Host {
-    /// Sends the RPC to an upstream; its transmissions count 0, 1, 2 … in the order of these calls. One whose last
-    /// byte has not left at the moment `write_deadline` is never whole, and ends as [`Outcome::NotSent`].
+    /// Sends an RPC to an upstream. The attempts of an RPC are numbered 0, 1, 2 and so on, in the order of these calls. An attempt
+    /// whose last byte has not left by `write_deadline` is never complete, and ends as [`Outcome::NotSent`].
     fn start_attempt(&mut self, rpc: &str, upstream: &str, timeout: Time, write_deadline: Option<Time>);
-    /// Stops waiting for one transmission; what became of it is still reported.
+
+    /// Stops waiting for an attempt; its outcome is reported all the same.
     fn cancel_attempt(&mut self, rpc: &str, attempt: usize);
-    /// Final answer: declined, and asking again does no harm. `retry_after` of 0 is no advice.
+
+    /// Gives the final answer that the RPC was not carried out, and that a retry is harmless. A `retry_after` of 0 advises nothing.
     fn reject(&mut self, rpc: &str, retry_after: Time);
-    /// Final answer: no luck, and nothing is promised about effects.
+
+    /// Gives the final answer that the RPC failed, without a promise about its effects.
     fn fail(&mut self, rpc: &str);
-    /// Has `timer` called with this value after the given time.
+
+    /// Has [`crate::Balancer::timer`] called with this timer after this time.
     fn set_timer(&mut self, after: Time, timer: Timer);
-    /// Asks for changes to the list of upstreams from now on.
+
+    /// Watches the endpoint list from now on, or polls it.
     fn watch_endpoints(&mut self);
-    /// Leaves a line for the people on call.
+
+    /// Logs a line for operators.
     fn log(&mut self, line: &str);
 }
 
 /// What a timer is for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Timer {
-    /// The RPC of this id waits until an upstream may take it.
+    /// The RPC with this id is queued until an upstream may take it.
     Queued(Rc<str>),
-    /// The endpoint list is due to be asked for. Polls are numbered, and only the latest one counts.
+    /// The endpoint list is due to be polled. Polls are numbered, and only the latest one counts.
     EndpointPoll(u32),
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
+    /// The upstream answered with success.
     Completed,
+    /// The upstream answered with a failure.
     Failed,
-    /// Turned away unseen.
+    /// The upstream rejected the RPC without running it.
     Rejected,
+    /// No answer came in the attempt's time.
     TimedOut,
+    /// No connection came up.
     ConnectFailed,
+    /// The connection broke.
     Reset,
+    /// The balancer cancelled it.
     Cancelled,
-    /// Never left this balancer.
+    /// It never left this balancer completely.
     NotSent,
-    /// A word that this version does not know; it may have run.
+    /// An outcome that this version does not know; the RPC may have run.
     Unknown,
 }
 
@@ -65,17 +76,12 @@
     }
 }
 
-/// A setting that will not do: missing or unreadable, out of range, or at odds with another.
-#[derive(Clone, Debug, PartialEq, Eq)]
+/// A setting that can't be used: missing, unreadable, out of range, or in conflict with another.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{why}: {setting}")]
 pub struct InvalidSetting {
+    /// The setting's name.
     pub setting: String,
+    /// What is wrong with it.
     pub why: &'static str,
 }
-
-impl fmt::Display for InvalidSetting {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.why, self.setting)
-    }
-}
-
-impl std::error::Error for InvalidSetting {}
