--- a/crates/fernroute-bench-adapter/src/session.rs
+++ b/crates/fernroute-bench-adapter/src/session.rs
@@ -162,9 +162,11 @@
 /// What an update says of the endpoint list.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Update {
-    /// The whole list that the instance has at its start, or that it was handed later.
+    /// The whole list that an earlier instance hands over at the start.
     Initial,
+    /// The whole list as it is now.
     Snapshot,
+    /// What has changed since the last one.
     Changes,
     /// The call for the list failed.
     Failed,
--- a/crates/fernroute-testbed/src/experiment/figures.rs
+++ b/crates/fernroute-testbed/src/experiment/figures.rs
@@ -27,11 +27,6 @@
     Ok(plays.par_iter().map(line).collect())
 }
 
-/// The figures of one scenario file, a line for each variant and seed.
-pub fn of_file(path: &Path) -> Result<Vec<String>, String> {
-    Ok(plays_of(path)?.par_iter().map(line).collect())
-}
-
 /// The lines that differ, as `- expected` and `+ found`.
 pub fn differences(expected: &[String], found: &[String]) -> Vec<String> {
     let missing = expected.iter().filter(|line| !found.contains(line)).map(|line| format!("- {line}"));
