--- a/crates/fernroute-bench-adapter/src/session.rs
+++ b/crates/fernroute-bench-adapter/src/session.rs
@@ -17,7 +17,7 @@
     #[error(transparent)]
     Message(#[from] MessageError),
     /// The settings of a new instance can't be used; the wire's own path names the setting.
-    #[error("line 'hello': {} '{}'", .0.why, path_of(&.0.setting))]
+    #[error("line 'hello': {} '{}'", .0.reason, path_of(&.0.setting))]
     Setting(#[from] InvalidSetting),
     #[error("line 'update': no list {0}")]
     UnknownList(u32),
@@ -140,7 +140,7 @@
             "started" => balancer.response_started(now, message.require("call")?),
             "bell" => {
                 if let Some(timer) = timer_of_key(message.require("key-back")?) {
-                    balancer.timer(now, &timer);
+                    balancer.timer_fired(now, &timer);
                 }
             }
             _ => {}
@@ -201,7 +201,7 @@
     for entry in entries {
         endpoint(balancer, &Message::new(entry))?;
     }
-    balancer.snapshot_complete(update != Update::Initial);
+    balancer.snapshot_completed(update != Update::Initial);
     Ok(())
 }
 
--- a/crates/fernroute-server/src/program/instance.rs
+++ b/crates/fernroute-server/src/program/instance.rs
@@ -82,7 +82,7 @@
 
 /// A setting that the decisions reject, by its path in the file.
 #[derive(Debug, Error)]
-#[error("settings: {} {}", .0.why, fernroute_settings::path_of(&.0.setting))]
+#[error("settings: {} {}", .0.reason, fernroute_settings::path_of(&.0.setting))]
 pub struct SettingError(#[source] pub InvalidSetting);
 
 /// For programs that report their errors as text.
--- a/crates/fernroute-server/src/routing/route.rs
+++ b/crates/fernroute-server/src/routing/route.rs
@@ -59,7 +59,7 @@
                 out.time_out = Some(self.timers.set(out.lasts, due));
             }
         }
-        self.decide(None, |b, now| b.rpc_complete(now, rpc));
+        self.decide(None, |b, now| b.rpc_fully_received(now, rpc));
     }
 
     /// Ends a transmission that is out; how it ended is booked by its own task.
--- a/crates/fernroute-server/src/routing/switchboard.rs
+++ b/crates/fernroute-server/src/routing/switchboard.rs
@@ -256,7 +256,7 @@
     }
 
     fn act(self: &Rc<Self>) {
-        while let Some(act) = self.desk.next() {
+        while let Some(act) = self.desk.pop() {
             match act {
                 Action::StartAttempt { rpc, upstream, timeout, write_deadline: written_by } => {
                     self.route(&rpc, &upstream, timeout, written_by);
@@ -281,7 +281,7 @@
     pub async fn keep_time(self: Rc<Self>) {
         loop {
             match self.timers.next().await {
-                Due::Decision(timer) => self.decide(None, |b, now| b.timer(now, &timer)),
+                Due::Decision(timer) => self.decide(None, |b, now| b.timer_fired(now, &timer)),
                 Due::Transmission { rpc, tx } => self.stop(&rpc, tx, Outcome::TimedOut),
             }
         }
@@ -328,7 +328,7 @@
                     State::Gone => b.upstream_removed(&entry.id),
                 }
             }
-            b.snapshot_complete(fresh);
+            b.snapshot_completed(fresh);
         });
     }
 
--- a/crates/fernroute-testbed/src/player.rs
+++ b/crates/fernroute-testbed/src/player.rs
@@ -35,7 +35,7 @@
         load: f64,
     );
     fn rpc_abandoned(&mut self, now: Time, rpc: &str);
-    fn timer(&mut self, now: Time, timer: &Timer);
+    fn timer_fired(&mut self, now: Time, timer: &Timer);
     /// What the fleet grants; a plain rule knows of no tenants.
     fn set_budget_rates(&mut self, _: Time, _: &[(&str, [(f64, Time); 2])]) {}
 }
@@ -52,7 +52,7 @@
                 Told::Gone => self.upstream_removed(&e.name),
             }
         }
-        self.snapshot_complete(true);
+        self.snapshot_completed(true);
     }
     fn rpc_arrived(&mut self, now: Time, rpc: &str, method: &str, tenant: &str, time_left: Time) {
         Balancer::rpc_arrived(self, now, rpc, method, tenant, "", time_left);
@@ -77,8 +77,8 @@
     fn rpc_abandoned(&mut self, now: Time, rpc: &str) {
         Balancer::rpc_abandoned(self, now, rpc);
     }
-    fn timer(&mut self, now: Time, timer: &Timer) {
-        Balancer::timer(self, now, timer);
+    fn timer_fired(&mut self, now: Time, timer: &Timer) {
+        Balancer::timer_fired(self, now, timer);
     }
 }
 
@@ -321,5 +321,5 @@
         }
     }
 
-    fn timer(&mut self, _: Time, _: &Timer) {}
+    fn timer_fired(&mut self, _: Time, _: &Timer) {}
 }
--- a/crates/fernroute-testbed/src/world.rs
+++ b/crates/fernroute-testbed/src/world.rs
@@ -220,7 +220,7 @@
             Due::Stopped { node, rpc, attempt, outcome } => self.give_up(node, &rpc, attempt, outcome),
             Due::Timer { node, timer } => {
                 let now = self.now;
-                self.decide(node, |p| p.timer(now, &timer));
+                self.decide(node, |p| p.timer_fired(now, &timer));
             }
             Due::Leave { node, rpc } => self.leave(node, &rpc),
             Due::Beat { node } => self.beat(node),
@@ -482,7 +482,7 @@
             return;
         }
         call(&mut *self.nodes[node].player);
-        while let Some(act) = self.nodes[node].desk.next() {
+        while let Some(act) = self.nodes[node].desk.pop() {
             match act {
                 Action::StartAttempt { rpc, upstream, timeout: time_out, .. } => {
                     self.transmit(node, &rpc, &upstream, time_out)
--- a/crates/fernroute-testbed/tests/referee.rs
+++ b/crates/fernroute-testbed/tests/referee.rs
@@ -104,7 +104,7 @@
     fn rpc_abandoned(&mut self, _: Time, rpc: &str) {
         self.rpcs.remove(rpc);
     }
-    fn timer(&mut self, _: Time, _: &Timer) {}
+    fn timer_fired(&mut self, _: Time, _: &Timer) {}
 }
 
 fn judged(scenario: &Scenario, how: Rogue) -> Vec<Breach> {
--- a/crates/fernroute/benches/decision.rs
+++ b/crates/fernroute/benches/decision.rs
@@ -41,7 +41,7 @@
         let id = format!("r{rpc}");
         balancer.rpc_arrived(now, &id, "look", tenant, "", SECOND);
         balancer.attempt_ended(now + 5, &id, 0, Outcome::Completed, 5, true, &[0.5]);
-        while let Some(act) = desk.next() {
+        while let Some(act) = desk.pop() {
             black_box(act);
         }
     }
@@ -59,7 +59,7 @@
             for n in 0..count {
                 balancer.upstream_ready(&format!("u-{n}"), "a", &(n / 8).to_string(), "", 0);
             }
-            balancer.snapshot_complete(true);
+            balancer.snapshot_completed(true);
             let mut one = rpcs(balancer, desk, now, gap, "");
             // Until its rate is what it will be.
             (0..20_000).for_each(|_| one());
@@ -81,7 +81,7 @@
         let mut balancer = Balancer::new(desk.clone(), now, 7, &terms).expect("the terms are whole");
         balancer.snapshot_started(now, true);
         (0..10).for_each(|n| balancer.upstream_ready(&format!("u-{n}"), "a", "0", "", 0));
-        balancer.snapshot_complete(true);
+        balancer.snapshot_completed(true);
         if granted {
             let rates = [(1e5, u64::MAX), (1e6, u64::MAX)];
             let all = [("acme", rates), (RETRY_BUDGET, rates), (TRIAL_BUDGET, rates)];
--- a/crates/fernroute/src/action_queue.rs
+++ b/crates/fernroute/src/action_queue.rs
@@ -59,7 +59,7 @@
 
 impl ActionQueue {
     /// Takes the oldest action out.
-    pub fn next(&self) -> Option<Action> {
+    pub fn pop(&self) -> Option<Action> {
         self.0.borrow_mut().pop_front()
     }
 
--- a/crates/fernroute/src/balancer.rs
+++ b/crates/fernroute/src/balancer.rs
@@ -172,8 +172,8 @@
     }
 
     /// A snapshot is complete. `fresh` is false for the list that an earlier instance hands over at the start.
-    pub fn snapshot_complete(&mut self, fresh: bool) {
-        self.upstreams.snapshot_complete(self.watch.is_full_snapshot());
+    pub fn snapshot_completed(&mut self, fresh: bool) {
+        self.upstreams.snapshot_completed(self.watch.is_full_snapshot());
         self.load.remove_unused_kinds(&self.upstreams);
         self.ring.rebuild(&self.upstreams, &self.agreed);
         if fresh {
@@ -615,7 +615,7 @@
     }
 
     /// The last byte has come of an RPC that was sent on while it came: its times count from here.
-    pub fn rpc_complete(&mut self, now: Time, id: &str) {
+    pub fn rpc_fully_received(&mut self, now: Time, id: &str) {
         if let Some(request) = self.rpcs.get_mut(id) {
             request.restart_deadlines(now);
         }
@@ -632,7 +632,7 @@
     }
 
     /// A timer that the host was asked for is due. One that has been overtaken changes nothing.
-    pub fn timer(&mut self, now: Time, timer: &Timer) {
+    pub fn timer_fired(&mut self, now: Time, timer: &Timer) {
         self.now = now;
         match timer {
             Timer::Queued(id) if self.rpcs.get(id).is_some_and(|rpc| rpc.queued && !rpc.answered) => {
--- a/crates/fernroute/src/budgets.rs
+++ b/crates/fernroute/src/budgets.rs
@@ -154,7 +154,7 @@
         let is_valid = |(rate, _): &(f64, Time)| rate.is_finite() && *rate >= 0.0;
         let invalid = rates.iter().find(|(name, rates)| !exists(name) || !rates.iter().all(is_valid));
         if let Some((name, _)) = invalid {
-            return Err(InvalidSetting { setting: (*name).to_owned(), why: "no budget, or no rate" });
+            return Err(InvalidSetting { setting: (*name).to_owned(), reason: "no budget, or no rate" });
         }
         let granted = |name: &str| {
             let found = rates.iter().find(|(budget, _)| *budget == name);
--- a/crates/fernroute/src/host.rs
+++ b/crates/fernroute/src/host.rs
@@ -27,7 +27,7 @@
     /// Gives the final answer that the RPC failed, without a promise about its effects.
     fn fail(&mut self, rpc: &str);
 
-    /// Has [`crate::Balancer::timer`] called with this timer after this time.
+    /// Has [`crate::Balancer::timer_fired`] called with this timer after this time.
     fn set_timer(&mut self, after: Time, timer: Timer);
 
     /// Watches the endpoint list from now on, or polls it.
@@ -78,10 +78,10 @@
 
 /// A setting that can't be used: missing, unreadable, out of range, or in conflict with another.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{why}: {setting}")]
+#[error("{reason}: {setting}")]
 pub struct InvalidSetting {
     /// The setting's name.
     pub setting: String,
     /// What is wrong with it.
-    pub why: &'static str,
+    pub reason: &'static str,
 }
--- a/crates/fernroute/src/settings.rs
+++ b/crates/fernroute/src/settings.rs
@@ -125,8 +125,8 @@
     pub tenants: Vec<TenantQuota>,
 }
 
-fn invalid(key: &str, why: &'static str) -> InvalidSetting {
-    InvalidSetting { setting: key.to_owned(), why }
+fn invalid(key: &str, reason: &'static str) -> InvalidSetting {
+    InvalidSetting { setting: key.to_owned(), reason }
 }
 
 fn optional<T: FromStr>(settings: &Settings, key: &str) -> Result<Option<T>, InvalidSetting> {
--- a/crates/fernroute/src/upstream_table.rs
+++ b/crates/fernroute/src/upstream_table.rs
@@ -81,7 +81,7 @@
     }
 
     /// A snapshot is complete: where it is a full one, those that it has not named are removed.
-    pub(crate) fn snapshot_complete(&mut self, is_full: bool) {
+    pub(crate) fn snapshot_completed(&mut self, is_full: bool) {
         if is_full {
             for upstream in self.upstreams.values_mut().filter(|upstream| !upstream.is_in_snapshot()) {
                 upstream.set_removed();
--- a/crates/fernroute/tests/cold.rs
+++ b/crates/fernroute/tests/cold.rs
@@ -24,7 +24,7 @@
         if at == began {
             b.snapshot_started(at, false);
             b.upstream_ready(&id, zone, &cell, "", began);
-            b.snapshot_complete(true);
+            b.snapshot_completed(true);
         }
         let rpc = format!("r{i}");
         let mut seen = notes.0.borrow().sent.len();
--- a/crates/fernroute/tests/common/mod.rs
+++ b/crates/fernroute/tests/common/mod.rs
@@ -106,6 +106,6 @@
         let (id, zone, cell) = upstream(n);
         b.upstream_ready(&id, zone, &cell, "", 0);
     }
-    b.snapshot_complete(true);
+    b.snapshot_completed(true);
     (b, notebook)
 }
--- a/crates/fernroute/tests/failures.rs
+++ b/crates/fernroute/tests/failures.rs
@@ -292,7 +292,7 @@
     stream(&mut b, &notes, START, 2000, 1000);
     b.snapshot_started(START + 11 * SECOND, false);
     (0..10).for_each(|n| b.upstream_removed(&upstream(n).0));
-    b.snapshot_complete(true);
+    b.snapshot_completed(true);
     let sent = stream(&mut b, &notes, START + 11 * SECOND, 600, 7000);
     assert!(sent < 300, "{sent} of 600 passed");
 }
@@ -334,7 +334,7 @@
         b.watch_failed(now);
         let (after, timer) = notes.0.borrow().timers.last().cloned().expect("armed");
         assert!((1..=100_000 / 2).contains(&after), "well within the time to ask: {after}");
-        b.timer(now + after, &timer);
+        b.timer_fired(now + after, &timer);
     }
     assert_eq!(notes.0.borrow().asked, 6);
 }
@@ -345,8 +345,8 @@
     b.attempt_ended(START, "none", 0, Outcome::Unknown, 10, false, &[]);
     b.rpc_abandoned(START, "none");
     b.response_started(START, "none");
-    b.timer(START, &Timer::Queued("none".into()));
-    b.timer(START, &Timer::EndpointPoll(99));
+    b.timer_fired(START, &Timer::Queued("none".into()));
+    b.timer_fired(START, &Timer::EndpointPoll(99));
     let notes = notes.0.borrow();
     assert!(notes.sent.is_empty() && notes.errored.is_empty() && notes.exhausted.is_empty());
 }
@@ -468,7 +468,7 @@
     for (b, _) in &mut tier {
         b.snapshot_started(began, false);
         b.upstream_ready(&id, zone, &cell, "", began);
-        b.snapshot_complete(true);
+        b.snapshot_completed(true);
     }
     let went = round_robin(&mut tier, began, 4000, 25);
     let times: Vec<Time> = went.iter().filter(|(_, to)| *to == id).map(|(at, _)| *at).collect();
@@ -488,7 +488,7 @@
     b.snapshot_started(began, false);
     (0..12).for_each(|n| b.upstream_removed(&upstream(n).0));
     (12..16).for_each(|n| b.upstream_ready(&upstream(n).0, "east", "9", "", began));
-    b.snapshot_complete(true);
+    b.snapshot_completed(true);
     let before = notes.0.borrow().sent.len();
     // Two hundred a second kept twelve half busy, so one can do 33; the four start at a fifth of that, warm by
     // 0.08 a second, and may be sent three times what they can do: some 220 in two seconds, of 400 offered.
@@ -512,7 +512,7 @@
             b.snapshot_started(now, false);
             (leave[0]..leave[1]).for_each(|n| b.upstream_draining(&upstream(n).0));
             (come[0]..come[1]).for_each(|n| b.upstream_ready(&upstream(n).0, "east", "0", "", started));
-            b.snapshot_complete(true);
+            b.snapshot_completed(true);
         }
     };
     turn(&mut tier, START, [0, 0], [0, 16], 0);
@@ -533,7 +533,7 @@
     let tell = |b: &mut Balancer<Notebook>, now| {
         b.snapshot_started(now, false);
         b.upstream_ready(&id, zone, &cell, "", START + 3600 * SECOND);
-        b.snapshot_complete(true);
+        b.snapshot_completed(true);
     };
     tell(&mut b, START);
     let went = |b: &mut Balancer<Notebook>, from| {
@@ -622,7 +622,7 @@
     }
     // All timers ring, the old ones too: only the last one asks.
     let timers = notes.0.borrow().timers.clone();
-    timers.iter().for_each(|(after, timer)| b.timer(START + 8 * SECOND + after, timer));
+    timers.iter().for_each(|(after, timer)| b.timer_fired(START + 8 * SECOND + after, timer));
     assert_eq!(notes.0.borrow().asked, 1);
 }
 
@@ -662,7 +662,7 @@
         offer(&mut b, &notes, START, "slow", "m2").expect("it is sent");
         let late = START + 5 * SECOND;
         if whole {
-            b.rpc_complete(late, "slow");
+            b.rpc_fully_received(late, "slow");
         }
         b.attempt_ended(late + 100, "slow", 0, Outcome::Rejected, 100, false, &[]);
         assert_eq!(notes.0.borrow().sent.len(), sends, "{whole}");
@@ -683,6 +683,6 @@
     b.snapshot_started(START + 40 * SECOND, false);
     b.upstream_draining(&upstream(1).0);
     b.upstream_removed(&upstream(2).0);
-    b.snapshot_complete(true);
+    b.snapshot_completed(true);
     assert_eq!(b.upstream_counts(), (5, 2));
 }
--- a/crates/fernroute/tests/rules.rs
+++ b/crates/fernroute/tests/rules.rs
@@ -183,7 +183,7 @@
             let (id, zone, cell) = upstream(*n);
             self.b.upstream_ready(&id, zone, &cell, "", *started);
         }
-        self.b.snapshot_complete(fresh);
+        self.b.snapshot_completed(fresh);
     }
 
     fn leave(&mut self, n: usize, gone: bool) {
@@ -201,7 +201,7 @@
         } else {
             self.b.upstream_draining(&upstream(n).0);
         }
-        self.b.snapshot_complete(true);
+        self.b.snapshot_completed(true);
     }
 
     fn end(&mut self, id: &str, n: usize, outcome: Outcome) {
@@ -245,7 +245,7 @@
                 (_, Some((at, n))) => {
                     self.model.borrow_mut().now = at;
                     let (_, timer) = self.model.borrow_mut().timers.swap_remove(n);
-                    self.b.timer(at, &timer);
+                    self.b.timer_fired(at, &timer);
                 }
                 _ => break,
             }
--- a/crates/fernroute/tests/shapes.rs
+++ b/crates/fernroute/tests/shapes.rs
@@ -54,7 +54,7 @@
         let (id, zone, cell) = upstream(n);
         b.upstream_ready(&id, zone, &cell, ["x", "y"][n / 2 % 2], 0);
     }
-    b.snapshot_complete(true);
+    b.snapshot_completed(true);
     let weak: BTreeSet<String> = (0..40).filter(|n| n / 2 % 2 == 1).map(|n| upstream(n).0).collect();
     let mut counts = [0, 0];
     for i in 0..1200 {
@@ -87,7 +87,7 @@
             if i == 40 {
                 b.snapshot_started(began, false);
                 b.upstream_ready(&id, zone, &cell, "", began);
-                b.snapshot_complete(true);
+                b.snapshot_completed(true);
             }
             let to = keyed(&mut b, &notes, at.max(START), &keys[((i * 7 + number) % 20) as usize], 0.4);
             sent.extend(to.filter(|to| *to == id && i >= 40).map(|_| at));
@@ -186,7 +186,7 @@
 #[test]
 fn terms_that_will_not_do_change_nothing() {
     let (mut b, notes) = balancer(6, &[]);
-    for (name, value, why) in [
+    for (name, value, reason) in [
         ("rules.cold_from", "0", "out of range"),
         ("rules.cold_window", "soon", "missing or unreadable"),
         ("warm_keys", "perhaps", "missing or unreadable"),
@@ -198,7 +198,7 @@
         let mut new = turned();
         new.insert(name.to_owned(), value.to_owned());
         let bad = b.update_settings(START, &new).expect_err(name);
-        assert_eq!(bad.why, why, "{name}");
+        assert_eq!(bad.reason, reason, "{name}");
     }
     b.rpc_arrived(START, "a", "m2", "", "", 3 * SECOND);
     b.attempt_ended(START + 20, "a", 0, Outcome::Reset, 20, false, &[]);
