--- a/crates/fernroute-bench-adapter/src/session.rs
+++ b/crates/fernroute-bench-adapter/src/session.rs
@@ -5,7 +5,7 @@
 use crate::message::{Message, MessageError};
 use fernroute::host::{InvalidSetting, Settings, Time};
 use fernroute::Balancer;
-use fernroute_settings::{path_of, setting_of};
+use fernroute_settings::{path_for_setting, setting_for_path};
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, Write};
 
@@ -17,7 +17,7 @@
     #[error(transparent)]
     Message(#[from] MessageError),
     /// The settings of a new instance can't be used; the wire's own path names the setting.
-    #[error("line 'hello': {} '{}'", .0.why, path_of(&.0.setting))]
+    #[error("line 'hello': {} '{}'", .0.why, path_for_setting(&.0.setting))]
     Setting(#[from] InvalidSetting),
     #[error("line 'update': no list {0}")]
     UnknownList(u32),
@@ -151,7 +151,7 @@
     fn start_instance(&mut self, number: i64, now: Time, message: &Message<'_>) -> Result<(), SessionError> {
         let seed = message.number::<u64>("random-seed")?;
         let settings: Settings =
-            message.pairs().filter_map(|(path, value)| setting_of(path, value)).collect();
+            message.pairs().filter_map(|(path, value)| setting_for_path(path, value)).collect();
         let actions = ActionWriter::default();
         let balancer = Balancer::new(actions.clone(), now, seed, &settings)?;
         self.instances.insert(number, Instance { balancer, actions });
--- a/crates/fernroute-config/src/fields.rs
+++ b/crates/fernroute-config/src/fields.rs
@@ -1,6 +1,6 @@
 //! The keys that a file may have: where each stands, the setting that it becomes, how it is read, whether it must be there.
 
-use crate::{LEAST_DESCRIPTORS, LEAST_MEGABYTES, MOST_MEGABYTES};
+use crate::{MAX_MEMORY_MB, MIN_DESCRIPTORS, MIN_MEMORY_MB};
 
 /// How a value is written, and its bounds.
 #[derive(Clone, Copy, PartialEq)]
@@ -61,8 +61,8 @@
     required("discovery", "", Address),
     optional("ops", "", Address),
     optional("seed", "", Hex),
-    optional("descriptors", "", Count(LEAST_DESCRIPTORS as f64, MAX_NUMBER)),
-    optional("memory_mb", "", Count(LEAST_MEGABYTES as f64, MOST_MEGABYTES as f64)),
+    optional("descriptors", "", Count(MIN_DESCRIPTORS as f64, MAX_NUMBER)),
+    optional("memory_mb", "", Count(MIN_MEMORY_MB as f64, MAX_MEMORY_MB as f64)),
     optional("place.instances", "instances", Count(1.0, MAX_NUMBER)),
     optional("place.number", "number", Count(0.0, MAX_NUMBER)),
     optional("place.tier", "tier", Count(0.0, 100.0)),
--- a/crates/fernroute-config/src/fleet.rs
+++ b/crates/fernroute-config/src/fleet.rs
@@ -10,21 +10,21 @@
 
 /// The fleet that the balancer is a member of.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fleet {
+pub struct FleetConfig {
     /// The cluster's name, the same at all coordinators and members.
     pub cluster: String,
     /// Where the coordinators are; the file's key is `stewards`.
-    pub stewards: Vec<SocketAddr>,
+    pub coordinators: Vec<SocketAddr>,
     /// How often heartbeats are sent; the file's key is `beat_ms`.
-    pub beat: Time,
+    pub heartbeat_interval: Time,
     /// What is divided beside tenants' rates, by the names that the ledger has for it.
-    pub divides: Vec<&'static str>,
+    pub shared_budgets: Vec<&'static str>,
     /// The service whose configuration it follows, if it follows the fleet's.
     pub service: Option<String>,
     /// Where it caches that configuration; beside the file with its identity where none is named.
-    pub folder: Option<PathBuf>,
+    pub cache_dir: Option<PathBuf>,
     /// How long a start waits for the coordinators' word of the configuration.
-    pub wait: Time,
+    pub startup_wait: Time,
 }
 
 /// Eight heartbeats to a lease of the default length.
@@ -116,17 +116,17 @@
 }
 
 /// The fleet of a file without faults, if it names one.
-pub(crate) fn fleet(values: &Values) -> Option<Fleet> {
+pub(crate) fn fleet(values: &Values) -> Option<FleetConfig> {
     let text = |key: &str| values.get(key).map(|value| value.text.clone());
     let time = |key: &str, default: Time| text(key).and_then(|time| time.parse().ok()).unwrap_or(default);
-    Some(Fleet {
+    Some(FleetConfig {
         cluster: text("fleet.cluster")?,
-        stewards: text("fleet.stewards")?.split(',').filter_map(|address| address.parse().ok()).collect(),
-        beat: time("fleet.beat_ms", DEFAULT_HEARTBEAT_INTERVAL),
-        divides: divided_budgets(&text("fleet.divides").unwrap_or_default()),
+        coordinators: text("fleet.stewards")?.split(',').filter_map(|address| address.parse().ok()).collect(),
+        heartbeat_interval: time("fleet.beat_ms", DEFAULT_HEARTBEAT_INTERVAL),
+        shared_budgets: divided_budgets(&text("fleet.divides").unwrap_or_default()),
         service: text("fleet.service"),
-        folder: text("fleet.folder").map(PathBuf::from),
-        wait: time("fleet.wait_ms", DEFAULT_START_WAIT),
+        cache_dir: text("fleet.folder").map(PathBuf::from),
+        startup_wait: time("fleet.wait_ms", DEFAULT_START_WAIT),
     })
 }
 
--- a/crates/fernroute-config/src/layers.rs
+++ b/crates/fernroute-config/src/layers.rs
@@ -2,7 +2,7 @@
 //! tables are laid over each other key by key, lists (`[[method]]`, `[[tenant]]`) replace each other whole.
 
 use crate::place::line_of;
-use crate::{decode, Fault, Plan};
+use crate::{decode, BalancerConfig, ConfigError};
 use toml::de::{DeTable, DeValue};
 use toml::{Spanned, Table, Value};
 
@@ -22,18 +22,18 @@
 const OWN_FILE: &str = "the balancer's own file";
 
 /// The faults of an entry, whichever balancer's file it is laid over; lines are the entry's own.
-pub fn check(entry: &str) -> Result<(), Vec<Fault>> {
-    let file = lay(CHECK_FILE, &[entry])?;
+pub fn check(entry: &str) -> Result<(), Vec<ConfigError>> {
+    let file = merge_layers(CHECK_FILE, &[entry])?;
     let Err(faults) = decode(&file) else { return Ok(()) };
-    let mut own: Vec<Fault> =
-        faults.into_iter().map(|fault| Fault { line: line_in(entry, &fault.place), ..fault }).collect();
+    let mut own: Vec<ConfigError> =
+        faults.into_iter().map(|fault| ConfigError { line: line_in(entry, &fault.path), ..fault }).collect();
     own.sort();
     Err(own)
 }
 
 /// The file with these entries laid over it, the widest scope first. An entry with what is each balancer's own is refused:
 /// whoever entered it, it does not reach a balancer.
-pub fn lay(file: &str, entries: &[&str]) -> Result<String, Vec<Fault>> {
+pub fn merge_layers(file: &str, entries: &[&str]) -> Result<String, Vec<ConfigError>> {
     let mut merged = parse(file)?;
     for entry in entries {
         let table = parse(entry)?;
@@ -44,43 +44,47 @@
         merge(&mut merged, table);
     }
     toml::to_string(&merged)
-        .map_err(|error| vec![Fault { line: 1, place: String::new(), why: error.to_string() }])
+        .map_err(|error| vec![ConfigError { line: 1, path: String::new(), reason: error.to_string() }])
 }
 
 /// The plan of a balancer with this file under these entries, each with its name, the widest scope first; or all faults, each
 /// attributed to where it comes from: the narrowest entry that names its place, else the balancer's own file.
-pub fn load(file: &str, entries: &[(&str, &str)]) -> Result<Plan, Vec<Fault>> {
+pub fn load(file: &str, entries: &[(&str, &str)]) -> Result<BalancerConfig, Vec<ConfigError>> {
     for (name, entry) in entries {
-        let by = |fault: Fault| attribute(fault, name);
-        lay("", &[entry]).map_err(|faults| faults.into_iter().map(by).collect::<Vec<_>>())?;
+        let by = |fault: ConfigError| attribute(fault, name);
+        merge_layers("", &[entry]).map_err(|faults| faults.into_iter().map(by).collect::<Vec<_>>())?;
     }
     let texts: Vec<&str> = entries.iter().map(|(_, entry)| *entry).collect();
-    decode(&lay(file, &texts)?)
+    decode(&merge_layers(file, &texts)?)
         .map_err(|faults| faults.into_iter().map(|fault| attribute_to_source(fault, file, entries)).collect())
 }
 
-fn attribute(fault: Fault, source: &str) -> Fault {
-    Fault { why: format!("{} ({source})", fault.why), ..fault }
+fn attribute(fault: ConfigError, source: &str) -> ConfigError {
+    ConfigError { reason: format!("{} ({source})", fault.reason), ..fault }
 }
 
 /// The text that names most steps of the fault's place is its source; of several, the narrowest.
-fn attribute_to_source(fault: Fault, file: &str, entries: &[(&str, &str)]) -> Fault {
+fn attribute_to_source(fault: ConfigError, file: &str, entries: &[(&str, &str)]) -> ConfigError {
     let mut source = OWN_FILE;
     let mut best: Option<Location> = None;
     for (name, text) in entries.iter().rev().copied().chain([(OWN_FILE, file)]) {
-        let Some(location) = locate(text, &fault.place) else { continue };
+        let Some(location) = locate(text, &fault.path) else { continue };
         if best.as_ref().is_none_or(|best| location.steps > best.steps) {
             source = name;
             best = Some(location);
         }
     }
     let line = best.map_or(1, |best| best.line);
-    attribute(Fault { line, ..fault }, source)
+    attribute(ConfigError { line, ..fault }, source)
 }
 
 /// Keys that an entry may not have.
-fn forbidden_keys(entry: &str, table: &Table) -> Vec<Fault> {
-    let fault = |place: String, why: &str| Fault { line: line_in(entry, &place), place, why: why.to_owned() };
+fn forbidden_keys(entry: &str, table: &Table) -> Vec<ConfigError> {
+    let fault = |place: String, why: &str| ConfigError {
+        line: line_in(entry, &place),
+        path: place,
+        reason: why.to_owned(),
+    };
     let mut faults = Vec::new();
     for key in table.keys().filter(|key| !SHARED_TABLES.contains(&key.as_str())) {
         faults.push(fault(key.clone(), "is each balancer's own, and stands in its file"));
@@ -147,9 +151,9 @@
     }
 }
 
-fn parse(text: &str) -> Result<Table, Vec<Fault>> {
+fn parse(text: &str) -> Result<Table, Vec<ConfigError>> {
     text.parse::<Table>().map_err(|error| {
         let line = error.span().map_or(1, |span| line_of(text, span.start));
-        vec![Fault { line, place: String::new(), why: error.message().replace('\n', " ") }]
+        vec![ConfigError { line, path: String::new(), reason: error.message().replace('\n', " ") }]
     })
 }
--- a/crates/fernroute-config/src/lib.rs
+++ b/crates/fernroute-config/src/lib.rs
@@ -13,7 +13,7 @@
 mod reader;
 mod value;
 
-pub use fleet::Fleet;
+pub use fleet::FleetConfig;
 
 use fernroute::Settings;
 use fields::{field, LISTS};
@@ -23,20 +23,20 @@
 use std::net::SocketAddr;
 
 /// Below this there is no room for clients and upstreams beside the program's own descriptors.
-pub const LEAST_DESCRIPTORS: usize = 64;
+pub const MIN_DESCRIPTORS: usize = 64;
 /// The number of descriptors where the file says none: what a process commonly gets.
-pub const USUAL_DESCRIPTORS: usize = 1024;
+pub const DEFAULT_DESCRIPTORS: usize = 1024;
 
 /// The least memory that a balancer may be given.
-pub const LEAST_MEGABYTES: usize = 16;
+pub const MIN_MEMORY_MB: usize = 16;
 /// The memory that it takes where the file says none.
-pub const USUAL_MEGABYTES: usize = 192;
+pub const DEFAULT_MEMORY_MB: usize = 192;
 /// More memory than any machine has.
-pub const MOST_MEGABYTES: usize = 1 << 20;
+pub const MAX_MEMORY_MB: usize = 1 << 20;
 
 /// A file without faults.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Plan {
+pub struct BalancerConfig {
     /// The balancer's name.
     pub name: String,
     /// Where it serves clients.
@@ -50,13 +50,13 @@
     /// The descriptors that the process may hold.
     pub descriptors: usize,
     /// The memory that the process may hold.
-    pub megabytes: usize,
+    pub memory_mb: usize,
     /// The upstreams that are known at a start.
     pub upstreams: Vec<Upstream>,
     /// The fleet that the balancer is a member of, if it is of one.
-    pub fleet: Option<Fleet>,
+    pub fleet: Option<FleetConfig>,
     /// The settings of the decisions.
-    pub terms: Settings,
+    pub settings: Settings,
 }
 
 /// An upstream that is known before discovery has answered.
@@ -76,42 +76,42 @@
 
 /// One thing that is wrong with a file.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Fault {
+pub struct ConfigError {
     /// The line, counted from 1.
     pub line: usize,
     /// The place as people write it (`method[0].name`); empty for the whole file.
-    pub place: String,
+    pub path: String,
     /// What is wrong there.
-    pub why: String,
+    pub reason: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let colon = if self.place.is_empty() { "" } else { ": " };
-        write!(f, "line {}: {}{colon}{}", self.line, self.place, self.why)
+        let colon = if self.path.is_empty() { "" } else { ": " };
+        write!(f, "line {}: {}{colon}{}", self.line, self.path, self.reason)
     }
 }
 
 /// Reads a file, or says all that is wrong with it in the order of its lines.
-pub fn decode(text: &str) -> Result<Plan, Vec<Fault>> {
+pub fn decode(text: &str) -> Result<BalancerConfig, Vec<ConfigError>> {
     Reader::read(text).map(|reader| plan(&reader))
 }
 
 /// The plan of a file without faults: what the file has to say is there, and can be read.
-fn plan(reader: &Reader<'_>) -> Plan {
+fn plan(reader: &Reader<'_>) -> BalancerConfig {
     let text = |place: &str| reader.value(place).map(|value| value.text.clone());
     let number = |place: &str| text(place).and_then(|text| text.parse().ok());
-    Plan {
+    BalancerConfig {
         name: text("name").unwrap_or_default(),
         listen: address(reader, "listen"),
         discovery: address(reader, "discovery"),
         ops: text("ops").and_then(|text| text.parse().ok()),
         seed: text("seed").and_then(|text| u64::from_str_radix(&text, 16).ok()),
-        descriptors: number("descriptors").unwrap_or(USUAL_DESCRIPTORS),
-        megabytes: number("memory_mb").unwrap_or(USUAL_MEGABYTES),
+        descriptors: number("descriptors").unwrap_or(DEFAULT_DESCRIPTORS),
+        memory_mb: number("memory_mb").unwrap_or(DEFAULT_MEMORY_MB),
         fleet: fleet::fleet(&reader.values),
         upstreams: (0..reader.entry_lines("upstream").len()).map(|number| upstream(reader, number)).collect(),
-        terms: settings(reader),
+        settings: settings(reader),
     }
 }
 
--- a/crates/fernroute-config/src/reader.rs
+++ b/crates/fernroute-config/src/reader.rs
@@ -2,7 +2,7 @@
 
 use crate::fields::{field, is_table, FIELDS, LISTS};
 use crate::place::{display, line_of, pattern};
-use crate::{consistency, value, Fault};
+use crate::{consistency, value, ConfigError};
 use std::collections::BTreeMap;
 use toml::de::{DeArray, DeTable, DeValue};
 
@@ -22,17 +22,17 @@
     pub(crate) values: Values,
     /// The line on which each entry of a list begins, by the list's key.
     list_lines: BTreeMap<&'static str, Vec<usize>>,
-    faults: Vec<Fault>,
+    faults: Vec<ConfigError>,
 }
 
 impl<'a> Reader<'a> {
     /// Reads a file whole, or says all that is wrong with it, in the order of its lines.
-    pub(crate) fn read(text: &'a str) -> Result<Self, Vec<Fault>> {
+    pub(crate) fn read(text: &'a str) -> Result<Self, Vec<ConfigError>> {
         let mut reader =
             Reader { text, values: Values::new(), list_lines: BTreeMap::new(), faults: Vec::new() };
         let table = DeTable::parse(text).map_err(|error| {
             let line = line_of(text, error.span().map_or(0, |span| span.start));
-            vec![Fault { line, place: String::new(), why: error.message().replace('\n', " ") }]
+            vec![ConfigError { line, path: String::new(), reason: error.message().replace('\n', " ") }]
         })?;
         reader.table("", table.get_ref());
         reader.find_missing();
@@ -53,7 +53,7 @@
 
     /// Whether the file says something there; what can't be used is a fault already.
     pub(crate) fn has(&self, place: &str) -> bool {
-        self.values.contains_key(place) || self.faults.iter().any(|fault| fault.place == display(place))
+        self.values.contains_key(place) || self.faults.iter().any(|fault| fault.path == display(place))
     }
 
     /// The lines on which the entries of a list begin.
@@ -62,7 +62,7 @@
     }
 
     fn fault(&mut self, line: usize, place: &str, why: impl Into<String>) {
-        self.faults.push(Fault { line, place: display(place), why: why.into() });
+        self.faults.push(ConfigError { line, path: display(place), reason: why.into() });
     }
 
     fn table(&mut self, under: &str, table: &DeTable<'_>) {
--- a/crates/fernroute-config/tests/files.rs
+++ b/crates/fernroute-config/tests/files.rs
@@ -68,7 +68,7 @@
         ("tenants.count", "1"),
         ("tenants.0.rate", "12.5"),
     ] {
-        assert_eq!(plan.terms.get(term).map(String::as_str), Some(value), "{term}");
+        assert_eq!(plan.settings.get(term).map(String::as_str), Some(value), "{term}");
     }
 }
 
@@ -141,15 +141,16 @@
     let with = |fleet: &str| decode(&GOOD.replace("[rules]", &format!("[fleet]\n{fleet}\n\n[rules]")));
     let both = "cluster = \"c\"\nstewards = [\"127.0.0.1:7001\", \"127.0.0.1:7002\"]";
     let fleet = with(both).expect("it is good").fleet.expect("it is named");
-    assert_eq!((fleet.cluster.as_str(), fleet.stewards.len(), fleet.beat), ("c", 2, 2_500));
-    let divides = |text: &str| with(&format!("{both}\n{text}")).expect("it is good").fleet.map(|f| f.divides);
-    assert_eq!((fleet.divides, divides("divides = []")), (vec![], Some(vec![])));
+    assert_eq!((fleet.cluster.as_str(), fleet.coordinators.len(), fleet.heartbeat_interval), ("c", 2, 2_500));
+    let divides =
+        |text: &str| with(&format!("{both}\n{text}")).expect("it is good").fleet.map(|f| f.shared_budgets);
+    assert_eq!((fleet.shared_budgets, divides("divides = []")), (vec![], Some(vec![])));
     assert_eq!(divides("divides = [\"trials\"]"), Some(vec![fernroute::TRIAL_BUDGET]));
     let follows = format!("{both}\nservice = \"shop\"\nfolder = \"/var/lib/f\"\nwait_ms = 500");
     let follows = with(&follows).expect("it is good").fleet.expect("it is named");
-    assert_eq!((follows.service.as_deref(), follows.wait), (Some("shop"), 5_000));
-    assert_eq!(follows.folder.as_deref(), Some(std::path::Path::new("/var/lib/f")));
-    assert_eq!((fleet.service, fleet.folder, fleet.wait), (None, None, 20_000));
+    assert_eq!((follows.service.as_deref(), follows.startup_wait), (Some("shop"), 5_000));
+    assert_eq!(follows.cache_dir.as_deref(), Some(std::path::Path::new("/var/lib/f")));
+    assert_eq!((fleet.service, fleet.cache_dir, fleet.startup_wait), (None, None, 20_000));
     for (text, why) in [
         ("cluster = \"c\"", "fleet.stewards: is missing"),
         ("stewards = [\"127.0.0.1:7001\"]", "fleet.cluster: is missing"),
--- a/crates/fernroute-config/tests/layers.rs
+++ b/crates/fernroute-config/tests/layers.rs
@@ -1,7 +1,7 @@
 //! Parts laid over a balancer's own file: what they change, and what they must not.
 
-use fernroute_config::layers::{self, check, lay};
-use fernroute_config::{decode, Fault, Plan};
+use fernroute_config::layers::{self, check, merge_layers};
+use fernroute_config::{decode, BalancerConfig, ConfigError};
 
 const FILE: &str = r#"name = "n0"
 listen = "127.0.0.1:9000"
@@ -45,13 +45,13 @@
     [[method]]\nname = \"pay\"\neffect = \"non_retriable\"\nhard_ms = 4000\n";
 
 /// The entries are named by their numbers.
-fn load(file: &str, entries: &[&str]) -> Result<Plan, Vec<Fault>> {
+fn load(file: &str, entries: &[&str]) -> Result<BalancerConfig, Vec<ConfigError>> {
     let names: Vec<String> = (1..=entries.len()).map(|n| format!("entry {n}")).collect();
     let entries: Vec<(&str, &str)> = names.iter().map(String::as_str).zip(entries.iter().copied()).collect();
     layers::load(file, &entries)
 }
 
-fn lines(faults: &[Fault]) -> Vec<String> {
+fn lines(faults: &[ConfigError]) -> Vec<String> {
     faults.iter().map(ToString::to_string).collect()
 }
 
@@ -84,13 +84,13 @@
         ("tenants.count", "1"),
         ("tenants.0.name", "other"),
     ] {
-        assert_eq!(plan.terms.get(term).map(String::as_str), Some(value), "{term}");
+        assert_eq!(plan.settings.get(term).map(String::as_str), Some(value), "{term}");
     }
     // What only the file's method said is gone with it.
-    assert_eq!(plan.terms.get("methods.0.soft_deadline"), None);
+    assert_eq!(plan.settings.get("methods.0.soft_deadline"), None);
     assert_eq!((plan.name.as_str(), plan.upstreams.len(), plan.seed), ("n0", 1, Some(0x8c1f_30d2_7a5b_e964)));
     let none = load(FILE, &["tenant = []"]).expect("it is good");
-    assert_eq!(none.terms.get("tenants.count").map(String::as_str), Some("0"));
+    assert_eq!(none.settings.get("tenants.count").map(String::as_str), Some("0"));
 }
 
 /// Guards against a entry that would make two balancers one, or that is in force only where a balancer has just started.
@@ -105,7 +105,7 @@
         ("limits.keep_alive_s = 5", "line 1: limits.keep_alive_s: needs a restart"),
         ("colour = 1", "line 1: colour: is each balancer's own"),
     ] {
-        for faults in [check(entry), lay(FILE, &[entry]).map(drop), load(FILE, &[entry]).map(drop)] {
+        for faults in [check(entry), merge_layers(FILE, &[entry]).map(drop), load(FILE, &[entry]).map(drop)] {
             let faults = faults.expect_err(entry);
             assert_eq!(faults.len(), 1, "{entry}: {faults:?}");
             assert!(faults[0].to_string().starts_with(expected), "{expected}: {}", faults[0]);
--- a/crates/fernroute-coordinator/src/configuration.rs
+++ b/crates/fernroute-coordinator/src/configuration.rs
@@ -2,7 +2,7 @@
 
 use crate::replica::{now, Replica};
 use crate::{ApplyFailure, Raft};
-use fernroute_config::{layers, Fault};
+use fernroute_config::{layers, ConfigError};
 use fernroute_fleet::configuration::register::{ConfigurationPut, HistoryEntry, Register};
 use fernroute_fleet::configuration::rollout::{MemberRollout, RolloutSummary};
 use fernroute_fleet::configuration::{
@@ -107,14 +107,14 @@
 pub enum ContentError {
     /// It has faults by itself.
     #[error("{}", one_line(.0))]
-    Faulty(Vec<Fault>),
+    Faulty(Vec<ConfigError>),
     /// It has faults together with the entries of wider scopes.
     #[error("laid over {}: {}", .scopes.join(", "), one_line(.faults))]
     FaultyOver {
         /// The wider scopes, the widest first.
         scopes: Vec<String>,
         /// The faults of all entries together.
-        faults: Vec<Fault>,
+        faults: Vec<ConfigError>,
     },
 }
 
@@ -274,7 +274,7 @@
         wider_scopes(scope).iter().filter_map(|scope| register.entry(scope)).collect();
     let mut contents: Vec<&str> = wider.iter().map(|entry| entry.content.as_str()).collect();
     contents.push(content);
-    let merged = layers::lay("", &contents).and_then(|merged| layers::check(&merged));
+    let merged = layers::merge_layers("", &contents).and_then(|merged| layers::check(&merged));
     merged.map_err(|faults| ContentError::FaultyOver {
         scopes: wider.iter().map(|entry| entry.scope.to_string()).collect(),
         faults,
@@ -295,6 +295,6 @@
     layers::check(content).map_err(ContentError::Faulty)
 }
 
-fn one_line(faults: &[Fault]) -> String {
+fn one_line(faults: &[ConfigError]) -> String {
     faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("; ")
 }
--- a/crates/fernroute-server/src/program/commands.rs
+++ b/crates/fernroute-server/src/program/commands.rs
@@ -1,6 +1,6 @@
 //! The command line of `fernroute`.
 
-use super::instance::{Instance, InstanceError, SettingError};
+use super::instance::{InstanceConfig, InstanceConfigError, SettingError};
 use super::serve::StartError;
 use super::{log, serve};
 use argh::FromArgs;
@@ -57,7 +57,7 @@
     #[error("neither --config nor $NODE_CONFIG names a file")]
     NoFile,
     #[error(transparent)]
-    Instance(#[from] InstanceError),
+    Config(#[from] InstanceConfigError),
     #[error(transparent)]
     Setting(#[from] SettingError),
     #[error(transparent)]
@@ -66,7 +66,7 @@
 
 /// Runs one command. Bad use and bad files are one line on standard error and exit with 2.
 pub fn run(arguments: Vec<String>) -> ExitCode {
-    let line: CommandLine = match parse(PROGRAM, &arguments) {
+    let line: CommandLine = match parse_arguments(PROGRAM, &arguments) {
         Ok(line) => line,
         Err(code) => return code,
     };
@@ -80,21 +80,21 @@
     };
     match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(error) => refuse(PROGRAM, &error.to_string()),
+        Err(error) => exit_with_error(PROGRAM, &error.to_string()),
     }
 }
 
 fn check(config: Option<PathBuf>) -> Result<(), CommandError> {
-    let instance = Instance::read(&config_path(config)?)?;
+    let instance = InstanceConfig::read(&config_path(config)?)?;
     instance.check()?;
-    let upstreams = instance.known.map_or(0, |known| known.entries.len());
+    let upstreams = instance.endpoint_list.map_or(0, |known| known.entries.len());
     println!("{}: {upstreams} upstreams known", instance.name);
     Ok(())
 }
 
 fn serve(config: Option<PathBuf>) -> Result<(), CommandError> {
     let path = config_path(config)?;
-    let instance = Instance::read(&path)?;
+    let instance = InstanceConfig::read(&path)?;
     log::start(&instance.name);
     serve::serve(instance, &path)?;
     Ok(())
@@ -109,11 +109,11 @@
 ///
 /// # Errors
 /// With success after help was asked for, else with 2.
-pub fn parse<L: FromArgs>(program: &str, arguments: &[String]) -> Result<L, ExitCode> {
+pub fn parse_arguments<L: FromArgs>(program: &str, arguments: &[String]) -> Result<L, ExitCode> {
     let words: Vec<&str> = arguments.iter().skip(1).map(String::as_str).collect();
     L::from_args(&[program], &words).map_err(|early_exit| {
         if early_exit.status.is_err() {
-            return refuse(program, &early_exit.output);
+            return exit_with_error(program, &early_exit.output);
         }
         println!("{}", early_exit.output);
         ExitCode::SUCCESS
@@ -121,7 +121,7 @@
 }
 
 /// Prints the error as one line on standard error; returns the exit code 2.
-pub fn refuse(program: &str, error: &str) -> ExitCode {
+pub fn exit_with_error(program: &str, error: &str) -> ExitCode {
     eprintln!("{program}: {}", error.split_whitespace().collect::<Vec<_>>().join(" "));
     ExitCode::from(EXIT_REFUSED)
 }
--- a/crates/fernroute-server/src/program/configuration.rs
+++ b/crates/fernroute-server/src/program/configuration.rs
@@ -7,13 +7,13 @@
 
 use super::configuration_cache::{CacheReadError, CacheWriteError, ConfigurationCache};
 use super::coordinators::{CoordinatorClient, CoordinatorError, RequestLimits};
-use super::instance::{Instance, Layer};
+use super::instance::{InstanceConfig, Layer};
 use super::random::random_fraction;
 use crate::protocol::ops;
 use crate::routing::clock::duration;
 use crate::routing::switchboard::Switchboard;
 use crate::transport::handover;
-use fernroute_config::Fleet;
+use fernroute_config::FleetConfig;
 use fernroute_fleet::configuration::follower::{ConfigurationFollower, ConfigurationSnapshot, FetchError};
 use fernroute_fleet::configuration::{
     ConfigurationReport, FetchReply, FetchRequest, ScopeEntry, Target, Version, FETCH_PATH,
@@ -48,7 +48,7 @@
     /// Written by notifications, fetches and their outcome.
     follower: RefCell<ConfigurationFollower>,
     target: Target,
-    fleet: Fleet,
+    fleet: FleetConfig,
     cache: ConfigurationCache,
     /// A leader has replied to this process. Written by [`ConfigurationTask::on_heartbeat_reply`] alone.
     notified: Cell<bool>,
@@ -64,13 +64,13 @@
 ///
 /// # Errors
 /// When there is no path for the cache.
-pub fn begin<E: Display>(
-    instance: &Instance,
+pub fn restore<E: Display>(
+    instance: &InstanceConfig,
     apply: impl FnOnce(Vec<Layer>) -> Result<(), E>,
 ) -> Result<Option<Rc<ConfigurationTask>>, CachePathError> {
     let Some(fleet) = &instance.fleet else { return Ok(None) };
     let Some(service) = fleet.service.clone() else { return Ok(None) };
-    let zone = instance.terms.get("zone").cloned().unwrap_or_default();
+    let zone = instance.settings.get("zone").cloned().unwrap_or_default();
     let target = Target { name: instance.name.clone(), service, zone };
     let cache = ConfigurationCache::new(cache_path(instance, fleet)?);
     let cached = apply_cached(&cache, &target, apply).unwrap_or_else(|error| {
@@ -116,10 +116,10 @@
 }
 
 /// In the folder that the file names, else beside the identity file.
-fn cache_path(instance: &Instance, fleet: &Fleet) -> Result<PathBuf, CachePathError> {
+fn cache_path(instance: &InstanceConfig, fleet: &FleetConfig) -> Result<PathBuf, CachePathError> {
     let socket_path = handover::path(&instance.name, instance.listen).map_err(CachePathError)?;
     let default_path = socket_path.with_extension("configuration");
-    Ok(match (&fleet.folder, default_path.file_name()) {
+    Ok(match (&fleet.cache_dir, default_path.file_name()) {
         (Some(folder), Some(file_name)) => folder.join(file_name),
         _ => default_path,
     })
@@ -156,7 +156,7 @@
 
     /// At a start: waits until the newest version is active or rejected, for at most the configured time.
     pub async fn wait_until_current(&self) {
-        while !self.is_current() && self.started_at.elapsed() < duration(self.fleet.wait) {
+        while !self.is_current() && self.started_at.elapsed() < duration(self.fleet.startup_wait) {
             actix_rt::time::sleep(POLL_INTERVAL).await;
         }
         if !self.is_current() {
--- a/crates/fernroute-server/src/program/coordinators.rs
+++ b/crates/fernroute-server/src/program/coordinators.rs
@@ -4,7 +4,7 @@
 use awc::error::{PayloadError, SendRequestError};
 use awc::http::StatusCode;
 use awc::Client;
-use fernroute_config::Fleet;
+use fernroute_config::FleetConfig;
 use fernroute_fleet::message::{Envelope, PROTOCOL_VERSION};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -62,9 +62,14 @@
 
 impl CoordinatorClient {
     /// A client of the fleet's coordinators; traffic is counted on `board`.
-    pub fn new(fleet: &Fleet, board: Rc<Switchboard>) -> Self {
+    pub fn new(fleet: &FleetConfig, board: Rc<Switchboard>) -> Self {
         let client = Client::builder().disable_redirects().finish();
-        CoordinatorClient { cluster: fleet.cluster.clone(), addresses: fleet.stewards.clone(), client, board }
+        CoordinatorClient {
+            cluster: fleet.cluster.clone(),
+            addresses: fleet.coordinators.clone(),
+            client,
+            board,
+        }
     }
 
     /// Sends one message to one coordinator and decodes its reply.
--- a/crates/fernroute-server/src/program/fleet.rs
+++ b/crates/fernroute-server/src/program/fleet.rs
@@ -18,7 +18,7 @@
 use crate::routing::clock::{duration, tenths, Clock};
 use crate::routing::switchboard::Switchboard;
 use fernroute::{Settings, Time, RETRY_BUDGET, TRIAL_BUDGET};
-use fernroute_config::Fleet;
+use fernroute_config::FleetConfig;
 use fernroute_fleet::demand::DemandMeter;
 use fernroute_fleet::member::{Member, MemberHandover, ReplyStatus};
 use fernroute_fleet::message::{Heartbeat, HeartbeatError, HeartbeatReply, RejectReason, HEARTBEAT_PATH};
@@ -51,13 +51,13 @@
 }
 
 /// What a membership begins with.
-pub struct Membership<'a> {
+pub struct MembershipOptions<'a> {
     /// The balancer's name in the ledger.
     pub name: &'a str,
     /// The file that keeps the balancer's identity in the ledger over restarts.
     pub identity_path: PathBuf,
     /// The fleet as the balancer's file describes it.
-    pub fleet: &'a Fleet,
+    pub fleet: &'a FleetConfig,
     /// Names the tenants whose budgets are shared.
     pub settings: &'a Settings,
     /// From a predecessor process, where there is one.
@@ -68,8 +68,8 @@
 
 /// Starts the task. Until the first grant arrives the member has nothing of any shared budget except what a predecessor
 /// handed over.
-pub fn join(board: Rc<Switchboard>, membership: Membership<'_>) -> Rc<FleetMember> {
-    let Membership { name, identity_path, fleet, settings, received, configuration } = membership;
+pub fn join(board: Rc<Switchboard>, membership: MembershipOptions<'_>) -> Rc<FleetMember> {
+    let MembershipOptions { name, identity_path, fleet, settings, received, configuration } = membership;
     let now = board.clock.now();
     board.control.replace(Some(Control::default()));
     let member = received.map(|ReceivedHandover { handover, requested_at }| {
@@ -81,11 +81,11 @@
         duties: HeldDuties::new(Rc::clone(&board), random_identity()),
         board,
         configuration,
-        heartbeat_interval: duration(fleet.beat),
+        heartbeat_interval: duration(fleet.heartbeat_interval),
         name: name.to_owned(),
         member: RefCell::new(member),
         handed_over: Cell::new(false),
-        shared_budgets: fleet.divides.clone(),
+        shared_budgets: fleet.shared_budgets.clone(),
         retry_demand: RefCell::new(RetryDemand { meter: DemandMeter::new(now), counted: 0 }),
     });
     fleet_member.set_tenants(settings);
--- a/crates/fernroute-server/src/program/instance.rs
+++ b/crates/fernroute-server/src/program/instance.rs
@@ -5,8 +5,8 @@
 use crate::protocol::terms;
 use fernroute::action_queue::ActionQueue;
 use fernroute::{Balancer, InvalidSetting, Settings};
-use fernroute_config::{Fault, Fleet, Plan, LEAST_DESCRIPTORS, MOST_MEGABYTES};
-use fernroute_config::{USUAL_DESCRIPTORS, USUAL_MEGABYTES};
+use fernroute_config::{BalancerConfig, ConfigError, FleetConfig, MAX_MEMORY_MB, MIN_DESCRIPTORS};
+use fernroute_config::{DEFAULT_DESCRIPTORS, DEFAULT_MEMORY_MB};
 use serde::Deserialize;
 use serde_json::Value;
 use std::io;
@@ -27,7 +27,7 @@
 
 /// A balancer's file can't be used.
 #[derive(Debug, Error)]
-pub enum InstanceError {
+pub enum InstanceConfigError {
     /// The file can't be read.
     #[error("{}: {source}", .path.display())]
     Read {
@@ -65,16 +65,16 @@
     Json(#[from] serde_json::Error),
     /// All faults of an operator's file.
     #[error("{}", .0.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "))]
-    Faults(Vec<Fault>),
+    Faults(Vec<ConfigError>),
     /// Fewer descriptors than a process needs.
-    #[error("limits.sockets is under {LEAST_DESCRIPTORS}")]
+    #[error("limits.sockets is under {MIN_DESCRIPTORS}")]
     Descriptors,
     /// Memory out of range.
-    #[error("limits.memory_mb is not between 1 and {MOST_MEGABYTES}")]
+    #[error("limits.memory_mb is not between 1 and {MAX_MEMORY_MB}")]
     Memory,
     /// The endpoint list of before can't be read.
     #[error("known is not a list of upstreams")]
-    Known,
+    EndpointList,
     /// The seed is no hexadecimal number.
     #[error("seed: {0}")]
     Seed(#[source] ParseIntError),
@@ -82,12 +82,12 @@
 
 /// A setting that the decisions reject, by its path in the file.
 #[derive(Debug, Error)]
-#[error("settings: {} {}", .0.why, fernroute_settings::path_of(&.0.setting))]
+#[error("settings: {} {}", .0.why, fernroute_settings::path_for_setting(&.0.setting))]
 pub struct SettingError(#[source] pub InvalidSetting);
 
 /// For programs that report their errors as text.
-impl From<InstanceError> for String {
-    fn from(error: InstanceError) -> Self {
+impl From<InstanceConfigError> for String {
+    fn from(error: InstanceConfigError) -> Self {
         error.to_string()
     }
 }
@@ -101,7 +101,7 @@
 
 /// What a balancer is started with.
 #[derive(Clone, Debug)]
-pub struct Instance {
+pub struct InstanceConfig {
     /// The name of the balancer, in logs and in its fleet.
     pub name: String,
     /// Where callers connect.
@@ -115,20 +115,20 @@
     /// How many file descriptors the balancer may have open.
     pub descriptors: usize,
     /// How much memory it may use, in bytes.
-    pub memory: usize,
+    pub memory_bytes: usize,
     /// The endpoint list that this balancer had last, if it ever had one.
-    pub known: Option<List>,
+    pub endpoint_list: Option<List>,
     /// Discovery's version of that list, after which changes are enough; `None` asks for the whole list.
-    pub since: Option<u64>,
+    pub list_version: Option<u64>,
     /// The fleet whose ledger divides the shared budgets. The platform's files name none.
-    pub fleet: Option<Fleet>,
+    pub fleet: Option<FleetConfig>,
     /// The settings of the decisions.
-    pub terms: Settings,
+    pub settings: Settings,
 }
 
 /// The platform's file as it is written.
 #[derive(Deserialize)]
-struct RawInstance {
+struct RawJsonConfig {
     name: String,
     listen: SocketAddr,
     discovery: SocketAddr,
@@ -152,60 +152,68 @@
 
 impl Default for RawLimits {
     fn default() -> Self {
-        RawLimits { descriptors: USUAL_DESCRIPTORS, memory_megabytes: USUAL_MEGABYTES as f64 }
+        RawLimits { descriptors: DEFAULT_DESCRIPTORS, memory_megabytes: DEFAULT_MEMORY_MB as f64 }
     }
 }
 
 impl RawLimits {
     fn check(&self) -> Result<(), DecodeError> {
-        if self.descriptors < LEAST_DESCRIPTORS {
+        if self.descriptors < MIN_DESCRIPTORS {
             return Err(DecodeError::Descriptors);
         }
-        if !(1.0..=MOST_MEGABYTES as f64).contains(&self.memory_megabytes) {
+        if !(1.0..=MAX_MEMORY_MB as f64).contains(&self.memory_megabytes) {
             return Err(DecodeError::Memory);
         }
         Ok(())
     }
 }
 
-impl Instance {
+impl InstanceConfig {
     /// Reads a balancer's file; one that ends in `.toml` is an operator's.
     ///
     /// # Errors
     /// When the file can't be read, or not be used.
-    pub fn read(path: &Path) -> Result<Self, InstanceError> {
-        Instance::of(path, &Instance::text(path)?, &[])
+    pub fn read(path: &Path) -> Result<Self, InstanceConfigError> {
+        InstanceConfig::from_text(path, &InstanceConfig::read_text(path)?, &[])
     }
 
     /// The text of a balancer's file.
     ///
     /// # Errors
     /// When the file can't be read.
-    pub fn text(path: &Path) -> Result<String, InstanceError> {
-        std::fs::read_to_string(path).map_err(|source| InstanceError::Read { path: path.to_owned(), source })
+    pub fn read_text(path: &Path) -> Result<String, InstanceConfigError> {
+        std::fs::read_to_string(path)
+            .map_err(|source| InstanceConfigError::Read { path: path.to_owned(), source })
     }
 
     /// Decodes the text of a balancer's file, with the layers of the fleet's configuration applied over it.
     ///
     /// # Errors
     /// When the text, a layer or the environment can't be used.
-    pub fn of(path: &Path, text: &str, layers: &[Layer]) -> Result<Self, InstanceError> {
+    pub fn from_text(path: &Path, text: &str, layers: &[Layer]) -> Result<Self, InstanceConfigError> {
         let is_toml = path.extension().is_some_and(|extension| extension == "toml");
-        let decoded = if is_toml { Instance::decode_under(text, layers) } else { Instance::decode(text) };
-        let instance = decoded.map_err(|source| InstanceError::Decode { path: path.to_owned(), source })?;
+        let decoded = if is_toml {
+            InstanceConfig::decode_toml_with_layers(text, layers)
+        } else {
+            InstanceConfig::decode_json(text)
+        };
+        let instance =
+            decoded.map_err(|source| InstanceConfigError::Decode { path: path.to_owned(), source })?;
         instance.with_ops_variable(std::env::var("NODE_OPS").ok().as_deref())
     }
 
     /// An operators' address from the environment overrides the file's: a tool sets it for one start.
-    fn with_ops_variable(mut self, value: Option<&str>) -> Result<Self, InstanceError> {
+    fn with_ops_variable(mut self, value: Option<&str>) -> Result<Self, InstanceConfigError> {
         if let Some(value) = value.filter(|value| !value.is_empty()) {
             let address = value.parse();
-            self.ops = Some(
-                address.map_err(|source| InstanceError::OpsVariable { value: value.to_owned(), source })?,
-            );
+            self.ops =
+                Some(address.map_err(|source| InstanceConfigError::OpsVariable {
+                    value: value.to_owned(),
+                    source,
+                })?);
         }
         if self.ops == Some(self.listen) && self.listen.port() != 0 {
-            return Err(InstanceError::SameAddress(self.listen));
+            return Err(InstanceConfigError::SameAddress(self.listen));
         }
         Ok(self)
     }
@@ -214,40 +222,40 @@
     ///
     /// # Errors
     /// With all faults of the text.
-    pub fn decode_own(text: &str) -> Result<Self, DecodeError> {
-        Instance::decode_under(text, &[])
+    pub fn decode_toml(text: &str) -> Result<Self, DecodeError> {
+        InstanceConfig::decode_toml_with_layers(text, &[])
     }
 
     /// Decodes the text of an operator's file with the layers of the fleet's configuration over it, the widest scope first.
     ///
     /// # Errors
     /// With all faults of the text and the layers.
-    pub fn decode_under(text: &str, layers: &[Layer]) -> Result<Self, DecodeError> {
-        let plan = if layers.is_empty() {
+    pub fn decode_toml_with_layers(text: &str, layers: &[Layer]) -> Result<Self, DecodeError> {
+        let config = if layers.is_empty() {
             fernroute_config::decode(text)
         } else {
             let layers: Vec<(&str, &str)> =
                 layers.iter().map(|layer| (&*layer.scope, &*layer.text)).collect();
             fernroute_config::layers::load(text, &layers)
         };
-        Ok(Instance::from_plan(plan.map_err(DecodeError::Faults)?))
+        Ok(InstanceConfig::from_balancer_config(config.map_err(DecodeError::Faults)?))
     }
 
-    fn from_plan(plan: Plan) -> Self {
-        let entries: Vec<Entry> = plan.upstreams.into_iter().map(ready_entry).collect();
+    fn from_balancer_config(config: BalancerConfig) -> Self {
+        let entries: Vec<Entry> = config.upstreams.into_iter().map(ready_entry).collect();
         let known = (!entries.is_empty()).then_some(List { version: 0, full: true, entries });
-        Instance {
-            name: plan.name,
-            listen: plan.listen,
-            discovery: plan.discovery,
-            ops: plan.ops,
-            seed: plan.seed.unwrap_or_else(seed_from_clock),
-            descriptors: plan.descriptors,
-            memory: plan.megabytes << 20,
-            known,
-            since: None,
-            fleet: plan.fleet,
-            terms: plan.terms,
+        InstanceConfig {
+            name: config.name,
+            listen: config.listen,
+            discovery: config.discovery,
+            ops: config.ops,
+            seed: config.seed.unwrap_or_else(seed_from_clock),
+            descriptors: config.descriptors,
+            memory_bytes: config.memory_mb << 20,
+            endpoint_list: known,
+            list_version: None,
+            fleet: config.fleet,
+            settings: config.settings,
         }
     }
 
@@ -255,45 +263,45 @@
     ///
     /// # Errors
     /// With the first fault of the text.
-    pub fn decode(text: &str) -> Result<Self, DecodeError> {
-        let raw: RawInstance = serde_json::from_str(text)?;
+    pub fn decode_json(text: &str) -> Result<Self, DecodeError> {
+        let raw: RawJsonConfig = serde_json::from_str(text)?;
         raw.limits.check()?;
         let known = match raw.known {
             Value::Null => None,
-            known => Some(list::decode(&known).ok_or(DecodeError::Known)?),
+            known => Some(list::decode(&known).ok_or(DecodeError::EndpointList)?),
         };
-        Ok(Instance {
+        Ok(InstanceConfig {
             name: raw.name,
             listen: raw.listen,
             discovery: raw.discovery,
             ops: raw.ops,
             seed: u64::from_str_radix(&raw.seed, 16).map_err(DecodeError::Seed)?,
             descriptors: raw.limits.descriptors,
-            memory: (raw.limits.memory_megabytes * (1 << 20) as f64) as usize,
-            since: known.as_ref().map(|known| known.version),
-            known,
+            memory_bytes: (raw.limits.memory_megabytes * (1 << 20) as f64) as usize,
+            list_version: known.as_ref().map(|known| known.version),
+            endpoint_list: known,
             fleet: None,
-            terms: terms::decode(&raw.settings),
+            settings: terms::decode(&raw.settings),
         })
     }
 
     /// The names of the values in `new` that differ and that a running balancer can't adopt. The seed counts at a start
     /// alone, and the list in a file is older than the one that a running balancer has.
-    pub fn differs(&self, new: &Instance) -> Vec<String> {
+    pub fn changes_needing_restart(&self, new: &InstanceConfig) -> Vec<String> {
         let values = [
             (self.name != new.name, "name"),
             (self.listen != new.listen, "listen"),
             (self.ops != new.ops, "ops"),
             (self.fleet != new.fleet, "fleet"),
-            (self.memory != new.memory, "limits.memory_mb"),
+            (self.memory_bytes != new.memory_bytes, "limits.memory_mb"),
             (self.descriptors != new.descriptors, "limits.sockets"),
         ];
         let changed = values.into_iter().filter(|(differs, _)| *differs);
         let mut names: Vec<String> = changed.map(|(_, name)| name.to_owned()).collect();
         // An upstream's connections are made with these when it is first listed.
         for setting in ["limits.connect_time_out", "limits.keep_alive"] {
-            if self.terms.get(setting) != new.terms.get(setting) {
-                names.push(format!("settings.{}", fernroute_settings::path_of(setting)));
+            if self.settings.get(setting) != new.settings.get(setting) {
+                names.push(format!("settings.{}", fernroute_settings::path_for_setting(setting)));
             }
         }
         names
@@ -304,7 +312,7 @@
     /// # Errors
     /// With the first setting that the decisions reject.
     pub fn check(&self) -> Result<(), SettingError> {
-        let balancer = Balancer::new(ActionQueue::default(), 0, self.seed, &self.terms);
+        let balancer = Balancer::new(ActionQueue::default(), 0, self.seed, &self.settings);
         balancer.map(drop).map_err(SettingError)
     }
 }
--- a/crates/fernroute-server/src/program/reload.rs
+++ b/crates/fernroute-server/src/program/reload.rs
@@ -3,7 +3,7 @@
 //! written, for example, changes nothing. Of signals that arrive together the last file counts. Reloads go on in a drain
 //! and beside a successor, and end once the program is told to stop.
 
-use super::instance::{Instance, InstanceError, Layer, SettingError};
+use super::instance::{InstanceConfig, InstanceConfigError, Layer, SettingError};
 use super::running::RunningInstance;
 use super::start_error::StartError;
 use std::cell::RefCell;
@@ -16,7 +16,7 @@
 pub enum ReloadError {
     /// The file, by itself or with the layers, can't be used.
     #[error(transparent)]
-    Instance(#[from] InstanceError),
+    Config(#[from] InstanceConfigError),
     /// The decisions reject a setting.
     #[error(transparent)]
     Setting(#[from] SettingError),
@@ -55,7 +55,7 @@
     /// Written by each change of the fleet's configuration.
     layers: RefCell<Vec<Layer>>,
     /// The outcome of the two. Written with either.
-    instance: RefCell<Instance>,
+    instance: RefCell<InstanceConfig>,
 }
 
 impl ActiveConfiguration {
@@ -63,9 +63,10 @@
     ///
     /// # Errors
     /// When the file can't be read.
-    pub fn new(path: &Path, instance: Instance) -> Result<Self, InstanceError> {
+    pub fn new(path: &Path, instance: InstanceConfig) -> Result<Self, InstanceConfigError> {
         // Read a second time: an operator who changes the file in between sends SIGHUP anyway.
-        let file_text = if instance.fleet.is_some() { Instance::text(path)? } else { String::new() };
+        let file_text =
+            if instance.fleet.is_some() { InstanceConfig::read_text(path)? } else { String::new() };
         Ok(ActiveConfiguration {
             path: path.to_owned(),
             file_text: RefCell::new(file_text),
@@ -75,7 +76,7 @@
     }
 
     /// The outcome of the file and the layers.
-    pub fn instance(&self) -> Instance {
+    pub fn instance(&self) -> InstanceConfig {
         self.instance.borrow().clone()
     }
 
@@ -83,7 +84,7 @@
     ///
     /// # Errors
     /// When a balancer can't start with the outcome; nothing changes then.
-    pub fn begin_with(&self, layers: Vec<Layer>) -> Result<(), ReloadError> {
+    pub fn apply_initial_layers(&self, layers: Vec<Layer>) -> Result<(), ReloadError> {
         let new = self.decode(&self.file_text.borrow(), &layers)?;
         new.check()?;
         self.instance.replace(new);
@@ -93,7 +94,7 @@
 
     /// Reads the file again and applies the layers in effect over it.
     fn reload(&self, running: &RunningInstance) -> Result<(), ReloadError> {
-        let file_text = Instance::text(&self.path)?;
+        let file_text = InstanceConfig::read_text(&self.path)?;
         let old_discovery = self.instance.borrow().discovery;
         let layers = self.layers.borrow().clone();
         for name in self.activate(running, file_text, layers)? {
@@ -113,7 +114,7 @@
     ///
     /// # Errors
     /// When the outcome can't be used; nothing changes then.
-    pub fn apply_overlay(&self, running: &RunningInstance, layers: Vec<Layer>) -> Result<(), ReloadError> {
+    pub fn apply_layers(&self, running: &RunningInstance, layers: Vec<Layer>) -> Result<(), ReloadError> {
         let file_text = self.file_text.borrow().clone();
         self.activate(running, file_text, layers)?;
         Ok(())
@@ -128,23 +129,23 @@
         layers: Vec<Layer>,
     ) -> Result<Vec<String>, ReloadError> {
         let new = self.decode(&file_text, &layers)?;
-        running.update_settings(&new.terms)?;
+        running.update_settings(&new.settings)?;
         let mut instance = self.instance.borrow_mut();
-        let need_restart = instance.differs(&new);
-        if new.terms != instance.terms {
+        let need_restart = instance.changes_needing_restart(&new);
+        if new.settings != instance.settings {
             tracing::info!("new settings from now on");
         }
         if new.discovery != instance.discovery {
             running.set_discovery(new.discovery);
         }
-        instance.terms = new.terms;
+        instance.settings = new.settings;
         instance.discovery = new.discovery;
         self.file_text.replace(file_text);
         self.layers.replace(layers);
         Ok(need_restart)
     }
 
-    fn decode(&self, file_text: &str, layers: &[Layer]) -> Result<Instance, InstanceError> {
-        Instance::of(&self.path, file_text, layers)
+    fn decode(&self, file_text: &str, layers: &[Layer]) -> Result<InstanceConfig, InstanceConfigError> {
+        InstanceConfig::from_text(&self.path, file_text, layers)
     }
 }
--- a/crates/fernroute-server/src/program/running.rs
+++ b/crates/fernroute-server/src/program/running.rs
@@ -21,7 +21,7 @@
 /// The system's usual limit for connections that wait to be accepted.
 pub(super) const LISTEN_BACKLOG: u32 = 1024;
 
-/// A running balancer. It is *waiting* or *serving* after its start; [`RunningInstance::begin`] moves it to *serving*.
+/// A running balancer. It is *waiting* or *serving* after its start; [`RunningInstance::start_serving`] moves it to *serving*.
 pub struct RunningInstance {
     /// The requests and the decisions.
     pub board: Rc<Switchboard>,
@@ -30,8 +30,8 @@
     /// Where callers connect.
     pub address: SocketAddr,
     /// Where operators connect, if anywhere.
-    pub door: Option<SocketAddr>,
-    /// The callers' socket while nobody can connect to it yet. Taken by [`RunningInstance::begin`].
+    pub ops_address: Option<SocketAddr>,
+    /// The callers' socket while nobody can connect to it yet. Taken by [`RunningInstance::start_serving`].
     pub(super) bound_socket: Cell<Option<TcpSocket>>,
     pub(super) name: String,
     /// The address in the file, whose port may be 0.
@@ -97,7 +97,7 @@
     ///
     /// # Errors
     /// When the system does not let callers connect.
-    pub fn begin(&self) -> Result<(), StartError> {
+    pub fn start_serving(&self) -> Result<(), StartError> {
         if let Some(socket) = self.bound_socket.take() {
             let listener = socket.listen(LISTEN_BACKLOG);
             let address = self.address;
--- a/crates/fernroute-server/src/program/serve.rs
+++ b/crates/fernroute-server/src/program/serve.rs
@@ -6,8 +6,8 @@
 
 use super::configuration::{self, ConfigurationTask};
 use super::descriptor_quota::DescriptorQuota;
-use super::fleet::{self, Membership};
-use super::instance::{Instance, SettingError};
+use super::fleet::{self, MembershipOptions};
+use super::instance::{InstanceConfig, SettingError};
 use super::predecessor::{self, Predecessor};
 use super::reload::{self, ActiveConfiguration};
 use super::running::{decisions_start_polls, LISTEN_BACKLOG};
@@ -40,17 +40,18 @@
 ///
 /// # Errors
 /// When the balancer does not start, or callers can't connect to it.
-pub fn serve(instance: Instance, path: &Path) -> Result<(), StartError> {
+pub fn serve(instance: InstanceConfig, path: &Path) -> Result<(), StartError> {
     instance.check()?;
     let runtime = actix_rt::Runtime::new().map_err(StartError::Runtime)?;
     runtime.block_on(run(instance, path))
 }
 
-async fn run(instance: Instance, path: &Path) -> Result<(), StartError> {
+async fn run(instance: InstanceConfig, path: &Path) -> Result<(), StartError> {
     // Before all else: an early signal must not end the program.
     let reload_signals = reload::signals()?;
     let stop_signals = shutdown::signals()?;
-    let StartedInstance { running, active, configuration, handed_over } = begin(instance, path).await?;
+    let StartedInstance { running, active, configuration, handed_over } =
+        start_or_take_over(instance, path).await?;
     let on_reload = || {
         if let Some(configuration) = &configuration {
             configuration.retry_rejected();
@@ -89,16 +90,19 @@
 ///
 /// # Errors
 /// When the balancer does not start.
-pub async fn begin(instance: Instance, path: &Path) -> Result<StartedInstance, StartError> {
+pub async fn start_or_take_over(
+    instance: InstanceConfig,
+    path: &Path,
+) -> Result<StartedInstance, StartError> {
     let active = Rc::new(ActiveConfiguration::new(path, instance.clone())?);
-    let configuration = configuration::begin(&instance, |layers| active.begin_with(layers))?;
+    let configuration = configuration::restore(&instance, |layers| active.apply_initial_layers(layers))?;
     let instance = active.instance();
     let mut predecessor = predecessor::find(&instance.name, instance.listen).await?;
     let running = Rc::new(start_after(&mut predecessor, instance, configuration.clone()).await?);
     if let Some(configuration) = &configuration {
         let board = Rc::clone(&running.board);
         let (overlaid, overlay) = (Rc::clone(&running), Rc::clone(&active));
-        let apply = move |layers| overlay.apply_overlay(&overlaid, layers);
+        let apply = move |layers| overlay.apply_layers(&overlaid, layers);
         actix_rt::spawn(Rc::clone(configuration).run(board, apply));
     }
     let handed_over = upgrade::run(Rc::clone(&running), predecessor, configuration.clone());
@@ -110,7 +114,7 @@
 ///
 /// # Errors
 /// When the balancer does not start.
-pub async fn start(instance: Instance) -> Result<RunningInstance, StartError> {
+pub async fn start(instance: InstanceConfig) -> Result<RunningInstance, StartError> {
     start_after(&mut Predecessor::Absent, instance, None).await
 }
 
@@ -118,7 +122,7 @@
 /// configuration stays *waiting*.
 async fn start_after(
     predecessor: &mut Predecessor,
-    mut instance: Instance,
+    mut instance: InstanceConfig,
     configuration: Option<Rc<ConfigurationTask>>,
 ) -> Result<RunningInstance, StartError> {
     let serves_at_once = matches!(predecessor, Predecessor::Absent) && configuration.is_none();
@@ -128,16 +132,16 @@
         board.phase_change(|phase, _| phase.wait());
     }
     adopt_endpoint_list(&mut instance, predecessor);
-    if let Some(known) = &instance.known {
+    if let Some(known) = &instance.endpoint_list {
         board.take_list(known, false);
     }
     let running = open_sockets(&instance, predecessor, board, quota).await?;
     running.server.set_accepting(serves_at_once);
     spawn_tasks(&running.board, &running.server);
-    if let Some(door) = running.door {
-        tracing::info!("operators are answered on {door}");
+    if let Some(ops_address) = running.ops_address {
+        tracing::info!("operators are answered on {ops_address}");
     }
-    running.watch_endpoints(instance.discovery, instance.since);
+    running.watch_endpoints(instance.discovery, instance.list_version);
     join_fleet(&running, &instance, predecessor, configuration)?;
     if serves_at_once {
         running.log_serving();
@@ -148,7 +152,7 @@
 /// Opens the sockets for callers and operators. Operators are answered from then on; callers are accepted later, by the
 /// server's task.
 async fn open_sockets(
-    instance: &Instance,
+    instance: &InstanceConfig,
     predecessor: &mut Predecessor,
     board: Rc<Switchboard>,
     quota: DescriptorQuota,
@@ -161,7 +165,7 @@
         CallerSocket::Bound(bound) => (None, Some(bound)),
     };
     let server = Server::new(listener, quota.connection_limits().callers);
-    let door = match instance.ops {
+    let ops_address = match instance.ops {
         Some(address) => Some(ops::open(address, &board, &server).await?),
         None => None,
     };
@@ -169,21 +173,21 @@
         board,
         server,
         address,
-        door,
+        ops_address,
         bound_socket: Cell::new(bound_socket),
         name: instance.name.clone(),
         listen: instance.listen,
         quota: Cell::new(quota),
-        memory_bytes: instance.memory,
+        memory_bytes: instance.memory_bytes,
         discovery: Cell::new(instance.discovery),
-        decisions_start_polls: Cell::new(decisions_start_polls(&instance.terms)),
+        decisions_start_polls: Cell::new(decisions_start_polls(&instance.settings)),
         endpoint_watch: RefCell::default(),
         fleet_member: RefCell::default(),
     })
 }
 
 /// All that the file and the system allow; beside a predecessor, what that one leaves.
-fn initial_quota(instance: &Instance, predecessor: &Predecessor) -> DescriptorQuota {
+fn initial_quota(instance: &InstanceConfig, predecessor: &Predecessor) -> DescriptorQuota {
     let mut quota = DescriptorQuota::new(allowed_descriptors(instance.descriptors), instance.ops.is_some());
     if let Some(serving) = predecessor.serving() {
         quota.assigned = serving.descriptors.min(quota.total);
@@ -201,25 +205,25 @@
     configured.min(system_limit)
 }
 
-fn new_board(instance: &Instance, quota: DescriptorQuota) -> Result<Rc<Switchboard>, SettingError> {
+fn new_board(instance: &InstanceConfig, quota: DescriptorQuota) -> Result<Rc<Switchboard>, SettingError> {
     let connections = quota.connection_limits().upstreams;
-    let memory = quota.memory(instance.memory);
-    Switchboard::new(&instance.terms, instance.seed, connections, memory).map_err(SettingError)
+    let memory = quota.memory(instance.memory_bytes);
+    Switchboard::new(&instance.settings, instance.seed, connections, memory).map_err(SettingError)
 }
 
 /// Replaces the endpoint list of the file with the predecessor's, which is newer, unless that one never had any.
-fn adopt_endpoint_list(instance: &mut Instance, predecessor: &Predecessor) {
+fn adopt_endpoint_list(instance: &mut InstanceConfig, predecessor: &Predecessor) {
     if let Predecessor::Unresponsive = predecessor {
         // Polls for the whole list: a poll for changes would wait until there is one.
-        instance.since = None;
+        instance.list_version = None;
     }
     let never_received = |list: &Known| list.since.is_none() && list.upstreams.is_empty();
     let Some(serving) = predecessor.serving().filter(|serving| !never_received(&serving.list)) else {
         return;
     };
     let list = &serving.list;
-    instance.since = list.since.filter(|_| list.discovery == instance.discovery);
-    instance.known = Some(list.list());
+    instance.list_version = list.since.filter(|_| list.discovery == instance.discovery);
+    instance.endpoint_list = Some(list.list());
 }
 
 /// The socket for callers.
@@ -284,16 +288,16 @@
 
 fn join_fleet(
     running: &RunningInstance,
-    instance: &Instance,
+    instance: &InstanceConfig,
     predecessor: &mut Predecessor,
     configuration: Option<Rc<ConfigurationTask>>,
 ) -> Result<(), StartError> {
     let Some(fleet) = &instance.fleet else { return Ok(()) };
-    let membership = Membership {
+    let membership = MembershipOptions {
         name: &running.name,
         identity_path: running.handover_path()?.with_extension("member"),
         fleet,
-        settings: &instance.terms,
+        settings: &instance.settings,
         received: predecessor.serving_mut().and_then(|serving| serving.member.take()),
         configuration,
     };
--- a/crates/fernroute-server/src/program/start_error.rs
+++ b/crates/fernroute-server/src/program/start_error.rs
@@ -1,7 +1,7 @@
 //! Why a balancer does not start, or a started one has to end.
 
 use super::configuration::CachePathError;
-use super::instance::{InstanceError, SettingError};
+use super::instance::{InstanceConfigError, SettingError};
 use std::io;
 use std::net::SocketAddr;
 use thiserror::Error;
@@ -11,7 +11,7 @@
 pub enum StartError {
     /// The balancer's file can't be used.
     #[error(transparent)]
-    Instance(#[from] InstanceError),
+    Config(#[from] InstanceConfigError),
     /// The decisions reject a setting.
     #[error(transparent)]
     Setting(#[from] SettingError),
--- a/crates/fernroute-server/src/program/upgrade.rs
+++ b/crates/fernroute-server/src/program/upgrade.rs
@@ -81,22 +81,22 @@
         Predecessor::Absent if !has_configuration => Ok(()),
         Predecessor::Absent => {
             configuration_current.await;
-            begin_unless_stopping(running).await
+            start_serving_unless_stopping(running).await
         }
         Predecessor::Unresponsive => {
             join(configuration_current, wait_for_discovery(running)).await;
-            begin_unless_stopping(running).await
+            start_serving_unless_stopping(running).await
         }
         Predecessor::Serving(serving) => take_over(running, serving.link, configuration_current).await,
     }
 }
 
 /// Begins to serve. A process that was told to stop before that never does.
-async fn begin_unless_stopping(running: &RunningInstance) -> Result<(), StartError> {
+async fn start_serving_unless_stopping(running: &RunningInstance) -> Result<(), StartError> {
     if running.board.phase.get().is_leaving() {
         return std::future::pending().await;
     }
-    running.begin()
+    running.start_serving()
 }
 
 /// Waits for discovery's endpoint list: the file's may be old, and the predecessor may know of upstreams that drain.
@@ -121,7 +121,7 @@
     }
     // Sent before this process accepts: if it can't be sent, the predecessor has ended.
     let sent = link.say(&FromNew::Ready).await;
-    begin_unless_stopping(running).await?;
+    start_serving_unless_stopping(running).await?;
     if sent.is_err() {
         reclaim_from_predecessor(running);
         return Ok(());
--- a/crates/fernroute-server/src/protocol/load.rs
+++ b/crates/fernroute-server/src/protocol/load.rs
@@ -16,7 +16,7 @@
 
 fn word(name: &str) -> &str {
     let ours = WORDS.iter().find(|(wire, _)| *wire == name).map(|(_, ours)| *ours);
-    ours.unwrap_or_else(|| fernroute_settings::setting_word(name))
+    ours.unwrap_or_else(|| fernroute_settings::translate_word(name))
 }
 
 /// The values in the order of the terms; what is missing, unreadable, said twice or less than nothing is no
--- a/crates/fernroute-server/src/protocol/terms.rs
+++ b/crates/fernroute-server/src/protocol/terms.rs
@@ -29,5 +29,5 @@
 pub fn decode(settings: &Value) -> Settings {
     let mut pairs = Vec::new();
     flatten("", settings, &mut pairs);
-    pairs.iter().filter_map(|(path, value)| fernroute_settings::setting_of(path, value)).collect()
+    pairs.iter().filter_map(|(path, value)| fernroute_settings::setting_for_path(path, value)).collect()
 }
--- a/crates/fernroute-server/tests/common/mod.rs
+++ b/crates/fernroute-server/tests/common/mod.rs
@@ -10,7 +10,7 @@
 
 use actix_http::header::HeaderName;
 use actix_http::{Method, RequestHead};
-use fernroute_server::program::instance::Instance;
+use fernroute_server::program::instance::InstanceConfig;
 use fernroute_server::program::serve::{self, RunningInstance};
 use fernroute_server::protocol::list::{self as lists, List};
 use fernroute_server::protocol::request::Request;
@@ -58,8 +58,8 @@
     text
 }
 
-pub fn station(upstreams: &[SocketAddr], discovery: SocketAddr, changes: &[(&str, &str)]) -> Instance {
-    Instance::decode(&page(upstreams, discovery, changes)).expect("the file is whole")
+pub fn station(upstreams: &[SocketAddr], discovery: SocketAddr, changes: &[(&str, &str)]) -> InstanceConfig {
+    InstanceConfig::decode_json(&page(upstreams, discovery, changes)).expect("the file is whole")
 }
 
 /// The id of an RPC as it is written.
--- a/crates/fernroute-server/tests/daily.rs
+++ b/crates/fernroute-server/tests/daily.rs
@@ -13,7 +13,7 @@
 }
 
 fn door(b: &RunningInstance) -> SocketAddr {
-    b.door.expect("a door")
+    b.ops_address.expect("a door")
 }
 
 async fn tell(b: &RunningInstance, verb: &str, path: &str) -> u16 {
--- a/crates/fernroute-server/tests/program.rs
+++ b/crates/fernroute-server/tests/program.rs
@@ -5,7 +5,7 @@
 mod process;
 
 use common::{ask, balancer, connect, ok, read, rpc, run, send, stand_in, station, until, Deed};
-use fernroute_server::program::instance::Instance;
+use fernroute_server::program::instance::InstanceConfig;
 use fernroute_server::program::{serve, shutdown};
 use fernroute_server::protocol::list::{self as lists, State};
 use fernroute_server::protocol::load::{self, Gauges};
@@ -146,11 +146,13 @@
         address = "127.0.0.1:9001"
         zone = "a"
         cell = "2""#;
-    let (mut theirs, ours) =
-        (Instance::decode(theirs).expect("theirs"), Instance::decode_own(ours).expect("ours"));
-    assert_eq!(theirs.terms, ours.terms);
+    let (mut theirs, ours) = (
+        InstanceConfig::decode_json(theirs).expect("theirs"),
+        InstanceConfig::decode_toml(ours).expect("ours"),
+    );
+    assert_eq!(theirs.settings, ours.settings);
     // What a file of one's own names has no version: the whole list is asked for.
-    assert_eq!((theirs.since.take(), ours.since), (Some(0), None));
+    assert_eq!((theirs.list_version.take(), ours.list_version), (Some(0), None));
     assert_eq!(format!("{theirs:?}"), format!("{ours:?}"));
     ours.check().expect("a balancer can start with it");
 }
--- a/crates/fernroute-server/tests/schedules.rs
+++ b/crates/fernroute-server/tests/schedules.rs
@@ -8,7 +8,7 @@
 mod common;
 
 use common::{balancer_at, connect, entry, id_of, list, request, rested, rpc, run, until};
-use fernroute_server::program::instance::Instance;
+use fernroute_server::program::instance::InstanceConfig;
 use fernroute_server::program::serve::RunningInstance;
 use fernroute_test_support::http::{answer, Message, Peer};
 use proptest::collection::vec;
@@ -327,8 +327,8 @@
             Step::Cancels(cancels) => {
                 let text = common::page(&self.addresses, self.addresses[0], &TIMES)
                     .replace(r#""cancel":true"#, &format!(r#""cancel":{cancels}"#));
-                let station = Instance::decode(&text).expect("the file is whole");
-                self.b.update_settings(&station.terms).expect("they will do");
+                let station = InstanceConfig::decode_json(&text).expect("the file is whole");
+                self.b.update_settings(&station.settings).expect("they will do");
             }
             Step::Rest => rested().await,
             Step::TimePasses => tokio::time::sleep(Duration::from_millis(65)).await,
--- a/crates/fernroute-settings/src/lib.rs
+++ b/crates/fernroute-settings/src/lib.rs
@@ -15,7 +15,7 @@
 enum Conversion {
     /// As it is.
     Verbatim,
-    /// A list of words, each by [`setting_word`].
+    /// A list of words, each by [`translate_word`].
     Words,
     /// Seconds, to whole units of [`Time`].
     Seconds,
@@ -92,7 +92,7 @@
 ];
 
 /// The settings' word for one of the operators'; a word that is not in the table is kept.
-pub fn setting_word(word: &str) -> &str {
+pub fn translate_word(word: &str) -> &str {
     WORDS.iter().find(|(wire, _)| *wire == word).map_or(word, |(_, setting)| setting)
 }
 
@@ -113,7 +113,7 @@
 }
 
 /// The name and the value of the setting that a wire's path and value stand for; none for a path that this version does not know.
-pub fn setting_of(path: &str, value: &str) -> Option<(String, String)> {
+pub fn setting_for_path(path: &str, value: &str) -> Option<(String, String)> {
     let number = entry_number(path);
     let steps: Vec<&str> = path.split('.').map(|step| if step == number { "#" } else { step }).collect();
     let pattern = steps.join(".");
@@ -122,7 +122,7 @@
 }
 
 /// The wire's path of a setting, for error messages.
-pub fn path_of(setting: &str) -> String {
+pub fn path_for_setting(setting: &str) -> String {
     let number = entry_number(setting);
     let pattern = setting.replace(&format!(".{number}."), ".#.");
     let mapping = MAPPINGS.iter().find(|mapping| mapping.setting == pattern);
@@ -137,7 +137,7 @@
 fn convert(conversion: Conversion, value: &str) -> String {
     match conversion {
         Verbatim => value.to_owned(),
-        Words => value.split(',').map(setting_word).collect::<Vec<_>>().join(","),
+        Words => value.split(',').map(translate_word).collect::<Vec<_>>().join(","),
         // A negative time stays as it is written, which the decisions refuse to read.
         Seconds if value.starts_with('-') => value.to_owned(),
         Seconds => parse_seconds(value).map_or_else(|| value.to_owned(), |time| time.to_string()),
--- a/crates/fernroute-testbed/src/beside.rs
+++ b/crates/fernroute-testbed/src/beside.rs
@@ -2,7 +2,7 @@
 //! its file names, at the addresses that it names.
 
 use crate::processes::{Fleet, Shape};
-use fernroute_server::program::instance::Instance;
+use fernroute_server::program::instance::InstanceConfig;
 use fernroute_test_support::http::answer;
 use fernroute_test_support::stand_in::{entry, serve, Deed, Discovery};
 use std::path::Path;
@@ -14,7 +14,7 @@
 
 /// Runs until the balancer ends, by itself or because this program is told to; the balancer's exit code.
 pub fn run(config: &Path, program: &[String]) -> Result<u8, String> {
-    let station = Instance::read(config)?;
+    let station = InstanceConfig::read(config)?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
     LocalSet::new().block_on(&runtime, async { play(&station, config, program).await })
@@ -61,8 +61,8 @@
     })
 }
 
-async fn play(station: &Instance, config: &Path, program: &[String]) -> Result<u8, String> {
-    let upstreams = station.known.iter().flat_map(|known| &known.entries);
+async fn play(station: &InstanceConfig, config: &Path, program: &[String]) -> Result<u8, String> {
+    let upstreams = station.endpoint_list.iter().flat_map(|known| &known.entries);
     let upstreams = upstreams.filter_map(|upstream| Some((upstream, upstream.address?)));
     let mut list = Vec::new();
     for (upstream, at) in upstreams {
--- a/crates/fernroute-testbed/src/main.rs
+++ b/crates/fernroute-testbed/src/main.rs
@@ -258,7 +258,7 @@
 
 fn main() -> ExitCode {
     let arguments: Vec<String> = std::env::args().collect();
-    let line: Line = match commands::parse(NAME, &arguments) {
+    let line: Line = match commands::parse_arguments(NAME, &arguments) {
         Ok(line) => line,
         Err(code) => return code,
     };
@@ -343,7 +343,7 @@
             return commands::run(words.map(str::to_owned).to_vec());
         }
     };
-    done.map_or_else(|why| commands::refuse(NAME, &why), |()| ExitCode::SUCCESS)
+    done.map_or_else(|why| commands::exit_with_error(NAME, &why), |()| ExitCode::SUCCESS)
 }
 
 fn compare_figures(of: &CompareFigures) -> Result<ExitCode, String> {
--- a/crates/fernroute-testbed/src/scale/hollow.rs
+++ b/crates/fernroute-testbed/src/scale/hollow.rs
@@ -1,12 +1,12 @@
 //! Hollow balancers: the program as it is, started many times on one thread, and asked for no RPC.
 //!
-//! Each is `serve::begin` of a file of its own: the same member of the fleet, the same watch of the list, the same configuration,
+//! Each is `serve::start_or_take_over` of a file of its own: the same member of the fleet, the same watch of the list, the same configuration,
 //! the same door for operators, over the same sockets as in a process of its own. What is missing are the signals that a
 //! process is told by.
 
-use fernroute_server::program::instance::Instance;
+use fernroute_server::program::instance::InstanceConfig;
 use fernroute_server::program::log;
-use fernroute_server::program::serve::begin;
+use fernroute_server::program::serve::start_or_take_over;
 use std::path::{Path, PathBuf};
 
 /// What a process says once all of its balancers serve.
@@ -29,11 +29,13 @@
     runtime.block_on(async {
         let mut running = Vec::new();
         for page in &pages {
-            let station = Instance::read(page)?;
+            let station = InstanceConfig::read(page)?;
             station.check()?;
             let name = station.name.clone();
-            let one = begin(station, page).await.map_err(|why| format!("{}: {why}", page.display()))?;
-            if let Some(door) = one.running.door {
+            let one = start_or_take_over(station, page)
+                .await
+                .map_err(|why| format!("{}: {why}", page.display()))?;
+            if let Some(door) = one.running.ops_address {
                 eprintln!("{DOOR}{name} {door}");
             }
             running.push(one);
