--- a/crates/fernroute/src/action_queue.rs
+++ b/crates/fernroute/src/action_queue.rs
@@ -31,7 +31,7 @@
     Reject {
         /// The RPC's id.
         rpc: Rc<str>,
-        /// When the client may come again; 0 for no advice.
+        /// When the caller may come again; 0 for no advice.
         retry_after: Time,
     },
     /// [`Host::fail`]
--- a/crates/fernroute/src/admission.rs
+++ b/crates/fernroute/src/admission.rs
@@ -1,6 +1,6 @@
-//! Admission control at the first tier: under overload, requests of the least priority weight are shed first.
+//! Admission control at the first tier: under overload, RPCs of the least priority weight are shed first.
 //!
-//! By Little's law the open requests over the throughput is the time that the next response takes, and that must leave room before
+//! By Little's law the open RPCs over the throughput is the time that the next response takes, and that must leave room before
 //! the soft deadline. Throughput and latency are learnt from completions that come in time.
 
 use crate::host::{Time, SECOND};
@@ -9,7 +9,7 @@
 /// The shortest averaging time, about the latency of a response: shorter is noise, longer admits too much into a fault.
 const MIN_AVERAGING_TIME: f64 = 1.5 * SECOND as f64;
 
-/// How long completions are averaged over at this rate of attempts. Guards against a balancer of few requests that sees only chance.
+/// How long completions are averaged over at this rate of attempts. Guards against a balancer of few RPCs that sees only chance.
 fn averaging_time(attempts_per_second: f64) -> f64 {
     /// A dozen completions show the throughput to a third.
     const COMPLETIONS: f64 = 12.0;
@@ -19,7 +19,7 @@
     expected.clamp(MIN_AVERAGING_TIME, MAX_AVERAGING_TIME)
 }
 
-/// The load at the moment of a request or a completion.
+/// The load at the moment of an RPC or a completion.
 pub(crate) struct PresentLoad {
     /// The present moment.
     pub(crate) now: Time,
@@ -37,9 +37,9 @@
     completions: f64,
     completions_updated_at: Time,
     first_completion_at: Option<Time>,
-    /// Open requests, averaged over what the averaging time exceeds its minimum by.
-    open_requests: f64,
-    open_requests_updated_at: Time,
+    /// Open RPCs, averaged over what the averaging time exceeds its minimum by.
+    open_rpcs: f64,
+    open_rpcs_updated_at: Time,
     /// The highest throughput of late for each upstream in use; halves in about eight seconds.
     best_throughput: f64,
     /// Completions that the latency was learnt from.
@@ -56,8 +56,8 @@
             completions: 0.0,
             completions_updated_at: 0,
             first_completion_at: None,
-            open_requests: 0.0,
-            open_requests_updated_at: 0,
+            open_rpcs: 0.0,
+            open_rpcs_updated_at: 0,
             best_throughput: 0.0,
             latency_samples: 0.0,
             mean_latency: 0.0,
@@ -113,17 +113,17 @@
         }
     }
 
-    /// Averages the number of open requests.
-    fn average_open_requests(&mut self, open_requests: usize, now: Time, averaging_time: f64) -> f64 {
-        let open_requests = open_requests as f64;
-        let elapsed = now - self.open_requests_updated_at;
+    /// Averages the number of open RPCs.
+    fn average_open_rpcs(&mut self, open_rpcs: usize, now: Time, averaging_time: f64) -> f64 {
+        let open_rpcs = open_rpcs as f64;
+        let elapsed = now - self.open_rpcs_updated_at;
         let remaining = decay(elapsed, (averaging_time - MIN_AVERAGING_TIME).max(1.0));
-        let average = open_requests + (self.open_requests - open_requests) * remaining;
-        (self.open_requests, self.open_requests_updated_at) = (average, now);
+        let average = open_rpcs + (self.open_rpcs - open_rpcs) * remaining;
+        (self.open_rpcs, self.open_rpcs_updated_at) = (average, now);
         average
     }
 
-    /// How many requests may be open for all to be answered in time.
+    /// How many RPCs may be open for all to be answered in time.
     fn limit(&self, soft_deadline: Time, load: &PresentLoad) -> f64 {
         /// The part of the soft deadline that responses may take on average: chance about doubles it.
         const DEADLINE_SHARE: f64 = 0.8;
@@ -132,7 +132,7 @@
         /// Guards against shedding for slowness that shedding does not cure.
         const MIN_THROUGHPUT_SHARE: f64 = 0.8;
         /// Guards against shedding everything: with nothing open there are no completions to learn from.
-        const MIN_OPEN_REQUESTS: f64 = 4.0;
+        const MIN_OPEN_RPCS: f64 = 4.0;
         let averaging_time = averaging_time(load.attempts_per_second);
         // 1 for a busy balancer, less for one whose counts show a jam late.
         let confidence = MIN_AVERAGING_TIME / averaging_time;
@@ -142,27 +142,27 @@
             MIN_THROUGHPUT_SHARE * (0.4 + 0.6 * confidence) * self.best_throughput * load.usable_upstreams;
         let throughput = self.throughput(load.now, averaging_time).max(min_throughput);
         let limit = throughput * target_latency / SECOND as f64;
-        let limit = limit.max(MIN_OPEN_REQUESTS * confidence);
-        // Open requests scatter by the root of their mean without a fault; by less over a longer time.
+        let limit = limit.max(MIN_OPEN_RPCS * confidence);
+        // Open RPCs scatter by the root of their mean without a fault; by less over a longer time.
         limit + (limit * confidence).sqrt()
     }
 
-    /// Whether a request of this priority weight is admitted now. A weight of 0 is shed from half the limit on, two thirds of the
+    /// Whether an RPC of this priority weight is admitted now. A weight of 0 is shed from half the limit on, two thirds of the
     /// highest weight at the limit.
     pub(crate) fn admits(
         &mut self,
         priority_weight: f64,
-        open_requests: usize,
+        open_rpcs: usize,
         soft_deadline: Time,
         load: &PresentLoad,
     ) -> bool {
         let averaging_time = averaging_time(load.attempts_per_second);
-        let open_requests = self.average_open_requests(open_requests, load.now, averaging_time);
+        let open_rpcs = self.average_open_rpcs(open_rpcs, load.now, averaging_time);
         let limit = self.limit(soft_deadline, load);
         // A small balancer notices a jam late: where upstreams are two thirds busy, it sheds from a lower share on.
         let confidence = MIN_AVERAGING_TIME / averaging_time;
         let fullness = ((load.utilisation.unwrap_or(0.0) - 0.65) / 0.2).clamp(0.0, 1.0);
         let min_share = 0.5 - 0.4 * fullness * (1.0 - confidence);
-        open_requests < limit * (min_share + (1.0 - min_share) * (1.5 * priority_weight).min(1.0))
+        open_rpcs < limit * (min_share + (1.0 - min_share) * (1.5 * priority_weight).min(1.0))
     }
 }
--- a/crates/fernroute/src/budgets.rs
+++ b/crates/fernroute/src/budgets.rs
@@ -1,6 +1,6 @@
 //! Token buckets that bound retries, half-open trials and the quota of each tenant.
 //!
-//! [`RetryTokens`] is the retry budget that this balancer keeps by itself: each request earns a part of a retry, so that
+//! [`RetryTokens`] is the retry budget that this balancer keeps by itself: each RPC earns a part of a retry, so that
 //! retries stay a small share of all attempts. [`SharedBudgets`] holds what a fleet of balancers divides among its
 //! members: each member gets rates that expire, and counts what it spends of them.
 
@@ -8,7 +8,7 @@
 use crate::settings::TenantQuota;
 use std::collections::BTreeMap;
 
-/// The name by which a fleet grants retries: attempts after the first one of a request.
+/// The name by which a fleet grants retries: attempts after the first one of a rpc.
 pub const RETRY_BUDGET: &str = "transmissions beyond the first";
 /// The name by which a fleet grants half-open trials to any one upstream.
 pub const TRIAL_BUDGET: &str = "trials to one upstream";
@@ -25,11 +25,11 @@
         RetryTokens(MAX_RETRY_TOKENS)
     }
 
-    /// Credits the part of a retry that one request earns.
-    pub(crate) fn credit_request(&mut self) {
-        /// Keeps the attempts of all tiers together under twice the number of requests.
-        const TOKENS_PER_REQUEST: f64 = 0.1;
-        self.0 = (self.0 + TOKENS_PER_REQUEST).min(MAX_RETRY_TOKENS);
+    /// Credits the part of a retry that one RPC earns.
+    pub(crate) fn credit_rpc(&mut self) {
+        /// Keeps the attempts of all tiers together under twice the number of RPCs.
+        const TOKENS_PER_RPC: f64 = 0.1;
+        self.0 = (self.0 + TOKENS_PER_RPC).min(MAX_RETRY_TOKENS);
     }
 
     /// Whether this many tokens are available.
@@ -119,10 +119,10 @@
 impl SharedBudgets {
     /// Gives each tenant an even part of its quota. Saved tokens stay, and so does what a fleet has granted.
     pub(crate) fn update_settings(&mut self, now: Time, quotas: &[TenantQuota], instances: f64) {
-        /// Guards against counting requests of one tenant that coincide by chance as excess.
+        /// Guards against counting RPCs of one tenant that coincide by chance as excess.
         const BURST: f64 = 4.0;
         let bucket = |quota: &TenantQuota| {
-            let rate = quota.requests_per_second / instances;
+            let rate = quota.rpcs_per_second / instances;
             let full = TokenBucket {
                 min_capacity: BURST,
                 tokens: rate.max(BURST),
@@ -174,7 +174,7 @@
         Ok(())
     }
 
-    /// Takes a token of this tenant's quota; false where the request is beyond it.
+    /// Takes a token of this tenant's quota; false where the RPC is beyond it.
     pub(crate) fn take_tenant_token(&mut self, now: Time, tenant: &str) -> bool {
         self.tenants.get_mut(tenant).is_none_or(|bucket| bucket.try_take(now))
     }
--- a/crates/fernroute/src/circuit_breaker.rs
+++ b/crates/fernroute/src/circuit_breaker.rs
@@ -31,13 +31,13 @@
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Verdict {
     /// Completed in the usual time.
-    Good,
+    Success,
     /// Much slower than usual.
     Slow,
     /// Failed, perhaps because of a dependency of the upstream.
-    Failed,
+    Failure,
     /// Failed by itself: a refused connection or silence can't come from a dependency.
-    Dead,
+    UpstreamFailure,
 }
 
 /// See the module's description.
@@ -49,7 +49,7 @@
     epoch: u32,
     trials_in_flight: u32,
     trials_succeeded: u32,
-    /// [`Verdict::Dead`] outcomes without another one between them.
+    /// [`Verdict::UpstreamFailure`] outcomes without another one between them.
     consecutive_failures: u32,
     /// Doublings of the open time, by trips that followed one another closely.
     doublings: u32,
@@ -129,8 +129,9 @@
             self.window.pop_front();
         }
         self.window.push_back(verdict);
-        self.consecutive_failures = if verdict == Verdict::Dead { self.consecutive_failures + 1 } else { 0 };
-        let failed = |verdict: Verdict| matches!(verdict, Verdict::Failed | Verdict::Dead);
+        self.consecutive_failures =
+            if verdict == Verdict::UpstreamFailure { self.consecutive_failures + 1 } else { 0 };
+        let failed = |verdict: Verdict| matches!(verdict, Verdict::Failure | Verdict::UpstreamFailure);
         let share_exceeded = self.share_of(failed) >= BAD_SHARE
             || self.share_of(|verdict| verdict == Verdict::Slow) >= BAD_SHARE;
         self.window.len() >= MIN_OUTCOMES && share_exceeded
@@ -138,7 +139,7 @@
     }
 
     fn record_trial(&mut self, verdict: Verdict, now: Time) -> bool {
-        if verdict != Verdict::Good {
+        if verdict != Verdict::Success {
             return true;
         }
         self.trials_succeeded += 1;
--- a/crates/fernroute/src/hash_ring.rs
+++ b/crates/fernroute/src/hash_ring.rs
@@ -1,11 +1,11 @@
 //! Subsets and keys by hash (Envoy: subset and ring hash load balancing).
 //!
-//! A balancer of few requests uses a subset of the upstreams, which its number picks: balancers share a ring, an order of all
+//! A balancer of few RPCs uses a subset of the upstreams, which its number picks: balancers share a ring, an order of all
 //! upstreams by hash, and start at different positions of it. A key has a ring of its own, from its hash, so that all balancers
 //! send it to the same few upstreams, which have it cached.
 
 use crate::host::{Time, SECOND};
-use crate::requests::Id;
+use crate::rpcs::Id;
 use crate::settings::ValidatedSettings;
 use crate::statistics::{decay, hash};
 use crate::upstream::Upstream;
@@ -94,7 +94,7 @@
     }
 }
 
-/// The key of a request on its ring.
+/// The key of an RPC on its ring.
 #[derive(Clone, Copy)]
 pub(crate) struct KeyPlacement {
     /// The ring of the key.
@@ -118,7 +118,7 @@
         KeyFrequencies { counts: vec![0.0; KEY_BUCKETS], updated_at: now }
     }
 
-    /// Counts a request with this key, and places the key: with more replicas the more of all requests it makes up. Guards against a
+    /// Counts an RPC with this key, and places the key: with more replicas the more of all RPCs it makes up. Guards against a
     /// key that many ask for and one upstream that serves it.
     pub(crate) fn place(&mut self, key: &str, local_upstreams: usize, now: Time) -> KeyPlacement {
         /// About as long as upstreams cache a key.
--- a/crates/fernroute/src/latency.rs
+++ b/crates/fernroute/src/latency.rs
@@ -1,4 +1,4 @@
-//! How long the attempts of a method take of late, and the soft deadline that follows for a request.
+//! How long the attempts of a method take of late, and the soft deadline that follows for a rpc.
 
 use crate::host::{Time, SECOND};
 use crate::settings::{MethodPolicy, ValidatedSettings};
@@ -11,10 +11,10 @@
     pub(crate) mean: f64,
     /// The 95th percentile of all attempts; never less than the mean.
     pub(crate) p95: f64,
-    /// The mean of completed attempts, for each request that the upstream was estimated to have in flight.
+    /// The mean of completed attempts, for each RPC that the upstream was estimated to have in flight.
     pub(crate) per_queued: f64,
-    /// The longest time that a client has given one of its attempts.
-    longest_client_timeout: Time,
+    /// The longest time that a caller has given one of its attempts.
+    longest_caller_timeout: Time,
 }
 
 impl LatencyEstimate {
@@ -25,11 +25,11 @@
             mean: expected * 0.2,
             p95: expected * 0.5,
             per_queued: expected * 0.2,
-            longest_client_timeout: 0,
+            longest_caller_timeout: 0,
         }
     }
 
-    /// Takes an attempt that has ended; returns its latency per queued request against the usual one.
+    /// Takes an attempt that has ended; returns its latency per queued RPC against the usual one.
     fn record(&mut self, latency: f64, estimated_queue: f64, completed: bool) -> f64 {
         /// An attempt that is in flight for longer counts as overdue.
         const QUANTILE: f64 = 0.95;
@@ -67,7 +67,7 @@
         self.latency.get()
     }
 
-    /// Takes an attempt that has ended; returns its latency per queued request against the usual one.
+    /// Takes an attempt that has ended; returns its latency per queued RPC against the usual one.
     pub(crate) fn record_attempt(&self, latency: Time, estimated_queue: f64, completed: bool) -> f64 {
         let mut estimate = self.latency.get();
         let relative_latency = estimate.record(latency as f64, estimated_queue, completed);
@@ -75,24 +75,24 @@
         relative_latency
     }
 
-    /// Until when a response to a request that arrives now is in time. The attempts of one client share a soft deadline, so
-    /// what remains of it for a later attempt shows in how far the client has cut its time-out.
+    /// Until when a response to an RPC that arrives now is in time. The attempts of one caller share a soft deadline, so
+    /// what remains of it for a later attempt shows in how far the caller has cut its time-out.
     pub(crate) fn soft_deadline(
         &self,
         now: Time,
-        client_timeout: Time,
+        caller_timeout: Time,
         settings: &ValidatedSettings,
     ) -> Time {
         let mut estimate = self.latency.get();
-        estimate.longest_client_timeout = estimate.longest_client_timeout.max(client_timeout);
+        estimate.longest_caller_timeout = estimate.longest_caller_timeout.max(caller_timeout);
         self.latency.set(estimate);
-        let is_cut = client_timeout + 2 * settings.tick < estimate.longest_client_timeout;
+        let is_cut = caller_timeout + 2 * settings.tick < estimate.longest_caller_timeout;
         match (self.policy.soft_deadline, self.policy.hard_deadline) {
             (Some(soft), Some(hard)) if settings.tier == 0 && is_cut => {
-                now.max((now + client_timeout + soft).saturating_sub(hard)).min(now + client_timeout)
+                now.max((now + caller_timeout + soft).saturating_sub(hard)).min(now + caller_timeout)
             }
-            (Some(soft), _) if settings.tier == 0 => now + soft.min(client_timeout),
-            _ => now + client_timeout,
+            (Some(soft), _) if settings.tier == 0 => now + soft.min(caller_timeout),
+            _ => now + caller_timeout,
         }
     }
 }
--- a/crates/fernroute/src/lib.rs
+++ b/crates/fernroute/src/lib.rs
@@ -8,7 +8,7 @@
 //! - `upstream_table`, `upstream`, `circuit_breaker`: what is known of each upstream, and whether it is in use.
 //! - `endpoint_watch`: how the balancer follows the endpoint list.
 //! - `hash_ring`, `slow_start`, `load_reports`, `send_rate`: which upstreams an RPC may go to, and how much each may get.
-//! - `requests`, `attempts`, `budgets`, `latency`: open RPCs, their attempts, retries and time-outs.
+//! - `rpcs`, `attempts`, `budgets`, `latency`: open RPCs, their attempts, retries and time-outs.
 //! - `admission`: which RPCs are shed under overload.
 //! - [`settings`]: the settings, read and checked.
 #![warn(missing_docs, clippy::unwrap_used, clippy::expect_used)]
@@ -24,7 +24,7 @@
 pub mod host;
 mod latency;
 mod load_reports;
-mod requests;
+mod rpcs;
 mod send_rate;
 pub mod settings;
 mod slow_start;
--- a/crates/fernroute/src/load_reports.rs
+++ b/crates/fernroute/src/load_reports.rs
@@ -61,7 +61,7 @@
         if let Some(utilisation) = value(layout.utilisation) {
             self.record_utilisation(upstream, utilisation.clamp(0.0, 1.0));
         }
-        // Requests in flight include the one that was answered.
+        // RPCs in flight include the one that was answered.
         let in_flight = value(layout.in_flight).or(value(layout.queued).map(|queued| queued + 1.0));
         if let Some(in_flight) = in_flight {
             let load_of_others = (in_flight - upstream.in_flight() as f64).max(0.0);
--- a/crates/fernroute/src/requests.rs
+++ b/crates/fernroute/src/rpcs.rs
@@ -1,4 +1,4 @@
-//! The requests that this balancer has open, each with its deadlines and its attempts so far.
+//! The RPCs that this balancer has open, each with its deadlines and its attempts so far.
 
 use crate::attempts::Attempt;
 use crate::hash_ring::KeyPlacement;
@@ -6,12 +6,12 @@
 use crate::latency::Method;
 use std::rc::Rc;
 
-/// The identifier of a request or an upstream, as the host names it.
+/// The identifier of an RPC or an upstream, as the host names it.
 pub(crate) type Id = Rc<str>;
 
 /// See the module's description.
-pub(crate) struct Request {
-    /// As it was when the request arrived, whatever later settings say.
+pub(crate) struct Rpc {
+    /// As it was when the RPC arrived, whatever later settings say.
     pub(crate) method: Rc<Method>,
     /// Its key, where upstreams do less work for one that they have cached.
     pub(crate) key: Option<KeyPlacement>,
@@ -19,7 +19,7 @@
     pub(crate) arrived_at: Time,
     /// A response before this is in time; the hard deadline where there is no soft one.
     pub(crate) soft_deadline: Time,
-    /// The client waits until this.
+    /// The caller waits until this.
     pub(crate) hard_deadline: Time,
     /// A response after this is worth nothing.
     pub(crate) response_deadline: Time,
@@ -31,8 +31,8 @@
     pub(crate) attempts: Vec<Attempt>,
 }
 
-impl Request {
-    /// Whether an attempt is in flight. There are no hedged requests, so only the last attempt can be.
+impl Rpc {
+    /// Whether an attempt is in flight. There are no hedged RPCs, so only the last attempt can be.
     pub(crate) fn is_in_flight(&self) -> bool {
         self.attempts.last().is_some_and(Attempt::is_in_flight)
     }
--- a/crates/fernroute/src/settings.rs
+++ b/crates/fernroute/src/settings.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::str::FromStr;
 
-/// Whether a request may be sent again after it may have run, and to which upstreams.
+/// Whether an RPC may be sent again after it may have run, and to which upstreams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
     /// Running it twice does no harm.
@@ -30,7 +30,7 @@
 /// What the settings say of one method.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MethodPolicy {
-    /// As requests name it.
+    /// As RPCs name it.
     pub name: Rc<str>,
     /// Whether and where it may be sent again.
     pub idempotency: Idempotency,
@@ -59,13 +59,13 @@
     pub window: f64,
 }
 
-/// The requests of one tenant that are within its quota.
+/// The RPCs of one tenant that are within its quota.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TenantQuota {
-    /// As requests name it.
+    /// As RPCs name it.
     pub name: String,
     /// Over all balancers.
-    pub requests_per_second: f64,
+    pub rpcs_per_second: f64,
 }
 
 /// The places of the values in a load report; none where upstreams do not report the value.
@@ -73,14 +73,14 @@
 pub struct LoadReportLayout {
     /// The share of its capacity that an upstream uses.
     pub utilisation: Option<usize>,
-    /// Requests in flight at the upstream.
+    /// RPCs in flight at the upstream.
     pub in_flight: Option<usize>,
-    /// Requests queued at the upstream.
+    /// RPCs queued at the upstream.
     pub queued: Option<usize>,
 }
 
 impl LoadReportLayout {
-    /// Whether upstreams report how many requests are in flight or queued.
+    /// Whether upstreams report how many RPCs are in flight or queued.
     pub(crate) fn has_counts(&self) -> bool {
         self.in_flight.or(self.queued).is_some()
     }
@@ -89,7 +89,7 @@
 /// Settings that have been parsed and validated.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ValidatedSettings {
-    /// 0 for balancers that clients call.
+    /// 0 for balancers that callers call.
     pub tier: usize,
     /// This balancer's number among those of its tier.
     pub instance_number: usize,
@@ -99,15 +99,15 @@
     pub zone: String,
     /// The resolution of the clock.
     pub tick: Time,
-    /// Attempts of one request, the first one included.
+    /// Attempts of one RPC, the first one included.
     pub max_attempts: usize,
-    /// Whether an attempt in flight is cancelled once its request has a final answer.
+    /// Whether an attempt in flight is cancelled once its RPC has a final answer.
     pub cancels_attempts: bool,
     /// The longest `Retry-After`; 0 where callers get none.
     pub max_retry_after: Time,
-    /// The factor on the priority weight of requests beyond a tenant's quota.
+    /// The factor on the priority weight of RPCs beyond a tenant's quota.
     pub over_quota_weight: f64,
-    /// Whether requests beyond a tenant's quota are rejected, whatever the capacity.
+    /// Whether RPCs beyond a tenant's quota are rejected, whatever the capacity.
     pub rejects_over_quota: bool,
     /// Where the endpoint list is polled: the time within which a poll must have been sent.
     pub poll_within: Option<Time>,
@@ -115,7 +115,7 @@
     pub load_report: LoadReportLayout,
     /// Whether upstreams do less work for a key that they have cached.
     pub key_affinity: bool,
-    /// The cost of an attempt to another zone, as a share of the priority weight of a request.
+    /// The cost of an attempt to another zone, as a share of the priority weight of a rpc.
     pub cross_zone_cost: f64,
     /// The limit of load on upstreams that are warming up.
     pub slow_start: SlowStartRule,
@@ -258,8 +258,8 @@
     for index in 0..or_default::<usize>(settings, "tenants.count")? {
         let name = required(settings, &format!("tenants.{index}.name"))?;
         let rate_key = format!("tenants.{index}.rate");
-        let requests_per_second = number(settings, &rate_key, 0.0, MAX_NUMBER, None)?;
-        tenants.push(TenantQuota { name, requests_per_second });
+        let rpcs_per_second = number(settings, &rate_key, 0.0, MAX_NUMBER, None)?;
+        tenants.push(TenantQuota { name, rpcs_per_second });
     }
     Ok(tenants)
 }
--- a/crates/fernroute/src/upstream.rs
+++ b/crates/fernroute/src/upstream.rs
@@ -19,7 +19,7 @@
     reported_at: Time,
 }
 
-/// Latency per queued request against the usual one of the method.
+/// Latency per queued RPC against the usual one of the method.
 #[derive(Clone, Copy)]
 struct RelativeLatency {
     ratio: f64,
@@ -244,7 +244,7 @@
         (self.in_flight_sent_at.len() + overdue + failures.count()) as f64
     }
 
-    /// Requests in flight to it, by its reports and by this balancer's own attempts. Guards against reports that are seconds
+    /// RPCs in flight to it, by its reports and by this balancer's own attempts. Guards against reports that are seconds
     /// old and pass for the present: their weight decays to the mean of all upstreams.
     pub(crate) fn estimated_queue(&self, method: &Method, mean_load_of_others: f64, now: Time) -> f64 {
         let difference = self.load_of_others.map_or(0.0, |others| {
@@ -255,7 +255,7 @@
         self.in_flight_load(method, now) + mean_load_of_others + difference
     }
 
-    /// Its latency per queued request against the usual one; 1 where upstreams report no counts to divide by.
+    /// Its latency per queued RPC against the usual one; 1 where upstreams report no counts to divide by.
     pub(crate) fn relative_latency(&self, has_counts: bool, now: Time) -> f64 {
         let known = self.relative_latency.filter(|_| has_counts);
         known
@@ -270,7 +270,7 @@
         has_counts: bool,
         now: Time,
     ) {
-        /// Small, as the draw raises the chance of single requests to a high power.
+        /// Small, as the draw raises the chance of single RPCs to a high power.
         const STEP: f64 = 0.1;
         let previous = self.relative_latency(has_counts, now);
         if completed || ratio > previous {
--- a/crates/fernroute/src/upstream_table.rs
+++ b/crates/fernroute/src/upstream_table.rs
@@ -2,7 +2,7 @@
 //! last attempt.
 
 use crate::host::Time;
-use crate::requests::Id;
+use crate::rpcs::Id;
 use crate::upstream::Upstream;
 use std::collections::BTreeMap;
 
