--- a/crates/fernroute/src/action_queue.rs
+++ b/crates/fernroute/src/action_queue.rs
@@ -1,12 +1,12 @@
-//! A [`Host`] that queues what a balancer does. The balancer calls it from inside; the program carries the actions out once the
-//! balancer has returned, so that nothing calls the balancer while it runs.
+//! A [`Host`] that queues the actions of a balancer. The program executes them after the balancer has returned, so that no action
+//! calls back into the balancer while it handles an event.
 
 use crate::host::{Host, Time, Timer};
 use std::cell::RefCell;
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-/// A call of [`Host`], to be carried out.
+/// A call of [`Host`] that is to be executed.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Action {
     /// [`Host::start_attempt`]
@@ -15,9 +15,9 @@
         rpc: Rc<str>,
         /// The upstream's id.
         upstream: Rc<str>,
-        /// How long the attempt may take.
+        /// The time-out of the attempt.
         timeout: Time,
-        /// When the last byte has to have left, if that is limited.
+        /// The time by which the last byte must have left; none for no limit.
         write_deadline: Option<Time>,
     },
     /// [`Host::cancel_attempt`]
@@ -31,7 +31,7 @@
     Reject {
         /// The RPC's id.
         rpc: Rc<str>,
-        /// When the caller may come again; 0 for no advice.
+        /// The time after which the caller may retry; 0 for no advice.
         retry_after: Time,
     },
     /// [`Host::fail`]
@@ -41,7 +41,7 @@
     },
     /// [`Host::set_timer`]
     SetTimer {
-        /// When it is due, from now.
+        /// The time from now until it is due.
         after: Time,
         /// What it is for.
         timer: Timer,
@@ -52,13 +52,13 @@
     Log(String),
 }
 
-/// The actions that have not been carried out, in their order. Clones share one queue: the balancer adds, the program empties it
-/// after each call on the balancer.
+/// The actions that have not been executed, in order. Clones share one queue: the balancer adds to it, and the program empties it
+/// after each call of the balancer.
 #[derive(Clone, Debug, Default)]
 pub struct ActionQueue(Rc<RefCell<VecDeque<Action>>>);
 
 impl ActionQueue {
-    /// Takes the oldest action out.
+    /// Removes the oldest action and returns it.
     pub fn pop(&self) -> Option<Action> {
         self.0.borrow_mut().pop_front()
     }
--- a/crates/fernroute/src/budgets.rs
+++ b/crates/fernroute/src/budgets.rs
@@ -1,22 +1,22 @@
-//! Token buckets that bound retries, half-open trials and the quota of each tenant.
+//! Token buckets that limit retries, half-open trials and the RPCs of each tenant.
 //!
-//! [`RetryTokens`] is the retry budget that this balancer keeps by itself: each RPC earns a part of a retry, so that
-//! retries stay a small share of all attempts. [`SharedBudgets`] holds what a fleet of balancers divides among its
-//! members: each member gets rates that expire, and counts what it spends of them.
+//! [`RetryTokens`] is the local retry budget of this balancer: each RPC earns a part of a retry, so that retries stay a small
+//! share of all attempts. [`SharedBudgets`] holds this member's part of the budgets that a fleet of balancers divides: each
+//! member is granted rates that expire, and spends tokens at these rates.
 
 use crate::host::{InvalidSetting, Time, SECOND};
 use crate::settings::TenantQuota;
 use std::collections::BTreeMap;
 
-/// The name by which a fleet grants retries: attempts after the first one of a rpc.
+/// The name by which a fleet grants retries: attempts after the first one of an RPC.
 pub const RETRY_BUDGET: &str = "transmissions beyond the first";
 /// The name by which a fleet grants half-open trials to any one upstream.
 pub const TRIAL_BUDGET: &str = "trials to one upstream";
 
-/// This balancer's own retry budget, in attempts.
+/// The local retry budget of this balancer, in attempts.
 pub(crate) struct RetryTokens(f64);
 
-/// Bounds the retries of a short fault by what a quiet spell has saved up.
+/// Limits the retries in a short fault to what was saved up before it.
 const MAX_RETRY_TOKENS: f64 = 10.0;
 
 impl RetryTokens {
@@ -25,9 +25,9 @@
         RetryTokens(MAX_RETRY_TOKENS)
     }
 
-    /// Credits the part of a retry that one RPC earns.
+    /// Adds the part of a retry that one RPC earns.
     pub(crate) fn credit_rpc(&mut self) {
-        /// Keeps the attempts of all tiers together under twice the number of RPCs.
+        /// Keeps the attempts of all tiers together below twice the number of RPCs.
         const TOKENS_PER_RPC: f64 = 0.1;
         self.0 = (self.0 + TOKENS_PER_RPC).min(MAX_RETRY_TOKENS);
     }
@@ -37,27 +37,27 @@
         self.0 >= cost
     }
 
-    /// Takes tokens for a retry that was sent.
+    /// Removes the tokens of a retry that was sent.
     pub(crate) fn spend(&mut self, cost: f64) {
         self.0 -= cost;
     }
 }
 
-/// A rate that a fleet grants until a moment.
+/// A rate that the fleet grants until it expires.
 #[derive(Clone, Copy, Default)]
 struct RateGrant {
     tokens_per_second: f64,
     expires_at: Time,
 }
 
-/// Two grants that add up: a renewed one stands beside the one that it replaces until that expires.
+/// Two grants that add up: a renewed grant and the one that it replaces, until that expires.
 type RateGrants = [RateGrant; 2];
 
 /// Tokens that refill at the granted rates, up to two seconds' worth.
 #[derive(Clone, Default)]
 pub(crate) struct TokenBucket {
     grants: RateGrants,
-    /// The capacity at any rate, however small.
+    /// The capacity however low the rate is.
     min_capacity: f64,
     granted_by_fleet: bool,
     tokens: f64,
@@ -65,7 +65,7 @@
 }
 
 impl TokenBucket {
-    /// An empty bucket for one token at a time, filled by the fleet's grants alone.
+    /// Creates an empty bucket that holds at least one token and is refilled only by the fleet's grants.
     fn empty(now: Time) -> Self {
         TokenBucket { min_capacity: 1.0, granted_by_fleet: true, refilled_at: now, ..TokenBucket::default() }
     }
@@ -77,7 +77,7 @@
         self.refill(now);
     }
 
-    /// Guards against a process that was suspended and resumes: each grant counts up to its expiry, and no further.
+    /// The tokens at this time. A grant counts only until its expiry, also in a process that was suspended and resumes later.
     fn available(&self, now: Time) -> f64 {
         let refill = |grant: &RateGrant| {
             grant.tokens_per_second * now.min(grant.expires_at).saturating_sub(self.refilled_at) as f64
@@ -94,7 +94,7 @@
         (self.tokens, self.refilled_at) = (self.available(now), now);
     }
 
-    /// Takes one token; false where none is available.
+    /// Removes one token; false if none is available.
     fn try_take(&mut self, now: Time) -> bool {
         self.refill(now);
         let available = self.tokens >= 1.0;
@@ -103,29 +103,29 @@
     }
 }
 
-/// What this balancer may spend of budgets that all balancers share: tenants' quotas, and where a fleet divides them,
-/// retries and half-open trials.
+/// This balancer's part of the budgets that all balancers share: tenants' quotas and, where a fleet divides them, retries and
+/// half-open trials.
 #[derive(Default)]
 pub(crate) struct SharedBudgets {
     /// By the tenant's name, as the settings list them.
     tenants: BTreeMap<String, TokenBucket>,
     /// None where the fleet does not divide retries.
     retries: Option<TokenBucket>,
-    /// To any one upstream, each of which has a bucket of its own; none where the fleet does not divide trials.
+    /// The grants for trials to any one upstream, which has its own bucket; none where the fleet does not divide trials.
     trials: Option<RateGrants>,
     retries_wanted: u64,
 }
 
 impl SharedBudgets {
-    /// Gives each tenant an even part of its quota. Saved tokens stay, and so does what a fleet has granted.
+    /// Gives each tenant an even part of its quota. Tokens that were saved up stay, and so do grants of the fleet.
     pub(crate) fn update_settings(&mut self, now: Time, quotas: &[TenantQuota], instances: f64) {
-        /// Guards against counting RPCs of one tenant that coincide by chance as excess.
-        const BURST: f64 = 4.0;
+        /// In tokens: RPCs of one tenant that coincide by chance are within its quota.
+        const BURST_TOKENS: f64 = 4.0;
         let bucket = |quota: &TenantQuota| {
             let rate = quota.rpcs_per_second / instances;
             let full = TokenBucket {
-                min_capacity: BURST,
-                tokens: rate.max(BURST),
+                min_capacity: BURST_TOKENS,
+                tokens: rate.max(BURST_TOKENS),
                 refilled_at: now,
                 ..TokenBucket::default()
             };
@@ -139,8 +139,8 @@
         self.tenants = quotas.iter().map(bucket).collect();
     }
 
-    /// Replaces the fleet's grants, all of them or none: rates per second, each until a moment. A tenant that is not
-    /// named gets nothing; retries and trials that are not named have no limit.
+    /// Replaces the fleet's grants, all of them or none: rates per second, each until its expiry. A tenant that is not named is
+    /// granted nothing; retries and trials that are not named are unlimited.
     ///
     /// # Errors
     /// A budget that does not exist, or a rate that is negative or not finite.
@@ -154,7 +154,10 @@
         let is_valid = |(rate, _): &(f64, Time)| rate.is_finite() && *rate >= 0.0;
         let invalid = rates.iter().find(|(name, rates)| !exists(name) || !rates.iter().all(is_valid));
         if let Some((name, _)) = invalid {
-            return Err(InvalidSetting { setting: (*name).to_owned(), reason: "no budget, or no rate" });
+            return Err(InvalidSetting {
+                setting: (*name).to_owned(),
+                reason: "unknown budget or invalid rate",
+            });
         }
         let granted = |name: &str| {
             let found = rates.iter().find(|(budget, _)| *budget == name);
@@ -174,7 +177,7 @@
         Ok(())
     }
 
-    /// Takes a token of this tenant's quota; false where the RPC is beyond it.
+    /// Removes a token of this tenant's quota; false if the RPC is beyond it.
     pub(crate) fn take_tenant_token(&mut self, now: Time, tenant: &str) -> bool {
         self.tenants.get_mut(tenant).is_none_or(|bucket| bucket.try_take(now))
     }
@@ -184,13 +187,13 @@
         self.retries.as_ref().is_none_or(|bucket| bucket.available(now) >= 1.0)
     }
 
-    /// Whether a retry is within the fleet's budget, where one is wanted now: the demand is counted.
+    /// Counts a retry that is wanted now, and returns whether it is within the fleet's budget.
     pub(crate) fn request_retry(&mut self, now: Time) -> bool {
         self.retries_wanted += 1;
         self.allows_retry(now)
     }
 
-    /// Takes the token of a retry that was sent.
+    /// Removes the token of a retry that was sent.
     pub(crate) fn retry_sent(&mut self, now: Time) {
         if let Some(bucket) = &mut self.retries {
             bucket.try_take(now);
@@ -213,7 +216,7 @@
         upstream_trials.available(now) >= 1.0
     }
 
-    /// Takes the token of a trial that was sent to the upstream of this bucket, where the fleet divides trials.
+    /// Removes the token of a trial that was sent to the upstream of this bucket, where the fleet divides trials.
     pub(crate) fn trial_sent(&self, now: Time, upstream_trials: &mut TokenBucket) {
         if self.trials.is_some() {
             upstream_trials.try_take(now);
--- a/crates/fernroute/src/endpoint_watch.rs
+++ b/crates/fernroute/src/endpoint_watch.rs
@@ -1,12 +1,12 @@
-//! How this balancer keeps up with the endpoint list: a watch, or polls until one is established.
+//! Follows the endpoint list: by a watch, or by polls until one is established.
 //!
-//! A failed watch schedules a poll after a backoff with jitter; one poll is pending at a time, and each is numbered, so that the
-//! timer of an earlier one does nothing.
+//! A failed watch schedules a poll after a backoff with jitter. Only one poll is pending at a time: polls are numbered, and the
+//! timer of an earlier poll does nothing.
 
 use crate::host::{Host, Time, Timer, SECOND};
 use nanorand::{Rng, WyRand};
 
-/// See the module's description.
+/// See the module's documentation.
 #[derive(Default)]
 pub(crate) struct EndpointWatch {
     polls: u32,
@@ -15,38 +15,38 @@
     in_full_snapshot: bool,
 }
 
-/// Two polls fit into the time within which the list must be known.
+/// Short enough for two polls within the time in which the list must be known.
 const MAX_BACKOFF: Time = 5 * SECOND / 4;
 
 impl EndpointWatch {
-    /// Whether events of the endpoint list arrive.
+    /// Whether updates of the endpoint list arrive.
     pub(crate) fn is_established(&self) -> bool {
         self.is_established
     }
 
-    /// The watch, or the poll for it, has failed.
+    /// The watch or a poll has failed.
     pub(crate) fn failed(&mut self) {
         self.is_established = false;
         self.consecutive_failures += 1;
     }
 
-    /// A snapshot of the list begins: of all upstreams, or of changes.
+    /// An update of the list begins: a full snapshot, or changes.
     pub(crate) fn snapshot_started(&mut self, is_full: bool) {
         self.in_full_snapshot = is_full;
     }
 
-    /// Whether the present snapshot is one of all upstreams.
+    /// Whether the present update is a full snapshot.
     pub(crate) fn is_full_snapshot(&self) -> bool {
         self.in_full_snapshot
     }
 
-    /// A snapshot from the list's source is complete.
+    /// A current update is complete.
     pub(crate) fn established(&mut self) {
         (self.is_established, self.consecutive_failures) = (true, 0);
     }
 
-    /// Schedules the next poll, within a twentieth of the time that the list allows: enough to spread a fleet that starts at
-    /// once. Failures double it. Does nothing where the list is not polled.
+    /// Schedules the next poll within a twentieth of `poll_within`, which spreads the polls of balancers that start at the same
+    /// time. Each failure doubles the backoff, up to a limit. Does nothing where the list is not polled.
     pub(crate) fn schedule_poll(
         &mut self,
         host: &mut impl Host,
@@ -59,13 +59,13 @@
         self.set_poll_timer(host, wait);
     }
 
-    /// Sets the timer of the next poll. Guards against polls that multiply in a long failure of the list: one is pending.
+    /// Sets the timer of the next poll, which replaces the pending one: polls must not multiply while the list is unavailable.
     pub(crate) fn set_poll_timer(&mut self, host: &mut impl Host, wait: Time) {
         self.polls += 1;
         host.set_timer(wait.max(1), Timer::EndpointPoll(self.polls));
     }
 
-    /// Whether the timer of this poll is the latest one, and the poll still of use.
+    /// Whether this is the latest poll, and no watch has been established since.
     pub(crate) fn is_due(&self, poll: u32) -> bool {
         !self.is_established && poll == self.polls
     }
--- a/crates/fernroute/src/hash_ring.rs
+++ b/crates/fernroute/src/hash_ring.rs
@@ -1,8 +1,8 @@
-//! Subsets and keys by hash (Envoy: subset and ring hash load balancing).
+//! Subsets of upstreams and placement of keys by hash (Envoy: subset and ring hash load balancing).
 //!
-//! A balancer of few RPCs uses a subset of the upstreams, which its number picks: balancers share a ring, an order of all
-//! upstreams by hash, and start at different positions of it. A key has a ring of its own, from its hash, so that all balancers
-//! send it to the same few upstreams, which have it cached.
+//! A balancer of few RPCs uses a subset of the upstreams, chosen by its instance number: balancers share a ring, which is an order
+//! of all upstreams by hash, and start at different positions on it. A key has a ring of its own, by its hash, so that all
+//! balancers send it to the same few upstreams, which have it cached.
 
 use crate::host::{Time, SECOND};
 use crate::rpcs::Id;
@@ -11,17 +11,18 @@
 use crate::upstream::Upstream;
 use crate::upstream_table::UpstreamTable;
 
-/// Which order of the upstreams is wanted.
+/// A start position on one of the rings.
 pub(crate) struct RingPosition<'a> {
-    /// Which of all rings.
+    /// The number of the ring.
     pub(crate) ring: u64,
-    /// Where on it, as a share of the ring.
+    /// The start position, as a share of the ring.
     pub(crate) start: f64,
-    /// The zone whose upstreams alternate with those of the others; none where zones do not count.
+    /// The zone whose upstreams alternate with those of other zones; none where zones do not matter.
     pub(crate) local_zone: Option<&'a str>,
 }
 
-/// The order of all upstreams that are not draining. Those of larger capacity come early in more of the rings, in proportion.
+/// All upstreams that are not draining, in the order of this ring. An upstream comes early in a share of all rings that is
+/// proportional to its capacity.
 pub(crate) fn ring_order(
     upstreams: &UpstreamTable,
     position: &RingPosition,
@@ -55,12 +56,12 @@
 }
 
 impl HashRing {
-    /// Orders the upstreams anew. Guards against a jam that spreads along a ring, from one upstream to the same few others at all
-    /// balancers: some share a ring, and the next ones have another.
+    /// Computes the order again. Only some balancers share a ring: with one ring for all, the load of an overloaded upstream would
+    /// move to the same few others at all balancers, and the overload would spread along the ring.
     pub(crate) fn rebuild(&mut self, upstreams: &UpstreamTable, settings: &ValidatedSettings) {
-        /// Enough to cover a ring evenly, few enough that there are many rings.
+        /// Enough to cover a ring evenly, and few enough for many rings.
         const BALANCERS_PER_RING: usize = 16;
-        /// Its multiples spread evenly over a ring, whichever of the numbers share a zone.
+        /// Multiples of it are spread evenly over a ring, whichever instance numbers share a zone.
         const GOLDEN_SECTION: f64 = 0.618_033_988_749_895;
         let number = settings.instance_number;
         let position = RingPosition {
@@ -76,64 +77,63 @@
         &self.order
     }
 
-    /// How many upstreams are usable, warm or not; at least 1.
+    /// The number of usable upstreams, those in slow start included; at least 1.
     pub(crate) fn usable_upstreams(&self) -> f64 {
         self.order.len().max(1) as f64
     }
 
-    /// How many upstreams a balancer of this rate spreads its attempts over. Guards against a balancer that uses hundreds and
-    /// knows nothing of any.
+    /// How many upstreams a balancer of this rate uses. With more of them it would have no recent load report of any.
     pub(crate) fn subset_size(&self, sent_per_second: f64, has_counts: bool) -> usize {
-        /// Each upstream is used about once in this time, in seconds: older reports mislead.
-        const MAX_REPORT_AGE: f64 = 1.0;
-        /// Enough that one or two bad upstreams are not missed, few enough to learn of each.
+        /// Each upstream is used about once in this time, since older reports are misleading.
+        const MAX_REPORT_AGE_SECONDS: f64 = 1.0;
+        /// Enough to do without one or two bad upstreams, and few enough to have outcomes of each.
         const MIN_SIZE: f64 = 6.0;
-        // Counts say more of each upstream, so that the idle ones among more of them are found.
+        // Counts in load reports tell more about each upstream, so that a balancer can find the idle ones among more of them.
         let min_size = if has_counts { 2.0 * MIN_SIZE } else { MIN_SIZE };
-        ((sent_per_second * MAX_REPORT_AGE).max(min_size) as usize).min(self.order.len().max(1))
+        ((sent_per_second * MAX_REPORT_AGE_SECONDS).max(min_size) as usize).min(self.order.len().max(1))
     }
 }
 
-/// The key of an RPC on its ring.
+/// Where an RPC with a key may go.
 #[derive(Clone, Copy)]
 pub(crate) struct KeyPlacement {
-    /// The ring of the key.
+    /// The ring of the key, by its hash.
     pub(crate) ring: u64,
-    /// How many upstreams share the key.
+    /// The number of upstreams that the key is spread over.
     pub(crate) replicas: usize,
 }
 
-/// Buckets in which keys are counted by their hash: few frequent keys share one.
+/// Keys are counted by hash in this many buckets: enough that frequent keys rarely share one.
 const KEY_BUCKETS: usize = 256;
 
-/// How frequent keys are, as decaying counts.
+/// Frequencies of keys, as decaying counts.
 pub(crate) struct KeyFrequencies {
     counts: Vec<f64>,
     updated_at: Time,
 }
 
 impl KeyFrequencies {
-    /// No key has been counted before `now`.
+    /// Counts from `now` on.
     pub(crate) fn new(now: Time) -> Self {
         KeyFrequencies { counts: vec![0.0; KEY_BUCKETS], updated_at: now }
     }
 
-    /// Counts an RPC with this key, and places the key: with more replicas the more of all RPCs it makes up. Guards against a
-    /// key that many ask for and one upstream that serves it.
+    /// Counts an RPC with this key, and returns the placement of the key. The number of replicas grows with the key's share of all
+    /// RPCs, so that a popular key does not overload one upstream.
     pub(crate) fn place(&mut self, key: &str, local_upstreams: usize, now: Time) -> KeyPlacement {
         /// About as long as upstreams cache a key.
-        const MEMORY: f64 = 20.0 * SECOND as f64;
-        /// Twice its share of the local upstreams: shares are uneven, and so are upstreams.
+        const TIME_CONSTANT: f64 = 20.0 * SECOND as f64;
+        /// Twice the key's share of the local upstreams, since neither keys nor upstreams are evenly loaded.
         const REPLICA_FACTOR: f64 = 2.0;
         let ring = hash(key);
-        let remaining = decay(now - self.updated_at, MEMORY);
+        let remaining = decay(now - self.updated_at, TIME_CONSTANT);
         for count in &mut self.counts {
             *count *= remaining;
         }
         self.updated_at = now;
         let total: f64 = self.counts.iter().sum();
         let count = &mut self.counts[(ring % KEY_BUCKETS as u64) as usize];
-        // A key that came once came by chance.
+        // The first occurrence may be by chance.
         let share = (*count - 1.0).max(0.0) / total.max(1.0);
         *count += 1.0;
         KeyPlacement { ring, replicas: 1 + (REPLICA_FACTOR * share * local_upstreams as f64) as usize }
--- a/crates/fernroute/src/host.rs
+++ b/crates/fernroute/src/host.rs
@@ -1,43 +1,43 @@
-//! What the decisions need from the program that they run in: the [`Host`] through which they act, and the types of its calls.
+//! The interface between the decisions and the program that runs them: the [`Host`] trait, and the types of its calls.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// A moment of the host's clock, or a length of time, in tenths of a millisecond.
+/// A point in time by the host's clock, or a duration, in units of 0.1 ms.
 pub type Time = u64;
 
 /// One second, as a [`Time`].
 pub const SECOND: Time = 10_000;
 
-/// The settings of a balancer by their names; times are in units of [`Time`] already. [`crate::settings`] reads them.
+/// The settings of a balancer by name; times are in units of [`Time`]. [`crate::settings`] parses them.
 pub type Settings = BTreeMap<String, String>;
 
-/// Everything that a balancer can do. A call takes effect at the moment that it is made.
+/// The actions of a balancer. A call takes effect at the time that it is made.
 pub trait Host {
     /// Sends an RPC to an upstream. The attempts of an RPC are numbered 0, 1, 2 and so on, in the order of these calls. An attempt
-    /// whose last byte has not left by `write_deadline` is never complete, and ends as [`Outcome::NotSent`].
+    /// whose last byte has not left by `write_deadline` must never be completed, and ends as [`Outcome::NotSent`].
     fn start_attempt(&mut self, rpc: &str, upstream: &str, timeout: Time, write_deadline: Option<Time>);
 
-    /// Stops waiting for an attempt; its outcome is reported all the same.
+    /// Cancels an attempt; its outcome is still reported.
     fn cancel_attempt(&mut self, rpc: &str, attempt: usize);
 
-    /// Gives the final answer that the RPC was not carried out, and that a retry is harmless. A `retry_after` of 0 advises nothing.
+    /// Gives the final answer that the RPC is rejected and that a retry is harmless. A `retry_after` of 0 stands for no advice.
     fn reject(&mut self, rpc: &str, retry_after: Time);
 
-    /// Gives the final answer that the RPC failed, without a promise about its effects.
+    /// Gives the final answer that the RPC failed; it may have taken effect.
     fn fail(&mut self, rpc: &str);
 
-    /// Has [`crate::Balancer::timer_fired`] called with this timer after this time.
+    /// Schedules a call of [`crate::Balancer::timer_fired`] with this timer.
     fn set_timer(&mut self, after: Time, timer: Timer);
 
-    /// Watches the endpoint list from now on, or polls it.
+    /// Starts to watch the endpoint list, or polls it once.
     fn watch_endpoints(&mut self);
 
     /// Logs a line for operators.
     fn log(&mut self, line: &str);
 }
 
-/// What a timer is for.
+/// The purpose of a timer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Timer {
     /// The RPC with this id is queued until an upstream may take it.
@@ -49,23 +49,23 @@
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The upstream answered with success.
+    /// The upstream responded with success.
     Completed,
-    /// The upstream answered with a failure.
+    /// The upstream responded with an error.
     Failed,
     /// The upstream rejected the RPC without running it.
     Rejected,
-    /// No answer came in the attempt's time.
+    /// No response came within the attempt's time-out.
     TimedOut,
-    /// No connection came up.
+    /// No connection could be established.
     ConnectFailed,
     /// The connection broke.
     Reset,
     /// The balancer cancelled it.
     Cancelled,
-    /// It never left this balancer completely.
+    /// It was not sent completely.
     NotSent,
-    /// An outcome that this version does not know; the RPC may have run.
+    /// An outcome that this version does not know; the upstream may have run the RPC.
     Unknown,
 }
 
@@ -76,7 +76,7 @@
     }
 }
 
-/// A setting that can't be used: missing, unreadable, out of range, or in conflict with another.
+/// A setting that cannot be used: missing, unreadable, out of range, or in conflict with another.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{reason}: {setting}")]
 pub struct InvalidSetting {
--- a/crates/fernroute/src/latency.rs
+++ b/crates/fernroute/src/latency.rs
@@ -1,4 +1,4 @@
-//! How long the attempts of a method take of late, and the soft deadline that follows for a rpc.
+//! Latency estimates of each method, and the soft deadlines of RPCs.
 
 use crate::host::{Time, SECOND};
 use crate::settings::{MethodPolicy, ValidatedSettings};
@@ -11,14 +11,14 @@
     pub(crate) mean: f64,
     /// The 95th percentile of all attempts; never less than the mean.
     pub(crate) p95: f64,
-    /// The mean of completed attempts, for each RPC that the upstream was estimated to have in flight.
+    /// The mean latency of completed attempts, divided by the number of RPCs that the upstream was estimated to have in flight.
     pub(crate) per_queued: f64,
-    /// The longest time that a caller has given one of its attempts.
+    /// The longest time-out that a caller has given.
     longest_caller_timeout: Time,
 }
 
 impl LatencyEstimate {
-    /// A guess before any attempt has completed.
+    /// The estimates before any attempt has completed.
     fn initial(policy: &MethodPolicy) -> Self {
         let expected = policy.soft_deadline.unwrap_or(SECOND) as f64;
         LatencyEstimate {
@@ -29,11 +29,11 @@
         }
     }
 
-    /// Takes an attempt that has ended; returns its latency per queued RPC against the usual one.
+    /// Records an attempt that has ended; returns its latency per queued RPC relative to the mean.
     fn record(&mut self, latency: f64, estimated_queue: f64, completed: bool) -> f64 {
-        /// An attempt that is in flight for longer counts as overdue.
+        /// An attempt that is in flight for longer than this quantile counts as overdue.
         const QUANTILE: f64 = 0.95;
-        /// Follows a change of load within some thirty attempts.
+        /// Adapts to a change of load within some thirty attempts.
         const STEP: f64 = 0.03;
         let per_queued = latency / (1.0 + estimated_queue);
         if completed {
@@ -49,25 +49,24 @@
     }
 }
 
-/// A method as the settings describe it, with its latency of late.
+/// A method with its policy and its recent latency.
 pub(crate) struct Method {
     pub(crate) policy: MethodPolicy,
     latency: Cell<LatencyEstimate>,
 }
 
 impl Method {
-    /// A method with the estimates of `previous`, the method of that name in earlier settings.
+    /// Creates a method that takes over the estimates of `previous`, the method of that name in earlier settings.
     pub(crate) fn new(policy: &MethodPolicy, previous: Option<&Method>) -> Self {
         let latency = previous.map_or_else(|| LatencyEstimate::initial(policy), Method::latency);
         Method { policy: policy.clone(), latency: Cell::new(latency) }
     }
 
-    /// The present estimates.
     pub(crate) fn latency(&self) -> LatencyEstimate {
         self.latency.get()
     }
 
-    /// Takes an attempt that has ended; returns its latency per queued RPC against the usual one.
+    /// Records an attempt that has ended; returns its latency per queued RPC relative to the mean.
     pub(crate) fn record_attempt(&self, latency: Time, estimated_queue: f64, completed: bool) -> f64 {
         let mut estimate = self.latency.get();
         let relative_latency = estimate.record(latency as f64, estimated_queue, completed);
@@ -75,8 +74,8 @@
         relative_latency
     }
 
-    /// Until when a response to an RPC that arrives now is in time. The attempts of one caller share a soft deadline, so
-    /// what remains of it for a later attempt shows in how far the caller has cut its time-out.
+    /// The soft deadline of an RPC that arrives now. A caller's own retries share one soft deadline, and each has a shorter
+    /// time-out: what remains of the soft deadline follows from how much shorter than the longest time-out it is.
     pub(crate) fn soft_deadline(
         &self,
         now: Time,
--- a/crates/fernroute/src/load_reports.rs
+++ b/crates/fernroute/src/load_reports.rs
@@ -1,4 +1,4 @@
-//! Averages of the load that upstreams report with their responses, against which each one is compared.
+//! Averages of the load that upstreams report with their responses; single upstreams are compared with them.
 
 use crate::host::Time;
 use crate::settings::LoadReportLayout;
@@ -11,18 +11,19 @@
 pub(crate) struct LoadAverages {
     utilisation: Option<f64>,
     load_of_others: Option<f64>,
-    /// The capacity of each kind of upstream against the others, as a logarithm; emptied by the endpoint list.
+    /// The logarithm of the capacity of each kind of upstream relative to the others. A kind is dropped once the endpoint list names
+    /// no upstream of it.
     kind_capacities: BTreeMap<String, f64>,
 }
 
 fn updated(average: Option<f64>, value: f64) -> Option<f64> {
-    /// Follows a change within some dozen reports.
+    /// Adapts to a change within some dozen reports.
     const STEP: f64 = 0.08;
     Some(average.map_or(value, |average| average + STEP * (value - average)))
 }
 
 impl LoadAverages {
-    /// The mean share of their capacity that upstreams use.
+    /// The mean utilisation of upstreams.
     pub(crate) fn utilisation(&self) -> Option<f64> {
         self.utilisation
     }
@@ -32,22 +33,22 @@
         self.load_of_others.unwrap_or(0.0)
     }
 
-    /// The capacity of a kind of upstream against the others, as a logarithm.
+    /// The logarithm of the capacity of a kind of upstream relative to the others.
     pub(crate) fn kind_capacity(&self, kind: &str) -> f64 {
         self.kind_capacities.get(kind).copied().unwrap_or(0.0)
     }
 
-    /// Drops the averages of reports, whose layout has changed.
+    /// Drops the averages of reports whose layout has changed.
     pub(crate) fn discard_reports(&mut self) {
         (self.utilisation, self.load_of_others) = (None, None);
     }
 
-    /// Drops kinds of which no upstream is left.
+    /// Drops kinds without upstreams.
     pub(crate) fn remove_unused_kinds(&mut self, upstreams: &UpstreamTable) {
         self.kind_capacities.retain(|kind, _| upstreams.iter().any(|(_, upstream)| upstream.kind() == kind));
     }
 
-    /// Takes the load report of a response; the attempt that was answered counts as in flight still.
+    /// Records the load report of a response. The attempt that it answers must still count as in flight.
     pub(crate) fn record(
         &mut self,
         upstream: &mut Upstream,
@@ -61,7 +62,7 @@
         if let Some(utilisation) = value(layout.utilisation) {
             self.record_utilisation(upstream, utilisation.clamp(0.0, 1.0));
         }
-        // RPCs in flight include the one that was answered.
+        // The count of RPCs in flight includes the one that was answered; the count of queued ones does not.
         let in_flight = value(layout.in_flight).or(value(layout.queued).map(|queued| queued + 1.0));
         if let Some(in_flight) = in_flight {
             let load_of_others = (in_flight - upstream.in_flight() as f64).max(0.0);
@@ -71,10 +72,10 @@
         }
     }
 
-    /// Guards against keys that are spread evenly over upstreams of which some have half the capacity of others: a kind that is
-    /// busier than the mean counts as smaller.
+    /// Records the utilisation, and adapts the capacity of the upstream's kind: one that is busier than the mean counts as smaller,
+    /// so that keys are not spread evenly over upstreams of which some have half the capacity of others.
     fn record_utilisation(&mut self, upstream: &mut Upstream, utilisation: f64) {
-        /// Some ten reports that differ by a tenth move the capacity by a tenth.
+        /// Some ten reports that differ from the mean by a tenth change the capacity by a tenth.
         const CAPACITY_STEP: f64 = 0.1;
         const MAX_LOG_CAPACITY: f64 = 1.5;
         upstream.record_utilisation(utilisation);
--- a/crates/fernroute/src/rpcs.rs
+++ b/crates/fernroute/src/rpcs.rs
@@ -1,4 +1,4 @@
-//! The RPCs that this balancer has open, each with its deadlines and its attempts so far.
+//! The open RPCs of this balancer, with their deadlines and attempts.
 
 use crate::attempts::Attempt;
 use crate::hash_ring::KeyPlacement;
@@ -9,40 +9,40 @@
 /// The identifier of an RPC or an upstream, as the host names it.
 pub(crate) type Id = Rc<str>;
 
-/// See the module's description.
+/// An open RPC.
 pub(crate) struct Rpc {
-    /// As it was when the RPC arrived, whatever later settings say.
+    /// The method as the settings had it when the RPC arrived.
     pub(crate) method: Rc<Method>,
-    /// Its key, where upstreams do less work for one that they have cached.
+    /// The placement of its key, where upstreams cache keys.
     pub(crate) key: Option<KeyPlacement>,
-    /// When it arrived, with its last byte once that has come.
+    /// The time of its arrival; for one that is forwarded while it is received, that of its last byte once this has come.
     pub(crate) arrived_at: Time,
-    /// A response before this is in time; the hard deadline where there is no soft one.
+    /// A response by this time is in time; equals the hard deadline where there is no soft deadline.
     pub(crate) soft_deadline: Time,
-    /// The caller waits until this.
+    /// The time until which the caller waits.
     pub(crate) hard_deadline: Time,
-    /// A response after this is worth nothing.
+    /// A response after this time has no value.
     pub(crate) response_deadline: Time,
-    /// It has its final response.
+    /// Whether it has its final answer.
     pub(crate) answered: bool,
-    /// It waits until an upstream may take it.
+    /// Whether it waits until an upstream may take it.
     pub(crate) queued: bool,
-    /// In the order in which they were sent.
+    /// In the order of sending.
     pub(crate) attempts: Vec<Attempt>,
 }
 
 impl Rpc {
-    /// Whether an attempt is in flight. There are no hedged RPCs, so only the last attempt can be.
+    /// Whether an attempt is in flight. There is no hedging, so only the last attempt can be.
     pub(crate) fn is_in_flight(&self) -> bool {
         self.attempts.last().is_some_and(Attempt::is_in_flight)
     }
 
-    /// The first attempt that may have run, or may still run.
+    /// The first attempt that may have run at its upstream, or may still run.
     pub(crate) fn first_that_may_have_run(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|attempt| !attempt.outcome.is_some_and(Outcome::never_ran))
     }
 
-    /// Moves all deadlines by the time that the last byte came after the first.
+    /// Moves all deadlines by the time between the first and the last byte.
     pub(crate) fn restart_deadlines(&mut self, now: Time) {
         let delay = now - std::mem::replace(&mut self.arrived_at, now);
         self.soft_deadline += delay;
@@ -50,15 +50,15 @@
         self.response_deadline += delay;
     }
 
-    /// The moment by which the last byte of the next attempt must have left, where an earlier one may have run and upstreams
-    /// recognize repeats for a while alone. Guards against a repeat that is complete at its upstream when the deduplication
-    /// window is over: it would run a second time.
+    /// The time by which the last byte of the next attempt must have left, where an earlier one may have run and upstreams recognize
+    /// repeats only within the deduplication window. A repeat that is complete at its upstream after the window would run a second
+    /// time.
     pub(crate) fn write_deadline(&self, tick: Time) -> Option<Time> {
-        /// The last byte arrives later than it leaves: by a way between zones and a busy turn of the receiver, which the first
-        /// attempt may have had less of.
-        const DELIVERY: Time = SECOND / 50;
+        /// The last byte arrives later than it leaves, by the latency between zones and the time that a busy receiver takes. Both
+        /// may have been shorter for the first attempt.
+        const DELIVERY_MARGIN: Time = SECOND / 50;
         let policy = &self.method.policy;
         let first = self.first_that_may_have_run().filter(|_| policy.idempotency.is_deduped())?;
-        Some((first.sent_at + policy.dedup_window).saturating_sub(DELIVERY.max(2 * tick)))
+        Some((first.sent_at + policy.dedup_window).saturating_sub(DELIVERY_MARGIN.max(2 * tick)))
     }
 }
--- a/crates/fernroute/src/send_rate.rs
+++ b/crates/fernroute/src/send_rate.rs
@@ -1,12 +1,12 @@
-//! How many attempts this balancer sends per second, as a decaying count.
+//! The rate of this balancer's attempts, as a decaying count.
 
 use crate::host::{Outcome, Time, SECOND};
 use crate::statistics::decay;
 
-/// Long enough to average over bursts.
-const MEMORY: f64 = 10.0 * SECOND as f64;
+/// The time constant of the decay, long enough to average over bursts.
+const TIME_CONSTANT: f64 = 10.0 * SECOND as f64;
 
-/// See the module's description.
+/// Attempts per second, and those of them that were rejected.
 pub(crate) struct SendRate {
     sent_per_second: f64,
     rejected_per_second: f64,
@@ -15,7 +15,7 @@
 }
 
 impl SendRate {
-    /// Nothing has been sent before `now`.
+    /// Counts from `now` on.
     pub(crate) fn new(now: Time) -> Self {
         SendRate { sent_per_second: 0.0, rejected_per_second: 0.0, updated_at: now, first_sent_at: None }
     }
@@ -23,16 +23,16 @@
     /// Counts an attempt that is sent now.
     pub(crate) fn record_sent(&mut self, now: Time) {
         self.first_sent_at = self.first_sent_at.or(Some(now));
-        let remaining = decay(now - self.updated_at, MEMORY);
-        self.sent_per_second = self.sent_per_second * remaining + SECOND as f64 / MEMORY;
+        let remaining = decay(now - self.updated_at, TIME_CONSTANT);
+        self.sent_per_second = self.sent_per_second * remaining + SECOND as f64 / TIME_CONSTANT;
         self.rejected_per_second *= remaining;
         self.updated_at = now;
     }
 
-    /// Counts an attempt that has ended, if the upstream never ran it.
+    /// Counts an attempt that has ended as rejected, if the upstream never ran it.
     pub(crate) fn record_outcome(&mut self, outcome: Outcome) {
         if outcome.never_ran() {
-            self.rejected_per_second += SECOND as f64 / MEMORY;
+            self.rejected_per_second += SECOND as f64 / TIME_CONSTANT;
         }
     }
 
@@ -46,10 +46,10 @@
         (self.sent_per_second - self.rejected_per_second).max(0.0)
     }
 
-    /// Attempts per second, corrected for the time before the first one. Guards against a busy balancer that counts as a small
-    /// one in its first seconds.
+    /// Attempts per second, corrected for the short time since the first one: a busy balancer must not count as one of few RPCs in
+    /// its first seconds.
     pub(crate) fn corrected_per_second(&self, now: Time) -> f64 {
-        let observed = 1.0 - decay(now - self.first_sent_at.unwrap_or(now), MEMORY);
+        let observed = 1.0 - decay(now - self.first_sent_at.unwrap_or(now), TIME_CONSTANT);
         self.sent_per_second / observed.max(0.05)
     }
 }
--- a/crates/fernroute/src/settings.rs
+++ b/crates/fernroute/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of the decisions: parsed and validated as a whole. The text keys of the operators' settings appear here alone.
+//! The settings of the decisions, parsed and validated as a whole. The keys of the operators' settings appear only here.
 
 use crate::host::{InvalidSetting, Settings, Time};
 use std::collections::BTreeSet;
@@ -10,7 +10,7 @@
 pub enum Idempotency {
     /// Running it twice does no harm.
     Idempotent,
-    /// With an idempotency key that all upstreams know for a while.
+    /// With an idempotency key that all upstreams share for the deduplication window.
     DedupedEverywhere,
     /// With an idempotency key that the upstreams of one zone share.
     DedupedInZone,
@@ -21,54 +21,54 @@
 }
 
 impl Idempotency {
-    /// Whether repeats are recognized by an idempotency key.
+    /// Whether upstreams recognize repeats by an idempotency key.
     pub(crate) fn is_deduped(self) -> bool {
         !matches!(self, Idempotency::Idempotent | Idempotency::NotIdempotent)
     }
 }
 
-/// What the settings say of one method.
+/// The settings of one method.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MethodPolicy {
-    /// As RPCs name it.
+    /// The name that RPCs carry.
     pub name: Rc<str>,
     /// Whether and where it may be sent again.
     pub idempotency: Idempotency,
     /// How long upstreams remember an idempotency key; 0 where there is none.
     pub dedup_window: Time,
-    /// A later response is worth less.
+    /// The weight of a response after this time is reduced by `late_weight`.
     pub soft_deadline: Option<Time>,
-    /// A later response is worth nothing.
+    /// A response after this time has no value.
     pub hard_deadline: Option<Time>,
     /// The weight of a response after the soft deadline, as a factor.
     pub late_weight: f64,
-    /// The priority weight as a share of the highest one.
+    /// The priority weight, as a share of the highest one of all methods.
     pub priority_weight: f64,
 }
 
-/// The limit of load on upstreams that are warming up.
+/// The limits on the load of upstreams in slow start.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SlowStartRule {
     /// The share of its capacity that an upstream has at its start.
     pub min_weight: f64,
     /// The time until an upstream has its full capacity.
     pub warm_up: f64,
-    /// The most load of an upstream that is warming up, as a multiple of its present capacity.
+    /// The highest load of an upstream in slow start, as a multiple of its present capacity.
     pub max_load_factor: f64,
-    /// The time over which that load is counted.
+    /// The time window over which that load is counted.
     pub window: f64,
 }
 
-/// The RPCs of one tenant that are within its quota.
+/// The quota of one tenant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TenantQuota {
-    /// As RPCs name it.
+    /// The name that RPCs carry.
     pub name: String,
-    /// Over all balancers.
+    /// The rate of RPCs within the quota, over all balancers together.
     pub rpcs_per_second: f64,
 }
 
-/// The places of the values in a load report; none where upstreams do not report the value.
+/// The positions of values in a load report; none where upstreams do not report the value.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LoadReportLayout {
     /// The share of its capacity that an upstream uses.
@@ -91,15 +91,15 @@
 pub struct ValidatedSettings {
     /// 0 for balancers that callers call.
     pub tier: usize,
-    /// This balancer's number among those of its tier.
+    /// This balancer's number within its tier, from 0.
     pub instance_number: usize,
-    /// How many balancers the tier has.
+    /// The number of balancers in the tier.
     pub instances: f64,
     /// The zone that this balancer runs in.
     pub zone: String,
     /// The resolution of the clock.
     pub tick: Time,
-    /// Attempts of one RPC, the first one included.
+    /// The limit on attempts of one RPC, the first one included.
     pub max_attempts: usize,
     /// Whether an attempt in flight is cancelled once its RPC has a final answer.
     pub cancels_attempts: bool,
@@ -109,17 +109,17 @@
     pub over_quota_weight: f64,
     /// Whether RPCs beyond a tenant's quota are rejected, whatever the capacity.
     pub rejects_over_quota: bool,
-    /// Where the endpoint list is polled: the time within which a poll must have been sent.
+    /// The time within which the endpoint list must be polled; none where it is pushed.
     pub poll_within: Option<Time>,
-    /// What the load reports of upstreams contain.
+    /// The layout of the load reports of upstreams.
     pub load_report: LoadReportLayout,
     /// Whether upstreams do less work for a key that they have cached.
     pub key_affinity: bool,
-    /// The cost of an attempt to another zone, as a share of the priority weight of a rpc.
+    /// The cost of an attempt to another zone, as a share of the priority weight of an RPC.
     pub cross_zone_cost: f64,
-    /// The limit of load on upstreams that are warming up.
+    /// The limits on the load of upstreams in slow start.
     pub slow_start: SlowStartRule,
-    /// No two of one name.
+    /// The methods; names are unique.
     pub methods: Vec<MethodPolicy>,
     /// The quotas of tenants.
     pub tenants: Vec<TenantQuota>,
@@ -142,7 +142,7 @@
     Ok(optional(settings, key)?.unwrap_or_default())
 }
 
-/// A number within these bounds, or the default where the setting is absent; without a default it is required.
+/// Parses a number within these bounds. An absent setting has the default; without a default it is required.
 fn number(
     settings: &Settings,
     key: &str,
@@ -161,21 +161,21 @@
     }
 }
 
-/// The upper bound of a number that has no other one.
+/// The upper bound of numbers that have no bound of their own.
 const MAX_NUMBER: f64 = 1e12;
 
 impl ValidatedSettings {
     /// Parses and validates all settings.
     ///
     /// # Errors
-    /// The first setting that is missing, unreadable, out of range or at odds with another.
+    /// The first setting that is missing, unreadable, out of range or in conflict with another.
     pub fn read(settings: &Settings) -> Result<Self, InvalidSetting> {
         let slow_start = read_slow_start(settings)?;
         let methods = read_methods(settings)?;
         let tenants = read_tenants(settings)?;
         check_method_names(&methods)?;
-        let is_polled = reads_list_by_polling(settings)?;
-        // Connections follow these, not the decisions; an unreadable one must not pass for an absent one.
+        let is_polled = is_list_polled(settings)?;
+        // The decisions do not use these two, but connections do: a value that cannot be read must not count as absent.
         number(settings, "limits.connect_time_out", 1.0, MAX_NUMBER, Some(1.0))?;
         number(settings, "limits.keep_alive", 0.0, MAX_NUMBER, Some(0.0))?;
         let sends_retry_after = or_default(settings, "limits.stay_away")?;
@@ -232,10 +232,10 @@
             "all" => Idempotency::DedupedEverywhere,
             "zone" => Idempotency::DedupedInZone,
             "cell" => Idempotency::DedupedInCell,
-            _ => return Err(invalid(&key("group"), "no such group")),
+            _ => return Err(invalid(&key("group"), "unknown group")),
         },
         "non_retriable" => Idempotency::NotIdempotent,
-        _ => return Err(invalid(&key("effect"), "no such effect")),
+        _ => return Err(invalid(&key("effect"), "unknown effect")),
     };
     let soft_deadline: Option<Time> = optional(settings, &key("soft_deadline"))?;
     let hard_deadline: Option<Time> = optional(settings, &key("hard_deadline"))?;
@@ -267,17 +267,17 @@
 fn check_method_names(methods: &[MethodPolicy]) -> Result<(), InvalidSetting> {
     let mut names = BTreeSet::new();
     match methods.iter().position(|method| !names.insert(&method.name)) {
-        Some(index) => Err(invalid(&format!("methods.{index}.name"), "there already")),
+        Some(index) => Err(invalid(&format!("methods.{index}.name"), "duplicate method name")),
         None => Ok(()),
     }
 }
 
-/// Guards against a mode of a later version that would be taken for one of these.
-fn reads_list_by_polling(settings: &Settings) -> Result<bool, InvalidSetting> {
+/// Rejects unknown modes, such as those of later versions.
+fn is_list_polled(settings: &Settings) -> Result<bool, InvalidSetting> {
     match settings.get("list_mode").map(String::as_str) {
         None | Some("push") => Ok(false),
         Some("ask") => Ok(true),
-        Some(_) => Err(invalid("list_mode", "no such mode")),
+        Some(_) => Err(invalid("list_mode", "unknown mode")),
     }
 }
 
--- a/crates/fernroute/tests/shapes.rs
+++ b/crates/fernroute/tests/shapes.rs
@@ -191,7 +191,7 @@
         ("rules.cold_window", "soon", "missing or unreadable"),
         ("warm_keys", "perhaps", "missing or unreadable"),
         ("prices.cross_zone", "-1", "out of range"),
-        ("methods.3.name", "m0", "there already"),
+        ("methods.3.name", "m0", "duplicate method name"),
         ("methods.1.hard_deadline", "9000", "after the hard deadline"),
         ("limits.max_transmissions", "many", "missing or unreadable"),
     ] {
