--- a/crates/fernroute-config/src/fleet.rs
+++ b/crates/fernroute-config/src/fleet.rs
@@ -3,7 +3,7 @@
 use crate::consistency::Conflict;
 use crate::reader::Values;
 use fernroute::Time;
-use fernroute_fleet::configuration::{is_name, MAX_NAME_BYTES};
+use fernroute_fleet::configuration::{is_valid_name, MAX_NAME_BYTES};
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
 use std::path::PathBuf;
@@ -105,7 +105,7 @@
 fn unscopable_names(values: &Values) -> Vec<Conflict> {
     let mut conflicts = Vec::new();
     for key in ["fleet.service", "place.zone", "name"] {
-        let Some(value) = values.get(key).filter(|value| !is_name(&value.text)) else { continue };
+        let Some(value) = values.get(key).filter(|value| !is_valid_name(&value.text)) else { continue };
         let why = format!(
             "no scope can name {:?}: it is longer than {MAX_NAME_BYTES}, or has a / in it",
             value.text
--- a/crates/fernroute-coordinator/src/commands/change.rs
+++ b/crates/fernroute-coordinator/src/commands/change.rs
@@ -3,7 +3,7 @@
 use super::error::CommandError;
 use super::run_on_one_thread;
 use crate::config::CoordinatorConfig;
-use crate::peers::{Peers, CHANGE};
+use crate::peers::{Peers, CHANGE_PATH};
 use argh::FromArgs;
 use std::path::PathBuf;
 use std::time::Duration;
@@ -32,13 +32,13 @@
 
 /// Calls each coordinator of the file in turn: the leader alone makes the change.
 async fn change_voters(config: CoordinatorConfig) -> Result<(), CommandError> {
-    let peers = Peers::new(&config.cluster, &config.stewards);
-    let names: Vec<String> = config.stewards.iter().map(|coordinator| coordinator.name.clone()).collect();
+    let peers = Peers::new(&config.cluster, &config.coordinators);
+    let names: Vec<String> = config.coordinators.iter().map(|coordinator| coordinator.name.clone()).collect();
     let mut errors = Vec::new();
-    for coordinator in &config.stewards {
+    for coordinator in &config.coordinators {
         let address = coordinator.address.to_string();
         let reply: Result<Result<Vec<String>, String>, _> =
-            peers.say(&address, CHANGE, 0, &names, CHANGE_TIMEOUT).await;
+            peers.send(&address, CHANGE_PATH, 0, &names, CHANGE_TIMEOUT).await;
         match reply.map_err(|error| error.to_string()).and_then(|reply| reply) {
             Ok(added) => {
                 println!("{}", summary(&names, &added));
--- a/crates/fernroute-coordinator/src/commands/client.rs
+++ b/crates/fernroute-coordinator/src/commands/client.rs
@@ -75,7 +75,7 @@
 /// # Errors
 /// It did not reply in time.
 pub async fn query<R: DeserializeOwned>(address: SocketAddr, path: &str) -> Result<R, CommandError> {
-    let reply = Peers::new("", &[]).ask(&address.to_string(), path, LOCAL_CALL_TIMEOUT).await;
+    let reply = Peers::new("", &[]).query(&address.to_string(), path, LOCAL_CALL_TIMEOUT).await;
     reply.map_err(CommandError::coordinator)
 }
 
@@ -145,7 +145,7 @@
         let mut last_error = String::new();
         for _ in 0..MAX_REDIRECTS {
             let reply: Result<Result<R, RequestError>, _> =
-                self.peers.say(&address, path, 0, message, LEADER_CALL_TIMEOUT).await;
+                self.peers.send(&address, path, 0, message, LEADER_CALL_TIMEOUT).await;
             match reply {
                 Ok(Ok(reply)) => return Ok(reply),
                 Ok(Err(RequestError::NotLeader(Some(leader)))) => {
--- a/crates/fernroute-coordinator/src/commands/configuration/file.rs
+++ b/crates/fernroute-coordinator/src/commands/configuration/file.rs
@@ -56,5 +56,6 @@
 
 /// Whether a balancer would accept `content`, which was read from `path`.
 pub fn validate(path: &Path, content: &str) -> Result<(), FileError> {
-    configuration::check(content).map_err(|source| FileError::Invalid { path: path.to_owned(), source })
+    configuration::check_content(content)
+        .map_err(|source| FileError::Invalid { path: path.to_owned(), source })
 }
--- a/crates/fernroute-coordinator/src/commands/configuration/mod.rs
+++ b/crates/fernroute-coordinator/src/commands/configuration/mod.rs
@@ -16,7 +16,7 @@
 use super::error::CommandError;
 use super::output::print;
 use super::run_on_one_thread;
-use crate::configuration::{ConfigurationStatus, Latest, GET, HISTORY, STATUS};
+use crate::configuration::{ConfigurationStatus, LatestEntry, GET_PATH, HISTORY_PATH, STATUS_PATH};
 use argh::FromArgs;
 use fernroute_fleet::configuration::register::HistoryEntry;
 use fernroute_fleet::configuration::{content_hash, Scope};
@@ -134,7 +134,7 @@
 
 async fn get(arguments: Get) -> Result<(), CommandError> {
     let client = Client::connect(&arguments.addresses).await?;
-    let latest: Latest = client.call(GET, &arguments.scope).await?;
+    let latest: LatestEntry = client.call(GET_PATH, &arguments.scope).await?;
     let Some(entry) = latest.entry else { return Err(CommandError::NothingPut(arguments.scope)) };
     print!("{}", entry.content);
     match latest.change {
@@ -146,12 +146,12 @@
 
 async fn print_status(arguments: Status) -> Result<(), CommandError> {
     let client = Client::connect(&arguments.addresses).await?;
-    let status: ConfigurationStatus = client.call(STATUS, &()).await?;
+    let status: ConfigurationStatus = client.call(STATUS_PATH, &()).await?;
     print(arguments.json, &status, StatusTable(&status))
 }
 
 async fn print_history(arguments: History) -> Result<(), CommandError> {
     let client = Client::connect(&arguments.addresses).await?;
-    let entries: Vec<HistoryEntry> = client.call(HISTORY, &arguments.scope).await?;
+    let entries: Vec<HistoryEntry> = client.call(HISTORY_PATH, &arguments.scope).await?;
     print(arguments.json, &entries, HistoryTable(&entries))
 }
--- a/crates/fernroute-coordinator/src/commands/configuration/put.rs
+++ b/crates/fernroute-coordinator/src/commands/configuration/put.rs
@@ -6,7 +6,7 @@
 use crate::commands::error::CommandError;
 use crate::commands::run_on_one_thread;
 use crate::configuration::{
-    ConfigurationStatus, Latest, PutRequest, RequestError, GET, HISTORY, PUT, STATUS,
+    ConfigurationStatus, LatestEntry, PutRequest, RequestError, GET_PATH, HISTORY_PATH, PUT_PATH, STATUS_PATH,
 };
 use argh::FromArgs;
 use fernroute_fleet::configuration::register::HistoryEntry;
@@ -130,7 +130,7 @@
     let author = arguments.author.or_else(user_name).ok_or(PutError::NoAuthor)?;
     let wait = arguments.wait_s.map(Duration::try_from_secs_f64).transpose().map_err(PutError::from)?;
     let client = Client::connect(&arguments.addresses).await?;
-    let latest: Latest = client.call(GET, &arguments.scope).await?;
+    let latest: LatestEntry = client.call(GET_PATH, &arguments.scope).await?;
     let latest_version = latest.entry.map_or(0, |entry| entry.version);
     let request = PutRequest {
         scope: arguments.scope,
@@ -155,7 +155,7 @@
 /// the reply to an earlier attempt was lost: the request names its base version, so it is entered once at
 /// most.
 async fn enter(client: &Client, request: &PutRequest) -> Result<Version, PutError> {
-    let CallFailure { error, may_be_entered } = match client.call(PUT, request).await {
+    let CallFailure { error, may_be_entered } = match client.call(PUT_PATH, request).await {
         Ok(version) => return Ok(version),
         Err(failure) => failure,
     };
@@ -181,7 +181,8 @@
 
 /// The version under which the history has this very request.
 async fn entered_version(client: &Client, request: &PutRequest) -> Result<Option<Version>, PutError> {
-    let history: Result<Vec<HistoryEntry>, CallFailure> = client.call(HISTORY, &Some(&request.scope)).await;
+    let history: Result<Vec<HistoryEntry>, CallFailure> =
+        client.call(HISTORY_PATH, &Some(&request.scope)).await;
     let history = history.map_err(|failure| failure.error)?;
     let entry = history.iter().find(|entry| {
         entry.base_version == request.base_version
@@ -200,7 +201,7 @@
 ) -> Result<(), PutError> {
     let started_at = Instant::now();
     loop {
-        let status = client.call(STATUS, &()).await;
+        let status = client.call(STATUS_PATH, &()).await;
         let status: ConfigurationStatus = status
             .map_err(|CallFailure { error, .. }| PutError::RolloutUnknown { version, source: error })?;
         let progress = RolloutProgress::new(&status, scope, version);
@@ -234,7 +235,7 @@
         for member in status.members.iter().filter(|member| concerns(scope, member)) {
             progress.add(member, version);
         }
-        if !status.settled {
+        if !status.is_reachability_known {
             progress.expect_unreachable(&status.members);
         }
         progress
--- a/crates/fernroute-coordinator/src/commands/configuration/table.rs
+++ b/crates/fernroute-coordinator/src/commands/configuration/table.rs
@@ -24,7 +24,7 @@
         write!(out, "{} on its way, {} refused, ", count.pending, count.rejected)?;
         write!(out, "{} ahead, {} not heard of, ", count.ahead, count.unreachable)?;
         writeln!(out, "{} follow none", count.not_following)?;
-        if !self.0.settled {
+        if !self.0.is_reachability_known {
             writeln!(
                 out,
                 "it has been elected just now: a member that is not heard of may not have come yet"
@@ -35,8 +35,8 @@
 
     fn write_scopes(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(out, "\n{:<40} {:>8} {:>8}  sha256", "scope", "version", "bytes")?;
-        for ScopeStatus { scope, version, hash, bytes } in &self.0.scopes {
-            writeln!(out, "{:<40} {version:>8} {bytes:>8}  {hash:.12}", scope.to_string())?;
+        for ScopeStatus { scope, version, content_hash, bytes } in &self.0.scopes {
+            writeln!(out, "{:<40} {version:>8} {bytes:>8}  {content_hash:.12}", scope.to_string())?;
         }
         Ok(())
     }
--- a/crates/fernroute-coordinator/src/commands/duties.rs
+++ b/crates/fernroute-coordinator/src/commands/duties.rs
@@ -4,7 +4,7 @@
 use super::error::CommandError;
 use super::output::print;
 use super::run_on_one_thread;
-use crate::duties::{DutiesStatus, DutyStatus, HolderStatus, Released, RELEASE, STATUS};
+use crate::duties::{DutiesStatus, DutyStatus, HolderStatus, PendingRelease, RELEASE_PATH, STATUS_PATH};
 use argh::FromArgs;
 use std::fmt;
 use std::net::SocketAddr;
@@ -65,18 +65,18 @@
 
 async fn print_status(arguments: Status) -> Result<(), CommandError> {
     let client = Client::connect(&arguments.addresses).await?;
-    let status: DutiesStatus = client.call(STATUS, &()).await?;
+    let status: DutiesStatus = client.call(STATUS_PATH, &()).await?;
     print(arguments.json, &status, Table(&status))
 }
 
 async fn release(arguments: Release) -> Result<(), CommandError> {
     let client = Client::connect(&arguments.addresses).await?;
     let duty = arguments.duty;
-    let released: Released = client.call(RELEASE, &duty).await?;
-    let Released { holder, term, lapses_after_ms } = released;
-    let deadline = Instant::now() + Duration::from_millis(lapses_after_ms) + NEXT_HOLDER_TIMEOUT;
+    let released: PendingRelease = client.call(RELEASE_PATH, &duty).await?;
+    let PendingRelease { holder, term, expires_after_ms } = released;
+    let deadline = Instant::now() + Duration::from_millis(expires_after_ms) + NEXT_HOLDER_TIMEOUT;
     while Instant::now() < deadline {
-        let status: DutiesStatus = client.call(STATUS, &()).await?;
+        let status: DutiesStatus = client.call(STATUS_PATH, &()).await?;
         let Some(current) = status.duties.iter().find(|current| current.duty == duty) else {
             println!("{duty}: {holder} gave it up; it is named no more");
             return Ok(());
@@ -111,11 +111,11 @@
 
 fn row(duty: &DutyStatus) -> String {
     let Some(holder) = &duty.holder else {
-        let previous = duty.before.as_ref();
+        let previous = duty.previous_holder.as_ref();
         let previous = previous.map_or(String::new(), |(name, reason)| format!("  {name}: {reason}"));
         return format!("{:<24} {:<24}{previous}", duty.duty, "nobody");
     };
-    let HolderStatus { name, term, note, left_s: remaining_s, .. } = holder;
-    let held_for = format!("{}{:.1}", if holder.at_least { ">" } else { "" }, holder.held_for_s);
+    let HolderStatus { name, term, note, expires_in_s: remaining_s, .. } = holder;
+    let held_for = format!("{}{:.1}", if holder.is_lower_bound { ">" } else { "" }, holder.held_for_s);
     format!("{:<24} {name:<24} {term:>8} {held_for:>10} {remaining_s:>8.1}  {note}", duty.duty)
 }
--- a/crates/fernroute-coordinator/src/commands/serve.rs
+++ b/crates/fernroute-coordinator/src/commands/serve.rs
@@ -59,7 +59,8 @@
 /// `serve` would reject the file.
 pub fn check(arguments: &Check) -> Result<(), CommandError> {
     let config = CoordinatorConfig::read(&arguments.config)?;
-    let (coordinators, budgets, duties) = (config.stewards.len(), config.budgets.len(), config.duties.len());
+    let (coordinators, budgets, duties) =
+        (config.coordinators.len(), config.budgets.len(), config.duties.len());
     let CoordinatorConfig { name, cluster, .. } = config;
     println!("{name} of {cluster}: {coordinators} stewards, {budgets} budgets, {duties} duties");
     Ok(())
--- a/crates/fernroute-coordinator/src/commands/status.rs
+++ b/crates/fernroute-coordinator/src/commands/status.rs
@@ -3,7 +3,7 @@
 use super::client::query;
 use super::error::CommandError;
 use super::output::print;
-use crate::peers::STATUS;
+use crate::peers::STATUS_PATH;
 use crate::replica::{ReplicaStatus, Status as CoordinatorStatus};
 use argh::FromArgs;
 use std::fmt;
@@ -27,7 +27,7 @@
 /// # Errors
 /// The coordinator did not reply in time.
 pub async fn run(arguments: Status) -> Result<(), CommandError> {
-    let status: CoordinatorStatus = query(arguments.at, STATUS).await?;
+    let status: CoordinatorStatus = query(arguments.at, STATUS_PATH).await?;
     print(arguments.json, &status, Table(&status))
 }
 
@@ -43,21 +43,22 @@
 
 impl Table<'_> {
     fn write_coordinators(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let CoordinatorStatus { cluster, steward: name, state, term, epoch, unread, .. } = self.0;
+        let CoordinatorStatus { cluster, replica: name, state, term, epoch, unreadable_messages, .. } =
+            self.0;
         let leader = self.0.leader.as_deref().unwrap_or("nobody");
         writeln!(out, "{cluster}: {name} is {state}, {leader} leads (term {term}), epoch {epoch}\n")?;
-        if let Some(fault) = &self.0.trouble {
+        if let Some(fault) = &self.0.fault {
             writeln!(out, "takes no part: {fault}\n")?;
         }
-        let coordinators: Vec<String> = self.0.stewards.iter().map(name_and_vote).collect();
+        let coordinators: Vec<String> = self.0.replicas.iter().map(name_and_vote).collect();
         let coordinators = coordinators.join(", ");
-        writeln!(out, "stewards: {coordinators}; messages that could not be read: {unread}\n")
+        writeln!(out, "stewards: {coordinators}; messages that could not be read: {unreadable_messages}\n")
     }
 
     fn write_budgets(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(out, "{:<24} {:>12} {:>12} {:>12}", "budget", "whole", "held", "floor each")?;
         for (name, budget) in &self.0.budgets {
-            let (limit, allocated, guaranteed) = (budget.whole, budget.held, budget.floor);
+            let (limit, allocated, guaranteed) = (budget.limit, budget.allocated, budget.guaranteed);
             writeln!(out, "{name:<24} {limit:>12.3} {allocated:>12.3} {guaranteed:>12.3}")?;
         }
         Ok(())
@@ -71,7 +72,7 @@
         writeln!(out)?;
         for member in &self.0.members {
             write!(out, "{:<24} {:>8}", member.name, member.epoch)?;
-            for allocated in member.holds.values() {
+            for allocated in member.allocated.values() {
                 write!(out, " {allocated:>12.3}")?;
             }
             writeln!(out)?;
@@ -81,6 +82,6 @@
 }
 
 fn name_and_vote(coordinator: &ReplicaStatus) -> String {
-    let note = if coordinator.votes { "" } else { " (being taken in)" };
+    let note = if coordinator.is_voter { "" } else { " (being taken in)" };
     format!("{}{note}", coordinator.name)
 }
--- a/crates/fernroute-coordinator/src/config.rs
+++ b/crates/fernroute-coordinator/src/config.rs
@@ -2,7 +2,7 @@
 //! all faults of it are reported together, in one line.
 
 use fernroute::Time;
-use fernroute_fleet::configuration::is_name;
+use fernroute_fleet::configuration::is_valid_name;
 use fernroute_fleet::duties::MAX_DUTIES;
 use fernroute_fleet::lease::Lease;
 use fernroute_fleet::ledger::Budget;
@@ -175,13 +175,13 @@
     /// The folder of its log, votes and snapshots.
     pub folder: PathBuf,
     /// The largest number of members that the fleet may have.
-    pub members: usize,
+    pub max_members: usize,
     /// The lease of what is granted to a member beyond its guarantee.
-    pub shares: Lease,
+    pub grant_lease: Lease,
     /// The lease of a member's guarantee.
-    pub floors: Lease,
+    pub guarantee_lease: Lease,
     /// All coordinators of the cluster, this one included, in the file's order.
-    pub stewards: Vec<CoordinatorAddress>,
+    pub coordinators: Vec<CoordinatorAddress>,
     /// The budgets, by name.
     pub budgets: BTreeMap<String, Budget>,
     /// The names of the duties.
@@ -238,16 +238,16 @@
         };
         CoordinatorConfig {
             address,
-            shares: lease(self.grant_lease_ms * TICKS_PER_MS),
-            floors: lease(self.guarantee_lease_s * TICKS_PER_SECOND),
+            grant_lease: lease(self.grant_lease_ms * TICKS_PER_MS),
+            guarantee_lease: lease(self.guarantee_lease_s * TICKS_PER_SECOND),
             duty_lease: lease(duty_lease_ms * TICKS_PER_MS),
             budgets: self.budgets.into_iter().map(budget).collect(),
             duties: self.duties.into_iter().map(|duty| duty.name).collect(),
             cluster: self.cluster,
             name: self.name,
             folder: self.folder,
-            members: self.max_members,
-            stewards: self.coordinators,
+            max_members: self.max_members,
+            coordinators: self.coordinators,
         }
     }
 
@@ -354,7 +354,7 @@
         let mut names = BTreeSet::new();
         for (index, RawDuty { name }) in self.duties.iter().enumerate() {
             let key = format!("duty[{index}].name");
-            faults.require(is_name(name), &key, format!("{name:?} won't do"));
+            faults.require(is_valid_name(name), &key, format!("{name:?} won't do"));
             faults.require(names.insert(name), &key, format!("{name} is there twice"));
         }
     }
--- a/crates/fernroute-coordinator/src/configuration.rs
+++ b/crates/fernroute-coordinator/src/configuration.rs
@@ -13,13 +13,13 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 /// The path of a [`PutRequest`].
-pub const PUT: &str = "/-/configuration/put";
-/// The path that answers with the [`Latest`] entry of a scope.
-pub const GET: &str = "/-/configuration/get";
+pub const PUT_PATH: &str = "/-/configuration/put";
+/// The path that answers with the [`LatestEntry`] entry of a scope.
+pub const GET_PATH: &str = "/-/configuration/get";
 /// The path that answers with the history of a scope, or of all.
-pub const HISTORY: &str = "/-/configuration/history";
+pub const HISTORY_PATH: &str = "/-/configuration/history";
 /// The path that answers with the [`ConfigurationStatus`].
-pub const STATUS: &str = "/-/configuration/status";
+pub const STATUS_PATH: &str = "/-/configuration/status";
 
 /// How long a majority may take to commit an entry. One that takes longer may still be committed.
 const COMMIT_TIMEOUT: Duration = Duration::from_secs(2);
@@ -60,7 +60,7 @@
 
 /// A scope's latest entry, and the change that made it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Latest {
+pub struct LatestEntry {
     /// None for a scope that was never changed.
     #[serde(rename = "part")]
     pub entry: Option<ScopeEntry>,
@@ -77,7 +77,8 @@
     /// The entry's version.
     pub version: Version,
     /// The hash of its content.
-    pub hash: String,
+    #[serde(rename = "hash")]
+    pub content_hash: String,
     /// The length of its content; 0 for a scope that was emptied.
     pub bytes: usize,
 }
@@ -93,7 +94,8 @@
     pub version: Version,
     /// The leader has led for longer than a quota's lease: a member without a heartbeat since then is unreachable. Before
     /// that, its first heartbeat to this leader may be still to come.
-    pub settled: bool,
+    #[serde(rename = "settled")]
+    pub is_reachability_known: bool,
     /// All scopes that were ever changed.
     pub scopes: Vec<ScopeStatus>,
     /// How many members are in which state.
@@ -124,7 +126,7 @@
     }
 
     /// The raft node, once it is certain that this replica leads and has applied all that was committed before.
-    pub(crate) async fn leads(&self) -> Result<&Raft, RequestError> {
+    pub(crate) async fn confirm_leadership(&self) -> Result<&Raft, RequestError> {
         self.update_leadership();
         let is_leader = self.leadership.borrow().is_some();
         let not_leader = || RequestError::NotLeader(self.leader_address());
@@ -137,11 +139,11 @@
 
     /// Commits an operator's change, completely or not at all; its version.
     pub async fn put(&self, request: PutRequest) -> Result<Version, RequestError> {
-        let raft = self.leads().await?;
+        let raft = self.confirm_leadership().await?;
         self.register(|register| validate(register, &request))?;
         let scope = request.scope.clone();
         let label = format!("{scope} by {}", request.author);
-        let entry = Entry::Configuration(self.entry_of(request));
+        let entry = Entry::Configuration(self.to_configuration_put(request));
         let result = match tokio::time::timeout(COMMIT_TIMEOUT, raft.client_write(entry)).await {
             Ok(Ok(written)) => written.data,
             Ok(Err(error)) => return Err(unknown(&label, error.to_string())),
@@ -156,15 +158,15 @@
                 Ok(version)
             }
             // Another change of the scope was committed first.
-            Err(ApplyFailure { latest: Some(_), .. }) => {
+            Err(ApplyFailure { latest_version: Some(_), .. }) => {
                 Err(self.register(|register| out_of_date(register, &scope)))
             }
-            Err(failure) => Err(RequestError::Rejected(failure.why)),
+            Err(failure) => Err(RequestError::Rejected(failure.reason)),
         }
     }
 
     /// Guards against a version that is given twice: members may still report versions of a register that was lost.
-    fn entry_of(&self, request: PutRequest) -> ConfigurationPut {
+    fn to_configuration_put(&self, request: PutRequest) -> ConfigurationPut {
         let leadership = self.leadership.borrow();
         let highest_reported =
             leadership.as_ref().map_or(0, |leadership| leadership.budgets.highest_reported_version());
@@ -186,9 +188,9 @@
     }
 
     /// The latest entry of a scope.
-    pub async fn latest(&self, scope: &Scope) -> Result<Latest, RequestError> {
-        self.leads().await?;
-        Ok(self.register(|register| Latest {
+    pub async fn latest(&self, scope: &Scope) -> Result<LatestEntry, RequestError> {
+        self.confirm_leadership().await?;
+        Ok(self.register(|register| LatestEntry {
             entry: register.entry(scope).cloned(),
             change: latest_change(register, scope),
         }))
@@ -196,7 +198,7 @@
 
     /// How far the rollout is at each member.
     pub async fn configuration_status(&self) -> Result<ConfigurationStatus, RequestError> {
-        self.leads().await?;
+        self.confirm_leadership().await?;
         let leadership = self.leadership.borrow();
         let Some(leadership) = leadership.as_ref() else { return Err(RequestError::NotLeader(None)) };
         let state = self.state_machine.state.borrow();
@@ -207,7 +209,7 @@
             cluster: self.identity.cluster.clone(),
             leader: self.config.name.clone(),
             version: state.register.version(),
-            settled: led_for > self.config.shares.expires_after(),
+            is_reachability_known: led_for > self.config.grant_lease.expires_after(),
             scopes: state.register.entries().map(scope_status).collect(),
             summary: RolloutSummary::new(&members),
             members,
@@ -216,7 +218,7 @@
 
     /// The last changes of one scope, or of all, the oldest first.
     pub async fn history(&self, scope: Option<&Scope>) -> Result<Vec<HistoryEntry>, RequestError> {
-        self.leads().await?;
+        self.confirm_leadership().await?;
         let is_asked_for = |change: &&HistoryEntry| scope.is_none_or(|scope| change.scope == *scope);
         Ok(self.register(|register| register.history().filter(is_asked_for).cloned().collect()))
     }
@@ -226,7 +228,7 @@
     ScopeStatus {
         scope: entry.scope.clone(),
         version: entry.version,
-        hash: entry.content_hash.clone(),
+        content_hash: entry.content_hash.clone(),
         bytes: entry.content.len(),
     }
 }
@@ -269,7 +271,7 @@
     if content.is_empty() {
         return Ok(());
     }
-    check(content)?;
+    check_content(content)?;
     let wider: Vec<&ScopeEntry> =
         wider_scopes(scope).iter().filter_map(|scope| register.entry(scope)).collect();
     let mut contents: Vec<&str> = wider.iter().map(|entry| entry.content.as_str()).collect();
@@ -291,7 +293,7 @@
 }
 
 /// Whether a content loads by itself, as a balancer would load it.
-pub fn check(content: &str) -> Result<(), ContentError> {
+pub fn check_content(content: &str) -> Result<(), ContentError> {
     layers::check(content).map_err(ContentError::Faulty)
 }
 
--- a/crates/fernroute-coordinator/src/duties.rs
+++ b/crates/fernroute-coordinator/src/duties.rs
@@ -12,11 +12,11 @@
 use std::collections::BTreeMap;
 
 /// Path of a [`DutiesStatus`].
-pub const STATUS: &str = "/-/duties/status";
+pub const STATUS_PATH: &str = "/-/duties/status";
 /// Path of an operator's release of a duty.
-pub const RELEASE: &str = "/-/duties/release";
+pub const RELEASE_PATH: &str = "/-/duties/release";
 /// Path of a holder's note on its progress.
-pub const NOTE: &str = "/-/duties/note";
+pub const NOTE_PATH: &str = "/-/duties/note";
 
 /// The holder of a duty.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -28,9 +28,11 @@
     /// How long it has held the duty, in seconds.
     pub held_for_s: f64,
     /// `held_for_s` is a lower bound, since a former leader assigned the duty.
-    pub at_least: bool,
+    #[serde(rename = "at_least")]
+    pub is_lower_bound: bool,
     /// Seconds until its lease expires, should no heartbeat arrive.
-    pub left_s: f64,
+    #[serde(rename = "left_s")]
+    pub expires_in_s: f64,
     /// Its last note on its progress.
     pub note: String,
 }
@@ -43,7 +45,8 @@
     /// The member that holds it, if any does.
     pub holder: Option<HolderStatus>,
     /// The name of the previous holder, and why its tenure ended.
-    pub before: Option<(String, EndReason)>,
+    #[serde(rename = "before")]
+    pub previous_holder: Option<(String, EndReason)>,
 }
 
 /// All duties, as the leader knows them.
@@ -56,20 +59,22 @@
     /// The highest term that any duty has had.
     pub highest_term: Term,
     /// How many tenures ended since this replica started, by reason.
-    pub ended: BTreeMap<EndReason, u64>,
+    #[serde(rename = "ended")]
+    pub ended_terms: BTreeMap<EndReason, u64>,
     /// All duties, by name.
     pub duties: Vec<DutyStatus>,
 }
 
 /// The holder that is asked to release a duty.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Released {
+pub struct PendingRelease {
     /// The holder's name.
     pub holder: String,
     /// The term of its tenure.
     pub term: Term,
     /// The tenure ends after this time, in milliseconds, even without a reply of the holder.
-    pub lapses_after_ms: u64,
+    #[serde(rename = "lapses_after_ms")]
+    pub expires_after_ms: u64,
 }
 
 fn seconds(time: Time) -> f64 {
@@ -113,7 +118,7 @@
         for end in &transition.ends {
             let name = previous.holder(&end.duty).map_or("", |holder| holder.name.as_str());
             tracing::info!("duty {}: {name} holds it no more, term {}: {}", end.duty, end.term, end.reason);
-            *self.duties_ended.borrow_mut().entry(end.reason).or_insert(0) += 1;
+            *self.ended_terms.borrow_mut().entry(end.reason).or_insert(0) += 1;
         }
         for grant in &transition.grants {
             let term = self.duties(|table| table.holder(&grant.duty).map_or(0, |holder| holder.term));
@@ -126,7 +131,7 @@
     /// # Errors
     /// Where this replica does not lead.
     pub async fn duty_status(&self) -> Result<DutiesStatus, RequestError> {
-        self.leads().await?;
+        self.confirm_leadership().await?;
         let leadership = self.leadership.borrow();
         let Some(leadership) = leadership.as_ref() else { return Err(RequestError::NotLeader(None)) };
         let now = now();
@@ -136,8 +141,8 @@
                 name: holder.name.clone(),
                 term: holder.term,
                 held_for_s: seconds(tenure.held_for),
-                at_least: tenure.is_lower_bound,
-                left_s: seconds(tenure.expires_in),
+                is_lower_bound: tenure.is_lower_bound,
+                expires_in_s: seconds(tenure.expires_in),
                 note: holder.note.clone(),
             }
         };
@@ -145,7 +150,7 @@
             let statuses = table.duties().iter().map(|(name, duty)| DutyStatus {
                 duty: name.clone(),
                 holder: duty.holder.as_ref().map(|holder| holder_status(name, holder)),
-                before: duty.previous_holder.clone(),
+                previous_holder: duty.previous_holder.clone(),
             });
             statuses.collect()
         });
@@ -153,7 +158,7 @@
             cluster: self.identity.cluster.clone(),
             leader: self.config.name.clone(),
             highest_term: self.duties(DutyTable::highest_term),
-            ended: self.duties_ended.borrow().clone(),
+            ended_terms: self.ended_terms.borrow().clone(),
             duties,
         })
     }
@@ -162,8 +167,8 @@
     ///
     /// # Errors
     /// Where this replica does not lead, or the duty is unknown or not held.
-    pub async fn release_duty(&self, duty: &str) -> Result<Released, RequestError> {
-        self.leads().await?;
+    pub async fn release_duty(&self, duty: &str) -> Result<PendingRelease, RequestError> {
+        self.confirm_leadership().await?;
         let mut leadership = self.leadership.borrow_mut();
         let Some(leadership) = leadership.as_mut() else { return Err(RequestError::NotLeader(None)) };
         if !self.duties(|table| table.duties().contains_key(duty)) {
@@ -172,8 +177,8 @@
         let holder = self.duties(|table| leadership.duties.release(duty, table));
         let holder = holder.ok_or_else(|| RequestError::Rejected(format!("{duty}: nobody holds it")))?;
         tracing::info!("duty {duty}: an operator wants it released by {}, term {}", holder.name, holder.term);
-        let lapses_after_ms = self.config.duty_lease.expires_after() / 10;
-        Ok(Released { holder: holder.name, term: holder.term, lapses_after_ms })
+        let expires_after_ms = self.config.duty_lease.expires_after() / 10;
+        Ok(PendingRelease { holder: holder.name, term: holder.term, expires_after_ms })
     }
 
     /// Commits a holder's note on its progress.
@@ -181,12 +186,12 @@
     /// # Errors
     /// Where this replica does not lead, the term is not the latest one of the duty, or the commit is uncertain.
     pub async fn note_duty(&self, note: DutyNote) -> Result<(), RequestError> {
-        let raft = self.leads().await?;
+        let raft = self.confirm_leadership().await?;
         self.duties(|table| table.check_term(&note.duty, note.term))
             .map_err(|error| RequestError::Rejected(error.to_string()))?;
         let entry = ledger::Entry::Duties(DutyEntry::Note(note));
         let response =
             raft.client_write(entry).await.map_err(|error| RequestError::Unknown(error.to_string()))?;
-        response.data.map(|_| ()).map_err(|failure| RequestError::Rejected(failure.why))
+        response.data.map(|_| ()).map_err(|failure| RequestError::Rejected(failure.reason))
     }
 }
--- a/crates/fernroute-coordinator/src/http.rs
+++ b/crates/fernroute-coordinator/src/http.rs
@@ -118,20 +118,20 @@
 
 static ROUTES: [Route; 15] = [
     get(peers::INFO_PATH, Handler::Info),
-    get(peers::STATUS, Handler::Status),
-    post(peers::APPEND, Handler::Append),
-    post(peers::VOTE, Handler::Vote),
-    post(peers::SNAPSHOT, Handler::Snapshot),
+    get(peers::STATUS_PATH, Handler::Status),
+    post(peers::APPEND_PATH, Handler::Append),
+    post(peers::VOTE_PATH, Handler::Vote),
+    post(peers::SNAPSHOT_PATH, Handler::Snapshot),
     post(HEARTBEAT_PATH, Handler::Heartbeat),
-    post(peers::CHANGE, Handler::Membership),
-    post(duties::STATUS, Handler::DutyStatus),
-    post(duties::RELEASE, Handler::DutyRelease),
-    post(duties::NOTE, Handler::DutyNote),
+    post(peers::CHANGE_PATH, Handler::Membership),
+    post(duties::STATUS_PATH, Handler::DutyStatus),
+    post(duties::RELEASE_PATH, Handler::DutyRelease),
+    post(duties::NOTE_PATH, Handler::DutyNote),
     post(FETCH_PATH, Handler::ConfigurationFetch),
-    post(configuration::PUT, Handler::ConfigurationPut),
-    post(configuration::GET, Handler::ConfigurationGet),
-    post(configuration::HISTORY, Handler::ConfigurationHistory),
-    post(configuration::STATUS, Handler::ConfigurationStatus),
+    post(configuration::PUT_PATH, Handler::ConfigurationPut),
+    post(configuration::GET_PATH, Handler::ConfigurationGet),
+    post(configuration::HISTORY_PATH, Handler::ConfigurationHistory),
+    post(configuration::STATUS_PATH, Handler::ConfigurationStatus),
 ];
 
 /// Serves for as long as the program runs.
--- a/crates/fernroute-coordinator/src/lib.rs
+++ b/crates/fernroute-coordinator/src/lib.rs
@@ -24,22 +24,24 @@
 use std::io::Cursor;
 
 /// The result of an applied entry: the new version for one of configuration, 0 for any other.
-pub type Applied = Result<Version, ApplyFailure>;
+pub type ApplyResult = Result<Version, ApplyFailure>;
 
 /// Why a committed entry changed nothing.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ApplyFailure {
     /// The text that an operator reads.
-    pub why: String,
+    #[serde(rename = "why")]
+    pub reason: String,
     /// The scope's latest version, where the operator's change is based on another one.
-    pub latest: Option<Version>,
+    #[serde(rename = "latest")]
+    pub latest_version: Option<Version>,
 }
 
 openraft::declare_raft_types!(
     /// The types of the ledger that raft is instantiated with.
     pub RaftTypes:
         D = Entry,
-        R = Applied,
+        R = ApplyResult,
         SnapshotData = Cursor<Vec<u8>>,
 );
 
--- a/crates/fernroute-coordinator/src/peers.rs
+++ b/crates/fernroute-coordinator/src/peers.rs
@@ -28,17 +28,17 @@
 use thiserror::Error;
 
 /// Path of raft's `AppendEntries` requests.
-pub const APPEND: &str = "/-/append";
+pub const APPEND_PATH: &str = "/-/append";
 /// Path of raft's `Vote` requests.
-pub const VOTE: &str = "/-/vote";
+pub const VOTE_PATH: &str = "/-/vote";
 /// Path of raft's `InstallSnapshot` requests.
-pub const SNAPSHOT: &str = "/-/snapshot";
+pub const SNAPSHOT_PATH: &str = "/-/snapshot";
 /// Path of a replica's [`ReplicaInfo`].
 pub const INFO_PATH: &str = "/-/who";
 /// Path of a replica's [`crate::status::Status`].
-pub const STATUS: &str = "/-/status";
+pub const STATUS_PATH: &str = "/-/status";
 /// Path of a change of the membership.
-pub const CHANGE: &str = "/-/change";
+pub const CHANGE_PATH: &str = "/-/change";
 
 /// The longest message between replicas: a ledger of some ten thousand members.
 pub const MAX_MESSAGE_BYTES: usize = 16 << 20;
@@ -181,7 +181,7 @@
     ///
     /// # Errors
     /// The one line that an operator reads.
-    pub async fn say<M: Serialize, R: DeserializeOwned>(
+    pub async fn send<M: Serialize, R: DeserializeOwned>(
         &self,
         address: &str,
         path: &str,
@@ -196,7 +196,7 @@
     ///
     /// # Errors
     /// The one line that an operator reads.
-    pub async fn ask<R: DeserializeOwned>(
+    pub async fn query<R: DeserializeOwned>(
         &self,
         address: &str,
         path: &str,
@@ -298,7 +298,7 @@
         message: AppendEntriesRequest<RaftTypes>,
         option: RPCOption,
     ) -> Result<AppendEntriesResponse<u64>, RPCError<u64, BasicNode, RaftError<u64>>> {
-        let reply = self.call(APPEND, &message, option.hard_ttl()).await?;
+        let reply = self.call(APPEND_PATH, &message, option.hard_ttl()).await?;
         if let AppendEntriesResponse::Success = reply {
             self.peers.record_position(self.id, position_after(&message));
         }
@@ -311,7 +311,8 @@
         option: RPCOption,
     ) -> Result<InstallSnapshotResponse<u64>, RPCError<u64, BasicNode, RaftError<u64, InstallSnapshotError>>>
     {
-        let reply: InstallSnapshotResponse<u64> = self.call(SNAPSHOT, &message, option.hard_ttl()).await?;
+        let reply: InstallSnapshotResponse<u64> =
+            self.call(SNAPSHOT_PATH, &message, option.hard_ttl()).await?;
         if message.done && reply.vote == message.vote {
             let position = ReplicaPosition::new(&message.vote, message.meta.last_log_id.as_ref());
             self.peers.record_position(self.id, position);
@@ -324,7 +325,7 @@
         message: VoteRequest<u64>,
         option: RPCOption,
     ) -> Result<VoteResponse<u64>, RPCError<u64, BasicNode, RaftError<u64>>> {
-        let reply: VoteResponse<u64> = self.call(VOTE, &message, option.hard_ttl()).await?;
+        let reply: VoteResponse<u64> = self.call(VOTE_PATH, &message, option.hard_ttl()).await?;
         if reply.vote_granted {
             self.peers.record_position(self.id, ReplicaPosition::new(&message.vote, None));
         }
--- a/crates/fernroute-coordinator/src/replica/bootstrap.rs
+++ b/crates/fernroute-coordinator/src/replica/bootstrap.rs
@@ -13,12 +13,12 @@
     /// does not wait for grants to expire.
     pub async fn bootstrap(&self, at_once: bool) {
         let Some(raft) = self.raft() else { return };
-        let is_first = self.config.stewards.first().is_some_and(|first| first.name == self.config.name);
+        let is_first = self.config.coordinators.first().is_some_and(|first| first.name == self.config.name);
         if !is_first || !self.info().is_uninitialized {
             return;
         }
         if !at_once {
-            let wait = Duration::from_micros(self.config.floors.expires_after() * 100);
+            let wait = Duration::from_micros(self.config.guarantee_lease.expires_after() * 100);
             tracing::info!(wait_s = wait.as_secs(), "waiting for grants of a former ledger to expire");
             actix_rt::time::sleep(wait).await;
         }
@@ -46,7 +46,7 @@
     /// All replicas of the configuration by their identifiers; none where one of them belongs to a ledger already.
     async fn uninitialized_replicas(&self) -> Result<Option<BTreeMap<u64, BasicNode>>, IdentifyError> {
         let mut replicas = BTreeMap::from([(self.identity.id, BasicNode::new(&self.config.name))]);
-        for configured in self.config.stewards.iter().filter(|other| other.name != self.config.name) {
+        for configured in self.config.coordinators.iter().filter(|other| other.name != self.config.name) {
             let info = self.identify(configured).await?;
             if !info.is_uninitialized {
                 return Ok(None);
--- a/crates/fernroute-coordinator/src/replica/leadership.rs
+++ b/crates/fernroute-coordinator/src/replica/leadership.rs
@@ -50,8 +50,9 @@
         let config = &self.config;
         Leadership {
             term,
-            budgets: self
-                .ledger(|ledger| Leader::new(now(), ledger, config.shares, config.floors, config.members)),
+            budgets: self.ledger(|ledger| {
+                Leader::new(now(), ledger, config.grant_lease, config.guarantee_lease, config.max_members)
+            }),
             duties: self.duties(|table| duties::leader::Leader::new(now(), table, config.duty_lease)),
         }
     }
@@ -107,7 +108,7 @@
 async fn commit(raft: &Raft, entry: Entry) -> Result<(), WriteError> {
     let response = raft.client_write(entry).await.map_err(Box::new)?;
     if let Err(failure) = response.data {
-        tracing::warn!(error = failure.why, "entry rejected by the ledger");
+        tracing::warn!(error = failure.reason, "entry rejected by the ledger");
     }
     Ok(())
 }
--- a/crates/fernroute-coordinator/src/replica/membership.rs
+++ b/crates/fernroute-coordinator/src/replica/membership.rs
@@ -93,7 +93,7 @@
             self.members().into_iter().map(|member| (member.id, member.name)).collect();
         let mut voters = BTreeSet::new();
         let mut added = Vec::new();
-        for configured in &self.config.stewards {
+        for configured in &self.config.coordinators {
             let voter = self.voter(raft, &members, configured).await?;
             voters.insert(voter.id);
             if voter.is_new {
@@ -106,7 +106,7 @@
     }
 
     fn check_names(&self, names: &[String]) -> Result<(), MembershipError> {
-        let configured: BTreeSet<&str> = self.config.stewards.iter().map(|s| s.name.as_str()).collect();
+        let configured: BTreeSet<&str> = self.config.coordinators.iter().map(|s| s.name.as_str()).collect();
         if configured == names.iter().map(String::as_str).collect() {
             return Ok(());
         }
@@ -117,7 +117,7 @@
     }
 
     fn configured_names(&self) -> String {
-        self.config.stewards.iter().map(|s| s.name.as_str()).collect::<Vec<_>>().join(", ")
+        self.config.coordinators.iter().map(|s| s.name.as_str()).collect::<Vec<_>>().join(", ")
     }
 
     /// The identifier of a configured replica, which receives the ledger first if it is new.
--- a/crates/fernroute-coordinator/src/replica/mod.rs
+++ b/crates/fernroute-coordinator/src/replica/mod.rs
@@ -115,7 +115,7 @@
     /// [`Replica::commit_or_step_down`] and, in place, by whatever the leader decides.
     pub(crate) leadership: RefCell<Option<Leadership>>,
     /// Count of duties that ended since the start, by reason; written by the duties of the leader.
-    pub(crate) duties_ended: RefCell<BTreeMap<EndReason, u64>>,
+    pub(crate) ended_terms: RefCell<BTreeMap<EndReason, u64>>,
     /// When this replica last became leader; written by [`Replica::update_leadership`].
     pub(crate) became_leader_at: Cell<Time>,
     /// The term of an entry whose commit is uncertain, in which no member is answered any more; written by
@@ -129,13 +129,13 @@
     ///
     /// # Errors
     /// Where the folder can't be opened, can't be read, or belongs to another cluster.
-    pub async fn open(terms: CoordinatorConfig) -> Result<Rc<Self>, ReplicaError> {
-        let (log_store, identity) = LogStore::open(&terms.folder, &terms.cluster)?;
+    pub async fn open(config: CoordinatorConfig) -> Result<Rc<Self>, ReplicaError> {
+        let (log_store, identity) = LogStore::open(&config.folder, &config.cluster)?;
         let state_machine = StateMachineStore::open(log_store.clone())?;
         let stored_position = log_store.position()?;
-        let peers = Peers::new(&terms.cluster, &terms.stewards);
+        let peers = Peers::new(&config.cluster, &config.coordinators);
         Ok(Rc::new(Replica {
-            config: terms,
+            config,
             identity,
             log_store,
             stored_position,
@@ -144,7 +144,7 @@
             state_machine,
             unreadable_messages: Cell::default(),
             leadership: RefCell::default(),
-            duties_ended: RefCell::default(),
+            ended_terms: RefCell::default(),
             became_leader_at: Cell::default(),
             uncertain_term: Cell::default(),
             peers,
--- a/crates/fernroute-coordinator/src/status.rs
+++ b/crates/fernroute-coordinator/src/status.rs
@@ -15,18 +15,22 @@
     /// The ledger's epoch at its latest grant.
     pub epoch: u64,
     /// The largest amount that it may hold of each budget, in units a second.
-    pub holds: BTreeMap<String, f64>,
+    #[serde(rename = "holds")]
+    pub allocated: BTreeMap<String, f64>,
 }
 
 /// A budget, in units a second.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct BudgetStatus {
     /// The limit of all members together.
-    pub whole: f64,
+    #[serde(rename = "whole")]
+    pub limit: f64,
     /// What each member is guaranteed.
-    pub floor: f64,
+    #[serde(rename = "floor")]
+    pub guaranteed: f64,
     /// What all members together may hold.
-    pub held: f64,
+    #[serde(rename = "held")]
+    pub allocated: f64,
 }
 
 /// A member of the ledger's raft cluster.
@@ -37,7 +41,8 @@
     /// Its identifier among raft's nodes.
     pub id: u64,
     /// Whether it is a voter; a learner is being added.
-    pub votes: bool,
+    #[serde(rename = "votes")]
+    pub is_voter: bool,
 }
 
 /// One replica, and the ledger as that replica knows it.
@@ -46,17 +51,21 @@
     /// The cluster of the ledger.
     pub cluster: String,
     /// The name of the replica that reports.
-    pub steward: String,
+    #[serde(rename = "steward")]
+    pub replica: String,
     /// The identifier of that replica.
     pub id: u64,
     /// leader, follower, candidate, learner, blank, waiting (until its disk is known not to be stale), or stopped.
     pub state: String,
     /// Why the replica takes no part in the cluster, if it takes none.
-    pub trouble: Option<String>,
+    #[serde(rename = "trouble")]
+    pub fault: Option<String>,
     /// The members of the raft cluster.
-    pub stewards: Vec<ReplicaStatus>,
+    #[serde(rename = "stewards")]
+    pub replicas: Vec<ReplicaStatus>,
     /// Messages that the replica could not read, since its start.
-    pub unread: u64,
+    #[serde(rename = "unread")]
+    pub unreadable_messages: u64,
     /// The leader's name.
     pub leader: Option<String>,
     /// Raft's current term.
@@ -78,7 +87,7 @@
         let replica_status = |(id, node): (&u64, &BasicNode)| ReplicaStatus {
             name: node.addr.clone(),
             id: *id,
-            votes: voters.contains(id),
+            is_voter: voters.contains(id),
         };
         membership.nodes().map(replica_status).collect()
     }
@@ -99,13 +108,13 @@
         };
         self.ledger(|ledger| Status {
             cluster: self.config.cluster.clone(),
-            steward: self.config.name.clone(),
+            replica: self.config.name.clone(),
             id: self.identity.id,
             state,
-            trouble: fault,
+            fault,
             leader,
-            stewards: replicas,
-            unread: self.unreadable_messages.get(),
+            replicas,
+            unreadable_messages: self.unreadable_messages.get(),
             term: metrics.as_ref().map_or(0, |metrics| metrics.current_term),
             epoch: ledger.epoch(),
             budgets: budget_statuses(ledger),
@@ -122,9 +131,9 @@
     let mut statuses = BTreeMap::new();
     for (name, budget) in ledger.budgets() {
         let status = BudgetStatus {
-            whole: units(budget.limit),
-            floor: units(budget.guaranteed),
-            held: units(ledger.total_allocated(name)),
+            limit: units(budget.limit),
+            guaranteed: units(budget.guaranteed),
+            allocated: units(ledger.total_allocated(name)),
         };
         statuses.insert(name.clone(), status);
     }
@@ -136,6 +145,6 @@
     MemberStatus {
         name: member.name.clone(),
         epoch: member.latest_grant().epoch,
-        holds: budgets.map(|name| (name.clone(), units(member.max_allocated(name)))).collect(),
+        allocated: budgets.map(|name| (name.clone(), units(member.max_allocated(name)))).collect(),
     }
 }
--- a/crates/fernroute-coordinator/src/store/state_machine.rs
+++ b/crates/fernroute-coordinator/src/store/state_machine.rs
@@ -2,7 +2,7 @@
 
 use super::log_store::SNAPSHOT_KEY;
 use super::{read_error, LogStore, StoreError};
-use crate::{Applied, ApplyFailure, RaftTypes};
+use crate::{ApplyFailure, ApplyResult, RaftTypes};
 use fernroute_fleet::configuration::register::{PutError, Register};
 use fernroute_fleet::configuration::MAX_CONTENT_BYTES;
 use fernroute_fleet::duties::table::DutyTable;
@@ -33,7 +33,7 @@
 }
 
 impl StateMachine {
-    fn apply(&mut self, entry: Entry<RaftTypes>) -> Applied {
+    fn apply(&mut self, entry: Entry<RaftTypes>) -> ApplyResult {
         self.last_applied = Some(entry.log_id);
         match entry.payload {
             EntryPayload::Blank => Ok(0),
@@ -45,8 +45,8 @@
         }
     }
 
-    fn apply_command(&mut self, command: Command) -> Applied {
-        let failure = |why: String| ApplyFailure { why, latest: None };
+    fn apply_command(&mut self, command: Command) -> ApplyResult {
+        let failure = |reason: String| ApplyFailure { reason, latest_version: None };
         match command {
             Command::Configuration(put) => self.register.apply(&put).map_err(put_failure),
             Command::Duties(entry) => {
@@ -62,18 +62,18 @@
 }
 
 fn put_failure(error: PutError) -> ApplyFailure {
-    let latest = match error {
+    let latest_version = match error {
         PutError::OutOfDate(latest) => Some(latest),
         _ => None,
     };
-    let why = match error {
+    let reason = match error {
         PutError::OutOfDate(latest) => format!("the scope is at version {latest}"),
         PutError::HashMismatch => "its content is not what its hash says".to_owned(),
         PutError::TooLong => format!("it is longer than {MAX_CONTENT_BYTES} bytes"),
         PutError::InvalidName => "the operator's name is empty, or too long".to_owned(),
         PutError::LimitReached => "there are as many scopes as may be".to_owned(),
     };
-    ApplyFailure { why, latest }
+    ApplyFailure { reason, latest_version }
 }
 
 /// The state machine of this process. It is in memory; the disk has its last snapshot and the log behind that.
@@ -105,7 +105,7 @@
         Ok((state.last_applied, state.membership.clone()))
     }
 
-    async fn apply<I>(&mut self, entries: I) -> Result<Vec<Applied>, StorageError<u64>>
+    async fn apply<I>(&mut self, entries: I) -> Result<Vec<ApplyResult>, StorageError<u64>>
     where
         I: IntoIterator<Item = Entry<RaftTypes>> + OptionalSend,
         I::IntoIter: OptionalSend,
--- a/crates/fernroute-coordinator/tests/common/balancer.rs
+++ b/crates/fernroute-coordinator/tests/common/balancer.rs
@@ -119,7 +119,7 @@
         let Some(request) = follower.next_fetch(now()) else { continue };
         let address = addresses[next_coordinator % addresses.len()].to_string();
         next_coordinator += 1;
-        let reply = peers.say(&address, FETCH_PATH, 0, &request, CALL_TIMEOUT).await.ok();
+        let reply = peers.send(&address, FETCH_PATH, 0, &request, CALL_TIMEOUT).await.ok();
         apply(&state, follower, reply);
     }
 }
--- a/crates/fernroute-coordinator/tests/common/configuration.rs
+++ b/crates/fernroute-coordinator/tests/common/configuration.rs
@@ -2,7 +2,7 @@
 
 use super::balancer::Balancer;
 use super::{wait_until, CommandOutput, Coordinators, CALL_TIMEOUT};
-use fernroute_coordinator::configuration::{PutRequest, RequestError, HISTORY, PUT};
+use fernroute_coordinator::configuration::{PutRequest, RequestError, HISTORY_PATH, PUT_PATH};
 use fernroute_fleet::configuration::register::HistoryEntry;
 use fernroute_fleet::configuration::{
     content_hash, FetchReply, FetchRequest, Scope, Target, Version, FETCH_PATH,
@@ -49,7 +49,7 @@
     let target = Target { name: "n9".to_owned(), service: "web".to_owned(), zone: "a".to_owned() };
     let request = FetchRequest { target, known_version: 0, wanted_version };
     let address = coordinators.processes[index].address.to_string();
-    let reply = coordinators.peers.say(&address, FETCH_PATH, 0, &request, CALL_TIMEOUT).await;
+    let reply = coordinators.peers.send(&address, FETCH_PATH, 0, &request, CALL_TIMEOUT).await;
     reply.map_err(|error| error.to_string())
 }
 
@@ -72,7 +72,7 @@
     };
     loop {
         let address = coordinators.processes[leader].address.to_string();
-        match coordinators.peers.say(&address, PUT, 0, &request, LEADER_CALL_TIMEOUT).await {
+        match coordinators.peers.send(&address, PUT_PATH, 0, &request, LEADER_CALL_TIMEOUT).await {
             Ok(Ok(version)) => return version,
             // An earlier attempt whose outcome was unknown has entered it.
             Ok(Err(RequestError::OutOfDate(Some(latest))))
@@ -95,7 +95,7 @@
         let leader = coordinators.leader(None).await;
         let address = coordinators.processes[leader].address.to_string();
         let reply: Result<Result<Vec<HistoryEntry>, RequestError>, _> =
-            coordinators.peers.say(&address, HISTORY, 0, &all_scopes, LEADER_CALL_TIMEOUT).await;
+            coordinators.peers.send(&address, HISTORY_PATH, 0, &all_scopes, LEADER_CALL_TIMEOUT).await;
         if let Ok(Ok(entries)) = reply {
             return entries;
         }
--- a/crates/fernroute-coordinator/tests/common/mod.rs
+++ b/crates/fernroute-coordinator/tests/common/mod.rs
@@ -6,7 +6,7 @@
 pub mod balancer;
 pub mod configuration;
 
-use fernroute_coordinator::peers::{Peers, STATUS};
+use fernroute_coordinator::peers::{Peers, STATUS_PATH};
 use fernroute_coordinator::replica::{now, Status};
 use fernroute_fleet::configuration::{ConfigurationReport, Version};
 use fernroute_fleet::duties::holder::MemberDuties;
@@ -194,7 +194,7 @@
 
     /// The status that one of them reports; none where it does not reply in time.
     pub async fn status(&self, index: usize) -> Option<Status> {
-        self.peers.ask(&self.processes[index].address.to_string(), STATUS, CALL_TIMEOUT).await.ok()
+        self.peers.query(&self.processes[index].address.to_string(), STATUS_PATH, CALL_TIMEOUT).await.ok()
     }
 
     /// Runs a command with `--at` each coordinator's address.
@@ -290,7 +290,7 @@
         heartbeat.duties = self.duties.as_mut().map(|duties| duties.report(now(), heartbeat.number));
         for address in coordinators {
             let reply: Result<Result<HeartbeatReply, HeartbeatError>, _> =
-                peers.say(&address.to_string(), HEARTBEAT_PATH, 0, &heartbeat, CALL_TIMEOUT).await;
+                peers.send(&address.to_string(), HEARTBEAT_PATH, 0, &heartbeat, CALL_TIMEOUT).await;
             if let Ok(Ok(reply)) = reply {
                 self.on_reply(&reply);
                 return true;
--- a/crates/fernroute-coordinator/tests/config.rs
+++ b/crates/fernroute-coordinator/tests/config.rs
@@ -12,10 +12,10 @@
 
     let acme = config.budgets.get("acme").expect("the budget");
     assert_eq!(
-        (acme.limit, acme.guaranteed, config.shares.duration, config.floors.duration),
+        (acme.limit, acme.guaranteed, config.grant_lease.duration, config.guarantee_lease.duration),
         (200_000, 40, 20_000, 600_000)
     );
-    assert!(acme.guaranteed * config.members as u64 <= acme.limit);
+    assert!(acme.guaranteed * config.max_members as u64 <= acme.limit);
 }
 
 #[test]
--- a/crates/fernroute-coordinator/tests/configuration_commands.rs
+++ b/crates/fernroute-coordinator/tests/configuration_commands.rs
@@ -186,7 +186,7 @@
                 ("n3", RolloutState::NotFollowing, 0, 0),
             ]
         );
-        assert!(output.code == 0 && status.settled, "{output:?}");
+        assert!(output.code == 0 && status.is_reachability_known, "{output:?}");
         assert!(status.cluster == "shop" && status.version == 5, "{output:?}");
         let scopes = status.scopes.iter().map(|scope| (&scope.scope, scope.version));
         assert!(scopes.eq([(&Scope::All, 1), (&Scope::Service("web".to_owned()), 5)]));
--- a/crates/fernroute-coordinator/tests/duties.rs
+++ b/crates/fernroute-coordinator/tests/duties.rs
@@ -107,8 +107,8 @@
         let (second, second_term) = first_holder(&coordinators).await;
         assert!(second != first && second != "n1" && second_term > term);
         let after = status(&coordinators).await;
-        assert_eq!(after.duties[0].before, Some((first.clone(), EndReason::Operator)));
-        assert_eq!(after.ended.get(&EndReason::Operator), Some(&1));
+        assert_eq!(after.duties[0].previous_holder, Some((first.clone(), EndReason::Operator)));
+        assert_eq!(after.ended_terms.get(&EndReason::Operator), Some(&1));
         let leader = coordinators.leader(None).await;
         let log_line =
             format!("duty planner: {first} holds it no more, term {term}: an operator had it released");
--- a/crates/fernroute-coordinator/tests/fleet.rs
+++ b/crates/fernroute-coordinator/tests/fleet.rs
@@ -146,7 +146,7 @@
         let mut members = [TestMember::new("n0", 1, 150_000)];
         heartbeat_until(&coordinators, &mut members, nearly_all_allocated).await;
         // Five were unreadable; those for another cluster or coordinator were not.
-        assert_eq!(coordinators.status(leader).await.expect("a status").unread, 5);
+        assert_eq!(coordinators.status(leader).await.expect("a status").unreadable_messages, 5);
         let output = run_command(program(&["status", &address.to_string()])).await;
         for expected in ["s0 is leader, s0 leads", "acme", "200.000", "n0"] {
             assert!(output.stdout.contains(expected), "{output:?}");
@@ -206,7 +206,7 @@
         let leader = coordinators.leader(Some(1)).await;
         let status = coordinators.status(leader).await.expect("a status");
         assert!(
-            status.stewards.len() == 3 && status.stewards.iter().all(|coordinator| coordinator.votes),
+            status.replicas.len() == 3 && status.replicas.iter().all(|coordinator| coordinator.is_voter),
             "{status:?}"
         );
     });
@@ -250,7 +250,7 @@
         restart_with_stale_disk(&mut coordinators, &mut members, stale).await;
         coordinators.wait_for_state(stale, "waiting").await;
         let reports_stale_disk = |status: &Status| {
-            status.trouble.as_ref().is_some_and(|fault| fault.contains("the disk is older than"))
+            status.fault.as_ref().is_some_and(|fault| fault.contains("the disk is older than"))
         };
         wait_until(|| async {
             coordinators.status(stale).await.is_some_and(|status| reports_stale_disk(&status))
@@ -289,7 +289,7 @@
         })
         .await;
         let status = coordinators.status(full).await.expect("a status");
-        assert!(status.state == "stopped" && status.trouble.is_some(), "{status:?}");
+        assert!(status.state == "stopped" && status.fault.is_some(), "{status:?}");
         assert!(coordinators.processes[full].process().says("the disk: "));
         // With space again it restarts with its state, and votes.
         coordinators.processes[full].kill();
@@ -323,6 +323,6 @@
         })
         .await;
         let status = coordinators.status(0).await.expect("a status");
-        assert!(status.budgets["acme"].held <= status.budgets["acme"].whole, "{:?}", status.budgets);
+        assert!(status.budgets["acme"].allocated <= status.budgets["acme"].limit, "{:?}", status.budgets);
     });
 }
--- a/crates/fernroute-coordinator/tests/store.rs
+++ b/crates/fernroute-coordinator/tests/store.rs
@@ -48,7 +48,10 @@
             .expect("it applies");
         assert_eq!((&results[0], &results[2]), (&Ok(1), &Ok(2)));
         let rejection = results[1].as_ref().expect_err("its base is not the latest version");
-        assert_eq!((rejection.latest, rejection.why.as_str()), (Some(1), "the scope is at version 1"));
+        assert_eq!(
+            (rejection.latest_version, rejection.reason.as_str()),
+            (Some(1), "the scope is at version 1")
+        );
         store.build_snapshot().await.expect("it is written");
         drop(store);
         let store = open_state_machine(&folder);
--- a/crates/fernroute-coordinator/tests/wire_format.rs
+++ b/crates/fernroute-coordinator/tests/wire_format.rs
@@ -1,13 +1,13 @@
 //! The JSON between coordinators, and from them to operators: fixed texts, read and written again without a change.
 
 use fernroute_coordinator::configuration::{
-    ConfigurationStatus, Latest, PutRequest, RequestError, ScopeStatus,
+    ConfigurationStatus, LatestEntry, PutRequest, RequestError, ScopeStatus,
 };
-use fernroute_coordinator::duties::{DutiesStatus, Released};
+use fernroute_coordinator::duties::{DutiesStatus, PendingRelease};
 use fernroute_coordinator::peers::ReplicaInfo;
 use fernroute_coordinator::replica::Status;
 use fernroute_coordinator::store::{ReplicaIdentity, ReplicaPosition, StateMachine};
-use fernroute_coordinator::{Applied, RaftTypes};
+use fernroute_coordinator::{ApplyResult, RaftTypes};
 use openraft::raft::{
     AppendEntriesRequest, AppendEntriesResponse, InstallSnapshotRequest, InstallSnapshotResponse,
     VoteRequest, VoteResponse,
@@ -90,12 +90,12 @@
     ] {
         assert_unchanged::<Result<u64, RequestError>>(&answer);
     }
-    assert_unchanged::<Applied>(r#"{"Ok":7}"#);
-    assert_unchanged::<Applied>(r#"{"Err":{"why":"the scope is at version 1","latest":1}}"#);
-    assert_unchanged::<Latest>(&format!(
+    assert_unchanged::<ApplyResult>(r#"{"Ok":7}"#);
+    assert_unchanged::<ApplyResult>(r#"{"Err":{"why":"the scope is at version 1","latest":1}}"#);
+    assert_unchanged::<LatestEntry>(&format!(
         r#"{{"part":{{"scope":"all","version":1,"hash":"a1","content":"a = 1\n"}},"line":{line}}}"#
     ));
-    assert_unchanged::<Released>(r#"{"holder":"n0","term":4,"lapses_after_ms":1500}"#);
+    assert_unchanged::<PendingRelease>(r#"{"holder":"n0","term":4,"lapses_after_ms":1500}"#);
 }
 
 #[test]
@@ -116,11 +116,23 @@
 fn paths_stay_as_they_are() {
     use fernroute_coordinator::{configuration, duties, peers};
     assert_eq!(
-        [peers::APPEND, peers::VOTE, peers::SNAPSHOT, peers::INFO_PATH, peers::STATUS, peers::CHANGE],
+        [
+            peers::APPEND_PATH,
+            peers::VOTE_PATH,
+            peers::SNAPSHOT_PATH,
+            peers::INFO_PATH,
+            peers::STATUS_PATH,
+            peers::CHANGE_PATH
+        ],
         ["/-/append", "/-/vote", "/-/snapshot", "/-/who", "/-/status", "/-/change"]
     );
     assert_eq!(
-        [configuration::PUT, configuration::GET, configuration::HISTORY, configuration::STATUS],
+        [
+            configuration::PUT_PATH,
+            configuration::GET_PATH,
+            configuration::HISTORY_PATH,
+            configuration::STATUS_PATH
+        ],
         [
             "/-/configuration/put",
             "/-/configuration/get",
@@ -129,7 +141,7 @@
         ]
     );
     assert_eq!(
-        [duties::STATUS, duties::RELEASE, duties::NOTE],
+        [duties::STATUS_PATH, duties::RELEASE_PATH, duties::NOTE_PATH],
         ["/-/duties/status", "/-/duties/release", "/-/duties/note"]
     );
 }
--- a/crates/fernroute-fleet/src/configuration/mod.rs
+++ b/crates/fernroute-fleet/src/configuration/mod.rs
@@ -39,7 +39,7 @@
 
 /// Whether a service, a zone, a balancer or a duty may have this name: it fits a scope, a log line and a
 /// table as it is.
-pub fn is_name(text: &str) -> bool {
+pub fn is_valid_name(text: &str) -> bool {
     !text.is_empty()
         && text.len() <= MAX_NAME_BYTES
         && text.trim() == text
@@ -85,7 +85,7 @@
 /// Why a text is no [`Scope`]; each has the text, sanitized.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ScopeError {
-    /// A name in it does not pass [`is_name`].
+    /// A name in it does not pass [`is_valid_name`].
     #[error(
         "{0}: a name is empty, longer than {max_bytes}, or has blanks about it or control characters",
         max_bytes = MAX_NAME_BYTES
@@ -101,7 +101,7 @@
 
     fn from_str(text: &str) -> Result<Self, ScopeError> {
         let segments: Vec<&str> = text.split('/').collect();
-        if segments[1..].iter().any(|segment| !is_name(segment)) {
+        if segments[1..].iter().any(|segment| !is_valid_name(segment)) {
             return Err(ScopeError::InvalidName(sanitize(text, MAX_REASON_CHARS)));
         }
         match segments[..] {
--- a/crates/fernroute-fleet/src/division.rs
+++ b/crates/fernroute-fleet/src/division.rs
@@ -1,6 +1,6 @@
 //! How one budget is divided among members by their demands.
 //!
-//! [`fair`] is the max-min fair division. [`divide`] moves from the current division towards it with as few
+//! [`fair_shares`] is the max-min fair division. [`divide`] moves from the current division towards it with as few
 //! changes as possible, since a decrease must be accepted before another member can get it, and nobody has
 //! the amount until then.
 
@@ -16,7 +16,7 @@
 /// The max-min fair division: a member whose demand is below an even share gets its demand, and the others
 /// share the rest evenly. What remains once all demands are met is shared evenly too, so that a sudden demand
 /// finds some at hand. The sum is exactly `total`; there is no member to give it to where `demands` is empty.
-pub fn fair(total: MilliUnits, demands: &[MilliUnits]) -> Vec<MilliUnits> {
+pub fn fair_shares(total: MilliUnits, demands: &[MilliUnits]) -> Vec<MilliUnits> {
     let mut shares = vec![0; demands.len()];
     let mut order: Vec<usize> = (0..demands.len()).collect();
     // Equal demands in the order of their members, so that the division is deterministic.
@@ -39,7 +39,7 @@
 /// The division that follows on `current`. A member that is short by more than noise gets its demand, or its
 /// fair share. That comes from what is unassigned, then from the members furthest above their fair shares.
 pub fn divide(total: MilliUnits, demands: &[MilliUnits], current: &[MilliUnits]) -> Vec<MilliUnits> {
-    let fair = fair(total, demands);
+    let fair = fair_shares(total, demands);
     let mut next = raise_short_members(total, demands, current, &fair);
     let assigned: MilliUnits = next.iter().fold(0, |sum, share| sum.saturating_add(*share));
     if assigned > total {
--- a/crates/fernroute-fleet/src/duties/fence.rs
+++ b/crates/fernroute-fleet/src/duties/fence.rs
@@ -7,10 +7,10 @@
 
 /// An order under a term that has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("term {given} is over, {highest_term} is known")]
+#[error("stale term {term}: the highest known term is {highest_term}")]
 pub struct StaleTerm {
     /// The order's term.
-    pub given: Term,
+    pub term: Term,
     /// The highest term that the receiver has seen.
     pub highest_term: Term,
 }
@@ -26,14 +26,14 @@
     pub fn admit(&mut self, duty: &str, term: Term) -> Result<(), StaleTerm> {
         let highest_term = self.highest_terms.entry(duty.to_owned()).or_insert(0);
         if term < *highest_term {
-            return Err(StaleTerm { given: term, highest_term: *highest_term });
+            return Err(StaleTerm { term, highest_term: *highest_term });
         }
         *highest_term = term;
         Ok(())
     }
 
     /// The highest term seen of a duty; 0 before the first order.
-    pub fn highest(&self, duty: &str) -> Term {
+    pub fn highest_term(&self, duty: &str) -> Term {
         self.highest_terms.get(duty).copied().unwrap_or(0)
     }
 }
--- a/crates/fernroute-fleet/src/duties/table.rs
+++ b/crates/fernroute-fleet/src/duties/table.rs
@@ -12,7 +12,7 @@
 
 use super::fence::StaleTerm;
 use super::{Candidate, EndReason, Term, MAX_DUTIES, MAX_NOTE_CHARS};
-use crate::configuration::{is_name, sanitize};
+use crate::configuration::{is_valid_name, sanitize};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -172,7 +172,7 @@
         let state = self.duties.get(duty).ok_or_else(|| DutyError::UnknownDuty(duty.to_owned()))?;
         match &state.holder {
             Some(holder) if holder.term == term => Ok(()),
-            _ => Err(DutyError::Stale(StaleTerm { given: term, highest_term: self.highest_term })),
+            _ => Err(DutyError::Stale(StaleTerm { term, highest_term: self.highest_term })),
         }
     }
 
@@ -189,7 +189,7 @@
         if names.len() > MAX_DUTIES {
             return Err(DutyError::TooMany);
         }
-        if let Some(name) = names.iter().find(|name| !is_name(name)) {
+        if let Some(name) = names.iter().find(|name| !is_valid_name(name)) {
             return Err(DutyError::UnknownDuty(name.clone()));
         }
         self.duties.retain(|name, duty| names.contains(name) || duty.holder.is_some());
--- a/crates/fernroute-fleet/src/leader.rs
+++ b/crates/fernroute-fleet/src/leader.rs
@@ -18,7 +18,7 @@
 
 use crate::configuration::register::Register;
 use crate::configuration::rollout::MemberRollout;
-use crate::configuration::{is_name, sanitize, ConfigurationReport, Target, Version, MAX_REASON_CHARS};
+use crate::configuration::{is_valid_name, sanitize, ConfigurationReport, Target, Version, MAX_REASON_CHARS};
 use crate::lease::Lease;
 use crate::ledger::{Allocation, Entry, Ledger, LedgerTransition, Offer};
 use crate::message::{Grant, Heartbeat, HeartbeatReply, RejectReason};
@@ -322,7 +322,7 @@
 }
 
 fn has_valid_names(report: &ConfigurationReport) -> bool {
-    is_name(&report.service) && (report.zone.is_empty() || is_name(&report.zone))
+    is_valid_name(&report.service) && (report.zone.is_empty() || is_valid_name(&report.zone))
 }
 
 fn report_target(name: &str, report: &ConfigurationReport) -> Target {
--- a/crates/fernroute-fleet/tests/division.rs
+++ b/crates/fernroute-fleet/tests/division.rs
@@ -1,15 +1,15 @@
 //! How one budget is divided among members by their demands.
 
-use fernroute_fleet::division::{divide, fair};
+use fernroute_fleet::division::{divide, fair_shares};
 use fernroute_fleet::MilliUnits;
 
 #[test]
 fn small_demands_are_met_and_the_others_share_the_rest() {
-    assert_eq!(fair(100, &[10, 200, 200]), [10, 45, 45]);
-    assert_eq!(fair(100, &[0, 10, 20]), [24, 33, 43]);
-    assert_eq!(fair(100, &[u64::MAX, u64::MAX, 0]), [50, 50, 0]);
-    assert_eq!(fair(7, &[9, 9]), [3, 4]);
-    assert_eq!((fair(0, &[5]), fair(5, &[])), (vec![0], vec![]));
+    assert_eq!(fair_shares(100, &[10, 200, 200]), [10, 45, 45]);
+    assert_eq!(fair_shares(100, &[0, 10, 20]), [24, 33, 43]);
+    assert_eq!(fair_shares(100, &[u64::MAX, u64::MAX, 0]), [50, 50, 0]);
+    assert_eq!(fair_shares(7, &[9, 9]), [3, 4]);
+    assert_eq!((fair_shares(0, &[5]), fair_shares(5, &[])), (vec![0], vec![]));
 }
 
 #[test]
--- a/crates/fernroute-fleet/tests/duties.rs
+++ b/crates/fernroute-fleet/tests/duties.rs
@@ -130,8 +130,8 @@
     assert_eq!(fence.admit("a", 3), Ok(()));
     assert_eq!(fence.admit("a", 3), Ok(()));
     assert_eq!(fence.admit("b", 1), Ok(()));
-    assert_eq!(fence.admit("a", 2), Err(StaleTerm { given: 2, highest_term: 3 }));
-    assert_eq!((fence.highest("a"), fence.highest("b"), fence.highest("c")), (3, 1, 0));
+    assert_eq!(fence.admit("a", 2), Err(StaleTerm { term: 2, highest_term: 3 }));
+    assert_eq!((fence.highest_term("a"), fence.highest_term("b"), fence.highest_term("c")), (3, 1, 0));
 }
 
 /// Guards against duties that are all held by one member, and against a placement that changes without a
--- a/crates/fernroute-testbed/src/processes/configuration.rs
+++ b/crates/fernroute-testbed/src/processes/configuration.rs
@@ -2,7 +2,7 @@
 
 use super::{launch, Fleet, START};
 use fernroute_coordinator::configuration::{
-    ConfigurationStatus, Latest, PutRequest, RequestError, GET, PUT, STATUS,
+    ConfigurationStatus, LatestEntry, PutRequest, RequestError, GET_PATH, PUT_PATH, STATUS_PATH,
 };
 use fernroute_fleet::configuration::rollout::MemberRollout;
 use fernroute_fleet::configuration::{content_hash, Scope, Version};
@@ -67,7 +67,7 @@
     pub async fn put(&self, scope: &str, content: &str) -> Version {
         let scope: Scope = scope.parse().expect("a scope");
         loop {
-            let latest: Latest = self.say(GET, &scope).await.expect("the latest");
+            let latest: LatestEntry = self.say(GET_PATH, &scope).await.expect("the latest");
             let base = latest.entry.as_ref().map_or(0, |part| part.version);
             if latest.entry.is_some_and(|part| part.content == content) {
                 return base;
@@ -80,7 +80,7 @@
                 content,
                 author: who,
             };
-            match self.say(PUT, &wish).await {
+            match self.say(PUT_PATH, &wish).await {
                 Ok(version) => return version,
                 // The answer to an earlier try was lost, or may come yet.
                 Err(RequestError::OutOfDate(_) | RequestError::Unknown(_)) => {}
@@ -90,7 +90,7 @@
     }
 
     pub async fn standings(&self) -> ConfigurationStatus {
-        self.say(STATUS, ()).await.expect("its word")
+        self.say(STATUS_PATH, ()).await.expect("its word")
     }
 
     /// How far this balancer is by its leader's word, once it is so.
--- a/crates/fernroute-testbed/src/scale/changes.rs
+++ b/crates/fernroute-testbed/src/scale/changes.rs
@@ -5,7 +5,7 @@
 use super::layout::CLUSTER;
 use crate::processes::configuration::say;
 use fernroute_coordinator::configuration::{
-    ConfigurationStatus, Latest, PutRequest, RequestError, GET, PUT, STATUS,
+    ConfigurationStatus, LatestEntry, PutRequest, RequestError, GET_PATH, PUT_PATH, STATUS_PATH,
 };
 use fernroute_fleet::configuration::{content_hash, Scope, Version};
 use serde::Serialize;
@@ -46,7 +46,7 @@
 /// The steward there enters a change for this service; its version.
 pub async fn put(at: SocketAddr, service: &str, number: u64) -> Option<Version> {
     let scope: Scope = format!("service/{service}").parse().ok()?;
-    let latest: Result<Latest, RequestError> = say(CLUSTER, at, GET, &scope).await?;
+    let latest: Result<LatestEntry, RequestError> = say(CLUSTER, at, GET_PATH, &scope).await?;
     let base = latest.ok()?.entry.map_or(0, |part| part.version);
     // The one method as it is, but for the time by which an answer is worth all.
     let content = format!(
@@ -57,7 +57,7 @@
     let done: Result<Version, RequestError> = say(
         CLUSTER,
         at,
-        PUT,
+        PUT_PATH,
         &PutRequest { scope, base_version: base, content_hash: hash, content, author: who },
     )
     .await?;
@@ -67,7 +67,7 @@
 /// How many balancers of this service go by this version or a later one, by the word of the steward there; none where it does not
 /// lead.
 async fn in_force(at: SocketAddr, service: &str, version: Version) -> Option<usize> {
-    let told: Result<ConfigurationStatus, RequestError> = say(CLUSTER, at, STATUS, ()).await?;
+    let told: Result<ConfigurationStatus, RequestError> = say(CLUSTER, at, STATUS_PATH, ()).await?;
     let members = told.ok()?.members;
     Some(members.iter().filter(|m| m.service == service && m.active >= version).count())
 }
--- a/crates/fernroute-testbed/src/scale/mod.rs
+++ b/crates/fernroute-testbed/src/scale/mod.rs
@@ -190,5 +190,5 @@
 /// How many budgets of the ledger are granted beyond their whole, by the leader's own word.
 async fn held_beyond(fleet: &Fleet) -> Result<u64, String> {
     let (_, status) = fleet.leader().await?;
-    Ok(status.budgets.values().filter(|b| b.held > b.whole * 1.000_001).count() as u64)
+    Ok(status.budgets.values().filter(|b| b.allocated > b.limit * 1.000_001).count() as u64)
 }
--- a/crates/fernroute-testbed/tests/duties.rs
+++ b/crates/fernroute-testbed/tests/duties.rs
@@ -2,7 +2,7 @@
 //! is no part of what decides asks all balancers, by one clock, what they act on.
 
 use fernroute_coordinator::configuration::RequestError;
-use fernroute_coordinator::duties::{DutiesStatus, NOTE, STATUS};
+use fernroute_coordinator::duties::{DutiesStatus, NOTE_PATH, STATUS_PATH};
 use fernroute_coordinator::peers::Peers;
 use fernroute_test_support::caller::told;
 use fernroute_test_support::http::read;
@@ -164,7 +164,7 @@
     loop {
         for at in &fleet.steward_addresses {
             let said: Result<Result<A, RequestError>, String> =
-                peers.say(&at.to_string(), path, 0, what, WITHIN).await;
+                peers.send(&at.to_string(), path, 0, what, WITHIN).await;
             match said {
                 Ok(Err(RequestError::NotLeader(_))) | Err(_) => {}
                 Ok(said) => return said,
@@ -177,7 +177,7 @@
 async fn note(fleet: &Fleet, duty: &str, term: u64) -> Result<(), RequestError> {
     let note =
         fernroute_fleet::duties::table::DutyNote { duty: duty.to_owned(), term, text: "at work".to_owned() };
-    ask(fleet, NOTE, &note).await
+    ask(fleet, NOTE_PATH, &note).await
 }
 
 /// Guards against a duty that stays with the dead, and against one that a drain leaves to nobody for as long as a lease.
@@ -199,7 +199,7 @@
         assert!(without <= LEASE / 2, "{without:?} without a holder after a drain");
         println!("without a holder: {:?} after a death, {without:?} after a drain", second.heard - killed);
         assert!(first.term < second.term && second.term < third.term);
-        let status: DutiesStatus = ask(&fleet, STATUS, &()).await.expect("the leader's word");
+        let status: DutiesStatus = ask(&fleet, STATUS_PATH, &()).await.expect("the leader's word");
         assert_eq!(
             status.duties[0].holder.as_ref().map(|holder| holder.term),
             Some(third.term),
@@ -328,7 +328,7 @@
             observer.holder(&duty).await;
         }
         // Not all on one: the fair part is three or four.
-        let status: DutiesStatus = ask(&fleet, STATUS, &()).await.expect("the leader's word");
+        let status: DutiesStatus = ask(&fleet, STATUS_PATH, &()).await.expect("the leader's word");
         let mut held: BTreeMap<String, usize> = BTreeMap::new();
         for holder in status.duties.iter().filter_map(|line| line.holder.as_ref()) {
             *held.entry(holder.name.clone()).or_insert(0) += 1;
--- a/crates/fernroute-testbed/tests/fleet.rs
+++ b/crates/fernroute-testbed/tests/fleet.rs
@@ -176,7 +176,7 @@
     loop {
         let status = fleet.status(fleet.leader().await).await;
         let members = status.iter().flat_map(|status| &status.members).filter(|m| m.name == name);
-        if members.filter_map(|m| m.holds.get("acme")).any(|holds| *holds >= least) {
+        if members.filter_map(|m| m.allocated.get("acme")).any(|allocated| *allocated >= least) {
             return;
         }
         sleep(Duration::from_millis(20)).await;
