--- a/crates/fernroute-server/src/program/configuration.rs
+++ b/crates/fernroute-server/src/program/configuration.rs
@@ -117,7 +117,7 @@
 
 /// In the folder that the file names, else beside the identity file.
 fn cache_path(instance: &Instance, fleet: &Fleet) -> Result<PathBuf, CachePathError> {
-    let socket_path = handover::path(&instance.name, instance.listen).map_err(CachePathError)?;
+    let socket_path = handover::socket_path(&instance.name, instance.listen).map_err(CachePathError)?;
     let default_path = socket_path.with_extension("configuration");
     Ok(match (&fleet.folder, default_path.file_name()) {
         (Some(folder), Some(file_name)) => folder.join(file_name),
--- a/crates/fernroute-server/src/program/descriptor_quota.rs
+++ b/crates/fernroute-server/src/program/descriptor_quota.rs
@@ -1,14 +1,14 @@
 //! How many file descriptors a process may have open, alone or beside another process of the same balancer during an
 //! upgrade: together they have no more than one may. No I/O.
 
-use crate::transport::door;
+use crate::transport::ops_server;
 
 /// Descriptors for everything but callers, upstreams and operators: standard streams, the listener, discovery, signals,
 /// the handover socket.
 pub const RESERVED_DESCRIPTORS: usize = 32;
 
 /// Descriptors for the operators' listener and its connections.
-const OPS_DESCRIPTORS: usize = door::PLACES + 1;
+const OPS_DESCRIPTORS: usize = ops_server::MAX_CONNECTIONS + 1;
 
 /// A process with hardly more than its reserved descriptors still serves a few connections.
 const MIN_CONNECTIONS: usize = 10;
--- a/crates/fernroute-server/src/program/ops.rs
+++ b/crates/fernroute-server/src/program/ops.rs
@@ -4,7 +4,7 @@
 use crate::protocol::ops::{Call, Reply};
 use crate::routing::phase::Closing;
 use crate::routing::switchboard::Switchboard;
-use crate::transport::door;
+use crate::transport::ops_server;
 use crate::transport::server::Server;
 use actix_http::StatusCode;
 use std::net::SocketAddr;
@@ -24,7 +24,7 @@
     let listener = TcpListener::bind(address).await.map_err(listen_error)?;
     let local_address = listener.local_addr().map_err(listen_error)?;
     let (board, server) = (Rc::clone(board), Rc::clone(server));
-    actix_rt::spawn(door::run(listener, move |call| answer(&board, &server, call)));
+    actix_rt::spawn(ops_server::run(listener, move |call| answer(&board, &server, call)));
     Ok(local_address)
 }
 
--- a/crates/fernroute-server/src/program/predecessor.rs
+++ b/crates/fernroute-server/src/program/predecessor.rs
@@ -3,7 +3,7 @@
 use super::fleet::ReceivedHandover;
 use super::start_error::StartError;
 use crate::protocol::handover::{FromNew, FromOld, Known};
-use crate::transport::handover::{path as handover_path, Link};
+use crate::transport::handover::{socket_path as handover_path, HandoverConnection};
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
 use std::os::fd::OwnedFd;
@@ -54,7 +54,7 @@
 /// A process that hands over, with what it gave.
 pub struct ServingPredecessor {
     /// The connection to it.
-    pub(super) link: Link,
+    pub(super) link: HandoverConnection,
     /// The callers' socket; taken as this process starts.
     pub listener: Option<TcpListener>,
     /// Its endpoint list.
@@ -125,7 +125,7 @@
 
 async fn request_handover(name: &str, listen: SocketAddr) -> Result<HandoverReply, HandoverError> {
     let path = handover_path(name, listen).map_err(HandoverError::Path)?;
-    let link = match Link::connect(&path).await {
+    let link = match HandoverConnection::connect(&path).await {
         Ok(Some(link)) => link,
         Ok(None) => return Ok(HandoverReply::Absent),
         // Its process was killed, and the file is still there.
@@ -138,10 +138,13 @@
     timeout(REPLY_TIMEOUT, receive_handover(link, listen)).await.map_err(|_| HandoverError::TimedOut)?
 }
 
-async fn receive_handover(mut link: Link, listen: SocketAddr) -> Result<HandoverReply, HandoverError> {
+async fn receive_handover(
+    mut link: HandoverConnection,
+    listen: SocketAddr,
+) -> Result<HandoverReply, HandoverError> {
     let requested_at = Instant::now();
-    link.say(&FromNew::take()).await?;
-    let Some((message, socket)) = link.hear().await? else { return Err(HandoverError::Closed) };
+    link.send(&FromNew::take()).await?;
+    let Some((message, socket)) = link.receive().await? else { return Err(HandoverError::Closed) };
     let (list, descriptors, handover, socket) = match (message, socket) {
         (FromOld::Given { list, descriptors, member, .. }, Some(socket)) => {
             (list, descriptors, member, socket)
--- a/crates/fernroute-server/src/program/running.rs
+++ b/crates/fernroute-server/src/program/running.rs
@@ -7,7 +7,7 @@
 use super::start_error::StartError;
 use crate::protocol::handover::Known;
 use crate::routing::switchboard::Switchboard;
-use crate::transport::discovery::Watch;
+use crate::transport::discovery::DiscoveryWatch;
 use crate::transport::handover;
 use crate::transport::server::Server;
 use actix_rt::task::JoinHandle;
@@ -81,7 +81,7 @@
         self.board.since.set(version);
         let board = Rc::clone(&self.board);
         let poll_signal = self.decisions_start_polls.get().then(|| Rc::clone(&self.board.follow));
-        let watch = Watch::new(discovery).run(version, poll_signal, move |event| match event {
+        let watch = DiscoveryWatch::new(discovery).run(version, poll_signal, move |event| match event {
             Some(list) => {
                 board.since.set(Some(list.version));
                 board.take_list(&list, true);
@@ -124,7 +124,7 @@
     /// # Errors
     /// When there can be no such file.
     pub fn handover_path(&self) -> Result<PathBuf, StartError> {
-        handover::path(&self.name, self.listen).map_err(StartError::HandoverPath)
+        handover::socket_path(&self.name, self.listen).map_err(StartError::HandoverPath)
     }
 
     /// The endpoint list as this process has it.
@@ -149,8 +149,8 @@
         change(&mut quota);
         self.quota.set(quota);
         let limits = quota.connection_limits();
-        self.server.set_most(limits.callers);
-        self.board.client.set_most(limits.upstreams);
+        self.server.set_max_connections(limits.callers);
+        self.board.client.set_max_connections(limits.upstreams);
         self.board.windows.set_memory(quota.memory(self.memory_bytes));
     }
 }
--- a/crates/fernroute-server/src/program/shutdown.rs
+++ b/crates/fernroute-server/src/program/shutdown.rs
@@ -36,7 +36,7 @@
     while !may_close_all(board, server) {
         actix_rt::time::sleep(POLL_INTERVAL).await;
     }
-    let mut end = pin!(server.end());
+    let mut end = pin!(server.shut_down());
     let last_moment = pin!(wait_for_stage(board, Closing::Open));
     if let Either::Right(_) = select(&mut end, last_moment).await {
         board.error_all();
--- a/crates/fernroute-server/src/program/successor.rs
+++ b/crates/fernroute-server/src/program/successor.rs
@@ -8,7 +8,7 @@
 use super::predecessor::REPLY_TIMEOUT;
 use super::running::RunningInstance;
 use crate::protocol::handover::{FromNew, FromOld};
-use crate::transport::handover::{Link, Meeting};
+use crate::transport::handover::{HandoverConnection, HandoverListener};
 use futures_util::future::{select, Either};
 use std::pin::pin;
 use std::time::Duration;
@@ -30,7 +30,7 @@
 }
 
 /// Waits for successors until one of them has become ready, then drains beside it.
-pub(super) async fn serve_successors(running: &RunningInstance, meeting: Meeting) -> DrainEnd {
+pub(super) async fn serve_successors(running: &RunningInstance, meeting: HandoverListener) -> DrainEnd {
     loop {
         let link = accept(&meeting).await;
         if let Some(link) = hand_over_exclusively(running, &meeting, link).await {
@@ -46,7 +46,7 @@
     }
 }
 
-async fn accept(meeting: &Meeting) -> Link {
+async fn accept(meeting: &HandoverListener) -> HandoverConnection {
     loop {
         match meeting.accept().await {
             Ok(link) => return link,
@@ -58,7 +58,7 @@
     }
 }
 
-async fn drain_beside(running: &RunningInstance, link: Link) -> DrainEnd {
+async fn drain_beside(running: &RunningInstance, link: HandoverConnection) -> DrainEnd {
     let end = report_until_drained(running, link).await;
     if end == DrainEnd::SuccessorEnded {
         tracing::warn!("the successor has ended, serving again");
@@ -78,7 +78,11 @@
 }
 
 /// Hands over to one successor and rejects all others meanwhile. Returns the link to a successor that is ready.
-async fn hand_over_exclusively(running: &RunningInstance, meeting: &Meeting, link: Link) -> Option<Link> {
+async fn hand_over_exclusively(
+    running: &RunningInstance,
+    meeting: &HandoverListener,
+    link: HandoverConnection,
+) -> Option<HandoverConnection> {
     let reject_others = pin!(reject_others(meeting));
     match select(pin!(hand_over(running, link)), reject_others).await {
         Either::Left((ready, _)) => ready,
@@ -86,12 +90,12 @@
     }
 }
 
-async fn reject_others(meeting: &Meeting) {
+async fn reject_others(meeting: &HandoverListener) {
     loop {
         match meeting.accept().await {
             Ok(link) => {
                 // Closing a socket with an unread message would cut off the reply.
-                let _ = timeout(REPLY_TIMEOUT, link.hear::<FromNew>()).await;
+                let _ = timeout(REPLY_TIMEOUT, link.receive::<FromNew>()).await;
                 reject(link, "another process takes over already", false).await;
             }
             Err(_) => actix_rt::time::sleep(ACCEPT_BACKOFF).await,
@@ -99,15 +103,15 @@
     }
 }
 
-async fn reject(mut link: Link, reason: &str, ending: bool) {
+async fn reject(mut link: HandoverConnection, reason: &str, ending: bool) {
     let message = FromOld::Refused { why: reason.to_owned(), ending };
     // The other process may have ended.
-    let _ = timeout(REPLY_TIMEOUT, link.say(&message)).await;
+    let _ = timeout(REPLY_TIMEOUT, link.send(&message)).await;
 }
 
 /// Hands over to a successor. Returns the link once it is ready; `None` if it never will be.
-async fn hand_over(running: &RunningInstance, mut link: Link) -> Option<Link> {
-    let version_is_known = match timeout(REPLY_TIMEOUT, link.hear::<FromNew>()).await {
+async fn hand_over(running: &RunningInstance, mut link: HandoverConnection) -> Option<HandoverConnection> {
+    let version_is_known = match timeout(REPLY_TIMEOUT, link.receive::<FromNew>()).await {
         Ok(Ok(Some((message @ FromNew::Take { .. }, _)))) => message.is_known(),
         other => {
             tracing::warn!("who came to take over says {other:?}");
@@ -123,11 +127,11 @@
         return None;
     };
     let message = prepare_handover(running);
-    match timeout(REPLY_TIMEOUT, link.say_with(&message, socket)).await {
+    match timeout(REPLY_TIMEOUT, link.send_with_socket(&message, socket)).await {
         Ok(Ok(())) => {}
         _ => return None,
     }
-    match link.hear::<FromNew>().await {
+    match link.receive::<FromNew>().await {
         Ok(Some((FromNew::Ready, _))) => Some(link),
         _ => {
             tracing::warn!("the successor ended before it could serve");
@@ -146,18 +150,18 @@
 }
 
 /// Reports free descriptors to the successor as connections end, until none is open or the successor has ended.
-async fn report_until_drained(running: &RunningInstance, mut link: Link) -> DrainEnd {
-    if link.say(&FromOld::Yours).await.is_err() {
+async fn report_until_drained(running: &RunningInstance, mut link: HandoverConnection) -> DrainEnd {
+    if link.send(&FromOld::Yours).await.is_err() {
         return DrainEnd::SuccessorEnded;
     }
     let mut reported = 0;
     while running.server.connections() > 0 {
         let descriptors = running.quota().available_to_successor(running.connections());
-        if descriptors != reported && link.say(&FromOld::Left { descriptors }).await.is_err() {
+        if descriptors != reported && link.send(&FromOld::Left { descriptors }).await.is_err() {
             return DrainEnd::SuccessorEnded;
         }
         reported = descriptors;
-        if let Ok(Ok(None) | Err(_)) = timeout(REPORT_INTERVAL, link.hear::<FromNew>()).await {
+        if let Ok(Ok(None) | Err(_)) = timeout(REPORT_INTERVAL, link.receive::<FromNew>()).await {
             return DrainEnd::SuccessorEnded;
         }
     }
--- a/crates/fernroute-server/src/program/upgrade.rs
+++ b/crates/fernroute-server/src/program/upgrade.rs
@@ -12,7 +12,7 @@
 use super::start_error::StartError;
 use super::successor::{serve_successors, DrainEnd};
 use crate::protocol::handover::{FromNew, FromOld};
-use crate::transport::handover::{Link, Meeting};
+use crate::transport::handover::{HandoverConnection, HandoverListener};
 use futures_util::future::{join, select, Either};
 use std::future::Future;
 use std::io;
@@ -110,7 +110,7 @@
 /// Takes over from a predecessor that serves; ends once the next successor may connect to this process.
 async fn take_over(
     running: &Rc<RunningInstance>,
-    mut link: Link,
+    mut link: HandoverConnection,
     configuration_current: impl Future<Output = ()>,
 ) -> Result<(), StartError> {
     let descriptors = running.quota().assigned;
@@ -120,7 +120,7 @@
         return std::future::pending().await;
     }
     // Sent before this process accepts: if it can't be sent, the predecessor has ended.
-    let sent = link.say(&FromNew::Ready).await;
+    let sent = link.send(&FromNew::Ready).await;
     begin_unless_stopping(running).await?;
     if sent.is_err() {
         reclaim_from_predecessor(running);
@@ -136,7 +136,7 @@
 /// returns at once if the predecessor ends.
 async fn wait_until_prepared(
     running: &RunningInstance,
-    link: &Link,
+    link: &HandoverConnection,
     configuration_current: impl Future<Output = ()>,
 ) {
     let prepared = pin!(async {
@@ -145,14 +145,18 @@
             actix_rt::time::sleep(POLL_INTERVAL).await;
         }
     });
-    if let Either::Right((message, _)) = select(prepared, pin!(link.hear::<FromOld>())).await {
+    if let Either::Right((message, _)) = select(prepared, pin!(link.receive::<FromOld>())).await {
         tracing::warn!("the old process did not wait for this one: {message:?}");
     }
 }
 
 /// Follows the drain of the predecessor until it ends.
-async fn follow_predecessor(running: Rc<RunningInstance>, link: Link, may_hand_over: Rc<Notify>) {
-    while let Ok(Some((message, _))) = link.hear::<FromOld>().await {
+async fn follow_predecessor(
+    running: Rc<RunningInstance>,
+    link: HandoverConnection,
+    may_hand_over: Rc<Notify>,
+) {
+    while let Ok(Some((message, _))) = link.receive::<FromOld>().await {
         match message {
             FromOld::Left { descriptors } => running.update_quota(|quota| quota.assigned = descriptors),
             FromOld::Yours => may_hand_over.notify_one(),
@@ -176,7 +180,7 @@
 async fn hand_over_to_successor(running: &RunningInstance) -> Result<(), HandoverSocketError> {
     loop {
         let path = running.handover_path()?;
-        let meeting = match Meeting::open(&path).await {
+        let meeting = match HandoverListener::open(&path).await {
             Ok(meeting) => meeting,
             Err(source) => return Err(HandoverSocketError::Open { path, source }),
         };
--- a/crates/fernroute-server/src/routing/admit.rs
+++ b/crates/fernroute-server/src/routing/admit.rs
@@ -5,7 +5,7 @@
 use super::tally::End;
 use crate::protocol::answer::Final;
 use crate::protocol::request::{Request, Unfit};
-use crate::transport::inbound::Visit;
+use crate::transport::inbound::CallerConnection;
 use actix_http::StatusCode;
 use std::collections::BTreeMap;
 use std::future::pending;
@@ -29,7 +29,7 @@
     pub async fn admit(
         self: &Rc<Self>,
         request: Request,
-        caller: Option<&Rc<Visit>>,
+        caller: Option<&Rc<CallerConnection>>,
     ) -> Result<Final, Unfit> {
         let rpc = Rc::clone(&request.id);
         // One id, one final answer.
--- a/crates/fernroute-server/src/routing/route.rs
+++ b/crates/fernroute-server/src/routing/route.rs
@@ -5,7 +5,7 @@
 use super::switchboard::{Out, Switchboard};
 use super::timers::Due;
 use crate::transport::client::UpstreamClient;
-use crate::transport::outbound::{AttemptState, Reached};
+use crate::transport::outbound::{AttemptProgress, AttemptState};
 use fernroute::{Outcome, Time};
 use std::rc::Rc;
 use tokio::sync::oneshot;
@@ -30,9 +30,9 @@
         // Its time counts from the last byte of an RPC that still comes.
         let time_out_key = entry.request.is_whole().then(|| self.timers.set(time_out, due));
         let client = self.upstreams.borrow().get(upstream).map(|(_, client)| Rc::clone(client));
-        let attempt = AttemptState::of(entry.caller.clone(), &self.tally.written);
+        let attempt = AttemptState::new(entry.caller.clone(), &self.tally.written);
         let left = |by: Time| duration(by.saturating_sub(self.clock.now()));
-        written_by.map(left).into_iter().for_each(|left| attempt.bar_after(left));
+        written_by.map(left).into_iter().for_each(|left| attempt.set_write_deadline(left));
         let out = Out {
             stop: Some(stop),
             time_out: time_out_key,
@@ -71,7 +71,7 @@
         if let Some(time_out) = out.time_out.take().filter(|_| why != Outcome::TimedOut) {
             self.timers.drop(&time_out);
         }
-        out.attempt.bar();
+        out.attempt.prevent_start();
         // Its task may have ended this moment: then it was not stopped.
         let _ = stop.send(why);
     }
@@ -82,13 +82,13 @@
         let upstreams = self.upstreams.borrow();
         let is_there =
             |client: &Rc<UpstreamClient>| upstreams.values().any(|(_, listed)| Rc::ptr_eq(listed, client));
-        let has_left = |out: &Out| {
-            out.attempt.reached() == Reached::Nothing
+        let has_disconnected = |out: &Out| {
+            out.attempt.progress() == AttemptProgress::NotStarted
                 && out.client.as_ref().is_some_and(|client| !is_there(client))
         };
         let mut those = Vec::new();
         for (rpc, entry) in &*self.open.borrow() {
-            let left = entry.out.iter().filter(|(_, out)| has_left(out));
+            let left = entry.out.iter().filter(|(_, out)| has_disconnected(out));
             those.extend(left.map(|(tx, _)| (Rc::clone(rpc), *tx)));
         }
         those.iter().for_each(|(rpc, tx)| self.stop(rpc, *tx, Outcome::NotSent));
@@ -97,7 +97,7 @@
     /// The caller has gone: what is not all written of its RPC never will be, also where what may have run is not to be
     /// called off. Guards against a connection that comes up late, and an RPC that nobody waits for on it.
     pub(super) fn call_off_unwritten(&self, rpc: &str) {
-        let unwritten = |out: &Out| out.attempt.reached() < Reached::Written;
+        let unwritten = |out: &Out| out.attempt.progress() < AttemptProgress::RequestWritten;
         let those: Vec<usize> = match self.open.borrow().get(rpc) {
             Some(entry) => entry.out.iter().filter(|(_, out)| unwritten(out)).map(|(tx, _)| *tx).collect(),
             None => return,
--- a/crates/fernroute-server/src/routing/send.rs
+++ b/crates/fernroute-server/src/routing/send.rs
@@ -5,8 +5,8 @@
 use super::windows::PIECES;
 use crate::protocol::answer::{Answer, Cut, Flow};
 use crate::protocol::request::Request;
-use crate::transport::client::{Body, Call, Rest, UpstreamClient};
-use crate::transport::outbound::{AttemptState, Reached};
+use crate::transport::client::{AnswerStream, Body, UpstreamClient, UpstreamRequest};
+use crate::transport::outbound::{AttemptProgress, AttemptState};
 use actix_http::body::BoxBody;
 use fernroute::{Outcome, Time};
 use futures_util::future::{select, Either};
@@ -42,7 +42,7 @@
         let attempt = Rc::clone(&plan.attempt);
         let made = self.make(&request, plan);
         let result = AssertUnwindSafe(made).catch_unwind().await.unwrap_or(Err(Outcome::Unknown));
-        if attempt.is_unwanted() {
+        if attempt.is_caller_gone() {
             // Before it is booked: nothing further is to be sent.
             self.abandoned(&rpc);
         }
@@ -65,19 +65,19 @@
         self: &Rc<Self>,
         request: &Request,
         AttemptPlan { client, attempt, time_out, stopped }: AttemptPlan,
-    ) -> Result<(Answer, Option<Rest>), Outcome> {
+    ) -> Result<(Answer, Option<AnswerStream>), Outcome> {
         // Left the list after it was drawn: nothing was sent.
         let Some(client) = client else { return Err(Outcome::NotSent) };
         let (verb, uri, headers) = request.encode(client.address, time_out);
         let body = match &request.upload {
             // What an earlier transmission took of it is nowhere any more: this one can't be made.
             Some(upload) if upload.gone.get() || upload.broken.get() => return Err(Outcome::NotSent),
-            Some(upload) => Body::Coming(BoxBody::new(Sent::new(self, request, upload, &attempt))),
-            None => Body::Whole(request.body.clone()),
+            Some(upload) => Body::Stream(BoxBody::new(Sent::new(self, request, upload, &attempt))),
+            None => Body::Buffered(request.body.clone()),
         };
-        let call = Call { verb, uri, headers, body, fresh: request.once };
+        let call = UpstreamRequest { method: verb, uri, headers, body, new_connection: request.once };
         let result = {
-            let call = pin!(client.call(call, &attempt));
+            let call = pin!(client.send(call, &attempt));
             // Dropping the call at the end of this block closes its connection.
             match select(call, stopped).await {
                 Either::Left((result, _)) => Ok(result),
@@ -86,9 +86,9 @@
         };
         match result {
             Ok(Ok(answered)) => {
-                let answer = Answer::decode(answered.head, answered.first, &self.gauges.borrow());
+                let answer = Answer::decode(answered.head, answered.body_start, &self.gauges.borrow());
                 // Of no other answer is the body passed on.
-                Ok((answer, answered.rest)).map(|(answer, rest)| match answer.outcome {
+                Ok((answer, answered.remaining)).map(|(answer, rest)| match answer.outcome {
                     Outcome::Completed => (answer, rest),
                     _ => (answer, None),
                 })
@@ -96,19 +96,29 @@
             Ok(Err(broken)) => {
                 tracing::debug!("RPC {} at {}: {broken}", request.id, client.address);
                 let caller_broke = request.upload.as_ref().is_some_and(|upload| upload.broken.get());
-                Err(match broken.reached {
-                    Reached::Nothing if attempt.is_unwanted() => Outcome::Cancelled,
+                Err(match broken.progress {
+                    AttemptProgress::NotStarted if attempt.is_caller_gone() => Outcome::Cancelled,
                     // For want of connections here, of time or of the RPC: that says nothing of the upstream.
-                    Reached::Nothing | Reached::Connected if attempt.held_back() => Outcome::NotSent,
-                    Reached::Nothing | Reached::Connected if caller_broke => Outcome::NotSent,
+                    AttemptProgress::NotStarted | AttemptProgress::Connected if attempt.held_back() => {
+                        Outcome::NotSent
+                    }
+                    AttemptProgress::NotStarted | AttemptProgress::Connected if caller_broke => {
+                        Outcome::NotSent
+                    }
                     // Turned away before it was there.
-                    Reached::Nothing | Reached::Connected if attempt.early.get() => Outcome::Rejected,
-                    Reached::Nothing | Reached::Connected => Outcome::ConnectFailed,
-                    Reached::Written | Reached::AnswerBegun => Outcome::Reset,
+                    AttemptProgress::NotStarted | AttemptProgress::Connected
+                        if attempt.answered_early.get() =>
+                    {
+                        Outcome::Rejected
+                    }
+                    AttemptProgress::NotStarted | AttemptProgress::Connected => Outcome::ConnectFailed,
+                    AttemptProgress::RequestWritten | AttemptProgress::AnswerStarted => Outcome::Reset,
                 })
             }
             // Given up before its last byte was out: the upstream can't have begun it.
-            Err(Outcome::TimedOut) if attempt.reached() < Reached::Written => Err(Outcome::ConnectFailed),
+            Err(Outcome::TimedOut) if attempt.progress() < AttemptProgress::RequestWritten => {
+                Err(Outcome::ConnectFailed)
+            }
             // A caller's going says nothing of the upstream.
             Err(why) => Err(why),
         }
@@ -120,12 +130,12 @@
         rpc: &str,
         tx: usize,
         mut answer: Answer,
-        mut rest: Rest,
+        mut rest: AnswerStream,
     ) -> Result<Answer, Outcome> {
         let (passed, coming) = mpsc::channel(PIECES / 2);
         let window = self.windows.open();
         let loads = std::mem::take(&mut answer.loads);
-        answer.flow = Some(Flow::new(coming, rest.length));
+        answer.flow = Some(Flow::new(coming, rest.content_length));
         if !self.begin(rpc, tx, answer) {
             return Err(Outcome::Cancelled);
         }
--- a/crates/fernroute-server/src/routing/switchboard.rs
+++ b/crates/fernroute-server/src/routing/switchboard.rs
@@ -11,7 +11,7 @@
 use crate::protocol::ops::{Control, Figures};
 use crate::protocol::request::{Request, Shape};
 use crate::transport::client::{Client, UpstreamClient};
-use crate::transport::inbound::Visit;
+use crate::transport::inbound::CallerConnection;
 use crate::transport::outbound::AttemptState;
 use fernroute::action_queue::{Action, ActionQueue};
 use fernroute::{Balancer, InvalidSetting, Outcome, Settings, Time};
@@ -41,7 +41,7 @@
 pub struct Open {
     pub request: Rc<Request>,
     /// The connection that it came on.
-    pub caller: Option<Weak<Visit>>,
+    pub caller: Option<Weak<CallerConnection>>,
     /// None once the final answer is given, or the caller has gone.
     pub answer: Option<oneshot::Sender<Final>>,
     /// Its answer is being handed on.
--- a/crates/fernroute-server/src/routing/take_in.rs
+++ b/crates/fernroute-server/src/routing/take_in.rs
@@ -4,7 +4,7 @@
 use super::switchboard::Switchboard;
 use crate::protocol::request::{self, Unfit, Upload, MOST_BODY, MOST_HELD};
 use crate::protocol::{answer, names};
-use crate::transport::inbound::Visit;
+use crate::transport::inbound::CallerConnection;
 use actix_http::body::BoxBody;
 use actix_http::header::CONTENT_LENGTH;
 use actix_http::{Method, Payload, Request, Response, StatusCode};
@@ -17,8 +17,12 @@
 const TOO_LARGE: Unfit = Unfit(StatusCode::PAYLOAD_TOO_LARGE, "body too large");
 
 /// Answers one message of a connection. A panic on the way costs this message alone.
-pub async fn handle(board: Rc<Switchboard>, message: Request, visit: Rc<Visit>) -> Response<BoxBody> {
-    if visit.is_last() {
+pub async fn handle(
+    board: Rc<Switchboard>,
+    message: Request,
+    visit: Rc<CallerConnection>,
+) -> Response<BoxBody> {
+    if visit.closes_after_answer() {
         // What came behind a message that was turned away is no message; the connection closes.
         return pending().await;
     }
@@ -27,9 +31,13 @@
     relay::close_if_last(&board, response)
 }
 
-async fn answer(board: &Rc<Switchboard>, mut message: Request, visit: &Rc<Visit>) -> Response<BoxBody> {
+async fn answer(
+    board: &Rc<Switchboard>,
+    mut message: Request,
+    visit: &Rc<CallerConnection>,
+) -> Response<BoxBody> {
     if message.path() == names::READY_PATH {
-        let _stay = visit.taken();
+        let _guard = visit.begin_request();
         return match *message.method() {
             Method::GET => answer::readiness(board.is_ready()),
             _ => turn_away(&Unfit(StatusCode::METHOD_NOT_ALLOWED, "GET"), visit),
@@ -44,12 +52,12 @@
         (Ok(request), Ok((body, _))) if !request.takes_body() && !body.is_empty() => Err(request::BODIED),
         (_, body) => body,
     };
-    let stay = visit.taken();
+    let guard = visit.begin_request();
     match (decoded, body) {
         (Ok(mut request), Ok((body, upload))) => {
-            if visit.has_left() {
+            if visit.has_disconnected() {
                 // Nobody waits for it: the connection ends, and with it this.
-                visit.leave();
+                visit.handle_disconnect();
                 return pending().await;
             }
             (request.body, request.upload) = (body, upload.clone());
@@ -62,10 +70,10 @@
                     return turn_away(&TOO_LARGE, visit);
                 }
                 // What still comes of it is no RPC.
-                visit.last_answer();
+                visit.close_after_answer();
             }
             // The connection is between RPCs once all of the answer is on its way.
-            last.at_end(move |_| drop(stay));
+            last.at_end(move |_| drop(guard));
             last.encode()
         }
         (Err(unfit), _) | (_, Err(unfit)) => turn_away(&unfit, visit),
@@ -73,14 +81,17 @@
 }
 
 /// Answers what is no RPC, and reads no further: who sent it may mean something else by the rest.
-fn turn_away(unfit: &Unfit, visit: &Visit) -> Response<BoxBody> {
+fn turn_away(unfit: &Unfit, visit: &CallerConnection) -> Response<BoxBody> {
     tracing::debug!("not an RPC: {}", unfit.1);
-    visit.last_answer();
+    visit.close_after_answer();
     answer::unfit(unfit)
 }
 
 /// The body, or as much of it as is held and the rest as it comes.
-async fn take_body(message: &mut Request, visit: &Visit) -> Result<(Bytes, Option<Rc<Upload>>), Unfit> {
+async fn take_body(
+    message: &mut Request,
+    visit: &CallerConnection,
+) -> Result<(Bytes, Option<Rc<Upload>>), Unfit> {
     let length = message.head().headers.get(CONTENT_LENGTH).and_then(|v| v.to_str().ok()?.parse().ok());
     if length.is_some_and(|n: u64| n > MOST_BODY) {
         return Err(TOO_LARGE);
@@ -88,7 +99,7 @@
     let mut payload: Payload = message.take_payload();
     let mut body = BytesMut::new();
     while let Some(chunk) = payload.next().await {
-        visit.progress();
+        visit.record_progress();
         body.extend_from_slice(&chunk.map_err(|_| Unfit(StatusCode::BAD_REQUEST, "body not whole"))?);
         if body.len() > MOST_HELD {
             return Ok((body.freeze(), Some(Upload::new(payload, length))));
--- a/crates/fernroute-server/src/routing/upload.rs
+++ b/crates/fernroute-server/src/routing/upload.rs
@@ -87,7 +87,7 @@
 
     /// The last byte has come; once what is passed on is written it may run.
     fn finish(&mut self) {
-        self.attempt.unfinished.set(false);
+        self.attempt.body_incomplete.set(false);
         self.board.whole(&self.rpc);
     }
 }
@@ -100,7 +100,7 @@
     }
 
     fn poll_next(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, io::Error>>> {
-        match self.attempt.poll_room(cx, self.window.piece()) {
+        match self.attempt.poll_write_capacity(cx, self.window.piece()) {
             Poll::Pending => return self.wait(cx, false),
             Poll::Ready(Err(why)) => return Poll::Ready(Some(Err(why))),
             Poll::Ready(Ok(())) => {}
--- a/crates/fernroute-server/src/transport/client.rs
+++ b/crates/fernroute-server/src/transport/client.rs
@@ -1,7 +1,7 @@
 //! Calls on upstreams. Nothing here sends twice, follows a redirect or gives up by itself.
 
-use super::connections::{ConnectionTable, IdlePool};
-use super::outbound::{AttemptState, Reached, CURRENT_ATTEMPT};
+use super::outbound::{AttemptProgress, AttemptState, CURRENT_ATTEMPT};
+use super::upstream_connections::{ConnectionTable, IdlePool};
 use actix_http::body::BoxBody;
 use actix_http::header::{HeaderMap, CONTENT_LENGTH};
 use actix_http::{Method, ResponseHead, Uri};
@@ -18,14 +18,14 @@
 
 /// A call that brought no whole answer, and how far it had come.
 #[derive(Debug)]
-pub struct Broken {
-    pub reached: Reached,
+pub struct UpstreamError {
+    pub progress: AttemptProgress,
     why: String,
 }
 
-impl fmt::Display for Broken {
+impl fmt::Display for UpstreamError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{} ({:?})", self.why, self.reached)
+        write!(f, "{} ({:?})", self.why, self.progress)
     }
 }
 
@@ -52,14 +52,14 @@
 }
 
 /// One call's parts.
-pub struct Call {
-    pub verb: Method,
+pub struct UpstreamRequest {
+    pub method: Method,
     pub uri: String,
     pub headers: HeaderMap,
     pub body: Body,
     /// On a connection of its own, closed after the answer. A kept one may end as the call is written, and then
     /// nobody knows whether it has run.
-    pub fresh: bool,
+    pub new_connection: bool,
 }
 
 impl Client {
@@ -74,7 +74,7 @@
     }
 
     /// For one that is asked again at once, and whose answers are read for what they say.
-    pub fn without_rest(self) -> Self {
+    pub fn without_reuse_delay(self) -> Self {
         Client { rest: Duration::ZERO, ..self }
     }
 
@@ -90,7 +90,7 @@
         let connect = fn_service(move |info: ConnectInfo<Uri>| {
             let (connections, idle_pool) = (Rc::clone(&for_new), idle_pool.clone());
             async move {
-                if !CURRENT_ATTEMPT.try_with(|attempt| attempt.may_begin()).unwrap_or(true) {
+                if !CURRENT_ATTEMPT.try_with(|attempt| attempt.may_start()).unwrap_or(true) {
                     // No connection is taken or made for it.
                     return Err(ConnectError::Io(io::Error::other("called off before it was connected")));
                 }
@@ -119,8 +119,8 @@
         self.connections.count()
     }
 
-    pub fn set_most(&self, most: usize) {
-        self.connections.set_most(most);
+    pub fn set_max_connections(&self, most: usize) {
+        self.connections.set_max_connections(most);
     }
 
     pub fn sweep(&self) {
@@ -130,8 +130,8 @@
 
 /// What goes with a call: bytes that are there, or a body that still comes.
 pub enum Body {
-    Whole(Bytes),
-    Coming(BoxBody),
+    Buffered(Bytes),
+    Stream(BoxBody),
 }
 
 /// How much of an answer comes before it is handed on: all, if it is no more than this. A longer one is handed on as it
@@ -146,29 +146,29 @@
 const UNSAID_FOR: Duration = Duration::from_secs(1);
 
 /// An answer's head, and what there is of its body.
-pub struct Answered {
+pub struct UpstreamAnswer {
     pub head: ResponseHead,
-    pub first: Bytes,
+    pub body_start: Bytes,
     /// None where `first` is all.
-    pub rest: Option<Rest>,
+    pub remaining: Option<AnswerStream>,
 }
 
 /// The part of an answer that still comes.
-pub struct Rest {
+pub struct AnswerStream {
     response: ClientResponse,
     /// What it says to be in all, if it does.
-    pub length: Option<u64>,
+    pub content_length: Option<u64>,
     left: usize,
     /// Its end or what broke it, met behind bytes that were handed on first.
     met: Option<Result<(), String>>,
     attempt: Rc<AttemptState>,
 }
 
-impl Answered {
+impl UpstreamAnswer {
     /// All of it.
-    pub async fn whole(self) -> Result<(ResponseHead, Bytes), String> {
-        let Some(mut rest) = self.rest else { return Ok((self.head, self.first)) };
-        let mut body = BytesMut::from(&self.first[..]);
+    pub async fn collect(self) -> Result<(ResponseHead, Bytes), String> {
+        let Some(mut rest) = self.remaining else { return Ok((self.head, self.body_start)) };
+        let mut body = BytesMut::from(&self.body_start[..]);
         while let Some(more) = rest.next(HELD).await? {
             body.extend_from_slice(&more);
         }
@@ -176,7 +176,7 @@
     }
 }
 
-impl Rest {
+impl AnswerStream {
     /// The next bytes, all that are there up to about `some`; none at its whole end. Many small pieces that are there
     /// come as one.
     pub async fn next(&mut self, some: usize) -> Result<Option<Bytes>, String> {
@@ -194,7 +194,7 @@
                 match more {
                     Some(Some(Ok(more))) => piece.extend_from_slice(&more),
                     Some(Some(Err(why))) => met = Some(Err(why.to_string())),
-                    Some(None) => met = Some(attempt.whole().map_err(|e| e.to_string())),
+                    Some(None) => met = Some(attempt.check_complete().map_err(|e| e.to_string())),
                     None => break,
                 }
             }
@@ -205,7 +205,7 @@
             // In the turn in which the end was met, though what came with it is still to be handed on. Guards against the
             // library's pool, which has the connection from then on: another RPC would be sent on it, lose it as it is put back
             // here later, and leave its answer to the one after that.
-            self.attempt.over();
+            self.attempt.release_connection();
         }
         if piece.is_empty() {
             return met.unwrap_or(Ok(())).map(|()| None);
@@ -218,28 +218,36 @@
 
 impl UpstreamClient {
     /// The whole answer, or its beginning. Dropping the future, or the rest, closes the connection.
-    pub async fn call(&self, call: Call, attempt: &Rc<AttemptState>) -> Result<Answered, Broken> {
+    pub async fn send(
+        &self,
+        call: UpstreamRequest,
+        attempt: &Rc<AttemptState>,
+    ) -> Result<UpstreamAnswer, UpstreamError> {
         let result = CURRENT_ATTEMPT.scope(Rc::clone(attempt), self.answer(call, attempt)).await;
-        if !result.as_ref().is_ok_and(|answered| answered.rest.is_some()) {
-            attempt.over();
+        if !result.as_ref().is_ok_and(|answered| answered.remaining.is_some()) {
+            attempt.release_connection();
         }
-        result.map_err(|why| Broken { reached: attempt.reached(), why })
+        result.map_err(|why| UpstreamError { progress: attempt.progress(), why })
     }
 
-    async fn answer(&self, call: Call, attempt: &Rc<AttemptState>) -> Result<Answered, String> {
-        let request = if call.fresh {
-            self.fresh.request(call.verb.clone(), call.uri).force_close()
+    async fn answer(
+        &self,
+        call: UpstreamRequest,
+        attempt: &Rc<AttemptState>,
+    ) -> Result<UpstreamAnswer, String> {
+        let request = if call.new_connection {
+            self.fresh.request(call.method.clone(), call.uri).force_close()
         } else {
-            self.kept.request(call.verb.clone(), call.uri)
+            self.kept.request(call.method.clone(), call.uri)
         };
         let mut request = request.no_decompress();
         *request.headers_mut() = call.headers;
         let sent = match call.body {
             // No body at all, or one of stated length, be it none.
-            Body::Whole(body) if call.verb == Method::GET && body.is_empty() => request.send(),
-            Body::Whole(body) => request.send_body(body),
-            Body::Coming(body) => {
-                attempt.unfinished.set(true);
+            Body::Buffered(body) if call.method == Method::GET && body.is_empty() => request.send(),
+            Body::Buffered(body) => request.send_body(body),
+            Body::Stream(body) => {
+                attempt.body_incomplete.set(true);
                 request.send_body(body)
             }
         };
@@ -263,8 +271,8 @@
             match next {
                 Some(chunk) => first.extend_from_slice(&chunk.map_err(|e| e.to_string())?),
                 None => {
-                    attempt.whole().map_err(|e| e.to_string())?;
-                    return Ok(Answered { head, first: first.freeze(), rest: None });
+                    attempt.check_complete().map_err(|e| e.to_string())?;
+                    return Ok(UpstreamAnswer { head, body_start: first.freeze(), remaining: None });
                 }
             }
             until = until.or_else(|| Some(Instant::now() + wait));
@@ -273,7 +281,8 @@
             }
         }
         let left = self.most_body.checked_sub(first.len()).ok_or("a body too large")?;
-        let rest = Rest { response, length, left, met: None, attempt: Rc::clone(attempt) };
-        Ok(Answered { head, first: first.freeze(), rest: Some(rest) })
+        let rest =
+            AnswerStream { response, content_length: length, left, met: None, attempt: Rc::clone(attempt) };
+        Ok(UpstreamAnswer { head, body_start: first.freeze(), remaining: Some(rest) })
     }
 }
--- a/crates/fernroute-server/src/transport/discovery.rs
+++ b/crates/fernroute-server/src/transport/discovery.rs
@@ -4,8 +4,8 @@
 //! (a silent call, a connection that does not come up, a list that stalls or trickles, one that is doubted)
 //! sums to less than the six seconds after which it counts as told. The sums stand in `docs/endings.md`.
 
-use super::client::{Body, Call, Client, UpstreamClient};
-use super::outbound::{AttemptState, Reached};
+use super::client::{Body, Client, UpstreamClient, UpstreamRequest};
+use super::outbound::{AttemptProgress, AttemptState};
 use crate::protocol::list::{self, List};
 use crate::protocol::names;
 use actix_http::header::HeaderMap;
@@ -61,7 +61,7 @@
 /// A list of some ten thousand upstreams.
 const MOST_LIST: usize = 4 << 20;
 
-pub struct Watch {
+pub struct DiscoveryWatch {
     client: Client,
     agent: SocketAddr,
     agent_client: RefCell<Rc<UpstreamClient>>,
@@ -81,17 +81,17 @@
 impl Asking {
     fn look(&mut self) {
         let now = Instant::now();
-        if self.attempt.reached() >= Reached::Connected {
+        if self.attempt.progress() >= AttemptProgress::Connected {
             self.connected.get_or_insert(now);
         }
-        if self.attempt.heard_at().is_some() {
+        if self.attempt.last_received_at().is_some() {
             self.answered.get_or_insert(now);
         }
     }
 
     /// Judged by progress; the client has a time-out of its own for the connection.
     fn is_silent(&self) -> bool {
-        let stalls = self.attempt.heard_at().is_some_and(|last| last.elapsed() >= STALL);
+        let stalls = self.attempt.last_received_at().is_some_and(|last| last.elapsed() >= STALL);
         match (self.answered, self.connected) {
             (Some(from), _) => stalls || from.elapsed() >= LONGEST,
             (None, Some(from)) => from.elapsed() >= self.wait + GRACE,
@@ -111,7 +111,7 @@
 
 /// The calls that are out, the latest last.
 struct Calls<'a> {
-    watch: &'a Watch,
+    watch: &'a DiscoveryWatch,
     out: Vec<Asking>,
     begun: Instant,
 }
@@ -185,12 +185,12 @@
     }
 }
 
-impl Watch {
+impl DiscoveryWatch {
     pub fn new(agent: SocketAddr) -> Self {
         // The calls that may be out, and one connection that is dying.
         let client = Client::new(CONNECT_LONGEST, Duration::from_secs(10), MOST_CALLS + 1, MOST_LIST);
-        let client = client.without_rest();
-        Watch { agent_client: RefCell::new(Rc::new(client.upstream(agent))), agent, client }
+        let client = client.without_reuse_delay();
+        DiscoveryWatch { agent_client: RefCell::new(Rc::new(client.upstream(agent))), agent, client }
     }
 
     /// Those that are kept are used no more. Guards against an agent that is back while the connections to
@@ -201,18 +201,18 @@
 
     fn ask(&self, version: Option<u64>, wait: Duration) -> Asking {
         let query = version.map_or(String::new(), |v| format!("?index={v}&wait={}", wait.as_millis()));
-        let call = Call {
-            verb: Method::GET,
+        let call = UpstreamRequest {
+            method: Method::GET,
             uri: format!("http://{}{}{query}", self.agent, names::LIST_PATH),
             headers: HeaderMap::new(),
-            body: Body::Whole(Bytes::new()),
-            fresh: false,
+            body: Body::Buffered(Bytes::new()),
+            new_connection: false,
         };
         let attempt = Rc::<AttemptState>::default();
         let (agent_client, carried) = (Rc::clone(&self.agent_client.borrow()), Rc::clone(&attempt));
         let answer = async move {
-            let answered = agent_client.call(call, &carried).await.map_err(|broken| broken.to_string())?;
-            let (head, body) = answered.whole().await?;
+            let answered = agent_client.send(call, &carried).await.map_err(|broken| broken.to_string())?;
+            let (head, body) = answered.collect().await?;
             if head.status != StatusCode::OK {
                 return Err(format!("status {}", head.status.as_u16()));
             }
--- a/crates/fernroute-server/src/transport/handover.rs
+++ b/crates/fernroute-server/src/transport/handover.rs
@@ -23,7 +23,7 @@
 const MOST_PATH: usize = 107;
 
 /// Where the processes of one balancer meet: it is told by its name and the address that it was told to serve at.
-pub fn path(name: &str, listen: SocketAddr) -> Result<PathBuf, String> {
+pub fn socket_path(name: &str, listen: SocketAddr) -> Result<PathBuf, String> {
     let folder = match std::env::var_os("TMPDIR").filter(|t| !t.is_empty()) {
         Some(named) => PathBuf::from(named),
         None => own_folder(Path::new("/tmp"))?,
@@ -55,14 +55,14 @@
 }
 
 /// One end of the connection between two processes.
-pub struct Link {
+pub struct HandoverConnection {
     stream: UnixStream,
     heard: RefCell<Vec<u8>>,
 }
 
-impl Link {
+impl HandoverConnection {
     fn new(stream: UnixStream) -> Self {
-        Link { stream, heard: RefCell::default() }
+        HandoverConnection { stream, heard: RefCell::default() }
     }
 
     /// To the process that is there; none if there is no such file.
@@ -76,15 +76,15 @@
             }
             _ => {}
         }
-        Ok(Some(Link::new(UnixStream::connect(path).await?)))
+        Ok(Some(HandoverConnection::new(UnixStream::connect(path).await?)))
     }
 
-    pub async fn say(&mut self, message: &impl Serialize) -> io::Result<()> {
+    pub async fn send(&mut self, message: &impl Serialize) -> io::Result<()> {
         self.stream.write_all(&encode(message)).await
     }
 
     /// The socket goes with the first byte.
-    pub async fn say_with(&mut self, message: &impl Serialize, socket: impl AsFd) -> io::Result<()> {
+    pub async fn send_with_socket(&mut self, message: &impl Serialize, socket: impl AsFd) -> io::Result<()> {
         let line = encode(message);
         let sockets = [socket.as_fd()];
         let send = || {
@@ -99,7 +99,7 @@
 
     /// The next line, and a socket that came with it; none at the end of the connection. What has come of a line stays
     /// for the next call, should this one be dropped.
-    pub async fn hear<M: DeserializeOwned>(&self) -> io::Result<Option<(M, Option<OwnedFd>)>> {
+    pub async fn receive<M: DeserializeOwned>(&self) -> io::Result<Option<(M, Option<OwnedFd>)>> {
         let mut socket = None;
         loop {
             let end = self.heard.borrow().iter().position(|b| *b == b'\n');
@@ -139,12 +139,12 @@
 }
 
 /// Where a successor comes to. The file goes with it.
-pub struct Meeting {
+pub struct HandoverListener {
     listener: UnixListener,
     path: PathBuf,
 }
 
-impl Meeting {
+impl HandoverListener {
     /// Takes the place, if nobody has it. A file that nobody listens at is of a process that was killed; one that
     /// somebody does is never removed.
     pub async fn open(path: &Path) -> io::Result<Self> {
@@ -161,15 +161,15 @@
             }
             other => other?,
         };
-        Ok(Meeting { listener, path: path.to_owned() })
+        Ok(HandoverListener { listener, path: path.to_owned() })
     }
 
-    pub async fn accept(&self) -> io::Result<Link> {
-        Ok(Link::new(self.listener.accept().await?.0))
+    pub async fn accept(&self) -> io::Result<HandoverConnection> {
+        Ok(HandoverConnection::new(self.listener.accept().await?.0))
     }
 }
 
-impl Drop for Meeting {
+impl Drop for HandoverListener {
     fn drop(&mut self) {
         // Best tried: a file that stays is found stale by whoever comes.
         let _ = std::fs::remove_file(&self.path);
--- a/crates/fernroute-server/src/transport/inbound.rs
+++ b/crates/fernroute-server/src/transport/inbound.rs
@@ -25,7 +25,7 @@
 
 /// What the server knows of a connection.
 #[derive(Debug)]
-pub struct Visit {
+pub struct CallerConnection {
     /// None once it is closed, or the server alone has it.
     pub(super) stream: RefCell<Option<TcpStream>>,
     /// RPCs whose answer is not made yet.
@@ -46,7 +46,7 @@
     drained: Cell<bool>,
     /// When its caller was last seen to be there.
     seen_at: Cell<Option<Instant>>,
-    ending: Cell<bool>,
+    close_when_idle: Cell<bool>,
     /// Its room is wanted by another.
     wanted: Cell<bool>,
     /// Half a message has had its time.
@@ -57,12 +57,12 @@
     done: Cell<bool>,
     pub wake: Notify,
     /// Its room is wanted: it need not wait for the caller to read the last answer.
-    pub hurry: Notify,
+    pub eviction: Notify,
 }
 
-impl Default for Visit {
+impl Default for CallerConnection {
     fn default() -> Self {
-        Visit {
+        CallerConnection {
             stream: RefCell::default(),
             open: Cell::new(0),
             partial: Cell::new(false),
@@ -73,20 +73,20 @@
             turn: Cell::new(0),
             drained: Cell::new(false),
             seen_at: Cell::new(None),
-            ending: Cell::new(false),
+            close_when_idle: Cell::new(false),
             wanted: Cell::new(false),
             late: Cell::new(false),
             last: Cell::new(false),
             done: Cell::new(false),
             wake: Notify::new(),
-            hurry: Notify::new(),
+            eviction: Notify::new(),
         }
     }
 }
 
-impl Visit {
+impl CallerConnection {
     pub fn new(stream: TcpStream) -> Rc<Self> {
-        Rc::new(Visit { stream: RefCell::new(Some(stream)), ..Visit::default() })
+        Rc::new(CallerConnection { stream: RefCell::new(Some(stream)), ..CallerConnection::default() })
     }
 
     pub fn is_idle(&self) -> bool {
@@ -94,92 +94,92 @@
     }
 
     /// It takes nothing of an answer that is there for it; `since` tells for how long.
-    pub fn is_stuck(&self) -> bool {
+    pub fn is_write_blocked(&self) -> bool {
         self.unsent.get()
     }
 
     /// More of a body has come.
-    pub fn progress(&self) {
+    pub fn record_progress(&self) {
         self.late.set(false);
         self.since.set(Instant::now());
     }
 
-    pub fn is_partial(&self) -> bool {
+    pub fn has_partial_request(&self) -> bool {
         self.open.get() == 0 && self.partial.get() && !self.unsent.get()
     }
 
-    pub fn is_ending(&self) -> bool {
-        self.ending.get() && self.is_idle()
+    pub fn is_closing(&self) -> bool {
+        self.close_when_idle.get() && self.is_idle()
     }
 
     /// Half a message has come, and nothing more of it for so long.
-    pub fn has_paused(&self, time: Duration) -> bool {
-        self.is_partial() && self.heard_at.get().elapsed() >= time
+    pub fn has_stalled_request(&self, time: Duration) -> bool {
+        self.has_partial_request() && self.heard_at.get().elapsed() >= time
     }
 
     /// Its room is wanted already, or it is about to be closed anyway.
-    pub fn is_going(&self) -> bool {
+    pub fn is_being_closed(&self) -> bool {
         self.wanted.get() || self.done.get()
     }
 
-    pub fn has_asked(&self) -> bool {
+    pub fn has_sent_request(&self) -> bool {
         self.asked.get()
     }
 
-    pub fn since(&self) -> Instant {
+    pub fn state_since(&self) -> Instant {
         self.since.get()
     }
 
-    pub fn is_last(&self) -> bool {
+    pub fn closes_after_answer(&self) -> bool {
         self.last.get()
     }
 
-    pub fn is_done(&self) -> bool {
+    pub fn is_force_closed(&self) -> bool {
         self.done.get()
     }
 
     /// Closes the connection as soon as nothing is open on it and nothing more has come.
-    pub fn end(&self) {
-        self.set_ending(true);
+    pub fn close_when_idle(&self) {
+        self.set_close_when_idle(true);
     }
 
     /// The same, or takes it back.
-    pub fn set_ending(&self, ending: bool) {
-        self.ending.set(ending);
+    pub fn set_close_when_idle(&self, ending: bool) {
+        self.close_when_idle.set(ending);
         self.wake.notify_one();
     }
 
     /// The same at once, and without waiting for the caller to read the last answer: its room is wanted. Of half a message
     /// the rest is not waited for.
-    pub fn make_room(&self) {
+    pub fn evict(&self) {
         self.wanted.set(true);
-        if self.is_partial() {
-            self.expire();
+        if self.has_partial_request() {
+            self.expire_partial_request();
         } else {
-            self.end();
+            self.close_when_idle();
         }
-        self.hurry.notify_one();
+        self.eviction.notify_one();
     }
 
     /// Half a message has had its time: closes it, unless the rest has come by now.
-    pub fn expire(&self) {
+    pub fn expire_partial_request(&self) {
         self.late.set(true);
         self.wake.notify_one();
     }
 
-    pub fn is_late(&self) -> bool {
+    pub fn is_partial_expired(&self) -> bool {
         self.late.get()
     }
 
     /// The library has had its turn since then.
-    pub fn expire_now(&self) {
-        if self.late.replace(false) && self.is_partial() && !self.has_more() {
-            self.cut();
+    pub fn close_if_expired(&self) {
+        if self.late.replace(false) && self.has_partial_request() && !self.has_unread_input() {
+            self.force_close();
         }
     }
 
-    fn may_end(&self) -> bool {
-        self.ending.get() && self.is_idle() && !self.is_new()
+    fn may_close(&self) -> bool {
+        self.close_when_idle.get() && self.is_idle() && !self.is_new()
     }
 
     /// Its first message is on its way: who connects has something to ask, and loses it where the connection ends unasked.
@@ -188,14 +188,14 @@
     }
 
     /// Closes it now, whatever the library waits for.
-    pub fn cut(&self) {
+    pub fn force_close(&self) {
         self.done.set(true);
         self.wake.notify_one();
     }
 
     /// The answer that is made now is the last; what follows the message is not read. Guards against the rest
     /// of a message that was turned away being read as an RPC.
-    pub fn last_answer(&self) {
+    pub fn close_after_answer(&self) {
         self.last.set(true);
     }
 
@@ -206,7 +206,7 @@
 
     /// Whether its caller has closed it, or ended its sending; also where bytes lie before the end that nobody reads on, as
     /// of a body whose upstream is full, or of messages behind an open RPC.
-    pub fn has_left(&self) -> bool {
+    pub fn has_disconnected(&self) -> bool {
         let left = match self.peek() {
             Ok(0) => true,
             Ok(_) => self.is_told_of_end(),
@@ -218,13 +218,13 @@
 
     /// The same for an attempt that is about to begin. Guards against one that nobody waits for: the event that tells of the
     /// end may be a turn away, or lie behind what is not read.
-    pub fn has_left_by_now(&self) -> bool {
-        self.seen_at.get().is_none_or(|at| at.elapsed() >= LOOKED) && self.has_left()
+    pub fn has_disconnected_cached(&self) -> bool {
+        self.seen_at.get().is_none_or(|at| at.elapsed() >= LOOKED) && self.has_disconnected()
     }
 
     /// The same for one with an open RPC that the library does not read on. Guards against work for who has left long ago.
-    pub fn has_left_unread(&self) -> bool {
-        self.open.get() > 0 && !self.drained.get() && self.has_left()
+    pub fn has_disconnected_unread(&self) -> bool {
+        self.open.get() > 0 && !self.drained.get() && self.has_disconnected()
     }
 
     /// The event of its end has come, whatever lies unread before that.
@@ -235,23 +235,23 @@
     }
 
     /// Its caller has left: what is open on it ends with it. The library may never come to the end itself.
-    pub fn leave(&self) {
-        self.last_answer();
-        self.cut();
+    pub fn handle_disconnect(&self) {
+        self.close_after_answer();
+        self.force_close();
     }
 
     /// Whether there is more to read. Guards against the end of an idle connection on which the next RPC has come.
-    pub(super) fn has_more(&self) -> bool {
+    pub(super) fn has_unread_input(&self) -> bool {
         self.peek().is_ok_and(|bytes| bytes > 0)
     }
 
     /// A message has come whole; what is returned is held until its answer is made.
-    pub fn taken(self: &Rc<Self>) -> Stay {
+    pub fn begin_request(self: &Rc<Self>) -> RequestGuard {
         self.partial.set(false);
         self.late.set(false);
         self.asked.set(true);
         self.open.set(self.open.get() + 1);
-        Stay(Rc::clone(self))
+        RequestGuard(Rc::clone(self))
     }
 
     fn with<T>(&self, act: impl FnOnce(Pin<&mut TcpStream>) -> Poll<io::Result<T>>) -> Poll<io::Result<T>> {
@@ -263,9 +263,9 @@
 }
 
 /// Held while the answer to a message is made.
-pub struct Stay(Rc<Visit>);
+pub struct RequestGuard(Rc<CallerConnection>);
 
-impl Drop for Stay {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
         self.0.open.set(self.0.open.get() - 1);
         self.0.since.set(Instant::now());
@@ -274,79 +274,79 @@
 
 /// The stream that the server library reads and writes.
 #[derive(Debug)]
-pub struct Inbound {
-    pub visit: Rc<Visit>,
+pub struct InboundStream {
+    pub connection: Rc<CallerConnection>,
 }
 
-impl AsyncRead for Inbound {
+impl AsyncRead for InboundStream {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
-        let visit = &self.visit;
-        if visit.is_last() {
+        let connection = &self.connection;
+        if connection.closes_after_answer() {
             return Poll::Pending;
         }
-        if visit.turn.get() >= TURN {
-            visit.turn.set(0);
+        if connection.turn.get() >= TURN {
+            connection.turn.set(0);
             cx.waker().wake_by_ref();
             return Poll::Pending;
         }
         let before = buf.filled().len();
-        let read = visit.with(|stream| stream.poll_read(cx, buf));
+        let read = connection.with(|stream| stream.poll_read(cx, buf));
         match &read {
-            Poll::Ready(_) => visit.turn.set(visit.turn.get() + buf.filled().len() - before),
-            Poll::Pending => visit.turn.set(0),
+            Poll::Ready(_) => connection.turn.set(connection.turn.get() + buf.filled().len() - before),
+            Poll::Pending => connection.turn.set(0),
         }
-        visit.drained.set(read.is_pending());
+        connection.drained.set(read.is_pending());
         match &read {
             Poll::Ready(Ok(())) if buf.filled().len() > before => {
-                if visit.is_idle() {
-                    visit.since.set(Instant::now());
+                if connection.is_idle() {
+                    connection.since.set(Instant::now());
                 }
-                visit.heard_at.set(Instant::now());
-                visit.partial.set(true);
+                connection.heard_at.set(Instant::now());
+                connection.partial.set(true);
             }
             // Its event is still to come, and with it the next turn.
-            Poll::Pending if visit.may_end() && visit.has_more() => {}
+            Poll::Pending if connection.may_close() && connection.has_unread_input() => {}
             // Nothing is waiting in the socket, so nothing is lost by ending here.
-            Poll::Pending if visit.may_end() => return Poll::Ready(Ok(())),
+            Poll::Pending if connection.may_close() => return Poll::Ready(Ok(())),
             _ => {}
         }
         read
     }
 }
 
-impl AsyncWrite for Inbound {
+impl AsyncWrite for InboundStream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        let written = self.visit.with(|stream| stream.poll_write(cx, buf));
-        if !self.visit.unsent.replace(true) || written.is_ready() {
-            self.visit.progress();
+        let written = self.connection.with(|stream| stream.poll_write(cx, buf));
+        if !self.connection.unsent.replace(true) || written.is_ready() {
+            self.connection.record_progress();
         }
         written
     }
 
     /// The library flushes once it has written all that it has.
     fn poll_flush(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        let flushed = self.visit.with(|stream| stream.poll_flush(cx));
-        if self.visit.unsent.replace(false) {
+        let flushed = self.connection.with(|stream| stream.poll_flush(cx));
+        if self.connection.unsent.replace(false) {
             // Whoever waits for it to be idle may go on.
-            self.visit.wake.notify_one();
+            self.connection.wake.notify_one();
         }
-        if self.visit.is_last() && flushed.is_ready() {
-            self.visit.cut();
+        if self.connection.closes_after_answer() && flushed.is_ready() {
+            self.connection.force_close();
         }
         flushed
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        self.visit.with(|stream| stream.poll_shutdown(cx))
+        self.connection.with(|stream| stream.poll_shutdown(cx))
     }
 }
 
-impl ActixStream for Inbound {
+impl ActixStream for InboundStream {
     fn poll_read_ready(&self, cx: &mut Context<'_>) -> Poll<io::Result<Ready>> {
-        self.visit.with(|stream| ActixStream::poll_read_ready(&*stream, cx))
+        self.connection.with(|stream| ActixStream::poll_read_ready(&*stream, cx))
     }
 
     fn poll_write_ready(&self, cx: &mut Context<'_>) -> Poll<io::Result<Ready>> {
-        self.visit.with(|stream| ActixStream::poll_write_ready(&*stream, cx))
+        self.connection.with(|stream| ActixStream::poll_write_ready(&*stream, cx))
     }
 }
--- a/crates/fernroute-server/src/transport/mod.rs
+++ b/crates/fernroute-server/src/transport/mod.rs
@@ -1,14 +1,14 @@
 //! Bytes and connections: the server towards callers, the client towards upstreams, the watch on discovery.
 
 pub mod client;
-pub mod connections;
 pub mod discovery;
-pub mod door;
 mod framing;
 pub mod handover;
 pub mod inbound;
+pub mod ops_server;
 pub mod outbound;
 pub mod server;
+pub mod upstream_connections;
 
 use rustix::io::Errno;
 use rustix::net::RecvFlags;
--- a/crates/fernroute-server/src/transport/door.rs
+++ b/crates/fernroute-server/src/transport/ops_server.rs
@@ -13,7 +13,7 @@
 
 /// Connections at once. Tools that look every second and a person beside them hold one each, for a moment; the one that
 /// came first goes when another wants its place, so that who says nothing holds none that is wanted.
-pub const PLACES: usize = 8;
+pub const MAX_CONNECTIONS: usize = 8;
 
 /// A call has come whole, and its answer is taken, within this time: a person who types one is not cut short, and
 /// who says nothing leaves.
@@ -26,18 +26,18 @@
 /// Answers operators for as long as the program runs.
 pub async fn run(listener: TcpListener, answer: impl Fn(Call) -> Reply + 'static) {
     let answer = Rc::new(answer);
-    let mut places: VecDeque<JoinHandle<()>> = VecDeque::new();
+    let mut connections: VecDeque<JoinHandle<()>> = VecDeque::new();
     let mut failing = false;
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
                 failing = false;
-                places.retain(|place| !place.is_finished());
-                if places.len() >= PLACES {
-                    places.pop_front().into_iter().for_each(|first| first.abort());
+                connections.retain(|connection| !connection.is_finished());
+                if connections.len() >= MAX_CONNECTIONS {
+                    connections.pop_front().into_iter().for_each(|first| first.abort());
                 }
                 let answer = Rc::clone(&answer);
-                places.push_back(actix_rt::spawn(async move {
+                connections.push_back(actix_rt::spawn(async move {
                     let _ = timeout(WHOLE, host(stream, &*answer)).await;
                 }));
             }
--- a/crates/fernroute-server/src/transport/outbound.rs
+++ b/crates/fernroute-server/src/transport/outbound.rs
@@ -1,8 +1,8 @@
 //! One connection to an upstream: how far a transmission on it has come, and where its answer ends.
 
-use super::connections::UpstreamConnection;
 use super::framing::Framing;
-use super::inbound::Visit;
+use super::inbound::CallerConnection;
+use super::upstream_connections::UpstreamConnection;
 use actix_rt::net::{ActixStream, Ready};
 use bytes::BytesMut;
 use std::cell::{Cell, RefCell};
@@ -17,26 +17,26 @@
 
 /// How far a transmission has come.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Reached {
+pub enum AttemptProgress {
     #[default]
-    Nothing,
+    NotStarted,
     Connected,
     /// The last byte is out: from here on it may have run.
-    Written,
-    AnswerBegun,
+    RequestWritten,
+    AnswerStarted,
 }
 
 /// How far one attempt has come, kept by the connection that carries it.
 #[derive(Debug, Default)]
 pub struct AttemptState {
-    reached: Cell<Reached>,
+    progress: Cell<AttemptProgress>,
     /// The upstream ended the connection while it carried this transmission.
     cut: Cell<bool>,
     /// That end was the answer's, too.
     to_the_end: Cell<bool>,
     /// When its first byte was written.
     begun_at: Cell<Option<Instant>>,
-    heard_at: Cell<Option<Instant>>,
+    last_received_at: Cell<Option<Instant>>,
     /// It never left, for want of connections here.
     pub(super) held_back: Cell<bool>,
     connection: RefCell<Option<Rc<UpstreamConnection>>>,
@@ -45,13 +45,13 @@
     /// No byte of it leaves after this.
     written_by: Cell<Option<Instant>>,
     /// Whose RPC it carries; none for calls of the balancer's own.
-    caller: Option<Weak<Visit>>,
+    caller: Option<Weak<CallerConnection>>,
     /// Whose caller was gone before its first byte.
     unwanted: Cell<bool>,
     /// More of the body is to come: the last byte is not out.
-    pub unfinished: Cell<bool>,
+    pub body_incomplete: Cell<bool>,
     /// The upstream answered before it had the whole body.
-    pub early: Cell<bool>,
+    pub answered_early: Cell<bool>,
     /// Counts transmissions whose last byte is out.
     written: Rc<Cell<u64>>,
 }
@@ -63,16 +63,16 @@
 
 impl AttemptState {
     /// Of an RPC of this caller's, counted there.
-    pub fn of(caller: Option<Weak<Visit>>, written: &Rc<Cell<u64>>) -> Rc<Self> {
+    pub fn new(caller: Option<Weak<CallerConnection>>, written: &Rc<Cell<u64>>) -> Rc<Self> {
         Rc::new(AttemptState { caller, written: Rc::clone(written), ..AttemptState::default() })
     }
 
-    pub fn reached(&self) -> Reached {
-        self.reached.get()
+    pub fn progress(&self) -> AttemptProgress {
+        self.progress.get()
     }
 
     /// Whether the answer that the library takes for whole is: it takes one in chunks that is cut short for one.
-    pub fn whole(&self) -> io::Result<()> {
+    pub fn check_complete(&self) -> io::Result<()> {
         if self.cut.get() && !self.to_the_end.get() {
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
@@ -80,8 +80,8 @@
     }
 
     /// When something came last.
-    pub fn heard_at(&self) -> Option<Instant> {
-        self.heard_at.get()
+    pub fn last_received_at(&self) -> Option<Instant> {
+        self.last_received_at.get()
     }
 
     pub fn held_back(&self) -> bool {
@@ -90,13 +90,13 @@
 
     /// From here on its first byte does not leave. Guards against a connection that comes up late: its caller may have
     /// gone by then, or its upstream have been told to drain.
-    pub fn bar(&self) {
+    pub fn prevent_start(&self) {
         self.barred.set(true);
     }
 
     /// In so long no byte leaves any more, neither the first nor the last. Guards against a repeat that is whole at its upstream
     /// when repeats are not dropped any more: on a connection that comes up late, or that takes a long body slowly.
-    pub fn bar_after(&self, left: Duration) {
+    pub fn set_write_deadline(&self, left: Duration) {
         self.written_by.set(Some(Instant::now() + left));
     }
 
@@ -106,7 +106,7 @@
 
     /// Whether what is left of it may still be written; an error where its time is over, and then its last byte never leaves.
     fn may_go_on(&self) -> io::Result<()> {
-        if self.reached() >= Reached::Written || self.is_in_time() {
+        if self.progress() >= AttemptProgress::RequestWritten || self.is_in_time() {
             return Ok(());
         }
         self.held_back.set(true);
@@ -114,18 +114,18 @@
     }
 
     /// It was not begun, since its caller has left.
-    pub fn is_unwanted(&self) -> bool {
+    pub fn is_caller_gone(&self) -> bool {
         self.unwanted.get()
     }
 
     /// Whether its first byte may leave now. The caller's own socket is asked: whatever else would tell of its end may be a
     /// turn away, and turns may be long.
-    pub(super) fn may_begin(&self) -> bool {
+    pub(super) fn may_start(&self) -> bool {
         if let Some(caller) = &self.caller {
             let visit = caller.upgrade();
-            if visit.as_ref().is_none_or(|visit| visit.has_left_by_now()) {
+            if visit.as_ref().is_none_or(|visit| visit.has_disconnected_cached()) {
                 self.unwanted.set(true);
-                visit.iter().for_each(|visit| visit.leave());
+                visit.iter().for_each(|visit| visit.handle_disconnect());
             }
         }
         let may = self.is_in_time() && !self.barred.get() && !self.unwanted.get();
@@ -135,7 +135,7 @@
 
     /// The connection, if it is kept, stands idle from now on; one that may still bring something of this
     /// answer is closed. Guards against a second copy or noise that the next RPC would take for its answer.
-    pub fn over(&self) {
+    pub fn release_connection(&self) {
         let Some(connection) = self.connection.take() else { return };
         // Out of the library's hands, whose pool would give it to the next RPC at once.
         let Some(stream) = connection.stream.take() else { return };
@@ -148,12 +148,12 @@
 
     /// Writes on what the connection has not taken yet: ready once no more than `window` of it is left. An answer that
     /// comes meanwhile, or an end, is an error.
-    pub fn poll_room(&self, cx: &mut Context<'_>, window: usize) -> Poll<io::Result<()>> {
+    pub fn poll_write_capacity(&self, cx: &mut Context<'_>, window: usize) -> Poll<io::Result<()>> {
         let Some(connection) = self.connection.borrow().clone() else { return Poll::Ready(Ok(())) };
         let mut peeked = [MaybeUninit::uninit(); 1];
         let mut peeked = ReadBuf::uninit(&mut peeked);
         if connection.with(|stream| stream.get_mut().poll_peek(cx, &mut peeked)).is_ready() {
-            self.early.set(true);
+            self.answered_early.set(true);
             return Poll::Ready(Err(io::Error::other("an answer before the whole body")));
         }
         self.may_go_on()?;
@@ -164,17 +164,19 @@
         }
     }
 
-    fn come_to(&self, reached: Reached) {
-        if self.reached.get() < Reached::Written && reached >= Reached::Written {
+    fn advance_to(&self, progress: AttemptProgress) {
+        if self.progress.get() < AttemptProgress::RequestWritten
+            && progress >= AttemptProgress::RequestWritten
+        {
             self.written.set(self.written.get() + 1);
         }
-        self.reached.set(self.reached.get().max(reached));
+        self.progress.set(self.progress.get().max(progress));
     }
 }
 
 /// The stream that the client library reads and writes.
 #[derive(Debug)]
-pub struct Outbound {
+pub struct OutboundStream {
     connection: Rc<UpstreamConnection>,
     framing: Framing,
     /// What has come and is not handed on yet; the first `ready` bytes are the answer's.
@@ -185,15 +187,15 @@
 /// As much as the library reads at once.
 const HEAR: usize = 8 * 1024;
 
-impl Outbound {
+impl OutboundStream {
     /// On a connection that stood idle.
     pub(super) fn of(connection: Rc<UpstreamConnection>) -> Self {
         connection.idle_since.set(None);
-        Outbound::new(connection)
+        OutboundStream::new(connection)
     }
 
     pub(super) fn new(connection: Rc<UpstreamConnection>) -> Self {
-        Outbound { connection, framing: Framing::default(), heard: BytesMut::new(), ready: 0 }
+        OutboundStream { connection, framing: Framing::default(), heard: BytesMut::new(), ready: 0 }
     }
 
     /// Takes in what has come; 0 bytes at the end of the connection.
@@ -222,8 +224,8 @@
                 return Poll::Ready(end.map_err(io::Error::from));
             }
             self.note(|attempt| {
-                attempt.heard_at.set(Some(Instant::now()));
-                attempt.come_to(Reached::AnswerBegun);
+                attempt.last_received_at.set(Some(Instant::now()));
+                attempt.advance_to(AttemptProgress::AnswerStarted);
             });
             self.ready = self.framing.count(&mut self.heard, self.connection.most_body)?;
         }
@@ -256,13 +258,13 @@
 }
 
 /// Whoever else still knows of the connection, it is closed: a transmission that is given up must end there.
-impl Drop for Outbound {
+impl Drop for OutboundStream {
     fn drop(&mut self) {
         self.connection.stream.take();
     }
 }
 
-impl AsyncRead for Outbound {
+impl AsyncRead for OutboundStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -286,17 +288,17 @@
     }
 }
 
-impl AsyncWrite for Outbound {
+impl AsyncWrite for OutboundStream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         let barred = CURRENT_ATTEMPT.try_with(|attempt| {
-            if attempt.reached() < Reached::Connected && !attempt.may_begin() {
+            if attempt.progress() < AttemptProgress::Connected && !attempt.may_start() {
                 return true;
             }
-            if attempt.reached() < Reached::Connected {
+            if attempt.progress() < AttemptProgress::Connected {
                 attempt.begun_at.set(Some(Instant::now()));
             }
             attempt.connection.replace(Some(Rc::clone(&self.connection)));
-            attempt.come_to(Reached::Connected);
+            attempt.advance_to(AttemptProgress::Connected);
             false
         });
         if barred.unwrap_or(false) {
@@ -321,8 +323,8 @@
         }
         std::task::ready!(self.connection.write_left(cx))?;
         self.note(|attempt| {
-            if !attempt.unfinished.get() {
-                attempt.come_to(Reached::Written);
+            if !attempt.body_incomplete.get() {
+                attempt.advance_to(AttemptProgress::RequestWritten);
             }
         });
         self.connection.with(|stream| stream.poll_flush(cx))
@@ -333,7 +335,7 @@
     }
 }
 
-impl ActixStream for Outbound {
+impl ActixStream for OutboundStream {
     fn poll_read_ready(&self, cx: &mut Context<'_>) -> Poll<io::Result<Ready>> {
         self.connection.with(|stream| ActixStream::poll_read_ready(&*stream, cx))
     }
--- a/crates/fernroute-server/src/transport/server.rs
+++ b/crates/fernroute-server/src/transport/server.rs
@@ -1,6 +1,6 @@
 //! Callers' connections: accepts them, bounds them, ends them.
 
-use super::inbound::{Inbound, Visit};
+use super::inbound::{CallerConnection, InboundStream};
 use super::without_delay;
 use actix_http::body::BoxBody;
 use actix_http::{HttpService, KeepAlive, Request, Response};
@@ -55,23 +55,23 @@
 /// How the bytes of a connection become messages and answers.
 fn protocol<H, F>(
     handle: H,
-) -> impl ServiceFactory<(Inbound, Option<SocketAddr>), Config = (), Error: Display, InitError: Debug>
+) -> impl ServiceFactory<(InboundStream, Option<SocketAddr>), Config = (), Error: Display, InitError: Debug>
 where
-    H: Fn(Request, Rc<Visit>) -> F + Clone + 'static,
+    H: Fn(Request, Rc<CallerConnection>) -> F + Clone + 'static,
     F: Future<Output = Response<BoxBody>> + 'static,
 {
-    HttpService::<Inbound, _, BoxBody>::build()
+    HttpService::<InboundStream, _, BoxBody>::build()
         .keep_alive(KeepAlive::Os)
         // No time-out of the library's ends an RPC or words an answer.
         .client_request_timeout(Duration::ZERO)
         .client_disconnect_timeout(LINGER)
         // A caller that closes has gone away: its RPC is dropped, and with it told as abandoned.
         .h1_allow_half_closed(false)
-        .on_connect_ext(|io: &Inbound, data| {
-            data.insert(Rc::clone(&io.visit));
+        .on_connect_ext(|io: &InboundStream, data| {
+            data.insert(Rc::clone(&io.connection));
         })
         .h1(fn_service(move |request: Request| {
-            let visit = request.conn_data::<Rc<Visit>>().map_or_else(Rc::default, Rc::clone);
+            let visit = request.conn_data::<Rc<CallerConnection>>().map_or_else(Rc::default, Rc::clone);
             let answer = handle(request, visit);
             async move { Ok::<_, Infallible>(answer.await) }
         }))
@@ -80,7 +80,7 @@
 pub struct Server {
     listener: RefCell<Option<TcpListener>>,
     /// Emptied as connections end.
-    visits: RefCell<Vec<Rc<Visit>>>,
+    visits: RefCell<Vec<Rc<CallerConnection>>>,
     most: Cell<usize>,
     left: Notify,
     ending: Cell<bool>,
@@ -108,7 +108,7 @@
     /// Accepts until the end; each connection is a task of its own, so that a panic ends there.
     pub async fn run<H, F>(self: Rc<Self>, handle: H)
     where
-        H: Fn(Request, Rc<Visit>) -> F + Clone + 'static,
+        H: Fn(Request, Rc<CallerConnection>) -> F + Clone + 'static,
         F: Future<Output = Response<BoxBody>> + 'static,
     {
         let Ok(service) = protocol(handle).new_service(()).await else {
@@ -172,7 +172,7 @@
     /// A connection stands in the table from the turn on in which it is accepted: the program does not end over it.
     fn take_in<S>(self: &Rc<Self>, service: &Rc<S>, stream: TcpStream)
     where
-        S: Service<(Inbound, Option<SocketAddr>)> + 'static,
+        S: Service<(InboundStream, Option<SocketAddr>)> + 'static,
         S::Error: Display,
     {
         without_delay(&stream);
@@ -181,52 +181,52 @@
     }
 
     /// One connection, from its start to its end.
-    async fn host<S>(self: Rc<Self>, service: Rc<S>, visit: Rc<Visit>)
+    async fn host<S>(self: Rc<Self>, service: Rc<S>, visit: Rc<CallerConnection>)
     where
-        S: Service<(Inbound, Option<SocketAddr>)>,
+        S: Service<(InboundStream, Option<SocketAddr>)>,
         S::Error: Display,
     {
         let _leave = Leave { server: &self, visit: &visit };
         let unread = {
-            let mut connection = pin!(service.call((Inbound { visit: Rc::clone(&visit) }, None)));
+            let mut connection = pin!(service.call((InboundStream { connection: Rc::clone(&visit) }, None)));
             loop {
                 match select(connection, pin!(visit.wake.notified())).await {
-                    Either::Left((Ok(_), _)) => break visit.is_last(),
+                    Either::Left((Ok(_), _)) => break visit.closes_after_answer(),
                     Either::Left((Err(why), _)) => {
                         tracing::debug!("connection ended: {why}");
                         break true;
                     }
-                    Either::Right(_) if visit.is_done() => break true,
-                    Either::Right((_, same)) if visit.is_late() => {
+                    Either::Right(_) if visit.is_force_closed() => break true,
+                    Either::Right((_, same)) if visit.is_partial_expired() => {
                         connection = match select(same, ready(())).await {
-                            Either::Left((ended, _)) => break ended.is_err() || visit.is_last(),
+                            Either::Left((ended, _)) => break ended.is_err() || visit.closes_after_answer(),
                             Either::Right((_, same)) => same,
                         };
-                        visit.expire_now();
+                        visit.close_if_expired();
                     }
                     Either::Right((_, same)) => connection = same,
                 }
             }
         };
         let Some(mut stream) = visit.stream.take().filter(|_| unread) else { return };
-        if visit.is_done() && !visit.is_last() {
+        if visit.is_force_closed() && !visit.closes_after_answer() {
             // So short that the socket takes it at once.
             let _ = stream.try_write(TOO_SLOW);
         }
-        visit.cut();
+        visit.force_close();
         let part = pin!(async {
             let _ = stream.shutdown().await;
             let mut rest = [0; 4096];
             while stream.read(&mut rest).await.is_ok_and(|n| n > 0) {}
         });
         // Or until its room is wanted.
-        let _ = select(part, pin!(timeout(LINGER, visit.hurry.notified()))).await;
+        let _ = select(part, pin!(timeout(LINGER, visit.eviction.notified()))).await;
     }
 
-    fn enter(&self, stream: TcpStream) -> Rc<Visit> {
-        let visit = Visit::new(stream);
+    fn enter(&self, stream: TcpStream) -> Rc<CallerConnection> {
+        let visit = CallerConnection::new(stream);
         if self.ending.get() {
-            visit.end();
+            visit.close_when_idle();
         }
         self.visits.borrow_mut().push(Rc::clone(&visit));
         visit
@@ -247,7 +247,7 @@
         if why.raw_os_error() == Some(Errno::MFILE.raw_os_error()) {
             let most = self.connections().saturating_sub(SPARE).max(1);
             tracing::warn!("no descriptors are left, callers get {most} at the most");
-            self.set_most(most);
+            self.set_max_connections(most);
         } else {
             self.end_idlest(1);
         }
@@ -258,7 +258,7 @@
     }
 
     /// From now on there are this many at the most; idle ones beyond that go now.
-    pub fn set_most(&self, most: usize) {
+    pub fn set_max_connections(&self, most: usize) {
         self.most.set(most);
         self.end_idlest(self.connections().saturating_sub(most));
         self.left.notify_waiters();
@@ -287,18 +287,19 @@
     /// longest; then those that pause in half a message; then those that have just come and say nothing yet.
     fn end_idlest(&self, count: usize) {
         let visits = self.visits.borrow();
-        let may_go = |v: &&Rc<Visit>| v.is_done() || v.is_idle() || v.has_paused(PAUSED);
-        let mut those: Vec<&Rc<Visit>> = visits.iter().filter(may_go).collect();
-        let place = |v: &Rc<Visit>| match () {
-            () if v.is_going() => 0,
-            () if v.is_partial() => 2,
-            () if v.since().elapsed() >= PAUSED => 1,
+        let may_go =
+            |v: &&Rc<CallerConnection>| v.is_force_closed() || v.is_idle() || v.has_stalled_request(PAUSED);
+        let mut those: Vec<&Rc<CallerConnection>> = visits.iter().filter(may_go).collect();
+        let place = |v: &Rc<CallerConnection>| match () {
+            () if v.is_being_closed() => 0,
+            () if v.has_partial_request() => 2,
+            () if v.state_since().elapsed() >= PAUSED => 1,
             () => 3,
         };
-        those.sort_by_cached_key(|v| (place(v), v.since()));
+        those.sort_by_cached_key(|v| (place(v), v.state_since()));
         // An RPC may have come on one that was accepted in this turn.
-        let those = those.iter().filter(|v| v.is_done() || !v.has_more());
-        those.take(count).for_each(|visit| visit.make_room());
+        let those = those.iter().filter(|v| v.is_force_closed() || !v.has_unread_input());
+        those.take(count).for_each(|visit| visit.evict());
     }
 
     /// `ending`: connections that are idle go, and those that become idle, until it is said otherwise.
@@ -306,39 +307,39 @@
         let changed = self.ending.replace(ending) != ending;
         for visit in self.visits.borrow().iter() {
             if changed {
-                visit.set_ending(ending);
+                visit.set_close_when_idle(ending);
             }
-            let for_long = |time| visit.since().elapsed() >= time;
-            let late = visit.is_partial() && for_long(COMING);
+            let for_long = |time| visit.state_since().elapsed() >= time;
+            let late = visit.has_partial_request() && for_long(COMING);
             // Who takes nothing, or whom the library does not read from any more.
-            let stuck = visit.is_stuck() && for_long(STUCK)
-                || visit.is_partial() && for_long(2 * COMING)
-                || visit.is_ending() && for_long(IDLE + COMING);
-            if visit.has_left_unread() {
-                visit.leave();
+            let stuck = visit.is_write_blocked() && for_long(STUCK)
+                || visit.has_partial_request() && for_long(2 * COMING)
+                || visit.is_closing() && for_long(IDLE + COMING);
+            if visit.has_disconnected_unread() {
+                visit.handle_disconnect();
             } else if stuck {
-                visit.cut();
+                visit.force_close();
             } else if late {
                 // The library has its turn first: the rest may lie in the socket.
-                visit.expire();
+                visit.expire_partial_request();
             } else if self.ending.get() && visit.is_idle() {
                 // One that was too new to go.
-                visit.end();
-            } else if visit.is_idle() && for_long(if visit.has_asked() { IDLE } else { SILENT }) {
-                visit.end();
+                visit.close_when_idle();
+            } else if visit.is_idle() && for_long(if visit.has_sent_request() { IDLE } else { SILENT }) {
+                visit.close_when_idle();
             }
         }
     }
 
     /// Takes in what the machine has accepted already, then nothing new; idle connections are closed, and the
     /// others after their answer. Returns once none is left.
-    pub async fn end(&self) {
+    pub async fn shut_down(&self) {
         self.ending.set(true);
         // Callers that were on their way are in the queue by then, and the accepting task has had its turn.
         actix_rt::time::sleep(Duration::from_millis(20)).await;
         self.closed.set(true);
         self.accepts.notify_one();
-        self.visits.borrow().iter().for_each(|visit| visit.end());
+        self.visits.borrow().iter().for_each(|visit| visit.close_when_idle());
         loop {
             let left = self.left.notified();
             if self.listener.borrow().is_none() && self.visits.borrow().is_empty() {
@@ -358,7 +359,7 @@
 /// Takes the connection off the table, whichever way it ends.
 struct Leave<'a> {
     server: &'a Server,
-    visit: &'a Rc<Visit>,
+    visit: &'a Rc<CallerConnection>,
 }
 
 impl Drop for Leave<'_> {
@@ -385,8 +386,8 @@
             let stream =
                 TcpStream::from_std(std::net::TcpStream::from(OwnedFd::from(ours))).expect("a stream");
             assert!(stream.set_nodelay(true).is_err());
-            let handle = |_, visit: Rc<Visit>| async move {
-                let _stay = visit.taken();
+            let handle = |_, visit: Rc<CallerConnection>| async move {
+                let _guard = visit.begin_request();
                 Response::new(StatusCode::IM_A_TEAPOT).set_body(BoxBody::new(""))
             };
             let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
--- a/crates/fernroute-server/src/transport/connections.rs
+++ b/crates/fernroute-server/src/transport/upstream_connections.rs
@@ -1,6 +1,6 @@
 //! Connections to upstreams: how many there are, who has them, and those that stand idle.
 
-use super::outbound::{Outbound, CURRENT_ATTEMPT};
+use super::outbound::{OutboundStream, CURRENT_ATTEMPT};
 use super::{peek, without_delay};
 use actix_rt::net::TcpStream;
 use bytes::{Buf, BytesMut};
@@ -72,7 +72,7 @@
 
     /// An idle connection, or a new one. One that rests is waited for; where that is long against what an RPC takes, beside a
     /// new one that is made.
-    pub async fn connect(self: &Rc<Self>, address: SocketAddr) -> io::Result<Outbound> {
+    pub async fn connect(self: &Rc<Self>, address: SocketAddr) -> io::Result<OutboundStream> {
         while let Some((connection, left)) = self.take() {
             let is_waited_out = self.usual.get() >= LONG * self.rest.as_secs_f64();
             if left.is_zero() || is_waited_out {
@@ -80,14 +80,14 @@
                     sleep(left).await;
                 }
                 if connection.is_quiet() {
-                    return Ok(Outbound::of(connection));
+                    return Ok(OutboundStream::of(connection));
                 }
                 continue;
             }
             let (rested, new) =
                 (pin!(sleep(left)), pin!(self.connections.connect(address, Rc::downgrade(self))));
             return match select(rested, new).await {
-                Either::Left((_, _)) if connection.is_quiet() => Ok(Outbound::of(connection)),
+                Either::Left((_, _)) if connection.is_quiet() => Ok(OutboundStream::of(connection)),
                 Either::Left((_, new)) => new.await,
                 Either::Right((Ok(new), _)) => {
                     self.idle.borrow_mut().push_front(connection);
@@ -96,7 +96,7 @@
                 Either::Right((Err(why), rested)) => {
                     rested.await;
                     if connection.is_quiet() {
-                        return Ok(Outbound::of(connection));
+                        return Ok(OutboundStream::of(connection));
                     }
                     Err(why)
                 }
@@ -173,7 +173,7 @@
     }
 
     /// Connects, if there is room; at the limit the longest idle connection goes. It is kept at `home`, or nowhere.
-    pub async fn connect(&self, address: SocketAddr, home: Weak<IdlePool>) -> io::Result<Outbound> {
+    pub async fn connect(&self, address: SocketAddr, home: Weak<IdlePool>) -> io::Result<OutboundStream> {
         /// No descriptors left in this process or on this machine, no local port left.
         const OURS: [i32; 3] = [23, 24, 99];
         let hold_back = || CURRENT_ATTEMPT.try_with(|attempt| attempt.held_back.set(true));
@@ -191,7 +191,7 @@
             }
         })?;
         without_delay(&stream);
-        Ok(Outbound::new(self.enter(stream, home)))
+        Ok(OutboundStream::new(self.enter(stream, home)))
     }
 
     fn enter(&self, stream: TcpStream, home: Weak<IdlePool>) -> Rc<UpstreamConnection> {
@@ -218,7 +218,7 @@
     }
 
     /// From now on there are this many at the most; idle ones beyond that go at once.
-    pub fn set_most(&self, most: usize) {
+    pub fn set_max_connections(&self, most: usize) {
         self.most.set(most);
         while self.count() > most && self.end_idlest() {}
     }
--- a/crates/fernroute-server/tests/attempts.rs
+++ b/crates/fernroute-server/tests/attempts.rs
@@ -7,8 +7,8 @@
 use actix_http::Method;
 use bytes::Bytes;
 use common::{balancer_at, connect, run, until};
-use fernroute_server::transport::client::{Body, Call, Client};
-use fernroute_server::transport::outbound::{AttemptState, Reached};
+use fernroute_server::transport::client::{Body, Client, UpstreamRequest};
+use fernroute_server::transport::outbound::{AttemptProgress, AttemptState};
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -112,19 +112,19 @@
             let end = ENDS[chance.below(ENDS.len())];
             let up = upstream(reads, end);
             let client = Client::new(Duration::from_secs(1), Duration::from_secs(10), 4, 1 << 20);
-            let attempt = AttemptState::of(None, &Rc::default());
-            let call = Call {
-                verb: Method::POST,
+            let attempt = AttemptState::new(None, &Rc::default());
+            let call = UpstreamRequest {
+                method: Method::POST,
                 uri: format!("http://{}/pay", up.address),
                 headers: HeaderMap::new(),
-                body: Body::Whole(Bytes::from(vec![b'x'; body])),
-                fresh: true,
+                body: Body::Buffered(Bytes::from(vec![b'x'; body])),
+                new_connection: true,
             };
             // Given up at some moment, most often while it is being written.
             let given_up = Duration::from_micros(chance.below(20_000) as u64);
             let line = client.upstream(up.address);
-            let ended = timeout(given_up, line.call(call, &attempt)).await;
-            let reached = attempt.reached();
+            let ended = timeout(given_up, line.send(call, &attempt)).await;
+            let reached = attempt.progress();
             drop(ended);
             // What had left by then comes still.
             let before = up.had.get();
@@ -134,7 +134,7 @@
             whole += usize::from(is_whole);
             parts += usize::from(!is_whole);
             let told = format!("case {case}: {body} bytes, {end:?} after {reads}, {reached:?}");
-            assert!(!is_whole || reached >= Reached::Written, "{told}");
+            assert!(!is_whole || reached >= AttemptProgress::RequestWritten, "{told}");
         }
         assert!(whole > CASES / 10 && parts > CASES / 10, "{whole} whole, {parts} in part");
     });
--- a/crates/fernroute-server/tests/connections.rs
+++ b/crates/fernroute-server/tests/connections.rs
@@ -6,7 +6,9 @@
 use actix_http::Method;
 use bytes::Bytes;
 use common::{ask, balancer_at, entry, list, rpc, run};
-use fernroute_server::transport::client::{Answered, Body, Broken, Call, Client, Rest, UpstreamClient};
+use fernroute_server::transport::client::{
+    AnswerStream, Body, Client, UpstreamAnswer, UpstreamClient, UpstreamError, UpstreamRequest,
+};
 use fernroute_server::transport::outbound::AttemptState;
 use fernroute_test_support::http::{answer, Peer};
 use std::cell::{Cell, RefCell};
@@ -45,24 +47,25 @@
     address
 }
 
-async fn call(line: &UpstreamClient, path: &str) -> Result<Answered, Broken> {
+async fn call(line: &UpstreamClient, path: &str) -> Result<UpstreamAnswer, UpstreamError> {
     let uri = format!("http://{}{path}", line.address);
-    let body = Body::Whole(Bytes::new());
-    let call = Call { verb: Method::POST, uri, headers: HeaderMap::new(), body, fresh: false };
-    line.call(call, &AttemptState::of(None, &Rc::default())).await
+    let body = Body::Buffered(Bytes::new());
+    let call =
+        UpstreamRequest { method: Method::POST, uri, headers: HeaderMap::new(), body, new_connection: false };
+    line.send(call, &AttemptState::new(None, &Rc::default())).await
 }
 
 async fn body_of(line: &UpstreamClient, path: &str) -> String {
     let answered = call(line, path).await.unwrap_or_else(|why| panic!("{path}: {why}"));
-    let (_, body) = answered.whole().await.expect("a whole answer");
+    let (_, body) = answered.collect().await.expect("a whole answer");
     String::from_utf8_lossy(&body).into_owned()
 }
 
 /// A long answer of which all bytes are taken, its end with the last of them.
-async fn long_answer(line: &UpstreamClient) -> Rest {
+async fn long_answer(line: &UpstreamClient) -> AnswerStream {
     let answered = call(line, "/long").await.unwrap_or_else(|why| panic!("{why}"));
-    let mut rest = answered.rest.expect("a long answer has a rest");
-    let mut came = answered.first.len();
+    let mut rest = answered.remaining.expect("a long answer has a rest");
+    let mut came = answered.body_start.len();
     while came < LONG {
         // What is there, its end with it.
         tokio::time::sleep(Duration::from_millis(20)).await;
--- a/crates/fernroute-server/tests/crowds.rs
+++ b/crates/fernroute-server/tests/crowds.rs
@@ -194,7 +194,7 @@
         let up = stand_in(|n, _| if n < 2 { Deed::Silence } else { ok("whole") }).await;
         // Its first two are answered by the end of their time.
         let b = balancer(&[&up], &[(r#""max-transmissions":3"#, r#""max-transmissions":1"#)]).await;
-        b.server.set_most(2);
+        b.server.set_max_connections(2);
         let brief = || rpc("GET", "/look", "").replace("Ms: 4000", "Ms: 700");
         let mut busy = [common::send(b.address, brief()).await, common::send(b.address, brief()).await];
         until(|| up.seen.borrow().len() == 2).await;
@@ -228,7 +228,7 @@
             kept.push(caller);
         }
         until(|| b.board.open.borrow().is_empty()).await;
-        b.server.set_most(5);
+        b.server.set_max_connections(5);
         until(|| b.server.connections() == 5).await;
         // The last five are served on.
         for caller in &mut kept[15..] {
--- a/crates/fernroute-server/tests/endings.rs
+++ b/crates/fernroute-server/tests/endings.rs
@@ -436,7 +436,7 @@
         let mut new = connect(b.address).await;
         until(|| b.server.connections() == 1).await;
         let server = b.server.clone();
-        let end = actix_rt::spawn(async move { server.end().await });
+        let end = actix_rt::spawn(async move { server.shut_down().await });
         until(|| b.server.listener().is_none()).await;
         new.write_all(rpc("GET", "/look", "").as_bytes()).await.expect("it reads");
         assert_eq!(read(&mut new).await.expect("an answer").status(), 200);
@@ -461,7 +461,7 @@
             waiting.push(caller);
         }
         let server = b.server.clone();
-        let end = actix_rt::spawn(async move { server.end().await });
+        let end = actix_rt::spawn(async move { server.shut_down().await });
         for caller in waiting {
             caller.set_nonblocking(true).expect("it does not block");
             let mut caller = TcpStream::from_std(caller).expect("a stream");
@@ -534,8 +534,8 @@
             let next = rpc("GET", "/look", "");
             assert_eq!(kept.try_write(next.as_bytes()).expect("the machine takes it"), next.len());
             // In the same turn its room is wanted.
-            b.server.set_most(0);
-            b.server.set_most(10);
+            b.server.set_max_connections(0);
+            b.server.set_max_connections(10);
             assert_eq!(read(&mut kept).await.expect("an answer").status(), 200);
             kept = connect(b.address).await;
         }
--- a/crates/fernroute-server/tests/relay.rs
+++ b/crates/fernroute-server/tests/relay.rs
@@ -4,8 +4,8 @@
 
 use common::{ask, balancer, balancer_at, ok, read, rested, rpc, run, say, send, stand_in, until, Deed};
 use fernroute_server::protocol::answer::Final;
-use fernroute_server::transport::connections::ConnectionTable;
-use fernroute_server::transport::outbound::{AttemptState, Reached, CURRENT_ATTEMPT};
+use fernroute_server::transport::outbound::{AttemptProgress, AttemptState, CURRENT_ATTEMPT};
+use fernroute_server::transport::upstream_connections::ConnectionTable;
 use std::cell::Cell;
 use std::rc::{Rc, Weak};
 use std::time::{Duration, Instant};
@@ -356,11 +356,11 @@
                 .expect("room");
             assert_eq!(out.write(&body).await.expect("it takes bytes"), body.len());
             let early = tokio::time::timeout(Duration::from_millis(50), out.flush()).await;
-            assert!(early.is_err() && attempt.reached() == Reached::Connected);
+            assert!(early.is_err() && attempt.progress() == AttemptProgress::Connected);
             let (mut reader, _) = listener.accept().await.expect("a connection");
             let read = actix_rt::spawn(async move { reader.read_exact(&mut vec![0; 32 << 20]).await });
             out.flush().await.expect("it is read");
-            assert_eq!(attempt.reached(), Reached::Written);
+            assert_eq!(attempt.progress(), AttemptProgress::RequestWritten);
             read.await.expect("it reads").expect("all of it");
         };
         CURRENT_ATTEMPT.scope(Rc::clone(&attempt), write).await;
--- a/crates/fernroute-server/tests/repeats.rs
+++ b/crates/fernroute-server/tests/repeats.rs
@@ -6,9 +6,9 @@
 use actix_http::Method;
 use bytes::Bytes;
 use common::{balancer_at, entry, list, ok, read, rpc, run, send, until};
-use fernroute_server::transport::client::{Body, Call, Client};
-use fernroute_server::transport::connections::ConnectionTable;
-use fernroute_server::transport::outbound::{AttemptState, Reached, CURRENT_ATTEMPT};
+use fernroute_server::transport::client::{Body, Client, UpstreamRequest};
+use fernroute_server::transport::outbound::{AttemptProgress, AttemptState, CURRENT_ATTEMPT};
+use fernroute_server::transport::upstream_connections::ConnectionTable;
 use fernroute_test_support::http::answer;
 use fernroute_test_support::stand_in::Held;
 use std::rc::{Rc, Weak};
@@ -81,16 +81,22 @@
                 taken
             });
             let client = Client::new(Duration::from_secs(1), Duration::from_secs(10), 8, BODY);
-            let attempt = AttemptState::of(None, &Rc::default());
-            attempt.bar_after(left);
-            let body = Body::Whole(Bytes::from(vec![b'x'; BODY]));
+            let attempt = AttemptState::new(None, &Rc::default());
+            attempt.set_write_deadline(left);
+            let body = Body::Buffered(Bytes::from(vec![b'x'; BODY]));
             let uri = format!("http://{address}/put");
-            let call = Call { verb: Method::POST, uri, headers: HeaderMap::new(), body, fresh: true };
-            let answered = client.upstream(address).call(call, &attempt).await;
+            let call = UpstreamRequest {
+                method: Method::POST,
+                uri,
+                headers: HeaderMap::new(),
+                body,
+                new_connection: true,
+            };
+            let answered = client.upstream(address).send(call, &attempt).await;
             let taken = upstream.await.expect("the upstream ends");
             assert_eq!((answered.is_ok(), taken >= BODY), (is_whole, is_whole), "{taken} bytes");
             assert_eq!(
-                attempt.reached() >= Reached::Written,
+                attempt.progress() >= AttemptProgress::RequestWritten,
                 is_whole,
                 "it is known to be whole, or not to be"
             );
@@ -106,7 +112,7 @@
     run(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let attempt = Rc::<AttemptState>::default();
-        attempt.bar_after(LEFT);
+        attempt.set_write_deadline(LEFT);
         let write = async {
             let table = ConnectionTable::new(1, 0);
             let address = listener.local_addr().expect("an address");
@@ -114,7 +120,7 @@
             assert_eq!(out.write(b"all of it").await.expect("it takes bytes"), 9);
             tokio::time::sleep(2 * LEFT).await;
             out.flush().await.expect("nothing is left to bar");
-            assert_eq!(attempt.reached(), Reached::Written);
+            assert_eq!(attempt.progress(), AttemptProgress::RequestWritten);
         };
         CURRENT_ATTEMPT.scope(Rc::clone(&attempt), write).await;
     });
