--- a/crates/fernroute-server/src/program/running.rs
+++ b/crates/fernroute-server/src/program/running.rs
@@ -7,7 +7,7 @@
 use super::start_error::StartError;
 use crate::protocol::handover::Known;
 use crate::routing::switchboard::Switchboard;
-use crate::transport::discovery::Watch;
+use crate::transport::discovery::DiscoveryWatch;
 use crate::transport::handover;
 use crate::transport::server::Server;
 use actix_rt::task::JoinHandle;
@@ -21,7 +21,7 @@
 /// The system's usual limit for connections that wait to be accepted.
 pub(super) const LISTEN_BACKLOG: u32 = 1024;
 
-/// A running balancer. It is *waiting* or *serving* after its start; [`RunningInstance::begin`] moves it to *serving*.
+/// A running balancer. It is *waiting* or *serving* after its start; [`RunningInstance::start_serving`] moves it to *serving*.
 pub struct RunningInstance {
     /// The requests and the decisions.
     pub board: Rc<Switchboard>,
@@ -30,8 +30,8 @@
     /// Where callers connect.
     pub address: SocketAddr,
     /// Where operators connect, if anywhere.
-    pub door: Option<SocketAddr>,
-    /// The callers' socket while nobody can connect to it yet. Taken by [`RunningInstance::begin`].
+    pub ops_address: Option<SocketAddr>,
+    /// The callers' socket while nobody can connect to it yet. Taken by [`RunningInstance::start_serving`].
     pub(super) bound_socket: Cell<Option<TcpSocket>>,
     pub(super) name: String,
     /// The address in the file, whose port may be 0.
@@ -81,7 +81,7 @@
         self.board.since.set(version);
         let board = Rc::clone(&self.board);
         let poll_signal = self.decisions_start_polls.get().then(|| Rc::clone(&self.board.follow));
-        let watch = Watch::new(discovery).run(version, poll_signal, move |event| match event {
+        let watch = DiscoveryWatch::new(discovery).run(version, poll_signal, move |event| match event {
             Some(list) => {
                 board.since.set(Some(list.version));
                 board.take_list(&list, true);
@@ -97,7 +97,7 @@
     ///
     /// # Errors
     /// When the system does not let callers connect.
-    pub fn begin(&self) -> Result<(), StartError> {
+    pub fn start_serving(&self) -> Result<(), StartError> {
         if let Some(socket) = self.bound_socket.take() {
             let listener = socket.listen(LISTEN_BACKLOG);
             let address = self.address;
@@ -124,7 +124,7 @@
     /// # Errors
     /// When there can be no such file.
     pub fn handover_path(&self) -> Result<PathBuf, StartError> {
-        handover::path(&self.name, self.listen).map_err(StartError::HandoverPath)
+        handover::socket_path(&self.name, self.listen).map_err(StartError::HandoverPath)
     }
 
     /// The endpoint list as this process has it.
@@ -149,8 +149,8 @@
         change(&mut quota);
         self.quota.set(quota);
         let limits = quota.connection_limits();
-        self.server.set_most(limits.callers);
-        self.board.client.set_most(limits.upstreams);
+        self.server.set_max_connections(limits.callers);
+        self.board.client.set_max_connections(limits.upstreams);
         self.board.windows.set_memory(quota.memory(self.memory_bytes));
     }
 }
--- a/crates/fernroute-server/src/routing/switchboard.rs
+++ b/crates/fernroute-server/src/routing/switchboard.rs
@@ -11,7 +11,7 @@
 use crate::protocol::ops::{Control, Figures};
 use crate::protocol::request::{Request, Shape};
 use crate::transport::client::{Client, UpstreamClient};
-use crate::transport::inbound::Visit;
+use crate::transport::inbound::CallerConnection;
 use crate::transport::outbound::AttemptState;
 use fernroute::action_queue::{Action, ActionQueue};
 use fernroute::{Balancer, InvalidSetting, Outcome, Settings, Time};
@@ -41,7 +41,7 @@
 pub struct Open {
     pub request: Rc<Request>,
     /// The connection that it came on.
-    pub caller: Option<Weak<Visit>>,
+    pub caller: Option<Weak<CallerConnection>>,
     /// None once the final answer is given, or the caller has gone.
     pub answer: Option<oneshot::Sender<Final>>,
     /// Its answer is being handed on.
@@ -256,7 +256,7 @@
     }
 
     fn act(self: &Rc<Self>) {
-        while let Some(act) = self.desk.next() {
+        while let Some(act) = self.desk.pop() {
             match act {
                 Action::StartAttempt { rpc, upstream, timeout, write_deadline: written_by } => {
                     self.route(&rpc, &upstream, timeout, written_by);
@@ -281,7 +281,7 @@
     pub async fn keep_time(self: Rc<Self>) {
         loop {
             match self.timers.next().await {
-                Due::Decision(timer) => self.decide(None, |b, now| b.timer(now, &timer)),
+                Due::Decision(timer) => self.decide(None, |b, now| b.timer_fired(now, &timer)),
                 Due::Transmission { rpc, tx } => self.stop(&rpc, tx, Outcome::TimedOut),
             }
         }
@@ -328,7 +328,7 @@
                     State::Gone => b.upstream_removed(&entry.id),
                 }
             }
-            b.snapshot_complete(fresh);
+            b.snapshot_completed(fresh);
         });
     }
 
--- a/crates/fernroute/src/action_queue.rs
+++ b/crates/fernroute/src/action_queue.rs
@@ -31,7 +31,7 @@
     Reject {
         /// The RPC's id.
         rpc: Rc<str>,
-        /// When the client may come again; 0 for no advice.
+        /// When the caller may come again; 0 for no advice.
         retry_after: Time,
     },
     /// [`Host::fail`]
@@ -59,7 +59,7 @@
 
 impl ActionQueue {
     /// Takes the oldest action out.
-    pub fn next(&self) -> Option<Action> {
+    pub fn pop(&self) -> Option<Action> {
         self.0.borrow_mut().pop_front()
     }
 
