--- a/crates/fernroute-config/src/fields.rs
+++ b/crates/fernroute-config/src/fields.rs
@@ -1,10 +1,10 @@
-//! The keys that a file may have: where each stands, the setting that it becomes, how it is read, whether it must be there.
+//! The schema of a file: each key's path, value type and setting, and whether the key is required.
 
 use crate::{MAX_MEMORY_MB, MIN_DESCRIPTORS, MIN_MEMORY_MB};
 
-/// How a value is written, and its bounds.
+/// The type of a value, with its bounds.
 #[derive(Clone, Copy, PartialEq)]
-pub(crate) enum Form {
+pub(crate) enum ValueType {
     Text,
     Address,
     AddressList,
@@ -19,41 +19,40 @@
     Seconds,
     /// A time in milliseconds, up to a day.
     Millis,
-    /// One of these words.
+    /// One of these strings.
     Word(&'static [&'static str]),
-    /// A list of some of these words.
+    /// A list of these strings.
     WordList(&'static [&'static str]),
 }
 
-use Form::{Address, AddressList, Count, Flag, Hex, Millis, Number, Seconds, Text, Word, WordList};
+use ValueType::{Address, AddressList, Count, Flag, Hex, Millis, Number, Seconds, Text, Word, WordList};
 
-/// One key of the file.
+/// A key that a file may have.
 pub(crate) struct Field {
-    /// Its place, `#` for the number of a list's entry: `method.#.name`.
+    /// The path, with `#` for the index in a list: `method.#.name`.
     pub(crate) key: &'static str,
-    /// The setting that it becomes; empty where it becomes something else.
+    /// The setting that the value is passed on as; empty where it is not passed on as a setting.
     pub(crate) setting: &'static str,
-    pub(crate) form: Form,
+    pub(crate) value_type: ValueType,
     pub(crate) is_required: bool,
 }
 
-const fn required(key: &'static str, setting: &'static str, form: Form) -> Field {
-    Field { key, setting, form, is_required: true }
+const fn required(key: &'static str, setting: &'static str, value_type: ValueType) -> Field {
+    Field { key, setting, value_type, is_required: true }
 }
 
-const fn optional(key: &'static str, setting: &'static str, form: Form) -> Field {
-    Field { key, setting, form, is_required: false }
+const fn optional(key: &'static str, setting: &'static str, value_type: ValueType) -> Field {
+    Field { key, setting, value_type, is_required: false }
 }
 
-/// More than any count or rate is.
+/// An upper bound that no realistic count or rate reaches.
 const MAX_NUMBER: f64 = 1e6;
 
 const EFFECTS: &[&str] = &["retriable", "deduped", "non_retriable"];
 const GROUPS: &[&str] = &["all", "zone", "cell"];
-const DIVIDED_BUDGETS: &[&str] = &["further", "trials"];
-const REPORTS: &[&str] = &["utilisation", "service_time", "in_flight", "queued", "rate", "errors"];
+const SHARED_BUDGETS: &[&str] = &["further", "trials"];
+const LOAD_REPORTS: &[&str] = &["utilisation", "service_time", "in_flight", "queued", "rate", "errors"];
 
-/// All keys.
 #[rustfmt::skip]
 pub(crate) const FIELDS: &[Field] = &[
     required("name", "", Text),
@@ -70,7 +69,7 @@
     optional("place.tick_ms", "tick", Millis),
     optional("list.mode", "list_mode", Word(&["push", "ask"])),
     optional("list.ask_within_s", "rules.ask_within", Seconds),
-    optional("load.reports", "load.names", WordList(REPORTS)),
+    optional("load.reports", "load.names", WordList(LOAD_REPORTS)),
     optional("load.warm_keys", "warm_keys", Flag),
     optional("load.crossing_cost", "prices.cross_zone", Number(0.0, 1.0)),
     optional("load.over_share_gain", "over_share_gain", Number(0.0, 1.0)),
@@ -90,7 +89,7 @@
     optional("fleet.cluster", "", Text),
     optional("fleet.stewards", "", AddressList),
     optional("fleet.beat_ms", "", Millis),
-    optional("fleet.divides", "", WordList(DIVIDED_BUDGETS)),
+    optional("fleet.divides", "", WordList(SHARED_BUDGETS)),
     optional("fleet.service", "", Text),
     optional("fleet.folder", "", Text),
     optional("fleet.wait_ms", "", Millis),
@@ -111,26 +110,25 @@
     optional("upstream.#.kind", "", Text),
 ];
 
-/// A list of tables: its key, and the setting under which its entries stand.
+/// An array of tables.
 pub(crate) struct List {
     pub(crate) key: &'static str,
-    /// None where its entries become no settings.
+    /// The prefix of its entries' settings; `None` where they are not passed on as settings.
     pub(crate) setting: Option<&'static str>,
 }
 
-/// All lists of tables.
 pub(crate) const LISTS: [List; 3] = [
     List { key: "method", setting: Some("methods") },
     List { key: "tenant", setting: Some("tenants") },
     List { key: "upstream", setting: None },
 ];
 
-/// The field of a place whose numbers are `#`, if a file may have it.
+/// The field with this path, in which indexes are written as `#`.
 pub(crate) fn field(pattern: &str) -> Option<&'static Field> {
     FIELDS.iter().find(|field| field.key == pattern)
 }
 
-/// Whether there are fields under this place.
+/// Whether this path is a table with fields.
 pub(crate) fn is_table(pattern: &str) -> bool {
     let prefix = format!("{pattern}.");
     FIELDS.iter().any(|field| field.key.starts_with(&prefix))
--- a/crates/fernroute-config/src/layers.rs
+++ b/crates/fernroute-config/src/layers.rs
@@ -1,45 +1,52 @@
-//! Entries of a fleet's configuration, laid over a balancer's own file. An entry changes what it names and nothing else:
-//! tables are laid over each other key by key, lists (`[[method]]`, `[[tenant]]`) replace each other whole.
+//! Merges the layers of a fleet's configuration over a balancer's own file. A layer changes only the keys that it contains:
+//! tables are merged key by key, arrays of tables (`[[method]]`, `[[tenant]]`) are replaced as a whole.
 
-use crate::place::line_of;
+use crate::path::line_of;
 use crate::{decode, BalancerConfig, ConfigError};
 use toml::de::{DeTable, DeValue};
 use toml::{Spanned, Table, Value};
 
-/// The tables that an entry may have. The others are each balancer's own: who it is, where it is, what its machine holds.
+/// The tables that a layer may contain. The others belong to one balancer: its identity, its addresses, the limits of its
+/// machine.
 const SHARED_TABLES: [&str; 6] = ["list", "load", "limits", "rules", "method", "tenant"];
 
-/// Keys that count when a connection is first made, so that a running balancer can't take another value.
+/// Keys whose values are fixed when a connection is first made, so that a running balancer can't change them.
 const RESTART_KEYS: [(&str, &str); 2] = [("limits", "connect_ms"), ("limits", "keep_alive_s")];
 
-/// A file that any entry can be laid over, to see whether the entry is good. It has what another key of a table needs beside
-/// it: a balancer's own file may have it, too.
+/// The file that a layer is merged over to validate it. It has the keys that other keys of a table require, since a
+/// balancer's own file may have them, too.
 const CHECK_FILE: &str = "name = \"b\"\nlisten = \"127.0.0.1:1\"\ndiscovery = \"127.0.0.1:2\"\n\
     [list]\nask_within_s = 1\n[rules]\ncold_from = 0.3\nwarm_within_s = 10\ncold_multiple = 3\ncold_window_s = 2\n\
     [[method]]\nname = \"m\"\neffect = \"retriable\"\nhard_ms = 1000\n";
 
-/// What a fault in the balancer's own file is attributed to.
+/// The source named in errors of the balancer's own file.
 const OWN_FILE: &str = "the balancer's own file";
 
-/// The faults of an entry, whichever balancer's file it is laid over; lines are the entry's own.
-pub fn check(entry: &str) -> Result<(), Vec<ConfigError>> {
-    let file = merge_layers(CHECK_FILE, &[entry])?;
-    let Err(faults) = decode(&file) else { return Ok(()) };
-    let mut own: Vec<ConfigError> =
-        faults.into_iter().map(|fault| ConfigError { line: line_in(entry, &fault.path), ..fault }).collect();
-    own.sort();
-    Err(own)
+/// Validates a layer, regardless of the balancer's file under it.
+///
+/// # Errors
+/// All errors, with the lines of the layer.
+pub fn check(layer: &str) -> Result<(), Vec<ConfigError>> {
+    let file = merge_layers(CHECK_FILE, &[layer])?;
+    let Err(errors) = decode(&file) else { return Ok(()) };
+    let mut errors: Vec<ConfigError> =
+        errors.into_iter().map(|error| ConfigError { line: line_in(layer, &error.path), ..error }).collect();
+    errors.sort();
+    Err(errors)
 }
 
-/// The file with these entries laid over it, the widest scope first. An entry with what is each balancer's own is refused:
-/// whoever entered it, it does not reach a balancer.
-pub fn merge_layers(file: &str, entries: &[&str]) -> Result<String, Vec<ConfigError>> {
+/// Merges layers over a file, the widest scope first. A layer with keys that belong to one balancer is rejected, also if
+/// the coordinators have accepted it.
+///
+/// # Errors
+/// When a text is no TOML, or a layer contains forbidden keys.
+pub fn merge_layers(file: &str, layers: &[&str]) -> Result<String, Vec<ConfigError>> {
     let mut merged = parse(file)?;
-    for entry in entries {
-        let table = parse(entry)?;
-        let faults = forbidden_keys(entry, &table);
-        if !faults.is_empty() {
-            return Err(faults);
+    for layer in layers {
+        let table = parse(layer)?;
+        let errors = forbidden_keys(layer, &table);
+        if !errors.is_empty() {
+            return Err(errors);
         }
         merge(&mut merged, table);
     }
@@ -47,81 +54,87 @@
         .map_err(|error| vec![ConfigError { line: 1, path: String::new(), reason: error.to_string() }])
 }
 
-/// The plan of a balancer with this file under these entries, each with its name, the widest scope first; or all faults, each
-/// attributed to where it comes from: the narrowest entry that names its place, else the balancer's own file.
-pub fn load(file: &str, entries: &[(&str, &str)]) -> Result<BalancerConfig, Vec<ConfigError>> {
-    for (name, entry) in entries {
-        let by = |fault: ConfigError| attribute(fault, name);
-        merge_layers("", &[entry]).map_err(|faults| faults.into_iter().map(by).collect::<Vec<_>>())?;
+/// Decodes a balancer's file with layers merged over it. Each layer has a name and a text; the widest scope is first.
+///
+/// # Errors
+/// All errors. Each names its source: the layer of the narrowest scope that contains the path, else the balancer's own
+/// file.
+pub fn load(file: &str, layers: &[(&str, &str)]) -> Result<BalancerConfig, Vec<ConfigError>> {
+    for (name, layer) in layers {
+        let with_source = |error: ConfigError| attribute(error, name);
+        merge_layers("", &[layer])
+            .map_err(|errors| errors.into_iter().map(with_source).collect::<Vec<_>>())?;
     }
-    let texts: Vec<&str> = entries.iter().map(|(_, entry)| *entry).collect();
+    let texts: Vec<&str> = layers.iter().map(|(_, layer)| *layer).collect();
     decode(&merge_layers(file, &texts)?)
-        .map_err(|faults| faults.into_iter().map(|fault| attribute_to_source(fault, file, entries)).collect())
+        .map_err(|errors| errors.into_iter().map(|error| attribute_to_source(error, file, layers)).collect())
 }
 
-fn attribute(fault: ConfigError, source: &str) -> ConfigError {
-    ConfigError { reason: format!("{} ({source})", fault.reason), ..fault }
+fn attribute(error: ConfigError, source: &str) -> ConfigError {
+    ConfigError { reason: format!("{} ({source})", error.reason), ..error }
 }
 
-/// The text that names most steps of the fault's place is its source; of several, the narrowest.
-fn attribute_to_source(fault: ConfigError, file: &str, entries: &[(&str, &str)]) -> ConfigError {
+/// Attributes an error to the text that contains the most steps of its path; among several, to the narrowest scope.
+fn attribute_to_source(error: ConfigError, file: &str, layers: &[(&str, &str)]) -> ConfigError {
     let mut source = OWN_FILE;
     let mut best: Option<Location> = None;
-    for (name, text) in entries.iter().rev().copied().chain([(OWN_FILE, file)]) {
-        let Some(location) = locate(text, &fault.path) else { continue };
+    for (name, text) in layers.iter().rev().copied().chain([(OWN_FILE, file)]) {
+        let Some(location) = locate(text, &error.path) else { continue };
         if best.as_ref().is_none_or(|best| location.steps > best.steps) {
             source = name;
             best = Some(location);
         }
     }
     let line = best.map_or(1, |best| best.line);
-    attribute(ConfigError { line, ..fault }, source)
+    attribute(ConfigError { line, ..error }, source)
 }
 
-/// Keys that an entry may not have.
-fn forbidden_keys(entry: &str, table: &Table) -> Vec<ConfigError> {
-    let fault = |place: String, why: &str| ConfigError {
-        line: line_in(entry, &place),
-        path: place,
-        reason: why.to_owned(),
+/// Errors for the keys that a layer must not contain.
+fn forbidden_keys(layer: &str, table: &Table) -> Vec<ConfigError> {
+    let error = |path: String, reason: &str| {
+        let line = line_in(layer, &path);
+        ConfigError { line, path, reason: reason.to_owned() }
     };
-    let mut faults = Vec::new();
+    let mut errors = Vec::new();
     for key in table.keys().filter(|key| !SHARED_TABLES.contains(&key.as_str())) {
-        faults.push(fault(key.clone(), "is each balancer's own, and stands in its file"));
+        errors.push(error(key.clone(), "belongs in each balancer's own file"));
     }
     for (under, key) in RESTART_KEYS {
         if table.get(under).and_then(Value::as_table).is_some_and(|table| table.contains_key(key)) {
-            faults.push(fault(format!("{under}.{key}"), "needs a restart, and stands in each file"));
+            errors.push(error(
+                format!("{under}.{key}"),
+                "needs a restart, and belongs in each balancer's own file",
+            ));
         }
     }
-    faults.sort();
-    faults
+    errors.sort();
+    errors
 }
 
-/// Where a text names a place.
+/// The position of a path in a text.
 struct Location {
     line: usize,
-    /// How many steps of the place it names.
+    /// How many steps of the path the text contains.
     steps: usize,
 }
 
-/// The line on which a text names a place, or as much of the place as it names; the first where it names nothing of it.
-fn line_in(text: &str, place: &str) -> usize {
-    locate(text, place).map_or(1, |location| location.line)
+/// The line of a path in a text, or of the longest part of the path that it contains; 1 where it contains none of it.
+fn line_in(text: &str, path: &str) -> usize {
+    locate(text, path).map_or(1, |location| location.line)
 }
 
-/// Where a text names a place as it is displayed (`method[0].name`), or as much of it as it names.
-fn locate(text: &str, place: &str) -> Option<Location> {
+/// Finds a path as shown in error messages (`method[0].name`), or the longest part of it that the text contains.
+fn locate(text: &str, path: &str) -> Option<Location> {
     let table = DeTable::parse(text).ok()?;
     let mut offset = None;
     let mut steps = 0;
     let mut under: Option<&Spanned<DeValue<'_>>> = None;
-    for step in place.split(['.', '[']) {
+    for step in path.split(['.', '[']) {
         let next = match (under.map(Spanned::get_ref), step.strip_suffix(']')) {
             (None, None) => find_key(table.get_ref(), step),
             (Some(DeValue::Table(table)), None) => find_key(table, step),
-            (Some(DeValue::Array(items)), Some(number)) => {
-                let item = number.parse().ok().and_then(|number: usize| items.get(number));
+            (Some(DeValue::Array(items)), Some(index)) => {
+                let item = index.parse().ok().and_then(|index: usize| items.get(index));
                 item.map(|item| (item.span().start, item))
             }
             _ => None,
@@ -139,7 +152,7 @@
     Some((name.span().start, value))
 }
 
-/// Lays one table over another, key by key.
+/// Merges one table over another, key by key.
 fn merge(lower: &mut Table, upper: Table) {
     for (key, value) in upper {
         match (lower.get_mut(&key), value) {
--- a/crates/fernroute-config/src/lib.rs
+++ b/crates/fernroute-config/src/lib.rs
@@ -1,15 +1,15 @@
-//! Files for installations of one's own: TOML, with this project's names and units, checked whole. All faults are found at
-//! once, each with its line and place. A file becomes the same settings as the platform's own files.
+//! The TOML configuration file of a balancer, for self-hosted installations. It has this project's names and units, and
+//! yields the same settings as the platform's JSON files. All errors are reported together, each with its line and path.
 //!
-//! `fields` lists the keys, `reader` reads a text by them, `value` one value, `consistency` what has to go together;
-//! [`layers`] lays a fleet's entries over a file.
+//! `fields` is the schema, `reader` reads a text against it, `value` decodes single values, `consistency` checks across keys;
+//! [`layers`] merges the layers of a fleet's configuration over a file.
 #![warn(missing_docs, clippy::unwrap_used, clippy::expect_used)]
 
 mod consistency;
 mod fields;
 mod fleet;
 pub mod layers;
-mod place;
+mod path;
 mod reader;
 mod value;
 
@@ -17,71 +17,71 @@
 
 use fernroute::Settings;
 use fields::{field, LISTS};
-use place::{entry_number, pattern};
+use path::{entry_index, pattern};
 use reader::Reader;
 use std::fmt;
 use std::net::SocketAddr;
 
-/// Below this there is no room for clients and upstreams beside the program's own descriptors.
+/// With fewer, the program's own descriptors leave no room for callers and upstreams.
 pub const MIN_DESCRIPTORS: usize = 64;
-/// The number of descriptors where the file says none: what a process commonly gets.
+/// The default number of descriptors: the common limit of a process.
 pub const DEFAULT_DESCRIPTORS: usize = 1024;
 
-/// The least memory that a balancer may be given.
+/// The minimum memory of a balancer, in megabytes.
 pub const MIN_MEMORY_MB: usize = 16;
-/// The memory that it takes where the file says none.
+/// The default memory of a balancer, in megabytes.
 pub const DEFAULT_MEMORY_MB: usize = 192;
-/// More memory than any machine has.
+/// The maximum memory of a balancer, in megabytes: more than any machine has.
 pub const MAX_MEMORY_MB: usize = 1 << 20;
 
-/// A file without faults.
+/// The contents of a file without errors.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BalancerConfig {
     /// The balancer's name.
     pub name: String,
-    /// Where it serves clients.
+    /// The address for callers.
     pub listen: SocketAddr,
-    /// Where the discovery service is.
+    /// The address of the discovery service.
     pub discovery: SocketAddr,
-    /// Where operators are answered, if anywhere.
+    /// The address for operators, if there is one.
     pub ops: Option<SocketAddr>,
-    /// The seed of random numbers; each start has another where the file names none.
+    /// The seed of random numbers; `None` stands for a new one at each start.
     pub seed: Option<u64>,
-    /// The descriptors that the process may hold.
+    /// How many file descriptors the process may have open.
     pub descriptors: usize,
-    /// The memory that the process may hold.
+    /// How much memory the process may use, in megabytes.
     pub memory_mb: usize,
-    /// The upstreams that are known at a start.
+    /// The upstreams to use until discovery has replied.
     pub upstreams: Vec<Upstream>,
-    /// The fleet that the balancer is a member of, if it is of one.
+    /// The fleet that the balancer is a member of, if any.
     pub fleet: Option<FleetConfig>,
     /// The settings of the decisions.
     pub settings: Settings,
 }
 
-/// An upstream that is known before discovery has answered.
+/// An upstream that is known before discovery has replied.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Upstream {
-    /// Its id, by which discovery names it too.
+    /// The same id as in discovery.
     pub id: String,
-    /// Where it serves.
+    /// The address on which it serves.
     pub address: SocketAddr,
-    /// The zone that it is in.
+    /// The zone; empty for none.
     pub zone: String,
-    /// The cell that it is in; empty for none.
+    /// The cell; empty for none.
     pub cell: String,
-    /// The kind of machine that it runs on; empty for none.
+    /// The kind of machine; empty for none.
     pub kind: String,
 }
 
-/// One thing that is wrong with a file.
+/// An error in a file.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ConfigError {
     /// The line, counted from 1.
     pub line: usize,
-    /// The place as people write it (`method[0].name`); empty for the whole file.
+    /// The path of the key (`method[0].name`); empty for the whole file.
     pub path: String,
-    /// What is wrong there.
+    /// What is wrong with the value.
     pub reason: String,
 }
 
@@ -92,15 +92,18 @@
     }
 }
 
-/// Reads a file, or says all that is wrong with it in the order of its lines.
+/// Decodes and validates the text of a file.
+///
+/// # Errors
+/// All errors, in the order of their lines.
 pub fn decode(text: &str) -> Result<BalancerConfig, Vec<ConfigError>> {
-    Reader::read(text).map(|reader| plan(&reader))
+    Reader::read(text).map(|reader| balancer_config(&reader))
 }
 
-/// The plan of a file without faults: what the file has to say is there, and can be read.
-fn plan(reader: &Reader<'_>) -> BalancerConfig {
-    let text = |place: &str| reader.value(place).map(|value| value.text.clone());
-    let number = |place: &str| text(place).and_then(|text| text.parse().ok());
+/// The contents of a file without errors: all required keys are there, and all values are valid.
+fn balancer_config(reader: &Reader<'_>) -> BalancerConfig {
+    let text = |path: &str| reader.value(path).map(|value| value.text.clone());
+    let number = |path: &str| text(path).and_then(|text| text.parse().ok());
     BalancerConfig {
         name: text("name").unwrap_or_default(),
         listen: address(reader, "listen"),
@@ -109,23 +112,23 @@
         seed: text("seed").and_then(|text| u64::from_str_radix(&text, 16).ok()),
         descriptors: number("descriptors").unwrap_or(DEFAULT_DESCRIPTORS),
         memory_mb: number("memory_mb").unwrap_or(DEFAULT_MEMORY_MB),
-        fleet: fleet::fleet(&reader.values),
-        upstreams: (0..reader.entry_lines("upstream").len()).map(|number| upstream(reader, number)).collect(),
+        fleet: fleet::fleet_config(&reader.values),
+        upstreams: (0..reader.entry_lines("upstream").len()).map(|index| upstream(reader, index)).collect(),
         settings: settings(reader),
     }
 }
 
-fn address(reader: &Reader<'_>, place: &str) -> SocketAddr {
-    let address = reader.value(place).and_then(|value| value.text.parse().ok());
+fn address(reader: &Reader<'_>, path: &str) -> SocketAddr {
+    let address = reader.value(path).and_then(|value| value.text.parse().ok());
     address.unwrap_or(SocketAddr::from(([0; 4], 0)))
 }
 
-fn upstream(reader: &Reader<'_>, number: usize) -> Upstream {
-    let place = |key: &str| format!("upstream.{number}.{key}");
-    let text = |key: &str| reader.value(&place(key)).map(|value| value.text.clone()).unwrap_or_default();
+fn upstream(reader: &Reader<'_>, index: usize) -> Upstream {
+    let path = |key: &str| format!("upstream.{index}.{key}");
+    let text = |key: &str| reader.value(&path(key)).map(|value| value.text.clone()).unwrap_or_default();
     Upstream {
         id: text("id"),
-        address: address(reader, &place("address")),
+        address: address(reader, &path("address")),
         zone: text("zone"),
         cell: text("cell"),
         kind: text("kind"),
@@ -134,11 +137,11 @@
 
 fn settings(reader: &Reader<'_>) -> Settings {
     let mut settings = Settings::new();
-    for (place, value) in &reader.values {
-        let setting = field(&pattern(place)).map_or("", |field| field.setting);
+    for (path, value) in &reader.values {
+        let setting = field(&pattern(path)).map_or("", |field| field.setting);
         if !setting.is_empty() {
-            let number = entry_number(place).unwrap_or("#");
-            settings.insert(setting.replace('#', number), value.text.clone());
+            let index = entry_index(path).unwrap_or("#");
+            settings.insert(setting.replace('#', index), value.text.clone());
         }
     }
     for list in &LISTS {
--- a/crates/fernroute-config/src/reader.rs
+++ b/crates/fernroute-config/src/reader.rs
@@ -1,35 +1,38 @@
-//! From the text of a file to its values: what is not known, of the wrong kind or missing becomes a fault with its line.
+//! Reads the values of a file. Unknown, missing and invalid keys become errors with their lines.
 
 use crate::fields::{field, is_table, FIELDS, LISTS};
-use crate::place::{display, line_of, pattern};
+use crate::path::{display, line_of, pattern};
 use crate::{consistency, value, ConfigError};
 use std::collections::BTreeMap;
 use toml::de::{DeArray, DeTable, DeValue};
 
-/// A value that was read, as plain text, and its line.
+/// A valid value as plain text, with its line.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Value {
     pub(crate) text: String,
     pub(crate) line: usize,
 }
 
-/// Values by their places.
+/// Values by path.
 pub(crate) type Values = BTreeMap<String, Value>;
 
-/// What was read of a file so far.
+/// The values and errors of a file.
 pub(crate) struct Reader<'a> {
     text: &'a str,
     pub(crate) values: Values,
     /// The line on which each entry of a list begins, by the list's key.
     list_lines: BTreeMap<&'static str, Vec<usize>>,
-    faults: Vec<ConfigError>,
+    errors: Vec<ConfigError>,
 }
 
 impl<'a> Reader<'a> {
-    /// Reads a file whole, or says all that is wrong with it, in the order of its lines.
+    /// Reads a whole file.
+    ///
+    /// # Errors
+    /// All errors, in the order of their lines.
     pub(crate) fn read(text: &'a str) -> Result<Self, Vec<ConfigError>> {
         let mut reader =
-            Reader { text, values: Values::new(), list_lines: BTreeMap::new(), faults: Vec::new() };
+            Reader { text, values: Values::new(), list_lines: BTreeMap::new(), errors: Vec::new() };
         let table = DeTable::parse(text).map_err(|error| {
             let line = line_of(text, error.span().map_or(0, |span| span.start));
             vec![ConfigError { line, path: String::new(), reason: error.message().replace('\n', " ") }]
@@ -37,23 +40,23 @@
         reader.table("", table.get_ref());
         reader.find_missing();
         for conflict in consistency::conflicts(&reader) {
-            reader.fault(conflict.line, &conflict.place, conflict.why);
+            reader.error(conflict.line, &conflict.path, conflict.reason);
         }
-        if reader.faults.is_empty() {
+        if reader.errors.is_empty() {
             return Ok(reader);
         }
-        reader.faults.sort();
-        Err(reader.faults)
+        reader.errors.sort();
+        Err(reader.errors)
     }
 
-    /// The value at a place, if the file has one that can be used.
-    pub(crate) fn value(&self, place: &str) -> Option<&Value> {
-        self.values.get(place)
+    /// The value at a path; `None` where it is missing or invalid.
+    pub(crate) fn value(&self, path: &str) -> Option<&Value> {
+        self.values.get(path)
     }
 
-    /// Whether the file says something there; what can't be used is a fault already.
-    pub(crate) fn has(&self, place: &str) -> bool {
-        self.values.contains_key(place) || self.faults.iter().any(|fault| fault.path == display(place))
+    /// Whether the file has a value at a path, also an invalid one, which has been reported already.
+    pub(crate) fn has(&self, path: &str) -> bool {
+        self.values.contains_key(path) || self.errors.iter().any(|error| error.path == display(path))
     }
 
     /// The lines on which the entries of a list begin.
@@ -61,51 +64,51 @@
         self.list_lines.get(list).map_or(&[], Vec::as_slice)
     }
 
-    fn fault(&mut self, line: usize, place: &str, why: impl Into<String>) {
-        self.faults.push(ConfigError { line, path: display(place), reason: why.into() });
+    fn error(&mut self, line: usize, path: &str, reason: impl Into<String>) {
+        self.errors.push(ConfigError { line, path: display(path), reason: reason.into() });
     }
 
     fn table(&mut self, under: &str, table: &DeTable<'_>) {
         for (key, value) in table {
             let key_text = key.get_ref();
-            let place = if under.is_empty() { key_text.to_string() } else { format!("{under}.{key_text}") };
+            let path = if under.is_empty() { key_text.to_string() } else { format!("{under}.{key_text}") };
             let line = line_of(self.text, key.span().start);
-            self.key(&place, line, value.get_ref());
+            self.key(&path, line, value.get_ref());
         }
     }
 
-    /// A key with its value: a list of tables, a table, or the value of a field.
-    fn key(&mut self, place: &str, line: usize, value: &DeValue<'_>) {
-        let pattern = pattern(place);
+    /// Reads the value of a key: an array of tables, a table, or the value of a field.
+    fn key(&mut self, path: &str, line: usize, value: &DeValue<'_>) {
+        let pattern = pattern(path);
         if let Some(list) = LISTS.iter().find(|list| list.key == pattern) {
             return match value {
                 DeValue::Array(items) => self.list(list.key, items),
-                _ => self.fault(line, place, format!("is written [[{place}]], as often as needed")),
+                _ => self.error(line, path, format!("must be an array of tables, written as [[{path}]]")),
             };
         }
         if is_table(&pattern) {
             return match value {
-                DeValue::Table(table) => self.table(place, table),
-                _ => self.fault(line, place, "is no table"),
+                DeValue::Table(table) => self.table(path, table),
+                _ => self.error(line, path, "must be a table"),
             };
         }
-        let Some(field) = field(&pattern) else { return self.fault(line, place, "is not known") };
-        match value::read(field.form, value) {
+        let Some(field) = field(&pattern) else { return self.error(line, path, "is not a known key") };
+        match value::read(field.value_type, value) {
             Ok(text) => {
-                self.values.insert(place.to_owned(), Value { text, line });
+                self.values.insert(path.to_owned(), Value { text, line });
             }
-            Err(error) => self.fault(line, place, error.to_string()),
+            Err(error) => self.error(line, path, error.to_string()),
         }
     }
 
     fn list(&mut self, key: &'static str, items: &DeArray<'_>) {
-        for (number, item) in items.iter().enumerate() {
+        for (index, item) in items.iter().enumerate() {
             let line = line_of(self.text, item.span().start);
             self.list_lines.entry(key).or_default().push(line);
-            let place = format!("{key}.{number}");
+            let path = format!("{key}.{index}");
             match item.get_ref() {
-                DeValue::Table(table) => self.table(&place, table),
-                _ => self.fault(line, &place, "is no table"),
+                DeValue::Table(table) => self.table(&path, table),
+                _ => self.error(line, &path, "must be a table"),
             }
         }
     }
@@ -114,20 +117,20 @@
         for field in FIELDS.iter().filter(|field| field.is_required) {
             match field.key.split_once(".#.") {
                 Some((list, key)) => self.find_missing_in_entries(list, key),
-                None if !self.has(field.key) => self.fault(1, field.key, "is missing"),
+                None if !self.has(field.key) => self.error(1, field.key, "is missing"),
                 None => {}
             }
         }
         if self.entry_lines("method").is_empty() && !self.has("method") {
-            self.fault(1, "method", "is missing: there must be one at the least");
+            self.error(1, "method", "is missing: at least one is required");
         }
     }
 
     fn find_missing_in_entries(&mut self, list: &str, key: &str) {
-        for (number, line) in self.entry_lines(list).to_vec().into_iter().enumerate() {
-            let place = format!("{list}.{number}.{key}");
-            if !self.has(&place) {
-                self.fault(line, &place, "is missing");
+        for (index, line) in self.entry_lines(list).to_vec().into_iter().enumerate() {
+            let path = format!("{list}.{index}.{key}");
+            if !self.has(&path) {
+                self.error(line, &path, "is missing");
             }
         }
     }
--- a/crates/fernroute-coordinator/tests/configuration_commands.rs
+++ b/crates/fernroute-coordinator/tests/configuration_commands.rs
@@ -248,7 +248,7 @@
         for (file, expected) in [
             (part("a.toml", "[limits\n"), "line 1"),
             (part("b.toml", "[limits]\nretry_after_s = 1\nretry_before_s = 2\n"), "limits.retry_before_s"),
-            (part("c.toml", "name = \"x\"\n"), "name: is each balancer's own"),
+            (part("c.toml", "name = \"x\"\n"), "name: belongs in each balancer's own file"),
             (part("d.toml", "[limits]\ntransmissions = 0\n"), "limits.transmissions"),
             (part("e.toml", "[limits]\nconnect_ms = 5\n"), "limits.connect_ms: needs a restart"),
             (part("long.toml", &format!("# {}\n", "x".repeat(70_000))), "over 65536"),
--- a/crates/fernroute-server/tests/configuration.rs
+++ b/crates/fernroute-server/tests/configuration.rs
@@ -255,7 +255,7 @@
         assert_eq!((status(&program, "third").await, stewards.report().rejected), (200, None));
         // What is each balancer's own no steward can change.
         let own = stewards.put(&(method("own") + "[place]\nzone = \"y\"\n"));
-        assert!(stewards.until_refused(own).await.contains("place: is each balancer's own"));
+        assert!(stewards.until_refused(own).await.contains("place: belongs in each balancer's own file"));
     });
 }
 
--- a/crates/fernroute-server/tests/public_interface.rs
+++ b/crates/fernroute-server/tests/public_interface.rs
@@ -260,15 +260,15 @@
 /// A text of the file, what stands in its place, and the line that follows.
 const ERRORS: &[(&str, &str, &str)] = &[
     ("beat_ms = 50", "beat_ms = 5", "fernroute: FILE: line 10: fleet.beat_ms: 5 is not between 10 and 10000\n"),
-    ("beat_ms = 50", "beat = 50", "fernroute: FILE: line 10: fleet.beat: is not known\n"),
-    ("cluster = \"shop\"\n", "", "fernroute: FILE: line 8: fleet.cluster: is missing, where there is a fleet\n"),
-    ("service = \"web\"\n", "", "fernroute: FILE: line 12: fleet.wait_ms: is for a balancer that goes by the configuration of a service: fleet.service\n"),
-    ("service = \"web\"", "service = \"a/b\"", "fernroute: FILE: line 12: fleet.service: no scope can name \"a/b\": it is longer than 64, or has a / in it\n"),
-    ("divides = [\"further\", \"trials\"]", "divides = [\"retries\"]", "fernroute: FILE: line 11: fleet.divides: retries is none of further, trials\n"),
+    ("beat_ms = 50", "beat = 50", "fernroute: FILE: line 10: fleet.beat: is not a known key\n"),
+    ("cluster = \"shop\"\n", "", "fernroute: FILE: line 8: fleet.cluster: is required in [fleet]\n"),
+    ("service = \"web\"\n", "", "fernroute: FILE: line 12: fleet.wait_ms: is only allowed together with fleet.service\n"),
+    ("service = \"web\"", "service = \"a/b\"", "fernroute: FILE: line 12: fleet.service: \"a/b\" is no valid scope name: it is longer than 64 bytes, or contains a /\n"),
+    ("divides = [\"further\", \"trials\"]", "divides = [\"retries\"]", "fernroute: FILE: line 11: fleet.divides: retries is not one of further, trials\n"),
     ("cold_from = 0.3", "cold_from = 2", "fernroute: FILE: line 15: rules.cold_from: 2 is not between 0.001 and 1\n"),
-    ("name = \"put\"", "name = \"look\"", "fernroute: FILE: line 24: method[1].name: look is there already, as method[0]\n"),
-    ("\"non_retriable\"", "\"deduped\"", "fernroute: FILE: line 23: method[1].group: is missing, where repeats are dropped; line 23: method[1].window_s: is missing, where repeats are dropped\n"),
-    ("hard_ms = 3000", "hard_ms = \"x\"", "fernroute: FILE: line 22: method[0].hard_ms: is no number; line 26: method[1].hard_ms: is no number\n"),
+    ("name = \"put\"", "name = \"look\"", "fernroute: FILE: line 24: method[1].name: look is already the name of method[0]\n"),
+    ("\"non_retriable\"", "\"deduped\"", "fernroute: FILE: line 23: method[1].group: is required where effect is deduped; line 23: method[1].window_s: is required where effect is deduped\n"),
+    ("hard_ms = 3000", "hard_ms = \"x\"", "fernroute: FILE: line 22: method[0].hard_ms: must be a number; line 26: method[1].hard_ms: must be a number\n"),
     ("[place]", "[place", "fernroute: FILE: line 5: unclosed table, expected `]`\n"),
     ("wait_ms = 500", "wait_ms = 90000", "fernroute: FILE: line 13: fleet.wait_ms: 90000 is not between 0 and 5000\n"),
 ];
--- a/crates/fernroute-testbed/tests/configuration.rs
+++ b/crates/fernroute-testbed/tests/configuration.rs
@@ -121,7 +121,7 @@
         fleet.until_in_force(second, &[0, 2]).await;
         let member = fleet.until_stands(1, |member| member.state == RolloutState::Rejected).await;
         let (version, why) = member.rejected.expect("its reason");
-        assert!(version == second && why.contains("list.ask_within_s: is missing"), "{version} {why}");
+        assert!(version == second && why.contains("list.ask_within_s: is required"), "{version} {why}");
         assert_eq!(member.active, first);
         let answers = (fleet.answers(1, "first").await, fleet.answers(1, "second").await);
         assert_eq!(answers, (Some(200), Some(404)));
