--- a/crates/fernroute-config/src/fleet.rs
+++ b/crates/fernroute-config/src/fleet.rs
@@ -3,7 +3,7 @@
 use crate::consistency::Conflict;
 use crate::reader::Values;
 use fernroute::Time;
-use fernroute_fleet::configuration::{is_name, MAX_NAME_BYTES};
+use fernroute_fleet::configuration::{is_valid_name, MAX_NAME_BYTES};
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
 use std::path::PathBuf;
@@ -109,7 +109,7 @@
 fn invalid_scope_names(values: &Values) -> Vec<Conflict> {
     let mut conflicts = Vec::new();
     for key in ["fleet.service", "place.zone", "name"] {
-        let Some(value) = values.get(key).filter(|value| !is_name(&value.text)) else { continue };
+        let Some(value) = values.get(key).filter(|value| !is_valid_name(&value.text)) else { continue };
         let reason = format!(
             "{:?} is no valid scope name: it is longer than {MAX_NAME_BYTES} bytes, or contains a /",
             value.text
--- a/crates/fernroute/src/settings.rs
+++ b/crates/fernroute/src/settings.rs
@@ -1,16 +1,16 @@
-//! The settings of the decisions: parsed and validated as a whole. The text keys of the operators' settings appear here alone.
+//! The settings of the decisions, parsed and validated as a whole. The keys of the operators' settings appear only here.
 
 use crate::host::{InvalidSetting, Settings, Time};
 use std::collections::BTreeSet;
 use std::rc::Rc;
 use std::str::FromStr;
 
-/// Whether a request may be sent again after it may have run, and to which upstreams.
+/// Whether an RPC may be sent again after it may have run, and to which upstreams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
     /// Running it twice does no harm.
     Idempotent,
-    /// With an idempotency key that all upstreams know for a while.
+    /// With an idempotency key that all upstreams share for the deduplication window.
     DedupedEverywhere,
     /// With an idempotency key that the upstreams of one zone share.
     DedupedInZone,
@@ -21,66 +21,66 @@
 }
 
 impl Idempotency {
-    /// Whether repeats are recognized by an idempotency key.
+    /// Whether upstreams recognize repeats by an idempotency key.
     pub(crate) fn is_deduped(self) -> bool {
         !matches!(self, Idempotency::Idempotent | Idempotency::NotIdempotent)
     }
 }
 
-/// What the settings say of one method.
+/// The settings of one method.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MethodPolicy {
-    /// As requests name it.
+    /// The name that RPCs carry.
     pub name: Rc<str>,
     /// Whether and where it may be sent again.
     pub idempotency: Idempotency,
     /// How long upstreams remember an idempotency key; 0 where there is none.
     pub dedup_window: Time,
-    /// A later response is worth less.
+    /// The weight of a response after this time is reduced by `late_weight`.
     pub soft_deadline: Option<Time>,
-    /// A later response is worth nothing.
+    /// A response after this time has no value.
     pub hard_deadline: Option<Time>,
     /// The weight of a response after the soft deadline, as a factor.
     pub late_weight: f64,
-    /// The priority weight as a share of the highest one.
+    /// The priority weight, as a share of the highest one of all methods.
     pub priority_weight: f64,
 }
 
-/// The limit of load on upstreams that are warming up.
+/// The limits on the load of upstreams in slow start.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SlowStartRule {
     /// The share of its capacity that an upstream has at its start.
     pub min_weight: f64,
     /// The time until an upstream has its full capacity.
     pub warm_up: f64,
-    /// The most load of an upstream that is warming up, as a multiple of its present capacity.
+    /// The highest load of an upstream in slow start, as a multiple of its present capacity.
     pub max_load_factor: f64,
-    /// The time over which that load is counted.
+    /// The time window over which that load is counted.
     pub window: f64,
 }
 
-/// The requests of one tenant that are within its quota.
+/// The quota of one tenant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TenantQuota {
-    /// As requests name it.
+    /// The name that RPCs carry.
     pub name: String,
-    /// Over all balancers.
-    pub requests_per_second: f64,
+    /// The rate of RPCs within the quota, over all balancers together.
+    pub rpcs_per_second: f64,
 }
 
-/// The places of the values in a load report; none where upstreams do not report the value.
+/// The positions of values in a load report; none where upstreams do not report the value.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LoadReportLayout {
     /// The share of its capacity that an upstream uses.
     pub utilisation: Option<usize>,
-    /// Requests in flight at the upstream.
+    /// RPCs in flight at the upstream.
     pub in_flight: Option<usize>,
-    /// Requests queued at the upstream.
+    /// RPCs queued at the upstream.
     pub queued: Option<usize>,
 }
 
 impl LoadReportLayout {
-    /// Whether upstreams report how many requests are in flight or queued.
+    /// Whether upstreams report how many RPCs are in flight or queued.
     pub(crate) fn has_counts(&self) -> bool {
         self.in_flight.or(self.queued).is_some()
     }
@@ -89,37 +89,37 @@
 /// Settings that have been parsed and validated.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ValidatedSettings {
-    /// 0 for balancers that clients call.
+    /// 0 for balancers that callers call.
     pub tier: usize,
-    /// This balancer's number among those of its tier.
+    /// This balancer's number within its tier, from 0.
     pub instance_number: usize,
-    /// How many balancers the tier has.
+    /// The number of balancers in the tier.
     pub instances: f64,
     /// The zone that this balancer runs in.
     pub zone: String,
     /// The resolution of the clock.
     pub tick: Time,
-    /// Attempts of one request, the first one included.
+    /// The limit on attempts of one RPC, the first one included.
     pub max_attempts: usize,
-    /// Whether an attempt in flight is cancelled once its request has a final answer.
+    /// Whether an attempt in flight is cancelled once its RPC has a final answer.
     pub cancels_attempts: bool,
     /// The longest `Retry-After`; 0 where callers get none.
     pub max_retry_after: Time,
-    /// The factor on the priority weight of requests beyond a tenant's quota.
+    /// The factor on the priority weight of RPCs beyond a tenant's quota.
     pub over_quota_weight: f64,
-    /// Whether requests beyond a tenant's quota are rejected, whatever the capacity.
+    /// Whether RPCs beyond a tenant's quota are rejected, whatever the capacity.
     pub rejects_over_quota: bool,
-    /// Where the endpoint list is polled: the time within which a poll must have been sent.
+    /// The time within which the endpoint list must be polled; none where it is pushed.
     pub poll_within: Option<Time>,
-    /// What the load reports of upstreams contain.
+    /// The layout of the load reports of upstreams.
     pub load_report: LoadReportLayout,
     /// Whether upstreams do less work for a key that they have cached.
     pub key_affinity: bool,
-    /// The cost of an attempt to another zone, as a share of the priority weight of a request.
+    /// The cost of an attempt to another zone, as a share of the priority weight of an RPC.
     pub cross_zone_cost: f64,
-    /// The limit of load on upstreams that are warming up.
+    /// The limits on the load of upstreams in slow start.
     pub slow_start: SlowStartRule,
-    /// No two of one name.
+    /// The methods; names are unique.
     pub methods: Vec<MethodPolicy>,
     /// The quotas of tenants.
     pub tenants: Vec<TenantQuota>,
@@ -142,7 +142,7 @@
     Ok(optional(settings, key)?.unwrap_or_default())
 }
 
-/// A number within these bounds, or the default where the setting is absent; without a default it is required.
+/// Parses a number within these bounds. An absent setting has the default; without a default it is required.
 fn number(
     settings: &Settings,
     key: &str,
@@ -161,21 +161,21 @@
     }
 }
 
-/// The upper bound of a number that has no other one.
+/// The upper bound of numbers that have no bound of their own.
 const MAX_NUMBER: f64 = 1e12;
 
 impl ValidatedSettings {
     /// Parses and validates all settings.
     ///
     /// # Errors
-    /// The first setting that is missing, unreadable, out of range or at odds with another.
+    /// The first setting that is missing, unreadable, out of range or in conflict with another.
     pub fn read(settings: &Settings) -> Result<Self, InvalidSetting> {
         let slow_start = read_slow_start(settings)?;
         let methods = read_methods(settings)?;
         let tenants = read_tenants(settings)?;
         check_method_names(&methods)?;
-        let is_polled = reads_list_by_polling(settings)?;
-        // Connections follow these, not the decisions; an unreadable one must not pass for an absent one.
+        let is_polled = is_list_polled(settings)?;
+        // The decisions do not use these two, but connections do: a value that cannot be read must not count as absent.
         number(settings, "limits.connect_time_out", 1.0, MAX_NUMBER, Some(1.0))?;
         number(settings, "limits.keep_alive", 0.0, MAX_NUMBER, Some(0.0))?;
         let sends_retry_after = or_default(settings, "limits.stay_away")?;
@@ -232,10 +232,10 @@
             "all" => Idempotency::DedupedEverywhere,
             "zone" => Idempotency::DedupedInZone,
             "cell" => Idempotency::DedupedInCell,
-            _ => return Err(invalid(&key("group"), "no such group")),
+            _ => return Err(invalid(&key("group"), "unknown group")),
         },
         "non_retriable" => Idempotency::NotIdempotent,
-        _ => return Err(invalid(&key("effect"), "no such effect")),
+        _ => return Err(invalid(&key("effect"), "unknown effect")),
     };
     let soft_deadline: Option<Time> = optional(settings, &key("soft_deadline"))?;
     let hard_deadline: Option<Time> = optional(settings, &key("hard_deadline"))?;
@@ -258,8 +258,8 @@
     for index in 0..or_default::<usize>(settings, "tenants.count")? {
         let name = required(settings, &format!("tenants.{index}.name"))?;
         let rate_key = format!("tenants.{index}.rate");
-        let requests_per_second = number(settings, &rate_key, 0.0, MAX_NUMBER, None)?;
-        tenants.push(TenantQuota { name, requests_per_second });
+        let rpcs_per_second = number(settings, &rate_key, 0.0, MAX_NUMBER, None)?;
+        tenants.push(TenantQuota { name, rpcs_per_second });
     }
     Ok(tenants)
 }
@@ -267,17 +267,17 @@
 fn check_method_names(methods: &[MethodPolicy]) -> Result<(), InvalidSetting> {
     let mut names = BTreeSet::new();
     match methods.iter().position(|method| !names.insert(&method.name)) {
-        Some(index) => Err(invalid(&format!("methods.{index}.name"), "there already")),
+        Some(index) => Err(invalid(&format!("methods.{index}.name"), "duplicate method name")),
         None => Ok(()),
     }
 }
 
-/// Guards against a mode of a later version that would be taken for one of these.
-fn reads_list_by_polling(settings: &Settings) -> Result<bool, InvalidSetting> {
+/// Rejects unknown modes, such as those of later versions.
+fn is_list_polled(settings: &Settings) -> Result<bool, InvalidSetting> {
     match settings.get("list_mode").map(String::as_str) {
         None | Some("push") => Ok(false),
         Some("ask") => Ok(true),
-        Some(_) => Err(invalid("list_mode", "no such mode")),
+        Some(_) => Err(invalid("list_mode", "unknown mode")),
     }
 }
 
