--- a/crates/fernroute-bench-adapter/src/actions.rs
+++ b/crates/fernroute-bench-adapter/src/actions.rs
@@ -1,4 +1,4 @@
-//! What balancers do, as lines of the wire.
+//! Formats the actions of balancers as lines of the bench protocol.
 
 use fernroute::host::{Host, Time, Timer};
 use fernroute_settings::format_seconds;
@@ -6,16 +6,16 @@
 use std::fmt::{Arguments, Write as _};
 use std::rc::Rc;
 
-/// One instance's actions, written as they are made. The balancer and the session that flushes them share it.
+/// A [`Host`] that formats the actions of one instance as they are made. The balancer and the session share it.
 #[derive(Clone, Default)]
 pub struct ActionWriter {
-    /// Lines that have not been flushed; the balancer adds, [`ActionWriter::take_into`] empties.
+    /// Lines that have not been written; the balancer adds lines, and [`ActionWriter::drain_to`] removes them.
     lines: Rc<RefCell<String>>,
 }
 
 impl ActionWriter {
-    /// Hands the lines over, if there are any, and forgets them.
-    pub fn take_into<E>(&self, write: impl FnOnce(&str) -> Result<(), E>) -> Result<(), E> {
+    /// Passes the lines to `write`, if there are any, and removes them.
+    pub fn drain_to<E>(&self, write: impl FnOnce(&str) -> Result<(), E>) -> Result<(), E> {
         let mut lines = self.lines.borrow_mut();
         if lines.is_empty() {
             return Ok(());
@@ -27,7 +27,7 @@
 
     fn push(&self, line: Arguments<'_>) {
         let mut lines = self.lines.borrow_mut();
-        // Writing to a string does not fail.
+        // Writing to a string cannot fail.
         let _ = lines.write_fmt(line);
         lines.push('\n');
     }
@@ -52,7 +52,7 @@
     }
 
     fn set_timer(&mut self, after: Time, timer: Timer) {
-        let key = timer_key(&timer);
+        let key = format_timer_key(&timer);
         self.push(format_args!("sleep\twait-s={}\tkey-back={key}", format_seconds(after)));
     }
 
@@ -65,16 +65,16 @@
     }
 }
 
-/// The text under which the wire gives a timer back.
-fn timer_key(timer: &Timer) -> String {
+/// The key by which the protocol identifies a timer.
+fn format_timer_key(timer: &Timer) -> String {
     match timer {
         Timer::Queued(rpc) => format!("held:{rpc}"),
         Timer::EndpointPoll(poll) => format!("ask:{poll}"),
     }
 }
 
-/// The timer of such a text; none for one that no timer of this version has.
-pub fn timer_of_key(key: &str) -> Option<Timer> {
+/// The timer of a key; none for a key that this version does not know.
+pub fn parse_timer_key(key: &str) -> Option<Timer> {
     match key.split_once(':')? {
         ("held", rpc) => Some(Timer::Queued(rpc.into())),
         ("ask", poll) => poll.parse().ok().map(Timer::EndpointPoll),
--- a/crates/fernroute-bench-adapter/src/main.rs
+++ b/crates/fernroute-bench-adapter/src/main.rs
@@ -1,7 +1,7 @@
-//! Hosts balancers on the bench's wire: batches of lines on standard input become calls on balancers, and what these do is
-//! written to standard output. No decisions are made here.
+//! Runs balancers behind the bench protocol: batches of lines on standard input become events of balancers, and the actions of
+//! balancers are written to standard output. No decisions are made here.
 //!
-//! `message` reads lines, `actions` writes what balancers do, `session` takes each line to the balancer that it is for.
+//! `message` parses lines, `actions` formats actions, and `session` dispatches each line to its balancer.
 
 mod actions;
 mod message;
@@ -10,7 +10,7 @@
 use std::io::{self, BufWriter, Write};
 use std::process::ExitCode;
 
-/// A batch's replies fit, so that each batch is one write.
+/// Large enough for the reply to a batch, so that each batch takes one write.
 const OUTPUT_BUFFER_BYTES: usize = 1 << 16;
 
 fn main() -> ExitCode {
@@ -18,7 +18,7 @@
     match session::Session::default().serve(&mut io::stdin().lock(), &mut output) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            // What was decided before the error is still the bench's; that it can't be written changes no exit code.
+            // Actions from before the error are still written. If that fails too, the exit code is the same.
             let _ = output.flush();
             eprintln!("fernroute-bench-adapter: {error}");
             ExitCode::from(2)
--- a/crates/fernroute-bench-adapter/src/message.rs
+++ b/crates/fernroute-bench-adapter/src/message.rs
@@ -1,16 +1,16 @@
-//! One line of the wire: a name, then name and value pairs in any order, divided by tabs.
+//! Parses one line of the bench protocol: a name, then pairs of field and value in any order, separated by tabs.
 
 use fernroute::host::{Outcome, Time};
 use std::str::FromStr;
 
-/// Why a line can't be used; each names the line.
+/// Why a line cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum MessageError {
-    /// A value that the line needs is not there.
-    #[error("line '{line}' lacks '{field}'")]
+    /// A required field is missing.
+    #[error("line '{line}': field '{field}' is missing")]
     Missing { line: String, field: &'static str },
-    /// A value is there and can't be read.
-    #[error("line '{line}': '{field}' is not readable")]
+    /// The value of a field cannot be parsed.
+    #[error("line '{line}': field '{field}' cannot be parsed")]
     Unreadable { line: String, field: &'static str },
 }
 
@@ -21,33 +21,33 @@
 }
 
 impl<'a> Message<'a> {
-    /// Divides the line's name from its values; the values are read as they are asked for.
+    /// Separates the name of a line from its fields. Fields are parsed only when they are read.
     pub fn new(line: &'a str) -> Self {
         let (name, fields) = line.split_once('\t').unwrap_or((line, ""));
         Message { name, fields }
     }
 
-    /// The value of a field that may be absent.
+    /// The value of an optional field.
     pub fn get(&self, field: &str) -> Option<&'a str> {
         self.fields.split('\t').find_map(|pair| pair.strip_prefix(field)?.strip_prefix('='))
     }
 
-    /// The value of a field that has to be there.
+    /// The value of a required field.
     pub fn require(&self, field: &'static str) -> Result<&'a str, MessageError> {
         self.get(field).ok_or_else(|| MessageError::Missing { line: self.name.to_owned(), field })
     }
 
-    /// A number that has to be there.
+    /// A required number.
     pub fn number<T: FromStr>(&self, field: &'static str) -> Result<T, MessageError> {
         self.require(field)?.parse().map_err(|_| self.unreadable(field))
     }
 
-    /// A time in seconds that has to be there.
+    /// A required time in seconds.
     pub fn time(&self, field: &'static str) -> Result<Time, MessageError> {
         fernroute_settings::parse_seconds(self.require(field)?).ok_or_else(|| self.unreadable(field))
     }
 
-    /// A time that may be absent, and is 0 then; one that is there must be readable.
+    /// An optional time in seconds, 0 if absent. A value that cannot be parsed is an error.
     pub fn optional_time(&self, field: &'static str) -> Result<Time, MessageError> {
         match self.get(field) {
             Some(_) => self.time(field),
@@ -55,23 +55,23 @@
         }
     }
 
-    /// Whether a flag is set; an absent one is not.
+    /// An optional flag, false if absent.
     pub fn flag(&self, field: &str) -> bool {
         matches!(self.get(field), Some("1" | "true"))
     }
 
-    /// The upstream's load report, in the order that the settings name; what can't be read is not a number.
+    /// The load report of the upstream, in the order of the names in the settings. Values that cannot be parsed are NaN.
     pub fn load_report(&self) -> Vec<f64> {
         let values = self.get("gauge").unwrap_or("").split(',');
         values.filter(|value| !value.is_empty()).map(|value| value.parse().unwrap_or(f64::NAN)).collect()
     }
 
-    /// All pairs, as the first line of an instance has its settings.
+    /// All fields; the first line of an instance carries its settings in them.
     pub fn pairs(&self) -> impl Iterator<Item = (&'a str, &'a str)> {
         self.fields.split('\t').filter_map(|pair| pair.split_once('='))
     }
 
-    /// How an attempt ended. A word that this version does not know may stand for anything.
+    /// The outcome of an attempt. A word that this version does not know is [`Outcome::Unknown`].
     pub fn outcome(&self) -> Result<Outcome, MessageError> {
         Ok(match self.require("result")? {
             "success" => Outcome::Completed,
--- a/crates/fernroute-bench-adapter/src/session.rs
+++ b/crates/fernroute-bench-adapter/src/session.rs
@@ -1,7 +1,7 @@
-//! The instances of one process. Lines come in batches: a clock, lists of endpoints, then events for one instance after
-//! another; the end of a batch is answered with what all instances did.
+//! The instances of one process. Lines come in batches: the time, endpoint lists, then the events of one instance after another. The
+//! end of a batch is answered with the actions of all instances.
 
-use crate::actions::{timer_of_key, ActionWriter};
+use crate::actions::{parse_timer_key, ActionWriter};
 use crate::message::{Message, MessageError};
 use fernroute::host::{InvalidSetting, Settings, Time};
 use fernroute::Balancer;
@@ -9,33 +9,33 @@
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, Write};
 
-/// Why a session ended before its input did.
+/// Why a session ended before the end of its input.
 #[derive(Debug, thiserror::Error)]
 pub enum SessionError {
     #[error(transparent)]
     Io(#[from] io::Error),
     #[error(transparent)]
     Message(#[from] MessageError),
-    /// The settings of a new instance can't be used; the wire's own path names the setting.
+    /// A setting of a new instance cannot be used; it is named by its path in the protocol.
     #[error("line 'hello': {} '{}'", .0.reason, path_for_setting(&.0.setting))]
     Setting(#[from] InvalidSetting),
-    #[error("line 'update': no list {0}")]
+    #[error("line 'update': unknown list {0}")]
     UnknownList(u32),
 }
 
-/// A list that is being received, of which so many entries are still to come.
+/// A list that is being received, and the number of entries still to come.
 #[derive(Default)]
 struct OpenList {
     id: u32,
     remaining: usize,
 }
 
-/// What holds for the lines of one batch.
+/// The state of one batch.
 #[derive(Default)]
 struct Batch {
     now: Time,
     serial: String,
-    /// The instance that events are for.
+    /// The instance that the next events are for.
     instance: Option<i64>,
     list: OpenList,
 }
@@ -45,17 +45,17 @@
     actions: ActionWriter,
 }
 
-/// Hosts the instances of one process. The numbered endpoint lists are all that they share.
+/// Runs the instances of one process. They share nothing but the numbered endpoint lists.
 #[derive(Default)]
 pub struct Session {
-    /// By the bench's number; a teardown removes one.
+    /// By the bench's number; removed by a `teardown` line.
     instances: BTreeMap<i64, Instance>,
-    /// The entries of each numbered list; the bench uses sixteen numbers again and again.
+    /// The entries of each numbered list; bounded, since the bench reuses sixteen numbers.
     lists: BTreeMap<u32, Vec<String>>,
 }
 
 impl Session {
-    /// Answers batches until the input ends.
+    /// Processes batches until the input ends.
     pub fn serve(&mut self, input: &mut impl BufRead, output: &mut impl Write) -> Result<(), SessionError> {
         let mut line = String::new();
         let mut batch = Batch::default();
@@ -64,11 +64,16 @@
             if input.read_line(&mut line)? == 0 {
                 return Ok(());
             }
-            self.line(line.trim_end_matches(['\n', '\r']), &mut batch, output)?;
+            self.handle_line(line.trim_end_matches(['\n', '\r']), &mut batch, output)?;
         }
     }
 
-    fn line(&mut self, line: &str, batch: &mut Batch, output: &mut impl Write) -> Result<(), SessionError> {
+    fn handle_line(
+        &mut self,
+        line: &str,
+        batch: &mut Batch,
+        output: &mut impl Write,
+    ) -> Result<(), SessionError> {
         let message = Message::new(line);
         match message.name {
             "clock" => {
@@ -77,7 +82,7 @@
                 batch.instance = None;
             }
             "eob" => {
-                self.reply(&batch.serial, output)?;
+                self.write_reply(&batch.serial, output)?;
                 output.flush()?;
             }
             "for" => batch.instance = Some(message.number("who")?),
@@ -92,21 +97,21 @@
             }
             _ => {
                 if let Some(instance) = batch.instance {
-                    self.event(instance, batch.now, &message)?;
+                    self.handle_event(instance, batch.now, &message)?;
                 }
             }
         }
         Ok(())
     }
 
-    fn reply(&mut self, serial: &str, output: &mut impl Write) -> io::Result<()> {
+    fn write_reply(&mut self, serial: &str, output: &mut impl Write) -> io::Result<()> {
         for (number, instance) in &self.instances {
-            instance.actions.take_into(|lines| write!(output, "source\twho={number}\n{lines}"))?;
+            instance.actions.drain_to(|lines| write!(output, "source\twho={number}\n{lines}"))?;
         }
         writeln!(output, "next\tserial={serial}")
     }
 
-    fn event(&mut self, number: i64, now: Time, message: &Message<'_>) -> Result<(), SessionError> {
+    fn handle_event(&mut self, number: i64, now: Time, message: &Message<'_>) -> Result<(), SessionError> {
         match message.name {
             "hello" => return self.start_instance(number, now, message),
             "teardown" => {
@@ -118,7 +123,7 @@
         let Some(instance) = self.instances.get_mut(&number) else { return Ok(()) };
         let balancer = &mut instance.balancer;
         match message.name {
-            "update" => update(balancer, &self.lists, now, message)?,
+            "update" => apply_update(balancer, &self.lists, now, message)?,
             "knock" => balancer.rpc_arrived(
                 now,
                 message.require("call")?,
@@ -139,7 +144,7 @@
             "aborted" => balancer.rpc_abandoned(now, message.require("call")?),
             "started" => balancer.response_started(now, message.require("call")?),
             "bell" => {
-                if let Some(timer) = timer_of_key(message.require("key-back")?) {
+                if let Some(timer) = parse_timer_key(message.require("key-back")?) {
                     balancer.timer_fired(now, &timer);
                 }
             }
@@ -159,53 +164,53 @@
     }
 }
 
-/// What an update says of the endpoint list.
+/// The kind of an update of the endpoint list.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Update {
-    /// The whole list that an earlier instance hands over at the start.
+enum UpdateKind {
+    /// A cached full list that an earlier instance hands over at the start.
     Initial,
-    /// The whole list as it is now.
+    /// The current full list.
     Snapshot,
-    /// What has changed since the last one.
+    /// The changes since the last update.
     Changes,
-    /// The call for the list failed.
+    /// The watch or poll of the list failed.
     Failed,
 }
 
-impl Update {
-    fn of_mode(mode: u8) -> Option<Self> {
+impl UpdateKind {
+    fn from_mode(mode: u8) -> Option<Self> {
         match mode {
-            0 => Some(Update::Initial),
-            1 => Some(Update::Snapshot),
-            2 => Some(Update::Changes),
-            3 => Some(Update::Failed),
+            0 => Some(UpdateKind::Initial),
+            1 => Some(UpdateKind::Snapshot),
+            2 => Some(UpdateKind::Changes),
+            3 => Some(UpdateKind::Failed),
             _ => None,
         }
     }
 }
 
-fn update(
+fn apply_update(
     balancer: &mut Balancer<ActionWriter>,
     lists: &BTreeMap<u32, Vec<String>>,
     now: Time,
     message: &Message<'_>,
 ) -> Result<(), SessionError> {
-    let Some(update) = Update::of_mode(message.number("mode")?) else { return Ok(()) };
-    if update == Update::Failed {
+    let Some(kind) = UpdateKind::from_mode(message.number("mode")?) else { return Ok(()) };
+    if kind == UpdateKind::Failed {
         balancer.watch_failed(now);
         return Ok(());
     }
     let id = message.number::<u32>("set-id")?;
     let entries = lists.get(&id).ok_or(SessionError::UnknownList(id))?;
-    balancer.snapshot_started(now, update != Update::Changes);
+    balancer.snapshot_started(now, kind != UpdateKind::Changes);
     for entry in entries {
-        endpoint(balancer, &Message::new(entry))?;
+        apply_entry(balancer, &Message::new(entry))?;
     }
-    balancer.snapshot_completed(update != Update::Initial);
+    balancer.snapshot_completed(kind != UpdateKind::Initial);
     Ok(())
 }
 
-fn endpoint(balancer: &mut Balancer<ActionWriter>, entry: &Message<'_>) -> Result<(), MessageError> {
+fn apply_entry(balancer: &mut Balancer<ActionWriter>, entry: &Message<'_>) -> Result<(), MessageError> {
     let id = entry.require("upstream")?;
     match entry.number::<u8>("state")? {
         1 => balancer.upstream_ready(
