--- a/crates/fernroute-server/src/transport/client.rs
+++ b/crates/fernroute-server/src/transport/client.rs
@@ -1,4 +1,4 @@
-//! Calls on upstreams. Nothing here sends twice, follows a redirect or gives up by itself.
+//! HTTP client for upstreams. It never retries, follows redirects or gives up on its own.
 
 use super::outbound::{AttemptProgress, AttemptState, CURRENT_ATTEMPT};
 use super::upstream_connections::{ConnectionTable, IdlePool};
@@ -16,83 +16,90 @@
 use std::{fmt, io};
 use tokio::time::timeout_at;
 
-/// A call that brought no whole answer, and how far it had come.
+/// A request that got no complete answer, and how far the attempt had come.
 #[derive(Debug)]
 pub struct UpstreamError {
     pub progress: AttemptProgress,
-    why: String,
+    reason: String,
 }
 
 impl fmt::Display for UpstreamError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{} ({:?})", self.why, self.progress)
+        write!(f, "{} ({:?})", self.reason, self.progress)
     }
 }
 
-/// What all calls share: the bounds on connections and answers.
+/// Settings and connection table shared by the clients of all upstreams.
 pub struct Client {
     connections: Rc<ConnectionTable>,
-    connect_time_out: Duration,
-    rest: Duration,
-    idle: Duration,
-    most_body: usize,
+    connect_timeout: Duration,
+    reuse_delay: Duration,
+    keep_alive: Duration,
+    max_body: usize,
 }
 
-/// A connection rests for this long after an answer. Guards against what comes some milliseconds late behind an answer, a
-/// second one say: the RPC that was written by then would take it for its own.
-const REST: Duration = Duration::from_millis(6);
+/// After an answer a connection is not reused for this long. Guards against data that arrives some milliseconds after the
+/// answer, for example a duplicate of it: the next RPC on the connection would take it for its own answer.
+const REUSE_DELAY: Duration = Duration::from_millis(6);
 
-/// The way to one upstream, with connections of its own. Those that stand idle are closed with it: an upstream that
-/// comes to the address of another gets none that was made for the other.
+/// Client for one upstream, with connections of its own. Its idle connections are closed with it: an upstream that takes
+/// over the address of another never gets a connection that was opened to the other.
 pub struct UpstreamClient {
     pub address: SocketAddr,
-    kept: awc::Client,
-    fresh: awc::Client,
-    most_body: usize,
+    pooled: awc::Client,
+    unpooled: awc::Client,
+    max_body: usize,
 }
 
-/// One call's parts.
+/// A request to an upstream.
 pub struct UpstreamRequest {
     pub method: Method,
     pub uri: String,
     pub headers: HeaderMap,
     pub body: Body,
-    /// On a connection of its own, closed after the answer. A kept one may end as the call is written, and then
-    /// nobody knows whether it has run.
+    /// Sends on a connection opened for this request and closed after the answer. A pooled connection may be closed by the
+    /// upstream while the request is being written, and then it is unknown whether the request has run.
     pub new_connection: bool,
 }
 
 impl Client {
-    /// `keep` is how long the other side leaves an idle connection open; it is used for less. At `most` so many
-    /// connections are open, and answers have bodies of `most_body`.
-    pub fn new(connect_time_out: Duration, keep: Duration, most: usize, most_body: usize) -> Self {
-        // A call written as the other side closes ends as a reset that may have run: a fifth and a second
-        // are far more than a call takes to cross.
-        let idle = (keep * 4 / 5).min(keep.saturating_sub(Duration::from_secs(1)));
-        let connections = Rc::new(ConnectionTable::new(most, most_body));
-        Client { connections, connect_time_out, rest: REST, idle, most_body }
+    /// `keep_alive` is how long an upstream leaves an idle connection open; connections are reused for a shorter time. At
+    /// most `max_connections` connections are open. Answer bodies are limited to `max_body` bytes.
+    pub fn new(
+        connect_timeout: Duration,
+        keep_alive: Duration,
+        max_connections: usize,
+        max_body: usize,
+    ) -> Self {
+        // A request written while the upstream closes the connection ends in a reset, and may have run. The margin of a
+        // fifth, and at least one second, is much longer than a request takes to arrive.
+        let reuse_limit = (keep_alive * 4 / 5).min(keep_alive.saturating_sub(Duration::from_secs(1)));
+        let connections = Rc::new(ConnectionTable::new(max_connections, max_body));
+        Client { connections, connect_timeout, reuse_delay: REUSE_DELAY, keep_alive: reuse_limit, max_body }
     }
 
-    /// For one that is asked again at once, and whose answers are read for what they say.
+    /// Reuses connections at once. For a server that is polled continuously and whose answers identify themselves.
     pub fn without_reuse_delay(self) -> Self {
-        Client { rest: Duration::ZERO, ..self }
+        Client { reuse_delay: Duration::ZERO, ..self }
     }
 
     pub fn upstream(&self, address: SocketAddr) -> UpstreamClient {
-        let idle_pool = IdlePool::new(&self.connections, self.rest, self.idle);
-        let (kept, fresh) = (self.pool(address, Some(idle_pool)), self.pool(address, None));
-        UpstreamClient { address, kept, fresh, most_body: self.most_body }
+        let idle_pool = IdlePool::new(&self.connections, self.reuse_delay, self.keep_alive);
+        let (pooled, unpooled) = (self.pool(address, Some(idle_pool)), self.pool(address, None));
+        UpstreamClient { address, pooled, unpooled, max_body: self.max_body }
     }
 
-    /// Connections are kept in `idle_pool`, or nowhere; the library's own pool gets none that it could use again.
+    /// Connections are kept in `idle_pool`, or not at all; the pool of `awc` never gets a reusable one.
     fn pool(&self, address: SocketAddr, idle_pool: Option<Rc<IdlePool>>) -> awc::Client {
-        let for_new = Rc::clone(&self.connections);
+        let connections = Rc::clone(&self.connections);
         let connect = fn_service(move |info: ConnectInfo<Uri>| {
-            let (connections, idle_pool) = (Rc::clone(&for_new), idle_pool.clone());
+            let (connections, idle_pool) = (Rc::clone(&connections), idle_pool.clone());
             async move {
                 if !CURRENT_ATTEMPT.try_with(|attempt| attempt.may_start()).unwrap_or(true) {
-                    // No connection is taken or made for it.
-                    return Err(ConnectError::Io(io::Error::other("called off before it was connected")));
+                    // Fails before a connection is taken from the pool or opened.
+                    return Err(ConnectError::Io(io::Error::other(
+                        "attempt cancelled before it had a connection",
+                    )));
                 }
                 let stream = match &idle_pool {
                     Some(idle_pool) => idle_pool.connect(address).await,
@@ -103,9 +110,9 @@
         });
         let connector = awc::Connector::new()
             .connector(connect)
-            .timeout(self.connect_time_out)
+            .timeout(self.connect_timeout)
             .limit(0)
-            .conn_keep_alive(self.idle)
+            .conn_keep_alive(self.keep_alive)
             .conn_lifetime(Duration::from_secs(365 * 24 * 3600));
         awc::Client::builder()
             .connector(connector)
@@ -119,57 +126,57 @@
         self.connections.count()
     }
 
-    pub fn set_max_connections(&self, most: usize) {
-        self.connections.set_max_connections(most);
+    pub fn set_max_connections(&self, max: usize) {
+        self.connections.set_max_connections(max);
     }
 
     pub fn sweep(&self) {
-        self.connections.sweep(self.idle);
+        self.connections.sweep(self.keep_alive);
     }
 }
 
-/// What goes with a call: bytes that are there, or a body that still comes.
+/// The body of a request: complete in memory, or streamed.
 pub enum Body {
     Buffered(Bytes),
     Stream(BoxBody),
 }
 
-/// How much of an answer comes before it is handed on: all, if it is no more than this. A longer one is handed on as it
-/// comes from here on.
-const HELD: usize = 64 * 1024;
+/// Answers up to this size are received completely before they are passed on. Longer ones are streamed after this many
+/// bytes.
+const MAX_BUFFERED_ANSWER: usize = 64 * 1024;
 
-/// One that says to be longer need not be waited for so long: its first bytes are what its caller waits for. A moment
-/// still tells most that are spoilt.
-const HELD_FOR: Duration = Duration::from_millis(200);
+/// How long the first bytes of an answer whose stated length is above `MAX_BUFFERED_ANSWER` are held back. Its caller waits
+/// for them, so the time is short; it is still enough to detect most broken answers.
+const LONG_ANSWER_HOLD: Duration = Duration::from_millis(200);
 
-/// One that does not say how long it is, is most likely short.
-const UNSAID_FOR: Duration = Duration::from_secs(1);
+/// The same for an answer that states no length, which is most likely short.
+const UNKNOWN_LENGTH_HOLD: Duration = Duration::from_secs(1);
 
-/// An answer's head, and what there is of its body.
+/// The head of an answer and the part of its body received so far.
 pub struct UpstreamAnswer {
     pub head: ResponseHead,
     pub body_start: Bytes,
-    /// None where `first` is all.
+    /// `None` if `body_start` is the whole body.
     pub remaining: Option<AnswerStream>,
 }
 
-/// The part of an answer that still comes.
+/// The part of an answer's body that is still to be received.
 pub struct AnswerStream {
     response: ClientResponse,
-    /// What it says to be in all, if it does.
+    /// Length of the whole body, if stated.
     pub content_length: Option<u64>,
-    left: usize,
-    /// Its end or what broke it, met behind bytes that were handed on first.
-    met: Option<Result<(), String>>,
+    remaining_limit: usize,
+    /// The end of the body, or the error, if it was found behind bytes that had to be returned first.
+    end: Option<Result<(), String>>,
     attempt: Rc<AttemptState>,
 }
 
 impl UpstreamAnswer {
-    /// All of it.
+    /// Receives the rest of the body.
     pub async fn collect(self) -> Result<(ResponseHead, Bytes), String> {
-        let Some(mut rest) = self.remaining else { return Ok((self.head, self.body_start)) };
+        let Some(mut remaining) = self.remaining else { return Ok((self.head, self.body_start)) };
         let mut body = BytesMut::from(&self.body_start[..]);
-        while let Some(more) = rest.next(HELD).await? {
+        while let Some(more) = remaining.next(MAX_BUFFERED_ANSWER).await? {
             body.extend_from_slice(&more);
         }
         Ok((self.head, body.freeze()))
@@ -177,112 +184,123 @@
 }
 
 impl AnswerStream {
-    /// The next bytes, all that are there up to about `some`; none at its whole end. Many small pieces that are there
-    /// come as one.
-    pub async fn next(&mut self, some: usize) -> Result<Option<Bytes>, String> {
+    /// The next bytes: all that are available, up to about `limit`; `None` at the end of a complete body. Small chunks that
+    /// are available together are returned as one.
+    pub async fn next(&mut self, limit: usize) -> Result<Option<Bytes>, String> {
         let attempt = Rc::clone(&self.attempt);
         let response = &mut self.response;
-        let mut met = self.met.take();
-        let next = CURRENT_ATTEMPT.scope(Rc::clone(&attempt), async move {
-            let mut piece = BytesMut::new();
-            while met.is_none() && piece.len() < some / 2 {
-                let more = if piece.is_empty() {
+        let mut end = self.end.take();
+        let receive = CURRENT_ATTEMPT.scope(Rc::clone(&attempt), async move {
+            let mut chunk = BytesMut::new();
+            while end.is_none() && chunk.len() < limit / 2 {
+                let more = if chunk.is_empty() {
                     Some(response.next().await)
                 } else {
                     response.next().now_or_never()
                 };
                 match more {
-                    Some(Some(Ok(more))) => piece.extend_from_slice(&more),
-                    Some(Some(Err(why))) => met = Some(Err(why.to_string())),
-                    Some(None) => met = Some(attempt.check_complete().map_err(|e| e.to_string())),
+                    Some(Some(Ok(more))) => chunk.extend_from_slice(&more),
+                    Some(Some(Err(reason))) => end = Some(Err(reason.to_string())),
+                    Some(None) => end = Some(attempt.check_complete().map_err(|e| e.to_string())),
                     None => break,
                 }
             }
-            (piece, met)
+            (chunk, end)
         });
-        let (piece, met) = next.await;
-        if met.is_some() {
-            // In the turn in which the end was met, though what came with it is still to be handed on. Guards against the
-            // library's pool, which has the connection from then on: another RPC would be sent on it, lose it as it is put back
-            // here later, and leave its answer to the one after that.
+        let (chunk, end) = receive.await;
+        if end.is_some() {
+            // Released in the turn in which the end is found, even if the last bytes are still to be returned. From then on
+            // the connection is in the pool of `awc`, which could send another RPC on it: that RPC would lose the
+            // connection when it is put back here later, and leave its answer to the RPC after it.
             self.attempt.release_connection();
         }
-        if piece.is_empty() {
-            return met.unwrap_or(Ok(())).map(|()| None);
+        if chunk.is_empty() {
+            return end.unwrap_or(Ok(())).map(|()| None);
         }
-        self.met = met;
-        self.left = self.left.checked_sub(piece.len()).ok_or("a body without end")?;
-        Ok(Some(piece.freeze()))
+        self.end = end;
+        self.remaining_limit =
+            self.remaining_limit.checked_sub(chunk.len()).ok_or("answer body exceeds the limit")?;
+        Ok(Some(chunk.freeze()))
     }
 }
 
 impl UpstreamClient {
-    /// The whole answer, or its beginning. Dropping the future, or the rest, closes the connection.
+    /// Returns the whole answer, or its beginning. Dropping the future, or the rest of the answer, closes the connection.
     pub async fn send(
         &self,
-        call: UpstreamRequest,
+        request: UpstreamRequest,
         attempt: &Rc<AttemptState>,
     ) -> Result<UpstreamAnswer, UpstreamError> {
-        let result = CURRENT_ATTEMPT.scope(Rc::clone(attempt), self.answer(call, attempt)).await;
-        if !result.as_ref().is_ok_and(|answered| answered.remaining.is_some()) {
+        let result = CURRENT_ATTEMPT.scope(Rc::clone(attempt), self.receive(request, attempt)).await;
+        if !result.as_ref().is_ok_and(|answer| answer.remaining.is_some()) {
             attempt.release_connection();
         }
-        result.map_err(|why| UpstreamError { progress: attempt.progress(), why })
+        result.map_err(|reason| UpstreamError { progress: attempt.progress(), reason })
     }
 
-    async fn answer(
+    async fn receive(
         &self,
-        call: UpstreamRequest,
+        request: UpstreamRequest,
         attempt: &Rc<AttemptState>,
     ) -> Result<UpstreamAnswer, String> {
-        let request = if call.new_connection {
-            self.fresh.request(call.method.clone(), call.uri).force_close()
+        let builder = if request.new_connection {
+            self.unpooled.request(request.method.clone(), request.uri).force_close()
         } else {
-            self.kept.request(call.method.clone(), call.uri)
+            self.pooled.request(request.method.clone(), request.uri)
         };
-        let mut request = request.no_decompress();
-        *request.headers_mut() = call.headers;
-        let sent = match call.body {
-            // No body at all, or one of stated length, be it none.
-            Body::Buffered(body) if call.method == Method::GET && body.is_empty() => request.send(),
-            Body::Buffered(body) => request.send_body(body),
+        let mut builder = builder.no_decompress();
+        *builder.headers_mut() = request.headers;
+        let sending = match request.body {
+            // A GET with an empty body is sent without a length; any other body states its length, even if that is 0.
+            Body::Buffered(body) if request.method == Method::GET && body.is_empty() => builder.send(),
+            Body::Buffered(body) => builder.send_body(body),
             Body::Stream(body) => {
                 attempt.body_incomplete.set(true);
-                request.send_body(body)
+                builder.send_body(body)
             }
         };
-        let mut response = sent.await.map_err(|e| e.to_string())?;
+        let mut response = sending.await.map_err(|e| e.to_string())?;
         let mut head = ResponseHead::new(response.status());
         head.headers = response.headers().clone();
         let length =
             head.headers.get(CONTENT_LENGTH).and_then(|v| v.to_str().ok()?.trim().parse::<u64>().ok());
-        let wait = if length.is_some_and(|n| n > HELD as u64) { HELD_FOR } else { UNSAID_FOR };
-        let is_short = length.is_some_and(|n| n <= HELD as u64);
-        let mut first = BytesMut::new();
-        let mut until: Option<Instant> = None;
+        let hold = if length.is_some_and(|n| n > MAX_BUFFERED_ANSWER as u64) {
+            LONG_ANSWER_HOLD
+        } else {
+            UNKNOWN_LENGTH_HOLD
+        };
+        let is_short = length.is_some_and(|n| n <= MAX_BUFFERED_ANSWER as u64);
+        let mut body_start = BytesMut::new();
+        let mut held_until: Option<Instant> = None;
         loop {
-            let next = match until {
-                Some(until) if !is_short => match timeout_at(until.into(), response.next()).await {
+            let next = match held_until {
+                Some(held_until) if !is_short => match timeout_at(held_until.into(), response.next()).await {
                     Ok(next) => next,
                     Err(_) => break,
                 },
                 _ => response.next().await,
             };
             match next {
-                Some(chunk) => first.extend_from_slice(&chunk.map_err(|e| e.to_string())?),
+                Some(chunk) => body_start.extend_from_slice(&chunk.map_err(|e| e.to_string())?),
                 None => {
                     attempt.check_complete().map_err(|e| e.to_string())?;
-                    return Ok(UpstreamAnswer { head, body_start: first.freeze(), remaining: None });
+                    return Ok(UpstreamAnswer { head, body_start: body_start.freeze(), remaining: None });
                 }
             }
-            until = until.or_else(|| Some(Instant::now() + wait));
-            if first.len() > HELD.min(self.most_body) {
+            held_until = held_until.or_else(|| Some(Instant::now() + hold));
+            if body_start.len() > MAX_BUFFERED_ANSWER.min(self.max_body) {
                 break;
             }
         }
-        let left = self.most_body.checked_sub(first.len()).ok_or("a body too large")?;
-        let rest =
-            AnswerStream { response, content_length: length, left, met: None, attempt: Rc::clone(attempt) };
-        Ok(UpstreamAnswer { head, body_start: first.freeze(), remaining: Some(rest) })
+        let remaining_limit =
+            self.max_body.checked_sub(body_start.len()).ok_or("answer body exceeds the limit")?;
+        let remaining = AnswerStream {
+            response,
+            content_length: length,
+            remaining_limit,
+            end: None,
+            attempt: Rc::clone(attempt),
+        };
+        Ok(UpstreamAnswer { head, body_start: body_start.freeze(), remaining: Some(remaining) })
     }
 }
--- a/crates/fernroute-server/src/transport/discovery.rs
+++ b/crates/fernroute-server/src/transport/discovery.rs
@@ -1,8 +1,8 @@
-//! The watch on discovery: one call after another, each answer handed on.
+//! The watch on discovery: long-polls the endpoint list and passes on each answer.
 //!
-//! Whatever becomes of a call, what discovery has is asked for again so early that all that may lie between
-//! (a silent call, a connection that does not come up, a list that stalls or trickles, one that is doubted)
-//! sums to less than the six seconds after which it counts as told. The sums stand in `docs/endings.md`.
+//! Whatever happens to a poll, the next one starts so early that all delays that can add up (a poll without an answer, a
+//! connection that is not established, a list that stalls or arrives slowly, an implausible list) sum to less than the six
+//! seconds after which a change counts as announced. The sums are in `docs/endings.md`.
 
 use super::client::{Body, Client, UpstreamClient, UpstreamRequest};
 use super::outbound::{AttemptProgress, AttemptState};
@@ -20,46 +20,46 @@
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
-/// How long a call may wait for news. Short, since for so long a silent agent looks like one with no news.
-const WAIT: Duration = Duration::from_millis(1500);
+/// How long discovery may hold a poll until the list changes. Short, since for this long an agent that has failed looks like
+/// one without changes.
+const POLL_WAIT: Duration = Duration::from_millis(1500);
 
-/// The first call, and one after a failure, asks whether the agent is there (again): it finds out sooner if
-/// not.
-const SHORT_WAIT: Duration = Duration::from_millis(100);
+/// The same for the first poll, and for one after a failure, which only asks whether the agent is up: a failed agent is
+/// detected sooner.
+const PROBE_WAIT: Duration = Duration::from_millis(100);
 
-/// An agent that is up answers at once after that: a little more is for a busy machine.
-const GRACE: Duration = Duration::from_millis(700);
+/// An agent that is up answers immediately after the wait; this allows for a busy machine.
+const ANSWER_GRACE: Duration = Duration::from_millis(700);
 
-/// A list that says nothing more for so long has ended.
-const STALL: Duration = Duration::from_secs(1);
+/// An answer of which nothing more is received for this long has failed.
+const STALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// One that takes longer is heard out, with another call beside it: what changed as it began is in the
-/// other's answer.
-const BESIDE: Duration = Duration::from_secs(1);
+/// After this long in which an answer is being received, another poll starts beside it: changes made after the first answer
+/// began are in the other one.
+const SLOW_ANSWER: Duration = Duration::from_secs(1);
 
-/// On the balancer's own machine a connection is up at once. One that is not, for want of room in a queue
-/// say, is tried again by its machine after a second only: another one is made beside it.
-const CONNECT: Duration = Duration::from_millis(500);
-const CONNECT_LONGEST: Duration = Duration::from_millis(1500);
+/// A connection within the balancer's machine is established immediately. If not, for example because the accept queue is
+/// full, the kernel retries only after a second, so another connection is opened beside it.
+const SLOW_CONNECT: Duration = Duration::from_millis(500);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Whatever trickles in, what it says is old by then.
-const LONGEST: Duration = Duration::from_secs(5);
+/// Limit for receiving one answer: a list that takes longer is out of date when it is complete.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// So many calls are out at the most. Guards against a discovery that is slow since it has too much to do,
-/// and gets more to do for it.
-const MOST_CALLS: usize = 3;
+/// Limit for concurrent polls. Guards against adding load to a discovery service that is slow because it is overloaded.
+const MAX_POLLS: usize = 3;
 
-/// What is told again within this time is no slip of discovery's.
-const DOUBT: Duration = Duration::from_secs(6);
+/// An implausible list that is confirmed within this time is accepted.
+const CONFIRMATION_PERIOD: Duration = Duration::from_secs(6);
 
-const LOOK: Duration = Duration::from_millis(100);
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// After a call that brought nothing, where news come unasked, or brought what must be asked for again: well
-/// within the 200 ms in which a watch must go on, and within any grace for upstreams that leave.
-const PAUSE: Duration = Duration::from_millis(50);
+/// Pause after a failed poll, if polls are not started by the decisions, and before a repeated poll. Well below the 200 ms
+/// in which a watch must continue, and below any grace period for upstreams that leave.
+const RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// A list of some ten thousand upstreams.
-const MOST_LIST: usize = 4 << 20;
+/// Limit for an answer, in bytes: a list of about ten thousand upstreams.
+const MAX_LIST_BYTES: usize = 4 << 20;
 
 pub struct DiscoveryWatch {
     client: Client,
@@ -67,19 +67,19 @@
     agent_client: RefCell<Rc<UpstreamClient>>,
 }
 
-/// A call that is out.
-struct Asking {
+/// A poll in progress.
+struct Poll {
     answer: LocalBoxFuture<'static, Result<List, String>>,
     attempt: Rc<AttemptState>,
     wait: Duration,
-    begun: Instant,
-    /// Since when it is seen to have a connection, and to be answered.
+    started: Instant,
+    /// When it was first seen to have a connection, and to have received bytes of an answer.
     connected: Option<Instant>,
     answered: Option<Instant>,
 }
 
-impl Asking {
-    fn look(&mut self) {
+impl Poll {
+    fn update(&mut self) {
         let now = Instant::now();
         if self.attempt.progress() >= AttemptProgress::Connected {
             self.connected.get_or_insert(now);
@@ -89,96 +89,99 @@
         }
     }
 
-    /// Judged by progress; the client has a time-out of its own for the connection.
-    fn is_silent(&self) -> bool {
-        let stalls = self.attempt.last_received_at().is_some_and(|last| last.elapsed() >= STALL);
+    /// Judged by progress. The time limit for establishing the connection is the client's.
+    fn has_failed(&self) -> bool {
+        let stalls = self.attempt.last_received_at().is_some_and(|last| last.elapsed() >= STALL_TIMEOUT);
         match (self.answered, self.connected) {
-            (Some(from), _) => stalls || from.elapsed() >= LONGEST,
-            (None, Some(from)) => from.elapsed() >= self.wait + GRACE,
+            (Some(from), _) => stalls || from.elapsed() >= ANSWER_TIMEOUT,
+            (None, Some(from)) => from.elapsed() >= self.wait + ANSWER_GRACE,
             (None, None) => false,
         }
     }
 
-    /// It may come whole yet, but who asks now may know more, or sooner.
-    fn is_late(&self) -> bool {
+    /// The answer may still arrive, but a new poll may bring newer information, or bring it sooner.
+    fn is_slow(&self) -> bool {
         match (self.answered, self.connected) {
-            (Some(from), _) => from.elapsed() >= BESIDE,
+            (Some(from), _) => from.elapsed() >= SLOW_ANSWER,
             (None, Some(_)) => false,
-            (None, None) => self.begun.elapsed() >= CONNECT,
+            (None, None) => self.started.elapsed() >= SLOW_CONNECT,
         }
     }
 }
 
-/// The calls that are out, the latest last.
-struct Calls<'a> {
+/// The polls in progress, the latest last.
+struct Polls<'a> {
     watch: &'a DiscoveryWatch,
-    out: Vec<Asking>,
-    begun: Instant,
+    in_progress: Vec<Poll>,
+    started: Instant,
 }
 
-impl Calls<'_> {
-    fn ask(&mut self, version: Option<u64>, wait: Duration) {
-        self.out.push(self.watch.ask(version, wait));
-        self.begun = Instant::now();
+impl Polls<'_> {
+    fn poll(&mut self, version: Option<u64>, wait: Duration) {
+        self.in_progress.push(self.watch.poll(version, wait));
+        self.started = Instant::now();
     }
 
-    /// The next list that comes whole. It may be of a call that was out already: then it is the next answer
-    /// to what was known as that one began. Dropped, the calls stay out.
+    /// The next complete list. It may belong to an earlier poll; then it is relative to the version known when that poll
+    /// started. If the future is dropped, the polls stay in progress.
     async fn next(&mut self, version: Option<u64>, wait: Duration) -> Result<List, String> {
-        if self.out.is_empty() {
-            self.ask(version, wait);
+        if self.in_progress.is_empty() {
+            self.poll(version, wait);
         }
         loop {
-            let answers = select_all(self.out.iter_mut().map(|asking| &mut asking.answer));
-            let ended = timeout(LOOK, answers).await.ok().map(|(answer, n, _)| (answer, n));
-            self.out.iter_mut().for_each(Asking::look);
+            let answers = select_all(self.in_progress.iter_mut().map(|poll| &mut poll.answer));
+            let ended = timeout(CHECK_INTERVAL, answers).await.ok().map(|(answer, n, _)| (answer, n));
+            self.in_progress.iter_mut().for_each(Poll::update);
             let mut failed = None;
             match ended {
                 Some((Ok(list), n)) => {
-                    // Who was asked before it knows no more.
-                    self.out.drain(..=n);
+                    // Earlier polls have no newer information.
+                    self.in_progress.drain(..=n);
                     return Ok(list);
                 }
-                Some((Err(why), n)) => {
-                    self.out.remove(n);
-                    failed = Some(why);
+                Some((Err(reason), n)) => {
+                    self.in_progress.remove(n);
+                    failed = Some(reason);
                 }
                 None => {}
             }
-            let before = self.out.len();
-            self.out.retain(|asking| !asking.is_silent());
-            if self.out.len() < before {
-                failed = failed.or(Some("silent".to_owned()));
+            let before = self.in_progress.len();
+            self.in_progress.retain(|poll| !poll.has_failed());
+            if self.in_progress.len() < before {
+                failed = failed.or(Some("no answer in time".to_owned()));
             }
-            // One that has no connection yet is no better than none.
-            if let Some(why) = failed.filter(|_| self.out.iter().all(|asking| asking.connected.is_none())) {
-                self.out.clear();
-                return Err(why);
+            // A remaining poll without a connection does not count.
+            if let Some(reason) =
+                failed.filter(|_| self.in_progress.iter().all(|poll| poll.connected.is_none()))
+            {
+                self.in_progress.clear();
+                return Err(reason);
             }
-            let is_late = self.out.last().is_some_and(Asking::is_late) && self.begun.elapsed() >= CONNECT;
-            if is_late && self.out.len() < MOST_CALLS {
-                self.watch.leave_connections();
-                self.ask(version, wait);
+            let is_slow =
+                self.in_progress.last().is_some_and(Poll::is_slow) && self.started.elapsed() >= SLOW_CONNECT;
+            if is_slow && self.in_progress.len() < MAX_POLLS {
+                self.watch.abandon_connections();
+                self.poll(version, wait);
             }
         }
     }
 
-    /// The same after a list that was doubted: told is told, and where no answer comes in time those count
-    /// that leave by it.
+    /// The same after an implausible list. If no answer arrives in time, or the poll fails, the departures in that list are
+    /// accepted: they were announced.
     async fn answer(
         &mut self,
         version: Option<u64>,
         wait: Duration,
-        doubted: Option<List>,
-        news: impl Fn(Option<List>),
+        implausible: Option<List>,
+        on_update: impl Fn(Option<List>),
     ) -> Result<List, String> {
-        let Some(leaving) = doubted else { return self.next(version, wait).await };
-        let early = timeout(PAUSE, self.next(version, wait)).await;
-        if let Ok(Ok(list)) = early {
+        let Some(departures) = implausible else { return self.next(version, wait).await };
+        let in_time = timeout(RETRY_PAUSE, self.next(version, wait)).await;
+        if let Ok(Ok(list)) = in_time {
             return Ok(list);
         }
-        news(Some(leaving));
-        match early {
+        on_update(Some(departures));
+        match in_time {
             Ok(failed) => failed,
             Err(_) => self.next(version, wait).await,
         }
@@ -187,21 +190,21 @@
 
 impl DiscoveryWatch {
     pub fn new(agent: SocketAddr) -> Self {
-        // The calls that may be out, and one connection that is dying.
-        let client = Client::new(CONNECT_LONGEST, Duration::from_secs(10), MOST_CALLS + 1, MOST_LIST);
+        // The concurrent polls, and one connection that is being closed.
+        let client = Client::new(CONNECT_TIMEOUT, Duration::from_secs(10), MAX_POLLS + 1, MAX_LIST_BYTES);
         let client = client.without_reuse_delay();
         DiscoveryWatch { agent_client: RefCell::new(Rc::new(client.upstream(agent))), agent, client }
     }
 
-    /// Those that are kept are used no more. Guards against an agent that is back while the connections to
-    /// what it was before are as silent as that, one after another.
-    fn leave_connections(&self) {
+    /// Abandons the pooled connections. Guards against an agent that has restarted while the connections to the previous one
+    /// fail silently, one after another.
+    fn abandon_connections(&self) {
         self.agent_client.replace(Rc::new(self.client.upstream(self.agent)));
     }
 
-    fn ask(&self, version: Option<u64>, wait: Duration) -> Asking {
+    fn poll(&self, version: Option<u64>, wait: Duration) -> Poll {
         let query = version.map_or(String::new(), |v| format!("?index={v}&wait={}", wait.as_millis()));
-        let call = UpstreamRequest {
+        let request = UpstreamRequest {
             method: Method::GET,
             uri: format!("http://{}{}{query}", self.agent, names::LIST_PATH),
             headers: HeaderMap::new(),
@@ -209,84 +212,94 @@
             new_connection: false,
         };
         let attempt = Rc::<AttemptState>::default();
-        let (agent_client, carried) = (Rc::clone(&self.agent_client.borrow()), Rc::clone(&attempt));
+        let (agent_client, polled_attempt) = (Rc::clone(&self.agent_client.borrow()), Rc::clone(&attempt));
         let answer = async move {
-            let answered = agent_client.send(call, &carried).await.map_err(|broken| broken.to_string())?;
-            let (head, body) = answered.collect().await?;
+            let answer =
+                agent_client.send(request, &polled_attempt).await.map_err(|error| error.to_string())?;
+            let (head, body) = answer.collect().await?;
             if head.status != StatusCode::OK {
-                return Err(format!("status {}", head.status.as_u16()));
+                return Err(format!("HTTP status {}", head.status.as_u16()));
             }
             let value = serde_json::from_slice(&body).map_err(|e| e.to_string())?;
-            list::decode(&value).ok_or("not a list".to_owned())
+            list::decode(&value).ok_or("invalid endpoint list".to_owned())
         };
-        // The whole list is there at once.
+        // A request for the whole list is answered without a wait.
         let wait = if version.is_some() { wait } else { Duration::ZERO };
         let answer = answer.boxed_local();
-        Asking { answer, attempt, wait, begun: Instant::now(), connected: None, answered: None }
+        Poll { answer, attempt, wait, started: Instant::now(), connected: None, answered: None }
     }
 
-    /// Follows the list from this version on, for as long as the program runs. Where discovery answers only
-    /// those who ask, each watch waits for `begin`: it is the decisions' to say when. Guards against a fleet
-    /// that all asks at once, is turned away, and asks again at once.
-    pub async fn run(self, mut version: Option<u64>, begin: Option<Rc<Notify>>, news: impl Fn(Option<List>)) {
-        let mut calls = Calls { watch: &self, out: Vec::new(), begun: Instant::now() };
-        let (mut failing, mut answers) = (false, false);
-        // When a list was doubted last: the next one is the answer to it, and is believed. Guards against a
-        // doubt that is raised again and again where the calls between fail.
-        let mut asked_again: Option<Instant> = None;
-        // That answer did not come, and was asked for once more.
-        let mut once_more = false;
-        // Who leaves by the list that is doubted.
-        let mut doubted: Option<List> = None;
+    /// Follows the list from `version` on, for as long as the program runs. If `start_signal` is given, each series of polls
+    /// waits for it, because the decisions choose the time. Guards against a fleet whose members all poll at once, are
+    /// refused, and poll again at once.
+    pub async fn run(
+        self,
+        mut version: Option<u64>,
+        start_signal: Option<Rc<Notify>>,
+        on_update: impl Fn(Option<List>),
+    ) {
+        let mut polls = Polls { watch: &self, in_progress: Vec::new(), started: Instant::now() };
+        let (mut failing, mut is_up) = (false, false);
+        // When the last implausible list came. The list after it is the answer to the repeated poll, and is accepted. Guards
+        // against rejecting lists indefinitely while the polls in between fail.
+        let mut repeated_at: Option<Instant> = None;
+        // Whether that repeated poll failed and has been sent once more.
+        let mut repeat_retried = false;
+        // The departures in the implausible list.
+        let mut departures: Option<List> = None;
         loop {
-            if let Some(begin) = &begin {
-                begin.notified().await;
+            if let Some(start_signal) = &start_signal {
+                start_signal.notified().await;
             }
             loop {
-                let wait = if answers { WAIT } else { SHORT_WAIT };
-                match calls.answer(version, wait, doubted.take(), &news).await {
+                let wait = if is_up { POLL_WAIT } else { PROBE_WAIT };
+                match polls.answer(version, wait, departures.take(), &on_update).await {
                     Ok(list) => {
-                        let is_second = asked_again.take().is_some_and(|at| at.elapsed() < DOUBT);
-                        let doubt = list.doubtful(version).filter(|_| !is_second);
-                        if let Some(why) = doubt {
-                            tracing::warn!("list {}: {why}, the whole list is asked for", list.version);
-                            doubted = list.leaving(version);
-                            (version, asked_again, once_more) = (None, Some(Instant::now()), false);
-                            // What is out asks for changes only.
-                            calls.out.clear();
-                            actix_rt::time::sleep(PAUSE).await;
+                        let is_confirmed =
+                            repeated_at.take().is_some_and(|at| at.elapsed() < CONFIRMATION_PERIOD);
+                        let implausible = list.doubtful(version).filter(|_| !is_confirmed);
+                        if let Some(reason) = implausible {
+                            tracing::warn!(
+                                "endpoint list {} is implausible: {reason}; requesting the whole list",
+                                list.version
+                            );
+                            departures = list.leaving(version);
+                            (version, repeated_at, repeat_retried) = (None, Some(Instant::now()), false);
+                            // Polls in progress ask for changes only.
+                            polls.in_progress.clear();
+                            actix_rt::time::sleep(RETRY_PAUSE).await;
                             continue;
                         }
                         if failing {
-                            tracing::info!("discovery answers again, list {}", list.version);
+                            tracing::info!("discovery answers again, endpoint list version {}", list.version);
                         }
-                        (failing, answers) = (false, true);
+                        (failing, is_up) = (false, true);
                         version = Some(list.version);
-                        news(Some(list));
+                        on_update(Some(list));
                         self.client.sweep();
                     }
-                    Err(why) => {
+                    Err(reason) => {
                         if !failing {
-                            tracing::warn!("discovery: {why}");
+                            tracing::warn!("discovery poll failed: {reason}");
                         }
-                        (failing, answers) = (true, false);
-                        self.leave_connections();
-                        // It did answer a moment ago: no outage that a fleet has to be spread over.
-                        if asked_again.is_some() && !once_more {
-                            once_more = true;
-                            actix_rt::time::sleep(PAUSE).await;
+                        (failing, is_up) = (true, false);
+                        self.abandon_connections();
+                        // Discovery answered a moment ago, so this is no outage over which a fleet must spread its polls.
+                        if repeated_at.is_some() && !repeat_retried {
+                            repeat_retried = true;
+                            actix_rt::time::sleep(RETRY_PAUSE).await;
                             continue;
                         }
                         break;
                     }
                 }
             }
-            match &begin {
-                // What was asked for while the watch was on has been had.
-                Some(begin) => drop(begin.notified().now_or_never()),
-                None => actix_rt::time::sleep(PAUSE).await,
+            match &start_signal {
+                // Discards a signal that came during the polls: what it asked for has been received.
+                Some(start_signal) => drop(start_signal.notified().now_or_never()),
+                None => actix_rt::time::sleep(RETRY_PAUSE).await,
             }
-            news(None);
+            on_update(None);
         }
     }
 }
--- a/crates/fernroute-server/src/transport/framing.rs
+++ b/crates/fernroute-server/src/transport/framing.rs
@@ -1,118 +1,124 @@
-//! Where an answer begins and ends among the bytes of a connection. The client library takes what comes first
-//! for the answer, forgets what comes behind it, and lets several readings of a length pass.
+//! Finds the start and the end of an answer in the bytes of a connection. The HTTP client library does not check this: it
+//! takes the first bytes for the answer, drops what follows them, and accepts ambiguous lengths.
 
 use bytes::BytesMut;
 use std::io;
 
-/// Longer heads are no upstream's of ours.
-const MOST_HEAD: usize = 16 * 1024;
+/// Limit for the head of an answer, in bytes.
+const MAX_HEAD_BYTES: usize = 16 * 1024;
 
-/// More heads ahead of an answer than this have no end.
-const MOST_INTERIM: usize = 8;
+/// Limit for interim (1xx) answers before the final one.
+const MAX_INTERIM_ANSWERS: usize = 8;
 
-const MOST_HEADERS: usize = 96;
+const MAX_HEADERS: usize = 96;
 
-const OLDER: &[u8] = b"HTTP/1.0";
+const HTTP_1_0: &[u8] = b"HTTP/1.0";
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-enum Rest {
+enum Remainder {
     #[default]
     Head,
-    /// So many bytes of the body are still to come.
+    /// Number of body bytes that are still to come.
     Length(u64),
-    /// The library finds the end of these.
+    /// A chunked body; the library finds its end.
     Chunks,
-    /// All that comes until the connection ends.
-    Close,
-    Nothing,
+    /// The body ends with the connection.
+    UntilClose,
+    Complete,
 }
 
-/// Finds one answer's end.
+/// Finds the end of one answer.
 #[derive(Debug, Default)]
 pub struct Framing {
-    rest: Rest,
-    interim: usize,
+    remainder: Remainder,
+    interim_answers: usize,
     closes: bool,
 }
 
-fn spoilt(why: &str) -> io::Error {
-    io::Error::new(io::ErrorKind::InvalidData, why)
+fn invalid_answer(reason: &str) -> io::Error {
+    io::Error::new(io::ErrorKind::InvalidData, reason)
 }
 
 impl Framing {
-    /// The answer is whole.
-    pub fn is_whole(&self) -> bool {
-        self.rest == Rest::Nothing
+    /// Whether the whole answer has been received.
+    pub fn is_complete(&self) -> bool {
+        self.remainder == Remainder::Complete
     }
 
-    /// Nothing tells where the answer ends but the library's own reading.
+    /// Whether only the library can tell where the answer ends.
     pub fn is_open_ended(&self) -> bool {
-        matches!(self.rest, Rest::Chunks | Rest::Close)
+        matches!(self.remainder, Remainder::Chunks | Remainder::UntilClose)
     }
 
-    /// The connection ends with this answer.
+    /// Whether the upstream closes the connection after this answer.
     pub fn closes(&self) -> bool {
         self.closes
     }
 
-    /// The end of the connection is the answer's.
+    /// Whether the answer ends with the connection.
     pub fn ends_with_connection(&self) -> bool {
-        self.rest == Rest::Close
+        self.remainder == Remainder::UntilClose
     }
 
-    /// How many of the bytes at the front are the answer's, of all that has come and is not handed on yet. Heads
-    /// that only announce an answer are taken out.
-    pub fn count(&mut self, heard: &mut BytesMut, most_body: u64) -> io::Result<usize> {
-        let head = match self.rest {
-            Rest::Head => match self.head(heard, most_body)? {
+    /// Number of bytes at the front of `received` that belong to the answer; `received` holds everything that has not been
+    /// passed on yet. Removes interim (1xx) heads.
+    pub fn answer_bytes(&mut self, received: &mut BytesMut, max_body: u64) -> io::Result<usize> {
+        let head = match self.remainder {
+            Remainder::Head => match self.head(received, max_body)? {
                 Some(length) => length,
                 None => return Ok(0),
             },
             _ => 0,
         };
-        let new = (heard.len() - head) as u64;
-        let body = match self.rest {
-            Rest::Length(left) => left.min(new),
-            Rest::Chunks | Rest::Close => new,
-            Rest::Head | Rest::Nothing => 0,
+        let available = (received.len() - head) as u64;
+        let body = match self.remainder {
+            Remainder::Length(left) => left.min(available),
+            Remainder::Chunks | Remainder::UntilClose => available,
+            Remainder::Head | Remainder::Complete => 0,
         };
-        self.rest = match self.rest {
-            Rest::Length(left) if left == body => Rest::Nothing,
-            Rest::Length(left) => Rest::Length(left - body),
+        self.remainder = match self.remainder {
+            Remainder::Length(left) if left == body => Remainder::Complete,
+            Remainder::Length(left) => Remainder::Length(left - body),
             other => other,
         };
         Ok(head + body as usize)
     }
 
-    /// The length of the answer's head, once it is whole; what follows it is then in `rest`.
-    fn head(&mut self, heard: &mut BytesMut, most_body: u64) -> io::Result<Option<usize>> {
+    /// The length of the answer's head, once it is complete; sets `remainder` for what follows.
+    fn head(&mut self, received: &mut BytesMut, max_body: u64) -> io::Result<Option<usize>> {
         loop {
-            let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
+            let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
             let mut answer = httparse::Response::new(&mut headers);
-            let parsed = answer.parse(heard).map_err(|why| spoilt(&why.to_string()))?;
+            let parsed = answer.parse(received).map_err(|reason| invalid_answer(&reason.to_string()))?;
             let (httparse::Status::Complete(length), Some(status)) = (parsed, answer.code) else {
-                let endless = heard.len() > MOST_HEAD;
-                return if endless { Err(spoilt("a head without end")) } else { Ok(None) };
+                let too_long = received.len() > MAX_HEAD_BYTES;
+                return if too_long {
+                    Err(invalid_answer("answer head exceeds the limit"))
+                } else {
+                    Ok(None)
+                };
             };
             if !(100..200).contains(&status) {
-                self.rest = rest(status, answer.version, answer.headers)?;
+                self.remainder = remainder(status, answer.version, answer.headers)?;
                 self.closes = answer.version == Some(0) || closes(answer.headers);
-                if let Rest::Length(body) = self.rest {
-                    if body > most_body {
-                        return Err(spoilt(&format!("a body of {body} bytes")));
+                if let Remainder::Length(body) = self.remainder {
+                    if body > max_body {
+                        return Err(invalid_answer(&format!(
+                            "answer body of {body} bytes exceeds the limit"
+                        )));
                     }
                 }
-                if self.rest == Rest::Close {
-                    // The library reads on until the end for answers of the older version alone.
-                    heard[..OLDER.len()].copy_from_slice(OLDER);
+                if self.remainder == Remainder::UntilClose {
+                    // The library reads a body up to the end of the connection only for HTTP/1.0.
+                    received[..HTTP_1_0.len()].copy_from_slice(HTTP_1_0);
                 }
                 return Ok(Some(length));
             }
-            self.interim += 1;
-            if status == 101 || self.interim > MOST_INTERIM {
-                return Err(spoilt("no answer behind its announcement"));
+            self.interim_answers += 1;
+            if status == 101 || self.interim_answers > MAX_INTERIM_ANSWERS {
+                return Err(invalid_answer("too many interim answers, or a protocol switch"));
             }
-            let _ = heard.split_to(length);
+            let _ = received.split_to(length);
         }
     }
 }
@@ -121,24 +127,25 @@
     let named = headers.iter().filter(|h| h.name.eq_ignore_ascii_case("connection"));
     named
         .flat_map(|h| h.value.split(|b| *b == b','))
-        .any(|word| word.trim_ascii().eq_ignore_ascii_case(b"close"))
+        .any(|option| option.trim_ascii().eq_ignore_ascii_case(b"close"))
 }
 
-/// What follows a head, where there is one reading of it alone.
-fn rest(status: u16, version: Option<u8>, headers: &[httparse::Header<'_>]) -> io::Result<Rest> {
+/// The kind of body that follows a head. An error if the head is ambiguous.
+fn remainder(status: u16, version: Option<u8>, headers: &[httparse::Header<'_>]) -> io::Result<Remainder> {
     let named = |name: &'static str| headers.iter().filter(move |h| h.name.eq_ignore_ascii_case(name));
     let mut lengths = named("content-length").map(|h| std::str::from_utf8(h.value).ok().map(str::trim));
     let mut codings = named("transfer-encoding");
     match (lengths.next(), lengths.next(), codings.next(), codings.next()) {
         (None, None, Some(coding), None) if coding.value.trim_ascii().eq_ignore_ascii_case(b"chunked") => {
-            Ok(Rest::Chunks)
+            Ok(Remainder::Chunks)
         }
-        (Some(Some(length)), None, None, None) if length.bytes().all(|b| b.is_ascii_digit()) => {
-            length.parse().map(Rest::Length).map_err(|_| spoilt("an unreadable length"))
-        }
-        (None, None, None, None) if status == 204 || status == 304 => Ok(Rest::Length(0)),
-        // Who says that the connection ends means it; a head that says nothing at all is spoilt.
-        (None, None, None, None) if version == Some(0) || closes(headers) => Ok(Rest::Close),
-        _ => Err(spoilt("no length, or several readings of it")),
+        (Some(Some(length)), None, None, None) if length.bytes().all(|b| b.is_ascii_digit()) => length
+            .parse()
+            .map(Remainder::Length)
+            .map_err(|_| invalid_answer("answer with an invalid Content-Length")),
+        (None, None, None, None) if status == 204 || status == 304 => Ok(Remainder::Length(0)),
+        // Without a length, a body up to the end of the connection is accepted only if the head announces that end.
+        (None, None, None, None) if version == Some(0) || closes(headers) => Ok(Remainder::UntilClose),
+        _ => Err(invalid_answer("answer without a length, or with an ambiguous one")),
     }
 }
--- a/crates/fernroute-server/src/transport/inbound.rs
+++ b/crates/fernroute-server/src/transport/inbound.rs
@@ -1,4 +1,4 @@
-//! One connection of a caller: whether it is between RPCs, and its end when it may be closed.
+//! A caller's connection: whether a request is open on it, and when it may be closed.
 
 use super::peek;
 use actix_rt::net::{ActixStream, Ready, TcpStream};
@@ -13,50 +13,51 @@
 use tokio::io::{AsyncRead, AsyncWrite, Interest, ReadBuf};
 use tokio::sync::Notify;
 
-/// The library reads until nothing is left: after so many bytes the others have their turn, and what came is used.
-const TURN: usize = 16 * 1024;
+/// The HTTP library reads until nothing is left. After this many bytes it yields, so that other connections get their turn
+/// and what was read is handled.
+const MAX_READ_PER_TURN: usize = 16 * 1024;
 
-/// A message follows its connection in far less than that, on a busy machine too.
-const NEW: Duration = Duration::from_millis(200);
+/// The first request follows its connection in much less than this, even on a busy machine.
+const FIRST_REQUEST_GRACE: Duration = Duration::from_millis(200);
 
-/// Who was there so short a time ago need not be looked for again: an attempt may begin a tenth of a second after its caller
-/// left, no later.
-const LOOKED: Duration = Duration::from_millis(20);
+/// How long the result of a disconnect check is reused. An attempt must not begin more than 100 ms after its caller has
+/// disconnected.
+const DISCONNECT_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What the server knows of a connection.
+/// State of a caller's connection, shared by the server, the stream and the open requests.
 #[derive(Debug)]
 pub struct CallerConnection {
-    /// None once it is closed, or the server alone has it.
+    /// `None` once it is closed, or only the server uses it.
     pub(super) stream: RefCell<Option<TcpStream>>,
-    /// RPCs whose answer is not made yet.
-    open: Cell<u32>,
-    /// Bytes have come of an RPC that is not whole yet.
-    partial: Cell<bool>,
-    /// Bytes of an answer wait for the caller to take them.
-    unsent: Cell<bool>,
-    /// It has brought an RPC, or what passes for one.
-    asked: Cell<bool>,
-    /// Since when it has been idle, or an RPC has been coming.
-    since: Cell<Instant>,
-    /// When something came last.
-    heard_at: Cell<Instant>,
-    /// Bytes that were read in this turn of the library.
-    turn: Cell<usize>,
-    /// The library has read all that was there when it last wanted to.
-    drained: Cell<bool>,
-    /// When its caller was last seen to be there.
-    seen_at: Cell<Option<Instant>>,
+    /// Number of RPCs whose answer is not ready yet.
+    open_requests: Cell<u32>,
+    /// Bytes of an incomplete request have been received.
+    partial_request: Cell<bool>,
+    /// Bytes of an answer wait for the caller to read them.
+    unsent_answer: Cell<bool>,
+    /// A request has been received, valid or not.
+    received_request: Cell<bool>,
+    /// Since when it has been idle, or receiving a request.
+    state_since: Cell<Instant>,
+    /// When bytes were last received.
+    last_received_at: Cell<Instant>,
+    /// Bytes read in the current turn of the library.
+    read_in_turn: Cell<usize>,
+    /// The library's last read found the socket empty.
+    read_all: Cell<bool>,
+    /// When the caller was last found to be connected.
+    last_connected_at: Cell<Option<Instant>>,
     close_when_idle: Cell<bool>,
-    /// Its room is wanted by another.
-    wanted: Cell<bool>,
-    /// Half a message has had its time.
-    late: Cell<bool>,
-    /// The last answer is made: nothing that comes is read as an RPC any more.
-    last: Cell<bool>,
-    /// The library is done with it, whatever it thinks.
-    done: Cell<bool>,
+    /// It is to be closed to make room for another.
+    evicted: Cell<bool>,
+    /// The time for receiving a request has expired.
+    request_expired: Cell<bool>,
+    /// It is closed after the current answer: later bytes are not read as a request.
+    close_after_answer: Cell<bool>,
+    /// It is closed now, even if the library still waits for something.
+    force_closed: Cell<bool>,
     pub wake: Notify,
-    /// Its room is wanted: it need not wait for the caller to read the last answer.
+    /// Signals that it is evicted, so the server need not wait for the caller to read the last answer.
     pub eviction: Notify,
 }
 
@@ -64,20 +65,20 @@
     fn default() -> Self {
         CallerConnection {
             stream: RefCell::default(),
-            open: Cell::new(0),
-            partial: Cell::new(false),
-            unsent: Cell::new(false),
-            asked: Cell::new(false),
-            since: Cell::new(Instant::now()),
-            heard_at: Cell::new(Instant::now()),
-            turn: Cell::new(0),
-            drained: Cell::new(false),
-            seen_at: Cell::new(None),
+            open_requests: Cell::new(0),
+            partial_request: Cell::new(false),
+            unsent_answer: Cell::new(false),
+            received_request: Cell::new(false),
+            state_since: Cell::new(Instant::now()),
+            last_received_at: Cell::new(Instant::now()),
+            read_in_turn: Cell::new(0),
+            read_all: Cell::new(false),
+            last_connected_at: Cell::new(None),
             close_when_idle: Cell::new(false),
-            wanted: Cell::new(false),
-            late: Cell::new(false),
-            last: Cell::new(false),
-            done: Cell::new(false),
+            evicted: Cell::new(false),
+            request_expired: Cell::new(false),
+            close_after_answer: Cell::new(false),
+            force_closed: Cell::new(false),
             wake: Notify::new(),
             eviction: Notify::new(),
         }
@@ -90,69 +91,69 @@
     }
 
     pub fn is_idle(&self) -> bool {
-        self.open.get() == 0 && !self.partial.get() && !self.unsent.get()
+        self.open_requests.get() == 0 && !self.partial_request.get() && !self.unsent_answer.get()
     }
 
-    /// It takes nothing of an answer that is there for it; `since` tells for how long.
+    /// The caller does not read its answer; `state_since` is the time of the last progress.
     pub fn is_write_blocked(&self) -> bool {
-        self.unsent.get()
+        self.unsent_answer.get()
     }
 
-    /// More of a body has come.
+    /// Records that more of a body has been received, or of an answer sent.
     pub fn record_progress(&self) {
-        self.late.set(false);
-        self.since.set(Instant::now());
+        self.request_expired.set(false);
+        self.state_since.set(Instant::now());
     }
 
     pub fn has_partial_request(&self) -> bool {
-        self.open.get() == 0 && self.partial.get() && !self.unsent.get()
+        self.open_requests.get() == 0 && self.partial_request.get() && !self.unsent_answer.get()
     }
 
     pub fn is_closing(&self) -> bool {
         self.close_when_idle.get() && self.is_idle()
     }
 
-    /// Half a message has come, and nothing more of it for so long.
+    /// A request has been received in part, and nothing more of it for `time`.
     pub fn has_stalled_request(&self, time: Duration) -> bool {
-        self.has_partial_request() && self.heard_at.get().elapsed() >= time
+        self.has_partial_request() && self.last_received_at.get().elapsed() >= time
     }
 
-    /// Its room is wanted already, or it is about to be closed anyway.
+    /// It is evicted or closed already.
     pub fn is_being_closed(&self) -> bool {
-        self.wanted.get() || self.done.get()
+        self.evicted.get() || self.force_closed.get()
     }
 
     pub fn has_sent_request(&self) -> bool {
-        self.asked.get()
+        self.received_request.get()
     }
 
     pub fn state_since(&self) -> Instant {
-        self.since.get()
+        self.state_since.get()
     }
 
     pub fn closes_after_answer(&self) -> bool {
-        self.last.get()
+        self.close_after_answer.get()
     }
 
     pub fn is_force_closed(&self) -> bool {
-        self.done.get()
+        self.force_closed.get()
     }
 
-    /// Closes the connection as soon as nothing is open on it and nothing more has come.
+    /// Closes the connection as soon as no request is open on it and no more bytes have arrived.
     pub fn close_when_idle(&self) {
         self.set_close_when_idle(true);
     }
 
-    /// The same, or takes it back.
-    pub fn set_close_when_idle(&self, ending: bool) {
-        self.close_when_idle.set(ending);
+    /// Sets or withdraws the order to close the connection when it is idle.
+    pub fn set_close_when_idle(&self, close: bool) {
+        self.close_when_idle.set(close);
         self.wake.notify_one();
     }
 
-    /// The same at once, and without waiting for the caller to read the last answer: its room is wanted. Of half a message
-    /// the rest is not waited for.
+    /// Closes the connection when it is idle to make room for another, without waiting for the caller to read the last
+    /// answer or for the rest of an incomplete request.
     pub fn evict(&self) {
-        self.wanted.set(true);
+        self.evicted.set(true);
         if self.has_partial_request() {
             self.expire_partial_request();
         } else {
@@ -161,118 +162,125 @@
         self.eviction.notify_one();
     }
 
-    /// Half a message has had its time: closes it, unless the rest has come by now.
+    /// The time for receiving a request has expired: closes the connection, unless the rest has arrived.
     pub fn expire_partial_request(&self) {
-        self.late.set(true);
+        self.request_expired.set(true);
         self.wake.notify_one();
     }
 
-    pub fn is_partial_expired(&self) -> bool {
-        self.late.get()
+    pub fn has_expired_request(&self) -> bool {
+        self.request_expired.get()
     }
 
-    /// The library has had its turn since then.
+    /// Closes an expired connection. Called after the library had a chance to read the rest of the request.
     pub fn close_if_expired(&self) {
-        if self.late.replace(false) && self.has_partial_request() && !self.has_unread_input() {
+        if self.request_expired.replace(false) && self.has_partial_request() && !self.has_unread_input() {
             self.force_close();
         }
     }
 
     fn may_close(&self) -> bool {
-        self.close_when_idle.get() && self.is_idle() && !self.is_new()
+        self.close_when_idle.get() && self.is_idle() && !self.expects_first_request()
     }
 
-    /// Its first message is on its way: who connects has something to ask, and loses it where the connection ends unasked.
-    fn is_new(&self) -> bool {
-        !self.asked.get() && !self.wanted.get() && self.since.get().elapsed() < NEW
+    /// Its first request is expected: a caller connects because it has one, and would lose it if the connection were closed.
+    fn expects_first_request(&self) -> bool {
+        !self.received_request.get()
+            && !self.evicted.get()
+            && self.state_since.get().elapsed() < FIRST_REQUEST_GRACE
     }
 
-    /// Closes it now, whatever the library waits for.
+    /// Closes the connection now, even if the library still waits for something.
     pub fn force_close(&self) {
-        self.done.set(true);
+        self.force_closed.set(true);
         self.wake.notify_one();
     }
 
-    /// The answer that is made now is the last; what follows the message is not read. Guards against the rest
-    /// of a message that was turned away being read as an RPC.
+    /// Closes the connection after the current answer; bytes after the request are not read. Guards against reading the rest
+    /// of a rejected request as another RPC.
     pub fn close_after_answer(&self) {
-        self.last.set(true);
+        self.close_after_answer.set(true);
     }
 
-    /// Closed here is closed.
+    /// A stream that is gone counts as closed by the caller.
     fn peek(&self) -> Result<usize, Errno> {
         self.stream.borrow().as_ref().map_or(Ok(0), peek)
     }
 
-    /// Whether its caller has closed it, or ended its sending; also where bytes lie before the end that nobody reads on, as
-    /// of a body whose upstream is full, or of messages behind an open RPC.
+    /// Whether the caller has closed the connection, or its sending side. Also detects this behind bytes that are not being
+    /// read, such as a body whose upstream is slow, or requests behind an open RPC.
     pub fn has_disconnected(&self) -> bool {
-        let left = match self.peek() {
+        let disconnected = match self.peek() {
             Ok(0) => true,
-            Ok(_) => self.is_told_of_end(),
-            Err(why) => [Errno::CONNRESET, Errno::PIPE, Errno::TIMEDOUT].contains(&why),
+            Ok(_) => self.is_read_closed(),
+            Err(error) => [Errno::CONNRESET, Errno::PIPE, Errno::TIMEDOUT].contains(&error),
         };
-        self.seen_at.set((!left).then(Instant::now));
-        left
+        self.last_connected_at.set((!disconnected).then(Instant::now));
+        disconnected
     }
 
-    /// The same for an attempt that is about to begin. Guards against one that nobody waits for: the event that tells of the
-    /// end may be a turn away, or lie behind what is not read.
+    /// The same for an attempt that is about to begin. Guards against an attempt whose caller has disconnected: the close
+    /// event may be handled one event-loop turn later, or lie behind unread bytes.
     pub fn has_disconnected_cached(&self) -> bool {
-        self.seen_at.get().is_none_or(|at| at.elapsed() >= LOOKED) && self.has_disconnected()
+        self.last_connected_at.get().is_none_or(|at| at.elapsed() >= DISCONNECT_CHECK_INTERVAL)
+            && self.has_disconnected()
     }
 
-    /// The same for one with an open RPC that the library does not read on. Guards against work for who has left long ago.
+    /// The same for a connection with an open RPC from which the library does not read. Guards against long work for a caller
+    /// that has disconnected.
     pub fn has_disconnected_unread(&self) -> bool {
-        self.open.get() > 0 && !self.drained.get() && self.has_disconnected()
+        self.open_requests.get() > 0 && !self.read_all.get() && self.has_disconnected()
     }
 
-    /// The event of its end has come, whatever lies unread before that.
-    fn is_told_of_end(&self) -> bool {
+    /// The runtime has received the close event, even if unread bytes precede it.
+    fn is_read_closed(&self) -> bool {
         let stream = self.stream.borrow();
         let ready = stream.as_ref().and_then(|stream| stream.ready(Interest::READABLE).now_or_never());
         ready.is_some_and(|ready| ready.is_ok_and(|ready| ready.is_read_closed()))
     }
 
-    /// Its caller has left: what is open on it ends with it. The library may never come to the end itself.
+    /// The caller has disconnected: ends the connection and everything open on it. The library may never read up to the end.
     pub fn handle_disconnect(&self) {
         self.close_after_answer();
         self.force_close();
     }
 
-    /// Whether there is more to read. Guards against the end of an idle connection on which the next RPC has come.
+    /// Whether there are unread bytes. Guards against closing an idle connection on which the next RPC has arrived.
     pub(super) fn has_unread_input(&self) -> bool {
         self.peek().is_ok_and(|bytes| bytes > 0)
     }
 
-    /// A message has come whole; what is returned is held until its answer is made.
+    /// A request has been received. It counts as open until the returned guard is dropped, when its answer is ready.
     pub fn begin_request(self: &Rc<Self>) -> RequestGuard {
-        self.partial.set(false);
-        self.late.set(false);
-        self.asked.set(true);
-        self.open.set(self.open.get() + 1);
+        self.partial_request.set(false);
+        self.request_expired.set(false);
+        self.received_request.set(true);
+        self.open_requests.set(self.open_requests.get() + 1);
         RequestGuard(Rc::clone(self))
     }
 
-    fn with<T>(&self, act: impl FnOnce(Pin<&mut TcpStream>) -> Poll<io::Result<T>>) -> Poll<io::Result<T>> {
+    fn with<T>(
+        &self,
+        operation: impl FnOnce(Pin<&mut TcpStream>) -> Poll<io::Result<T>>,
+    ) -> Poll<io::Result<T>> {
         match self.stream.borrow_mut().as_mut() {
-            Some(stream) => act(Pin::new(stream)),
+            Some(stream) => operation(Pin::new(stream)),
             None => Poll::Ready(Err(io::ErrorKind::NotConnected.into())),
         }
     }
 }
 
-/// Held while the answer to a message is made.
+/// Marks a request as open until its answer is ready.
 pub struct RequestGuard(Rc<CallerConnection>);
 
 impl Drop for RequestGuard {
     fn drop(&mut self) {
-        self.0.open.set(self.0.open.get() - 1);
-        self.0.since.set(Instant::now());
+        self.0.open_requests.set(self.0.open_requests.get() - 1);
+        self.0.state_since.set(Instant::now());
     }
 }
 
-/// The stream that the server library reads and writes.
+/// The stream that the HTTP library reads from and writes to.
 #[derive(Debug)]
 pub struct InboundStream {
     pub connection: Rc<CallerConnection>,
@@ -284,29 +292,31 @@
         if connection.closes_after_answer() {
             return Poll::Pending;
         }
-        if connection.turn.get() >= TURN {
-            connection.turn.set(0);
+        if connection.read_in_turn.get() >= MAX_READ_PER_TURN {
+            connection.read_in_turn.set(0);
             cx.waker().wake_by_ref();
             return Poll::Pending;
         }
         let before = buf.filled().len();
         let read = connection.with(|stream| stream.poll_read(cx, buf));
         match &read {
-            Poll::Ready(_) => connection.turn.set(connection.turn.get() + buf.filled().len() - before),
-            Poll::Pending => connection.turn.set(0),
+            Poll::Ready(_) => {
+                connection.read_in_turn.set(connection.read_in_turn.get() + buf.filled().len() - before)
+            }
+            Poll::Pending => connection.read_in_turn.set(0),
         }
-        connection.drained.set(read.is_pending());
+        connection.read_all.set(read.is_pending());
         match &read {
             Poll::Ready(Ok(())) if buf.filled().len() > before => {
                 if connection.is_idle() {
-                    connection.since.set(Instant::now());
+                    connection.state_since.set(Instant::now());
                 }
-                connection.heard_at.set(Instant::now());
-                connection.partial.set(true);
+                connection.last_received_at.set(Instant::now());
+                connection.partial_request.set(true);
             }
-            // Its event is still to come, and with it the next turn.
+            // The readable event is still to come, and the library reads then.
             Poll::Pending if connection.may_close() && connection.has_unread_input() => {}
-            // Nothing is waiting in the socket, so nothing is lost by ending here.
+            // The socket is empty, so nothing is lost by closing here.
             Poll::Pending if connection.may_close() => return Poll::Ready(Ok(())),
             _ => {}
         }
@@ -317,17 +327,17 @@
 impl AsyncWrite for InboundStream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         let written = self.connection.with(|stream| stream.poll_write(cx, buf));
-        if !self.connection.unsent.replace(true) || written.is_ready() {
+        if !self.connection.unsent_answer.replace(true) || written.is_ready() {
             self.connection.record_progress();
         }
         written
     }
 
-    /// The library flushes once it has written all that it has.
+    /// The library flushes after it has written everything.
     fn poll_flush(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let flushed = self.connection.with(|stream| stream.poll_flush(cx));
-        if self.connection.unsent.replace(false) {
-            // Whoever waits for it to be idle may go on.
+        if self.connection.unsent_answer.replace(false) {
+            // Wakes the task that waits for the connection to be idle.
             self.connection.wake.notify_one();
         }
         if self.connection.closes_after_answer() && flushed.is_ready() {
--- a/crates/fernroute-server/src/transport/mod.rs
+++ b/crates/fernroute-server/src/transport/mod.rs
@@ -1,4 +1,5 @@
-//! Bytes and connections: the server towards callers, the client towards upstreams, the watch on discovery.
+//! Sockets and HTTP connections: the server for callers, the client for upstreams, the watch on discovery, the operators'
+//! server and the handover socket.
 
 pub mod client;
 pub mod discovery;
@@ -13,16 +14,16 @@
 use rustix::io::Errno;
 use rustix::net::RecvFlags;
 
-/// What lies in a socket: so many bytes, none where the other side has ended it, or nothing yet. Asked of the machine itself:
-/// the event that tells of it may come a turn later.
+/// Number of bytes readable without blocking (0 or 1): 0 if the peer has closed its side, `EAGAIN` if nothing has arrived.
+/// Asks the kernel directly, because the runtime's readiness event may arrive one event-loop turn later.
 pub(crate) fn peek(stream: &actix_rt::net::TcpStream) -> Result<usize, Errno> {
     rustix::net::recv(stream, &mut [0; 1], RecvFlags::PEEK | RecvFlags::DONTWAIT).map(|(_, bytes)| bytes)
 }
 
-/// Small messages leave at once, where the machine grants it. A refusal costs some milliseconds, and is no reason to
-/// end a connection that may carry an RPC already.
-pub(crate) fn without_delay(stream: &actix_rt::net::TcpStream) {
-    if let Err(why) = stream.set_nodelay(true) {
-        tracing::debug!("no delay: {why}");
+/// Sets `TCP_NODELAY`. A failure is only logged: it costs some milliseconds of latency and is no reason to close a
+/// connection that may already carry an RPC.
+pub(crate) fn set_nodelay(stream: &actix_rt::net::TcpStream) {
+    if let Err(error) = stream.set_nodelay(true) {
+        tracing::debug!("cannot set TCP_NODELAY: {error}");
     }
 }
--- a/crates/fernroute-server/src/transport/ops_server.rs
+++ b/crates/fernroute-server/src/transport/ops_server.rs
@@ -1,4 +1,4 @@
-//! The operators' door: a few places of its own, each for one call.
+//! The operators' HTTP server: a few connections, each for one request.
 
 use crate::protocol::ops::{Call, Reply, MOST_HEAD};
 use actix_http::StatusCode;
@@ -11,19 +11,19 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::timeout;
 
-/// Connections at once. Tools that look every second and a person beside them hold one each, for a moment; the one that
-/// came first goes when another wants its place, so that who says nothing holds none that is wanted.
+/// Enough for monitoring tools that poll every second and a person beside them. A further connection closes the oldest one,
+/// so that idle connections do not keep operators out.
 pub const MAX_CONNECTIONS: usize = 8;
 
-/// A call has come whole, and its answer is taken, within this time: a person who types one is not cut short, and
-/// who says nothing leaves.
-const WHOLE: Duration = Duration::from_secs(5);
+/// Time limit for one connection, from its start until the answer has been read. Long enough for a person who types a
+/// request.
+const CONNECTION_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// After the answer what still comes is read and dropped for this long: closing on unread bytes would reset the
-/// connection, and the caller might never see the answer.
+/// After the answer, input is read and discarded for this long: closing a socket with unread bytes would reset the
+/// connection, and the operator might lose the answer.
 const LINGER: Duration = Duration::from_millis(500);
 
-/// Answers operators for as long as the program runs.
+/// Serves operators until the program ends.
 pub async fn run(listener: TcpListener, answer: impl Fn(Call) -> Reply + 'static) {
     let answer = Rc::new(answer);
     let mut connections: VecDeque<JoinHandle<()>> = VecDeque::new();
@@ -34,16 +34,16 @@
                 failing = false;
                 connections.retain(|connection| !connection.is_finished());
                 if connections.len() >= MAX_CONNECTIONS {
-                    connections.pop_front().into_iter().for_each(|first| first.abort());
+                    connections.pop_front().into_iter().for_each(|oldest| oldest.abort());
                 }
                 let answer = Rc::clone(&answer);
                 connections.push_back(actix_rt::spawn(async move {
-                    let _ = timeout(WHOLE, host(stream, &*answer)).await;
+                    let _ = timeout(CONNECTION_TIMEOUT, serve_connection(stream, &*answer)).await;
                 }));
             }
-            Err(why) => {
+            Err(error) => {
                 if !std::mem::replace(&mut failing, true) {
-                    tracing::warn!("operators' door: {why}");
+                    tracing::warn!("cannot accept an operator's connection: {error}");
                 }
                 actix_rt::time::sleep(Duration::from_millis(10)).await;
             }
@@ -51,26 +51,26 @@
     }
 }
 
-async fn host(mut stream: TcpStream, answer: &impl Fn(Call) -> Reply) {
-    let mut heard = BytesMut::with_capacity(1024);
+async fn serve_connection(mut stream: TcpStream, answer: &impl Fn(Call) -> Reply) {
+    let mut received = BytesMut::with_capacity(1024);
     let call = loop {
-        if let Some(call) = Call::decode(&heard) {
+        if let Some(call) = Call::decode(&received) {
             break call;
         }
-        heard.reserve(1024);
-        // An end before the head's end, and after it nothing: no call.
-        if !stream.read_buf(&mut heard).await.is_ok_and(|n| n > 0) {
-            if heard.is_empty() {
+        received.reserve(1024);
+        // A connection closed before any byte has made no request.
+        if !stream.read_buf(&mut received).await.is_ok_and(|n| n > 0) {
+            if received.is_empty() {
                 return;
             }
             break Err(StatusCode::BAD_REQUEST);
         }
-        debug_assert!(heard.len() <= 2 * MOST_HEAD);
+        debug_assert!(received.len() <= 2 * MOST_HEAD);
     };
     let reply = call.map_or_else(|status| Reply::plain(status, "no such call"), answer);
     if stream.write_all(&reply.encode()).await.is_ok() && stream.shutdown().await.is_ok() {
-        let mut rest = [0; 1024];
-        let rest = async { while stream.read(&mut rest).await.is_ok_and(|n| n > 0) {} };
-        let _ = timeout(LINGER, rest).await;
+        let mut buffer = [0; 1024];
+        let drain = async { while stream.read(&mut buffer).await.is_ok_and(|n| n > 0) {} };
+        let _ = timeout(LINGER, drain).await;
     }
 }
--- a/crates/fernroute-server/src/transport/outbound.rs
+++ b/crates/fernroute-server/src/transport/outbound.rs
@@ -1,4 +1,4 @@
-//! One connection to an upstream: how far a transmission on it has come, and where its answer ends.
+//! A connection to an upstream during one attempt: how far the attempt has come, and where its answer ends.
 
 use super::framing::Framing;
 use super::inbound::CallerConnection;
@@ -15,71 +15,76 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio_util::io::poll_read_buf;
 
-/// How far a transmission has come.
+/// How far an attempt has come.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum AttemptProgress {
     #[default]
     NotStarted,
     Connected,
-    /// The last byte is out: from here on it may have run.
+    /// The last byte of the request has been written: from here on the RPC may have run.
     RequestWritten,
     AnswerStarted,
 }
 
-/// How far one attempt has come, kept by the connection that carries it.
+/// The state of one attempt, updated by the connection that carries it.
 #[derive(Debug, Default)]
 pub struct AttemptState {
     progress: Cell<AttemptProgress>,
-    /// The upstream ended the connection while it carried this transmission.
-    cut: Cell<bool>,
-    /// That end was the answer's, too.
-    to_the_end: Cell<bool>,
-    /// When its first byte was written.
-    begun_at: Cell<Option<Instant>>,
+    /// The upstream closed the connection during this attempt.
+    upstream_closed: Cell<bool>,
+    /// The close was also the proper end of the answer.
+    closed_at_answer_end: Cell<bool>,
+    /// When the first byte of the request was written.
+    started_at: Cell<Option<Instant>>,
     last_received_at: Cell<Option<Instant>>,
-    /// It never left, for want of connections here.
+    /// The attempt was not sent, or not completely, for a reason on this side: no connection available, cancelled, or past
+    /// its write deadline.
     pub(super) held_back: Cell<bool>,
     connection: RefCell<Option<Rc<UpstreamConnection>>>,
-    /// Called off, or its upstream has left the list: it does not begin any more.
-    barred: Cell<bool>,
-    /// No byte of it leaves after this.
-    written_by: Cell<Option<Instant>>,
-    /// Whose RPC it carries; none for calls of the balancer's own.
+    /// The attempt was cancelled, or its upstream has left the endpoint list: it must not start any more.
+    start_prevented: Cell<bool>,
+    /// No byte of the request is written after this time.
+    write_deadline: Cell<Option<Instant>>,
+    /// The connection of the caller whose RPC this is; `None` for the balancer's own requests.
     caller: Option<Weak<CallerConnection>>,
-    /// Whose caller was gone before its first byte.
-    unwanted: Cell<bool>,
-    /// More of the body is to come: the last byte is not out.
+    /// The caller had disconnected before the first byte was written.
+    caller_gone: Cell<bool>,
+    /// More of the body is to come: the last byte has not been written.
     pub body_incomplete: Cell<bool>,
-    /// The upstream answered before it had the whole body.
+    /// The upstream answered before it had received the whole body.
     pub answered_early: Cell<bool>,
-    /// Counts transmissions whose last byte is out.
-    written: Rc<Cell<u64>>,
+    /// Number of attempts whose last byte has been written, over all attempts.
+    written_attempts: Rc<Cell<u64>>,
 }
 
 tokio::task_local! {
-    /// The transmission that the running task makes: tells a pooled connection whom it serves.
+    /// The attempt of the running task: tells a pooled connection which attempt it carries.
     pub static CURRENT_ATTEMPT: Rc<AttemptState>;
 }
 
 impl AttemptState {
-    /// Of an RPC of this caller's, counted there.
-    pub fn new(caller: Option<Weak<CallerConnection>>, written: &Rc<Cell<u64>>) -> Rc<Self> {
-        Rc::new(AttemptState { caller, written: Rc::clone(written), ..AttemptState::default() })
+    /// An attempt for an RPC of `caller`. Counted in `written_attempts` once its last byte has been written.
+    pub fn new(caller: Option<Weak<CallerConnection>>, written_attempts: &Rc<Cell<u64>>) -> Rc<Self> {
+        Rc::new(AttemptState {
+            caller,
+            written_attempts: Rc::clone(written_attempts),
+            ..AttemptState::default()
+        })
     }
 
     pub fn progress(&self) -> AttemptProgress {
         self.progress.get()
     }
 
-    /// Whether the answer that the library takes for whole is: it takes one in chunks that is cut short for one.
+    /// An error if the connection ended before the answer did: the HTTP library takes a truncated chunked body for complete.
     pub fn check_complete(&self) -> io::Result<()> {
-        if self.cut.get() && !self.to_the_end.get() {
+        if self.upstream_closed.get() && !self.closed_at_answer_end.get() {
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
         Ok(())
     }
 
-    /// When something came last.
+    /// When bytes were last received.
     pub fn last_received_at(&self) -> Option<Instant> {
         self.last_received_at.get()
     }
@@ -88,78 +93,82 @@
         self.held_back.get()
     }
 
-    /// From here on its first byte does not leave. Guards against a connection that comes up late: its caller may have
-    /// gone by then, or its upstream have been told to drain.
+    /// Prevents the first byte from being written. Guards against a connection that is established late: by then the caller
+    /// may have disconnected, or its upstream may have been told to drain.
     pub fn prevent_start(&self) {
-        self.barred.set(true);
+        self.start_prevented.set(true);
     }
 
-    /// In so long no byte leaves any more, neither the first nor the last. Guards against a repeat that is whole at its upstream
-    /// when repeats are not dropped any more: on a connection that comes up late, or that takes a long body slowly.
-    pub fn set_write_deadline(&self, left: Duration) {
-        self.written_by.set(Some(Instant::now() + left));
+    /// After `remaining` no byte of the request is written, neither the first nor the last. Guards against a repeat that
+    /// arrives completely at its upstream when upstreams no longer deduplicate it, because its connection was established
+    /// late or accepted a long body slowly.
+    pub fn set_write_deadline(&self, remaining: Duration) {
+        self.write_deadline.set(Some(Instant::now() + remaining));
     }
 
-    fn is_in_time(&self) -> bool {
-        self.written_by.get().is_none_or(|by| Instant::now() < by)
+    fn is_before_write_deadline(&self) -> bool {
+        self.write_deadline.get().is_none_or(|by| Instant::now() < by)
     }
 
-    /// Whether what is left of it may still be written; an error where its time is over, and then its last byte never leaves.
-    fn may_go_on(&self) -> io::Result<()> {
-        if self.progress() >= AttemptProgress::RequestWritten || self.is_in_time() {
+    /// An error if the write deadline has passed before the last byte was written; the last byte is then never written.
+    fn check_write_deadline(&self) -> io::Result<()> {
+        if self.progress() >= AttemptProgress::RequestWritten || self.is_before_write_deadline() {
             return Ok(());
         }
         self.held_back.set(true);
-        Err(io::Error::other("called off before its last byte"))
+        Err(io::Error::other("write deadline passed before the last byte of the request"))
     }
 
-    /// It was not begun, since its caller has left.
+    /// Whether the attempt was not started because its caller had disconnected.
     pub fn is_caller_gone(&self) -> bool {
-        self.unwanted.get()
+        self.caller_gone.get()
     }
 
-    /// Whether its first byte may leave now. The caller's own socket is asked: whatever else would tell of its end may be a
-    /// turn away, and turns may be long.
+    /// Whether the first byte may be written now. Examines the caller's socket itself, because its close event may be
+    /// handled one event-loop turn later, and turns can be long.
     pub(super) fn may_start(&self) -> bool {
         if let Some(caller) = &self.caller {
-            let visit = caller.upgrade();
-            if visit.as_ref().is_none_or(|visit| visit.has_disconnected_cached()) {
-                self.unwanted.set(true);
-                visit.iter().for_each(|visit| visit.handle_disconnect());
+            let connection = caller.upgrade();
+            if connection.as_ref().is_none_or(|connection| connection.has_disconnected_cached()) {
+                self.caller_gone.set(true);
+                connection.iter().for_each(|connection| connection.handle_disconnect());
             }
         }
-        let may = self.is_in_time() && !self.barred.get() && !self.unwanted.get();
-        self.held_back.set(self.held_back.get() || !may);
-        may
+        let may_start =
+            self.is_before_write_deadline() && !self.start_prevented.get() && !self.caller_gone.get();
+        self.held_back.set(self.held_back.get() || !may_start);
+        may_start
     }
 
-    /// The connection, if it is kept, stands idle from now on; one that may still bring something of this
-    /// answer is closed. Guards against a second copy or noise that the next RPC would take for its answer.
+    /// Gives the connection back to its pool, or closes it if more of this answer could still arrive. Guards against a
+    /// duplicate of the answer, or other data, that the next RPC would take for its own answer.
     pub fn release_connection(&self) {
         let Some(connection) = self.connection.take() else { return };
-        // Out of the library's hands, whose pool would give it to the next RPC at once.
+        // Taken from the library, whose own pool would use it for the next RPC at once.
         let Some(stream) = connection.stream.take() else { return };
-        // All of the RPC is out and all of the answer is in.
-        let is_done = connection.reusable.get() && connection.left.borrow().is_empty();
-        if let Some(home) = connection.home.upgrade().filter(|_| is_done) {
-            home.put_back(stream, self.begun_at.get().map_or(Duration::ZERO, |at| at.elapsed()));
+        // The whole request has been written and the whole answer received.
+        let is_complete = connection.reusable.get() && connection.unsent.borrow().is_empty();
+        if let Some(pool) = connection.pool.upgrade().filter(|_| is_complete) {
+            pool.put_back(stream, self.started_at.get().map_or(Duration::ZERO, |at| at.elapsed()));
         }
     }
 
-    /// Writes on what the connection has not taken yet: ready once no more than `window` of it is left. An answer that
-    /// comes meanwhile, or an end, is an error.
+    /// Writes bytes that the socket has not accepted yet. Ready once at most `window` bytes are left. An error if the
+    /// upstream answers or closes the connection meanwhile.
     pub fn poll_write_capacity(&self, cx: &mut Context<'_>, window: usize) -> Poll<io::Result<()>> {
         let Some(connection) = self.connection.borrow().clone() else { return Poll::Ready(Ok(())) };
-        let mut peeked = [MaybeUninit::uninit(); 1];
-        let mut peeked = ReadBuf::uninit(&mut peeked);
-        if connection.with(|stream| stream.get_mut().poll_peek(cx, &mut peeked)).is_ready() {
+        let mut peek_buffer = [MaybeUninit::uninit(); 1];
+        let mut peek_buffer = ReadBuf::uninit(&mut peek_buffer);
+        if connection.with(|stream| stream.get_mut().poll_peek(cx, &mut peek_buffer)).is_ready() {
             self.answered_early.set(true);
-            return Poll::Ready(Err(io::Error::other("an answer before the whole body")));
+            return Poll::Ready(Err(io::Error::other(
+                "the upstream answered or closed the connection before the end of the request body",
+            )));
         }
-        self.may_go_on()?;
-        match connection.write_left(cx) {
-            Poll::Pending if connection.left.borrow().len() > window => Poll::Pending,
-            Poll::Ready(Err(why)) => Poll::Ready(Err(why)),
+        self.check_write_deadline()?;
+        match connection.write_unsent(cx) {
+            Poll::Pending if connection.unsent.borrow().len() > window => Poll::Pending,
+            Poll::Ready(Err(error)) => Poll::Ready(Err(error)),
             _ => Poll::Ready(Ok(())),
         }
     }
@@ -168,82 +177,83 @@
         if self.progress.get() < AttemptProgress::RequestWritten
             && progress >= AttemptProgress::RequestWritten
         {
-            self.written.set(self.written.get() + 1);
+            self.written_attempts.set(self.written_attempts.get() + 1);
         }
         self.progress.set(self.progress.get().max(progress));
     }
 }
 
-/// The stream that the client library reads and writes.
+/// The stream that the HTTP client library reads from and writes to.
 #[derive(Debug)]
 pub struct OutboundStream {
     connection: Rc<UpstreamConnection>,
     framing: Framing,
-    /// What has come and is not handed on yet; the first `ready` bytes are the answer's.
-    heard: BytesMut,
+    /// Received bytes that have not been passed on; the first `ready` of them belong to the answer.
+    received: BytesMut,
     ready: usize,
 }
 
-/// As much as the library reads at once.
-const HEAR: usize = 8 * 1024;
+/// The read size of the library, in bytes.
+const READ_BYTES: usize = 8 * 1024;
 
 impl OutboundStream {
-    /// On a connection that stood idle.
-    pub(super) fn of(connection: Rc<UpstreamConnection>) -> Self {
+    /// On an idle connection.
+    pub(super) fn reusing(connection: Rc<UpstreamConnection>) -> Self {
         connection.idle_since.set(None);
         OutboundStream::new(connection)
     }
 
     pub(super) fn new(connection: Rc<UpstreamConnection>) -> Self {
-        OutboundStream { connection, framing: Framing::default(), heard: BytesMut::new(), ready: 0 }
+        OutboundStream { connection, framing: Framing::default(), received: BytesMut::new(), ready: 0 }
     }
 
-    /// Takes in what has come; 0 bytes at the end of the connection.
-    fn hear(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<usize>> {
-        self.heard.reserve(HEAR);
-        let (connection, heard) = (Rc::clone(&self.connection), &mut self.heard);
+    /// Reads from the socket; 0 bytes at the end of the connection.
+    fn poll_receive(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<usize>> {
+        self.received.reserve(READ_BYTES);
+        let (connection, received) = (Rc::clone(&self.connection), &mut self.received);
         let mut stream = connection.stream.borrow_mut();
         match stream.as_mut() {
-            Some(stream) => poll_read_buf(Pin::new(stream), cx, heard),
+            Some(stream) => poll_read_buf(Pin::new(stream), cx, received),
             None => Poll::Ready(Err(io::ErrorKind::NotConnected.into())),
         }
     }
 
-    /// Waits for more of the answer, and finds its end.
-    fn listen(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+    /// Reads until bytes of the answer are available, and looks for its end.
+    fn poll_answer(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         while self.ready == 0 {
-            if std::task::ready!(self.hear(cx))? == 0 {
-                // The library takes an answer in chunks that is cut short for a whole one.
-                let to_the_end = self.framing.ends_with_connection();
-                self.note(|attempt| {
-                    attempt.cut.set(true);
-                    attempt.to_the_end.set(to_the_end);
+            if std::task::ready!(self.poll_receive(cx))? == 0 {
+                // The library takes a truncated chunked answer for a complete one, so the end is recorded here.
+                let closed_at_answer_end = self.framing.ends_with_connection();
+                self.update_attempt(|attempt| {
+                    attempt.upstream_closed.set(true);
+                    attempt.closed_at_answer_end.set(closed_at_answer_end);
                 });
                 let end =
                     if self.framing.is_open_ended() { Ok(()) } else { Err(io::ErrorKind::UnexpectedEof) };
                 return Poll::Ready(end.map_err(io::Error::from));
             }
-            self.note(|attempt| {
+            self.update_attempt(|attempt| {
                 attempt.last_received_at.set(Some(Instant::now()));
                 attempt.advance_to(AttemptProgress::AnswerStarted);
             });
-            self.ready = self.framing.count(&mut self.heard, self.connection.most_body)?;
+            self.ready = self.framing.answer_bytes(&mut self.received, self.connection.max_body)?;
         }
-        // Whatever is behind a whole answer belongs to no other; nor does what is behind one whose end the
-        // library finds.
-        let more = self.framing.is_whole()
-            && (self.heard.len() > self.ready || matches!(self.hear(cx), Poll::Ready(Ok(_) | Err(_))));
-        self.connection.reusable.set(self.framing.is_whole() && !more && !self.framing.closes());
+        // Bytes after a complete answer belong to no answer, so the connection is not reused. Nor is it where only the
+        // library finds the end.
+        let has_excess = self.framing.is_complete()
+            && (self.received.len() > self.ready
+                || matches!(self.poll_receive(cx), Poll::Ready(Ok(_) | Err(_))));
+        self.connection.reusable.set(self.framing.is_complete() && !has_excess && !self.framing.closes());
         Poll::Ready(Ok(()))
     }
 
-    /// Whether the transmission of the running task may still write.
-    fn may_go_on(&self) -> io::Result<()> {
-        CURRENT_ATTEMPT.try_with(|attempt| attempt.may_go_on()).unwrap_or(Ok(()))
+    /// Whether the attempt of the running task may still write.
+    fn check_write_deadline(&self) -> io::Result<()> {
+        CURRENT_ATTEMPT.try_with(|attempt| attempt.check_write_deadline()).unwrap_or(Ok(()))
     }
 
-    /// The transmission of the running task, once it has this connection.
-    fn note(&self, act: impl FnOnce(&AttemptState)) {
+    /// Updates the attempt of the running task, if it uses this connection.
+    fn update_attempt(&self, update: impl FnOnce(&AttemptState)) {
         let _ = CURRENT_ATTEMPT.try_with(|attempt| {
             if attempt
                 .connection
@@ -251,13 +261,13 @@
                 .as_ref()
                 .is_some_and(|connection| Rc::ptr_eq(connection, &self.connection))
             {
-                act(attempt);
+                update(attempt);
             }
         });
     }
 }
 
-/// Whoever else still knows of the connection, it is closed: a transmission that is given up must end there.
+/// Closes the connection, whoever else refers to it: an attempt that is given up must end here.
 impl Drop for OutboundStream {
     fn drop(&mut self) {
         self.connection.stream.take();
@@ -271,18 +281,18 @@
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         if self.ready == 0 {
-            if self.framing.is_whole() {
-                // The library's pool asks whether it is still good; once put back it is not there any more.
+            if self.framing.is_complete() {
+                // The library's pool checks whether the connection is still open. After its release the stream is gone.
                 return self.connection.with(|stream| stream.poll_read(cx, buf));
             }
-            std::task::ready!(self.listen(cx))?;
+            std::task::ready!(self.poll_answer(cx))?;
         }
         let n = self.ready.min(buf.remaining());
-        buf.put_slice(&self.heard.split_to(n));
+        buf.put_slice(&self.received.split_to(n));
         self.ready -= n;
-        if self.ready == 0 && self.framing.is_whole() {
-            // An idle connection keeps no memory for it.
-            self.heard = BytesMut::new();
+        if self.ready == 0 && self.framing.is_complete() {
+            // Frees the buffer: an idle connection uses no memory for it.
+            self.received = BytesMut::new();
         }
         Poll::Ready(Ok(()))
     }
@@ -290,39 +300,39 @@
 
 impl AsyncWrite for OutboundStream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        let barred = CURRENT_ATTEMPT.try_with(|attempt| {
+        let may_not_start = CURRENT_ATTEMPT.try_with(|attempt| {
             if attempt.progress() < AttemptProgress::Connected && !attempt.may_start() {
                 return true;
             }
             if attempt.progress() < AttemptProgress::Connected {
-                attempt.begun_at.set(Some(Instant::now()));
+                attempt.started_at.set(Some(Instant::now()));
             }
             attempt.connection.replace(Some(Rc::clone(&self.connection)));
             attempt.advance_to(AttemptProgress::Connected);
             false
         });
-        if barred.unwrap_or(false) {
-            return Poll::Ready(Err(io::Error::other("called off before its first byte")));
+        if may_not_start.unwrap_or(false) {
+            return Poll::Ready(Err(io::Error::other("attempt cancelled before its first byte")));
         }
-        self.may_go_on()?;
-        if let Poll::Ready(result) = self.connection.write_left(cx) {
+        self.check_write_deadline()?;
+        if let Poll::Ready(result) = self.connection.write_unsent(cx) {
             result?;
             let written = self.connection.with(|stream| stream.poll_write(cx, buf));
             let n = if let Poll::Ready(n) = written { n? } else { 0 };
-            self.connection.left.borrow_mut().extend_from_slice(&buf[n..]);
+            self.connection.unsent.borrow_mut().extend_from_slice(&buf[n..]);
         } else {
-            self.connection.left.borrow_mut().extend_from_slice(buf);
+            self.connection.unsent.borrow_mut().extend_from_slice(buf);
         }
         Poll::Ready(Ok(buf.len()))
     }
 
     fn poll_flush(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        // Where all has left there is nothing to bar: guards against an attempt that is whole and passes for one that is not.
-        if !self.connection.left.borrow().is_empty() {
-            self.may_go_on()?;
+        // Checked only if bytes are left, so that a request that was written completely in time does not count as unsent.
+        if !self.connection.unsent.borrow().is_empty() {
+            self.check_write_deadline()?;
         }
-        std::task::ready!(self.connection.write_left(cx))?;
-        self.note(|attempt| {
+        std::task::ready!(self.connection.write_unsent(cx))?;
+        self.update_attempt(|attempt| {
             if !attempt.body_incomplete.get() {
                 attempt.advance_to(AttemptProgress::RequestWritten);
             }
--- a/crates/fernroute-server/src/transport/server.rs
+++ b/crates/fernroute-server/src/transport/server.rs
@@ -1,7 +1,7 @@
-//! Callers' connections: accepts them, bounds them, ends them.
+//! The server for callers: accepts connections, limits their number and closes them.
 
 use super::inbound::{CallerConnection, InboundStream};
-use super::without_delay;
+use super::set_nodelay;
 use actix_http::body::BoxBody;
 use actix_http::{HttpService, KeepAlive, Request, Response};
 use actix_service::{fn_service, Service, ServiceFactory};
@@ -22,38 +22,40 @@
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
-/// Connections that have stood idle for this long are closed. Long: callers go on using those that they have while
-/// this balancer ends, when no new ones come to it, and the idlest go anyway when room is needed.
-const IDLE: Duration = Duration::from_secs(60);
+/// Idle connections are closed after this long. Long, because callers keep using their connections while this balancer shuts
+/// down and gets no new ones, and the longest idle ones are closed anyway when room is needed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Those that have not asked for anything yet: callers connect when they have something to ask.
-const SILENT: Duration = Duration::from_secs(2);
+/// The same before the first request: callers connect when they have one.
+const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// From its first byte on an RPC has this long to come whole, and an answer to be taken. Guards against callers that
-/// hold connections with half an RPC, which are never between RPCs and so would never make room.
-const COMING: Duration = Duration::from_millis(2500);
+/// Time limit for receiving a request, from its first byte; each part of a body restarts it. Guards against callers that
+/// hold connections with incomplete requests, which are never idle and so would never make room.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// Where room is wanted and nobody is idle, half a message goes of which nothing more has come for so long. Whoever writes
-/// slowly pauses as long, and there is nobody better to send away; a crowd with half a message each would keep others out.
-const PAUSED: Duration = Duration::from_millis(50);
+/// When room is needed and no connection is idle, a connection with an incomplete request is evicted if nothing more of it
+/// has been received for this long. This can hit a slow caller that pauses, but only if nothing better can be evicted;
+/// otherwise a crowd of callers with incomplete requests would keep others out.
+const STALL_TIME: Duration = Duration::from_millis(50);
 
-/// So often somebody is looked for whose room may be had, while there is none.
-const LOOK: Duration = Duration::from_millis(20);
+/// How often the search for a connection to evict is repeated while there is no room.
+const EVICTION_INTERVAL: Duration = Duration::from_millis(20);
 
-/// So many descriptors are left to others where this process gets no more: the watch, operators, connections to upstreams.
-const SPARE: usize = 8;
+/// Descriptors left for others when this process runs out of them: discovery, operators and connections to upstreams.
+const SPARE_DESCRIPTORS: usize = 8;
 
-/// Who takes nothing of an answer for this long is not there any more. A caller on a poor line takes a little each second.
-const STUCK: Duration = Duration::from_secs(10);
+/// A caller that reads nothing of its answer for this long is given up. One on a slow link reads a little every second.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// After the last answer what still comes is read and dropped for this long: closing on unread bytes would reset
-/// the connection, and the caller might never see the answer.
+/// After the last answer, input is read and discarded for this long: closing a socket with unread bytes would reset the
+/// connection, and the caller might lose the answer.
 const LINGER: Duration = Duration::from_secs(1);
 
-const TOO_SLOW: &[u8] = b"HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
+const REQUEST_TIMEOUT_ANSWER: &[u8] =
+    b"HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
 
-/// How the bytes of a connection become messages and answers.
-fn protocol<H, F>(
+/// The HTTP service for callers' connections.
+fn http_service<H, F>(
     handle: H,
 ) -> impl ServiceFactory<(InboundStream, Option<SocketAddr>), Config = (), Error: Display, InitError: Debug>
 where
@@ -62,77 +64,77 @@
 {
     HttpService::<InboundStream, _, BoxBody>::build()
         .keep_alive(KeepAlive::Os)
-        // No time-out of the library's ends an RPC or words an answer.
+        // Requests and answers are not limited or answered by the library's own time-outs.
         .client_request_timeout(Duration::ZERO)
         .client_disconnect_timeout(LINGER)
-        // A caller that closes has gone away: its RPC is dropped, and with it told as abandoned.
+        // A caller that closes its side has disconnected: its RPC is dropped, and thereby reported as abandoned.
         .h1_allow_half_closed(false)
         .on_connect_ext(|io: &InboundStream, data| {
             data.insert(Rc::clone(&io.connection));
         })
         .h1(fn_service(move |request: Request| {
-            let visit = request.conn_data::<Rc<CallerConnection>>().map_or_else(Rc::default, Rc::clone);
-            let answer = handle(request, visit);
+            let connection = request.conn_data::<Rc<CallerConnection>>().map_or_else(Rc::default, Rc::clone);
+            let answer = handle(request, connection);
             async move { Ok::<_, Infallible>(answer.await) }
         }))
 }
 
 pub struct Server {
     listener: RefCell<Option<TcpListener>>,
-    /// Emptied as connections end.
-    visits: RefCell<Vec<Rc<CallerConnection>>>,
-    most: Cell<usize>,
-    left: Notify,
-    ending: Cell<bool>,
-    /// Who comes is taken in; else the machine keeps callers waiting, for this process or another.
+    /// Open connections; each is removed when it ends.
+    connections: RefCell<Vec<Rc<CallerConnection>>>,
+    max_connections: Cell<usize>,
+    ended: Notify,
+    closing_idle: Cell<bool>,
+    /// Whether new connections are accepted. If not, callers wait in the kernel's queue, for this process or another.
     accepting: Cell<bool>,
-    accepts: Notify,
+    accept_changed: Notify,
     closed: Cell<bool>,
 }
 
 impl Server {
-    /// Without a listener it waits for one.
-    pub fn new(listener: Option<TcpListener>, most: usize) -> Rc<Self> {
+    /// Without a listener, waits for [`Server::listen`].
+    pub fn new(listener: Option<TcpListener>, max_connections: usize) -> Rc<Self> {
         Rc::new(Server {
             listener: RefCell::new(listener),
-            visits: RefCell::default(),
-            most: Cell::new(most),
-            left: Notify::new(),
-            ending: Cell::new(false),
+            connections: RefCell::default(),
+            max_connections: Cell::new(max_connections),
+            ended: Notify::new(),
+            closing_idle: Cell::new(false),
             accepting: Cell::new(true),
-            accepts: Notify::new(),
+            accept_changed: Notify::new(),
             closed: Cell::new(false),
         })
     }
 
-    /// Accepts until the end; each connection is a task of its own, so that a panic ends there.
+    /// Accepts connections until shutdown. Each one has a task of its own, so that a panic ends only that connection.
     pub async fn run<H, F>(self: Rc<Self>, handle: H)
     where
         H: Fn(Request, Rc<CallerConnection>) -> F + Clone + 'static,
         F: Future<Output = Response<BoxBody>> + 'static,
     {
-        let Ok(service) = protocol(handle).new_service(()).await else {
-            tracing::error!("the server did not start");
+        let Ok(service) = http_service(handle).new_service(()).await else {
+            tracing::error!("cannot start the HTTP service for callers");
             return self.close();
         };
         let service = Rc::new(service);
         let mut failing = false;
         loop {
             if self.closed.get() {
-                for stream in self.last_of_queue() {
-                    self.take_in(&service, stream);
+                for stream in self.queued_connections() {
+                    self.spawn_connection(&service, stream);
                 }
                 return self.close();
             }
             if !self.accepting.get() || self.listener.borrow().is_none() {
-                self.accepts.notified().await;
+                self.accept_changed.notified().await;
                 continue;
             }
             let stream = std::future::poll_fn(|cx| match &*self.listener.borrow() {
                 Some(listener) => listener.poll_accept(cx).map(Some),
                 None => std::task::Poll::Ready(None),
             });
-            let accepted = match select(pin!(stream), pin!(self.accepts.notified())).await {
+            let accepted = match select(pin!(stream), pin!(self.accept_changed.notified())).await {
                 Either::Left((accepted, _)) => accepted,
                 Either::Right(_) => continue,
             };
@@ -141,26 +143,26 @@
                 Some(Ok((stream, _))) => {
                     failing = false;
                     self.make_room().await;
-                    self.take_in(&service, stream);
+                    self.spawn_connection(&service, stream);
                 }
-                Some(Err(why)) => {
-                    // Said once of a row: it may be tried a hundred times a second.
+                Some(Err(error)) => {
+                    // Logged once for a series of failures: there can be a hundred a second.
                     if !std::mem::replace(&mut failing, true) {
-                        tracing::warn!("accept: {why}");
+                        tracing::warn!("accept: {error}");
                     }
-                    self.give_up_some(&why);
+                    self.handle_accept_error(&error);
                     actix_rt::time::sleep(Duration::from_millis(10)).await;
                 }
             }
         }
     }
 
-    /// What the machine has accepted already, as far as there is room. Asked of the machine itself: the event that tells
-    /// of it may not have been read yet.
-    fn last_of_queue(&self) -> Vec<TcpStream> {
+    /// The connections in the kernel's accept queue, as far as there is room. Asks the kernel directly, because the readiness
+    /// event may not have been handled yet.
+    fn queued_connections(&self) -> Vec<TcpStream> {
         let listener = self.listener.borrow();
         let Some(listener) = listener.as_ref().filter(|_| self.accepting.get()) else { return Vec::new() };
-        let room = self.most.get().saturating_sub(self.connections());
+        let room = self.max_connections.get().saturating_sub(self.connections());
         let next = || {
             let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
             let stream = rustix::net::accept_with(listener, flags).ok()?;
@@ -169,203 +171,214 @@
         std::iter::from_fn(next).take(room).collect()
     }
 
-    /// A connection stands in the table from the turn on in which it is accepted: the program does not end over it.
-    fn take_in<S>(self: &Rc<Self>, service: &Rc<S>, stream: TcpStream)
+    /// Registers a connection in the same turn in which it is accepted, so that shutdown waits for it, and starts its task.
+    fn spawn_connection<S>(self: &Rc<Self>, service: &Rc<S>, stream: TcpStream)
     where
         S: Service<(InboundStream, Option<SocketAddr>)> + 'static,
         S::Error: Display,
     {
-        without_delay(&stream);
-        let visit = self.enter(stream);
-        actix_rt::spawn(Rc::clone(self).host(Rc::clone(service), visit));
+        set_nodelay(&stream);
+        let connection = self.insert(stream);
+        actix_rt::spawn(Rc::clone(self).serve_connection(Rc::clone(service), connection));
     }
 
-    /// One connection, from its start to its end.
-    async fn host<S>(self: Rc<Self>, service: Rc<S>, visit: Rc<CallerConnection>)
+    /// Serves one connection until it ends.
+    async fn serve_connection<S>(self: Rc<Self>, service: Rc<S>, connection: Rc<CallerConnection>)
     where
         S: Service<(InboundStream, Option<SocketAddr>)>,
         S::Error: Display,
     {
-        let _leave = Leave { server: &self, visit: &visit };
-        let unread = {
-            let mut connection = pin!(service.call((InboundStream { connection: Rc::clone(&visit) }, None)));
+        let _remove = RemoveOnDrop { server: &self, connection: &connection };
+        let may_have_unread_input = {
+            let mut exchange =
+                pin!(service.call((InboundStream { connection: Rc::clone(&connection) }, None)));
             loop {
-                match select(connection, pin!(visit.wake.notified())).await {
-                    Either::Left((Ok(_), _)) => break visit.closes_after_answer(),
-                    Either::Left((Err(why), _)) => {
-                        tracing::debug!("connection ended: {why}");
+                match select(exchange, pin!(connection.wake.notified())).await {
+                    Either::Left((Ok(_), _)) => break connection.closes_after_answer(),
+                    Either::Left((Err(error), _)) => {
+                        tracing::debug!("caller's connection failed: {error}");
                         break true;
                     }
-                    Either::Right(_) if visit.is_force_closed() => break true,
-                    Either::Right((_, same)) if visit.is_partial_expired() => {
-                        connection = match select(same, ready(())).await {
-                            Either::Left((ended, _)) => break ended.is_err() || visit.closes_after_answer(),
-                            Either::Right((_, same)) => same,
+                    Either::Right(_) if connection.is_force_closed() => break true,
+                    Either::Right((_, unfinished)) if connection.has_expired_request() => {
+                        exchange = match select(unfinished, ready(())).await {
+                            Either::Left((result, _)) => {
+                                break result.is_err() || connection.closes_after_answer()
+                            }
+                            Either::Right((_, unfinished)) => unfinished,
                         };
-                        visit.close_if_expired();
+                        connection.close_if_expired();
                     }
-                    Either::Right((_, same)) => connection = same,
+                    Either::Right((_, unfinished)) => exchange = unfinished,
                 }
             }
         };
-        let Some(mut stream) = visit.stream.take().filter(|_| unread) else { return };
-        if visit.is_force_closed() && !visit.closes_after_answer() {
-            // So short that the socket takes it at once.
-            let _ = stream.try_write(TOO_SLOW);
+        let Some(mut stream) = connection.stream.take().filter(|_| may_have_unread_input) else { return };
+        if connection.is_force_closed() && !connection.closes_after_answer() {
+            // The answer is short enough for the socket to accept it at once.
+            let _ = stream.try_write(REQUEST_TIMEOUT_ANSWER);
         }
-        visit.force_close();
-        let part = pin!(async {
+        connection.force_close();
+        let drain = pin!(async {
             let _ = stream.shutdown().await;
-            let mut rest = [0; 4096];
-            while stream.read(&mut rest).await.is_ok_and(|n| n > 0) {}
+            let mut buffer = [0; 4096];
+            while stream.read(&mut buffer).await.is_ok_and(|n| n > 0) {}
         });
-        // Or until its room is wanted.
-        let _ = select(part, pin!(timeout(LINGER, visit.eviction.notified()))).await;
+        // Ends early if the connection is evicted.
+        let _ = select(drain, pin!(timeout(LINGER, connection.eviction.notified()))).await;
     }
 
-    fn enter(&self, stream: TcpStream) -> Rc<CallerConnection> {
-        let visit = CallerConnection::new(stream);
-        if self.ending.get() {
-            visit.close_when_idle();
+    fn insert(&self, stream: TcpStream) -> Rc<CallerConnection> {
+        let connection = CallerConnection::new(stream);
+        if self.closing_idle.get() {
+            connection.close_when_idle();
         }
-        self.visits.borrow_mut().push(Rc::clone(&visit));
-        visit
+        self.connections.borrow_mut().push(Rc::clone(&connection));
+        connection
     }
 
-    /// For one that has come: waits while the connections are at their most. The longest idle one goes, also where it becomes
-    /// idle meanwhile. At the end there is room for who is there.
+    /// Waits for room for an accepted connection. At the limit, evicts the longest idle connection, or the first to become
+    /// idle. During shutdown there is always room for connections already in the queue.
     async fn make_room(&self) {
-        while self.visits.borrow().len() >= self.most.get() && !self.closed.get() {
-            self.end_idlest(1);
-            let _ = timeout(LOOK, self.left.notified()).await;
+        while self.connections.borrow().len() >= self.max_connections.get() && !self.closed.get() {
+            self.evict_idle(1);
+            let _ = timeout(EVICTION_INTERVAL, self.ended.notified()).await;
         }
     }
 
-    /// The machine grants no connection more. Where this process has as many descriptors as it may, it was told of more than
-    /// that: callers get fewer from now on. Guards against callers that leave none to the watch and to upstreams.
-    fn give_up_some(&self, why: &std::io::Error) {
-        if why.raw_os_error() == Some(Errno::MFILE.raw_os_error()) {
-            let most = self.connections().saturating_sub(SPARE).max(1);
-            tracing::warn!("no descriptors are left, callers get {most} at the most");
-            self.set_max_connections(most);
+    /// Handles a failed accept. If this process has no descriptors left, its limit for connections was too high, and is
+    /// lowered. Guards against callers that leave no descriptors for discovery and upstreams.
+    fn handle_accept_error(&self, error: &std::io::Error) {
+        if error.raw_os_error() == Some(Errno::MFILE.raw_os_error()) {
+            let max_connections = self.connections().saturating_sub(SPARE_DESCRIPTORS).max(1);
+            tracing::warn!("out of file descriptors, callers' connections are limited to {max_connections}");
+            self.set_max_connections(max_connections);
         } else {
-            self.end_idlest(1);
+            self.evict_idle(1);
         }
     }
 
     pub fn connections(&self) -> usize {
-        self.visits.borrow().len()
+        self.connections.borrow().len()
     }
 
-    /// From now on there are this many at the most; idle ones beyond that go now.
-    pub fn set_max_connections(&self, most: usize) {
-        self.most.set(most);
-        self.end_idlest(self.connections().saturating_sub(most));
-        self.left.notify_waiters();
+    /// Sets the limit, and closes idle connections beyond it.
+    pub fn set_max_connections(&self, max_connections: usize) {
+        self.max_connections.set(max_connections);
+        self.evict_idle(self.connections().saturating_sub(max_connections));
+        self.ended.notify_waiters();
     }
 
-    /// Whether who comes is taken in here; who is here stays.
+    /// Sets whether new connections are accepted here. Open ones are not affected.
     pub fn set_accepting(&self, accepting: bool) {
         self.accepting.set(accepting);
-        self.accepts.notify_one();
+        self.accept_changed.notify_one();
     }
 
-    /// Callers come here from now on.
+    /// Accepts connections on this listener from now on.
     pub fn listen(&self, listener: TcpListener) {
         if !self.closed.get() {
             self.listener.replace(Some(listener));
-            self.accepts.notify_one();
+            self.accept_changed.notify_one();
         }
     }
 
-    /// The socket at which callers come, for another process of this balancer; none once it is closed.
+    /// A duplicate of the listening socket, for another process of this balancer; `None` once it is closed.
     pub fn listener(&self) -> Option<OwnedFd> {
         self.listener.borrow().as_ref().and_then(|listener| listener.as_fd().try_clone_to_owned().ok())
     }
 
-    /// So many go. Those that are about to be closed go first, and are none the less counted; then those that have been idle
-    /// longest; then those that pause in half a message; then those that have just come and say nothing yet.
-    fn end_idlest(&self, count: usize) {
-        let visits = self.visits.borrow();
-        let may_go =
-            |v: &&Rc<CallerConnection>| v.is_force_closed() || v.is_idle() || v.has_stalled_request(PAUSED);
-        let mut those: Vec<&Rc<CallerConnection>> = visits.iter().filter(may_go).collect();
-        let place = |v: &Rc<CallerConnection>| match () {
-            () if v.is_being_closed() => 0,
-            () if v.has_partial_request() => 2,
-            () if v.state_since().elapsed() >= PAUSED => 1,
+    /// Evicts `count` connections, in this order: those that are about to be closed, which count as evicted; the longest
+    /// idle; those with a stalled incomplete request; those that have just connected or become idle.
+    fn evict_idle(&self, count: usize) {
+        let connections = self.connections.borrow();
+        let may_evict = |c: &&Rc<CallerConnection>| {
+            c.is_force_closed() || c.is_idle() || c.has_stalled_request(STALL_TIME)
+        };
+        let mut candidates: Vec<&Rc<CallerConnection>> = connections.iter().filter(may_evict).collect();
+        let eviction_class = |c: &Rc<CallerConnection>| match () {
+            () if c.is_being_closed() => 0,
+            () if c.has_partial_request() => 2,
+            () if c.state_since().elapsed() >= STALL_TIME => 1,
             () => 3,
         };
-        those.sort_by_cached_key(|v| (place(v), v.state_since()));
-        // An RPC may have come on one that was accepted in this turn.
-        let those = those.iter().filter(|v| v.is_force_closed() || !v.has_unread_input());
-        those.take(count).for_each(|visit| visit.evict());
+        candidates.sort_by_cached_key(|c| (eviction_class(c), c.state_since()));
+        // A request may have arrived that has not been read yet.
+        let evictable = candidates.iter().filter(|c| c.is_force_closed() || !c.has_unread_input());
+        evictable.take(count).for_each(|connection| connection.evict());
     }
 
-    /// `ending`: connections that are idle go, and those that become idle, until it is said otherwise.
-    pub fn sweep(&self, ending: bool) {
-        let changed = self.ending.replace(ending) != ending;
-        for visit in self.visits.borrow().iter() {
+    /// Closes connections whose time has expired. With `closing`, also closes idle ones, now and as they become idle, until
+    /// a later call withdraws it.
+    pub fn sweep(&self, closing: bool) {
+        let changed = self.closing_idle.replace(closing) != closing;
+        for connection in self.connections.borrow().iter() {
             if changed {
-                visit.set_close_when_idle(ending);
+                connection.set_close_when_idle(closing);
             }
-            let for_long = |time| visit.state_since().elapsed() >= time;
-            let late = visit.has_partial_request() && for_long(COMING);
-            // Who takes nothing, or whom the library does not read from any more.
-            let stuck = visit.is_write_blocked() && for_long(STUCK)
-                || visit.has_partial_request() && for_long(2 * COMING)
-                || visit.is_closing() && for_long(IDLE + COMING);
-            if visit.has_disconnected_unread() {
-                visit.handle_disconnect();
-            } else if stuck {
-                visit.force_close();
-            } else if late {
-                // The library has its turn first: the rest may lie in the socket.
-                visit.expire_partial_request();
-            } else if self.ending.get() && visit.is_idle() {
-                // One that was too new to go.
-                visit.close_when_idle();
-            } else if visit.is_idle() && for_long(if visit.has_sent_request() { IDLE } else { SILENT }) {
-                visit.close_when_idle();
+            let has_lasted = |time| connection.state_since().elapsed() >= time;
+            let is_request_late = connection.has_partial_request() && has_lasted(REQUEST_TIMEOUT);
+            // The caller reads nothing, or the library reads nothing more.
+            let is_stuck = connection.is_write_blocked() && has_lasted(WRITE_TIMEOUT)
+                || connection.has_partial_request() && has_lasted(2 * REQUEST_TIMEOUT)
+                || connection.is_closing() && has_lasted(IDLE_TIMEOUT + REQUEST_TIMEOUT);
+            if connection.has_disconnected_unread() {
+                connection.handle_disconnect();
+            } else if is_stuck {
+                connection.force_close();
+            } else if is_request_late {
+                // The library gets a turn first: the rest of the request may be in the socket.
+                connection.expire_partial_request();
+            } else if self.closing_idle.get() && connection.is_idle() {
+                // Repeated for a connection that was too new to be closed.
+                connection.close_when_idle();
+            } else if connection.is_idle()
+                && has_lasted(if connection.has_sent_request() {
+                    IDLE_TIMEOUT
+                } else {
+                    FIRST_REQUEST_TIMEOUT
+                })
+            {
+                connection.close_when_idle();
             }
         }
     }
 
-    /// Takes in what the machine has accepted already, then nothing new; idle connections are closed, and the
-    /// others after their answer. Returns once none is left.
+    /// Accepts the connections that are in the kernel's queue, then no more. Closes idle connections, and the others after
+    /// their answer. Returns when no connection is left.
     pub async fn shut_down(&self) {
-        self.ending.set(true);
-        // Callers that were on their way are in the queue by then, and the accepting task has had its turn.
+        self.closing_idle.set(true);
+        // By then callers that were connecting are in the queue, and the accepting task has had a turn.
         actix_rt::time::sleep(Duration::from_millis(20)).await;
         self.closed.set(true);
-        self.accepts.notify_one();
-        self.visits.borrow().iter().for_each(|visit| visit.close_when_idle());
+        self.accept_changed.notify_one();
+        self.connections.borrow().iter().for_each(|connection| connection.close_when_idle());
         loop {
-            let left = self.left.notified();
-            if self.listener.borrow().is_none() && self.visits.borrow().is_empty() {
+            let ended = self.ended.notified();
+            if self.listener.borrow().is_none() && self.connections.borrow().is_empty() {
                 return;
             }
-            left.await;
+            ended.await;
         }
     }
 
-    /// The accepting task's last turn.
+    /// Ends the accepting task.
     fn close(&self) {
         self.listener.replace(None);
-        self.left.notify_waiters();
+        self.ended.notify_waiters();
     }
 }
 
-/// Takes the connection off the table, whichever way it ends.
-struct Leave<'a> {
+/// Removes the connection from the table, however its task ends.
+struct RemoveOnDrop<'a> {
     server: &'a Server,
-    visit: &'a Rc<CallerConnection>,
+    connection: &'a Rc<CallerConnection>,
 }
 
-impl Drop for Leave<'_> {
+impl Drop for RemoveOnDrop<'_> {
     fn drop(&mut self) {
-        self.server.visits.borrow_mut().retain(|v| !Rc::ptr_eq(v, self.visit));
-        self.server.left.notify_waiters();
+        self.server.connections.borrow_mut().retain(|c| !Rc::ptr_eq(c, self.connection));
+        self.server.ended.notify_waiters();
     }
 }
 
@@ -376,8 +389,8 @@
     use std::os::fd::OwnedFd;
     use std::os::unix::net::UnixStream;
 
-    /// Guards against a connection that the machine has accepted being closed unserved because its socket grants
-    /// no option that only makes it quicker: a local socket knows none of TCP's.
+    /// Guards against closing an accepted connection unserved because its socket rejects `TCP_NODELAY`, which only reduces
+    /// latency. A Unix socket rejects all options of TCP.
     #[test]
     fn a_connection_that_cannot_be_hurried_is_served_all_the_same() {
         actix_rt::Runtime::new().expect("a runtime").block_on(async {
@@ -386,14 +399,14 @@
             let stream =
                 TcpStream::from_std(std::net::TcpStream::from(OwnedFd::from(ours))).expect("a stream");
             assert!(stream.set_nodelay(true).is_err());
-            let handle = |_, visit: Rc<CallerConnection>| async move {
-                let _guard = visit.begin_request();
+            let handle = |_, connection: Rc<CallerConnection>| async move {
+                let _guard = connection.begin_request();
                 Response::new(StatusCode::IM_A_TEAPOT).set_body(BoxBody::new(""))
             };
             let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-            let service = protocol(handle).new_service(()).await;
-            let Ok(service) = service else { panic!("the server did not start") };
-            Server::new(Some(listener), 1).take_in(&Rc::new(service), stream);
+            let service = http_service(handle).new_service(()).await;
+            let Ok(service) = service else { panic!("cannot start the HTTP service for callers") };
+            Server::new(Some(listener), 1).spawn_connection(&Rc::new(service), stream);
             theirs.set_nonblocking(true).expect("it does not block");
             let mut theirs = tokio::net::UnixStream::from_std(theirs).expect("a stream");
             theirs.write_all(b"GET / HTTP/1.1\r\nHost: n0\r\n\r\n").await.expect("it is written");
--- a/crates/fernroute-server/src/transport/upstream_connections.rs
+++ b/crates/fernroute-server/src/transport/upstream_connections.rs
@@ -1,7 +1,7 @@
-//! Connections to upstreams: how many there are, who has them, and those that stand idle.
+//! Connections to upstreams: the table of all connections and the pools of idle ones.
 
 use super::outbound::{OutboundStream, CURRENT_ATTEMPT};
-use super::{peek, without_delay};
+use super::{peek, set_nodelay};
 use actix_rt::net::TcpStream;
 use bytes::{Buf, BytesMut};
 use futures_util::future::{select, Either};
@@ -17,88 +17,90 @@
 use tokio::io::AsyncWrite;
 use tokio::time::sleep;
 
-/// Connections to one upstream that stand idle, the longest idle first. Emptied as they are used, by their ends, and with
-/// the line to the upstream.
+/// Idle connections to one upstream, the longest idle first. A connection leaves the pool when it is reused or closed; all
+/// of them are closed with the client of the upstream.
 #[derive(Debug)]
 pub struct IdlePool {
     connections: Rc<ConnectionTable>,
     idle: RefCell<VecDeque<Rc<UpstreamConnection>>>,
-    /// They rest for so long first, and are used for so long.
-    rest: Duration,
-    keep: Duration,
-    /// How long an RPC takes of late from its first byte to its answer's last, in seconds.
-    usual: Cell<f64>,
+    /// A connection is not reused for `reuse_delay` after an answer, and is closed after `keep_alive`.
+    reuse_delay: Duration,
+    keep_alive: Duration,
+    /// Moving average of the time from an RPC's first byte to the last byte of its answer, in seconds.
+    mean_rpc_seconds: Cell<f64>,
 }
 
-/// Where RPCs take so many rests, one is waited out for the connection that is there: it costs them little beside, and upstreams
-/// hold only so many connections. Where they are quicker a new one is made beside it.
-const LONG: f64 = 2.0;
+/// If RPCs take at least this many times the reuse delay, they wait for a delayed idle connection: the wait adds little to
+/// their time, and upstreams accept a limited number of connections. Faster RPCs open another connection meanwhile.
+const WAIT_RPC_RATIO: f64 = 2.0;
 
 impl IdlePool {
-    pub fn new(connections: &Rc<ConnectionTable>, rest: Duration, keep: Duration) -> Rc<Self> {
+    pub fn new(connections: &Rc<ConnectionTable>, reuse_delay: Duration, keep_alive: Duration) -> Rc<Self> {
         Rc::new(IdlePool {
             connections: Rc::clone(connections),
             idle: RefCell::default(),
-            rest,
-            keep,
-            usual: Cell::new(0.0),
+            reuse_delay,
+            keep_alive,
+            mean_rpc_seconds: Cell::new(0.0),
         })
     }
 
-    /// After an answer that took so long.
+    /// Adds a connection after an answer that took `took`.
     pub(super) fn put_back(self: &Rc<Self>, stream: TcpStream, took: Duration) {
-        /// Some ten answers.
-        const RECENT: f64 = 0.1;
-        self.usual.set(self.usual.get() + RECENT * (took.as_secs_f64() - self.usual.get()));
+        /// Weight of a new value: averages over about ten answers.
+        const WEIGHT: f64 = 0.1;
+        self.mean_rpc_seconds
+            .set(self.mean_rpc_seconds.get() + WEIGHT * (took.as_secs_f64() - self.mean_rpc_seconds.get()));
         let mut idle = self.idle.borrow_mut();
         idle.retain(|connection| connection.stream.borrow().is_some());
-        let connection = self.connections.enter(stream, Rc::downgrade(self));
+        let connection = self.connections.insert(stream, Rc::downgrade(self));
         connection.idle_since.set(Some(Instant::now()));
         idle.push_back(connection);
     }
 
-    /// The longest idle one that may be used, and how long it still rests; those that were kept too long are closed.
+    /// The longest idle connection that is still usable, and its remaining reuse delay. Closes those that were idle too long.
     fn take(&self) -> Option<(Rc<UpstreamConnection>, Duration)> {
         let mut idle = self.idle.borrow_mut();
         while let Some(connection) = idle.pop_front() {
-            // One that was closed to make room may be among them.
-            let age = connection.idle_since.get().map_or(self.keep, |since| since.elapsed());
-            if age < self.keep && connection.stream.borrow().is_some() {
-                return Some((connection, self.rest.saturating_sub(age)));
+            // The stream is gone if the connection was closed to make room for another.
+            let age = connection.idle_since.get().map_or(self.keep_alive, |since| since.elapsed());
+            if age < self.keep_alive && connection.stream.borrow().is_some() {
+                return Some((connection, self.reuse_delay.saturating_sub(age)));
             }
         }
         None
     }
 
-    /// An idle connection, or a new one. One that rests is waited for; where that is long against what an RPC takes, beside a
-    /// new one that is made.
+    /// Returns an idle connection, or opens one. If the reuse delay of the idle one is not over, waits for it; where that
+    /// takes long in comparison with an RPC, opens a new connection meanwhile and returns whichever is ready first.
     pub async fn connect(self: &Rc<Self>, address: SocketAddr) -> io::Result<OutboundStream> {
         while let Some((connection, left)) = self.take() {
-            let is_waited_out = self.usual.get() >= LONG * self.rest.as_secs_f64();
-            if left.is_zero() || is_waited_out {
+            let is_wait_short =
+                self.mean_rpc_seconds.get() >= WAIT_RPC_RATIO * self.reuse_delay.as_secs_f64();
+            if left.is_zero() || is_wait_short {
                 if !left.is_zero() {
                     sleep(left).await;
                 }
                 if connection.is_quiet() {
-                    return Ok(OutboundStream::of(connection));
+                    return Ok(OutboundStream::reusing(connection));
                 }
                 continue;
             }
-            let (rested, new) =
+            let (delay_over, new) =
                 (pin!(sleep(left)), pin!(self.connections.connect(address, Rc::downgrade(self))));
-            return match select(rested, new).await {
-                Either::Left((_, _)) if connection.is_quiet() => Ok(OutboundStream::of(connection)),
+            return match select(delay_over, new).await {
+                Either::Left((_, _)) if connection.is_quiet() => Ok(OutboundStream::reusing(connection)),
                 Either::Left((_, new)) => new.await,
                 Either::Right((Ok(new), _)) => {
                     self.idle.borrow_mut().push_front(connection);
                     Ok(new)
                 }
-                Either::Right((Err(why), rested)) => {
-                    rested.await;
+                Either::Right((Err(error), delay_over)) => {
+                    delay_over.await;
                     if connection.is_quiet() {
-                        return Ok(OutboundStream::of(connection));
+                        return Ok(OutboundStream::reusing(connection));
                     }
-                    Err(why)
+                    Err(error)
                 }
             };
         }
@@ -106,160 +108,163 @@
     }
 }
 
-/// A connection's place in the table; it is closed by taking the stream out.
+/// A connection in the table. Taking the stream out closes it.
 #[derive(Debug)]
 pub(super) struct UpstreamConnection {
     pub(super) stream: RefCell<Option<TcpStream>>,
-    /// What the socket has not taken yet. The library may stop flushing a long body before its end, so all
-    /// of it is taken here at once; flushing then writes it out.
-    pub(super) left: RefCell<BytesMut>,
+    /// Bytes that the socket has not accepted yet. `awc` may stop flushing a long body before its end, so `poll_write`
+    /// accepts everything at once, and flushing writes it out.
+    pub(super) unsent: RefCell<BytesMut>,
     pub(super) idle_since: Cell<Option<Instant>>,
-    /// The answer on it has come whole, nothing behind it, and it says nothing of an end.
+    /// The answer is complete, nothing has followed it, and the answer does not announce that the connection closes.
     pub(super) reusable: Cell<bool>,
-    /// Where it stands between two RPCs, if it is kept.
-    pub(super) home: Weak<IdlePool>,
-    pub(super) most_body: u64,
+    /// The pool to which the connection returns after an answer, if any.
+    pub(super) pool: Weak<IdlePool>,
+    pub(super) max_body: u64,
 }
 
 impl UpstreamConnection {
-    /// Nothing has come on it, and it has not ended.
+    /// Nothing has been received on it, and the upstream has not closed it.
     fn is_quiet(&self) -> bool {
         self.stream.borrow().as_ref().is_some_and(|stream| peek(stream) == Err(Errno::AGAIN))
     }
 
     pub(super) fn with<T>(
         &self,
-        act: impl FnOnce(Pin<&mut TcpStream>) -> Poll<io::Result<T>>,
+        operation: impl FnOnce(Pin<&mut TcpStream>) -> Poll<io::Result<T>>,
     ) -> Poll<io::Result<T>> {
         match self.stream.borrow_mut().as_mut() {
-            Some(stream) => act(Pin::new(stream)),
+            Some(stream) => operation(Pin::new(stream)),
             None => Poll::Ready(Err(io::ErrorKind::NotConnected.into())),
         }
     }
 
-    pub(super) fn write_left(&self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        let mut left = self.left.borrow_mut();
-        while !left.is_empty() {
-            match std::task::ready!(self.with(|stream| stream.poll_write(cx, &left)))? {
+    pub(super) fn write_unsent(&self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        let mut unsent = self.unsent.borrow_mut();
+        while !unsent.is_empty() {
+            match std::task::ready!(self.with(|stream| stream.poll_write(cx, &unsent)))? {
                 0 => return Poll::Ready(Err(io::ErrorKind::WriteZero.into())),
-                n => left.advance(n),
+                n => unsent.advance(n),
             }
         }
-        // An idle connection keeps no memory for it.
-        *left = BytesMut::new();
+        // Frees the buffer: an idle connection uses no memory for it.
+        *unsent = BytesMut::new();
         Poll::Ready(Ok(()))
     }
 }
 
-/// All connections to upstreams. Emptied as they are closed.
+/// All connections to upstreams. Closed ones are removed.
 #[derive(Debug)]
 pub struct ConnectionTable {
     all: RefCell<Vec<Weak<UpstreamConnection>>>,
-    /// How many are being made.
-    coming: Cell<usize>,
-    most: Cell<usize>,
-    /// The longest body of an answer.
-    most_body: u64,
+    /// Number of connections that are being opened.
+    opening: Cell<usize>,
+    max_connections: Cell<usize>,
+    /// Limit for the body of an answer, in bytes.
+    max_body: u64,
 }
 
 impl ConnectionTable {
-    pub fn new(most: usize, most_body: usize) -> Self {
+    pub fn new(max_connections: usize, max_body: usize) -> Self {
         ConnectionTable {
             all: RefCell::default(),
-            coming: Cell::new(0),
-            most: Cell::new(most),
-            most_body: most_body as u64,
+            opening: Cell::new(0),
+            max_connections: Cell::new(max_connections),
+            max_body: max_body as u64,
         }
     }
 
-    /// Connects, if there is room; at the limit the longest idle connection goes. It is kept at `home`, or nowhere.
-    pub async fn connect(&self, address: SocketAddr, home: Weak<IdlePool>) -> io::Result<OutboundStream> {
-        /// No descriptors left in this process or on this machine, no local port left.
-        const OURS: [i32; 3] = [23, 24, 99];
-        let hold_back = || CURRENT_ATTEMPT.try_with(|attempt| attempt.held_back.set(true));
+    /// Opens a connection. At the limit it closes the longest idle one, or fails if there is none. `pool` is the pool to
+    /// which the connection returns; a dangling reference means that it is closed after the answer.
+    pub async fn connect(&self, address: SocketAddr, pool: Weak<IdlePool>) -> io::Result<OutboundStream> {
+        /// ENFILE, EMFILE, EADDRNOTAVAIL: no descriptors left on this machine or in this process, or no local port.
+        const LOCAL_LIMIT_ERRORS: [i32; 3] = [23, 24, 99];
+        let mark_held_back = || CURRENT_ATTEMPT.try_with(|attempt| attempt.held_back.set(true));
         if !self.make_room() {
-            let _ = hold_back();
-            return Err(io::Error::other("all connections are busy"));
+            let _ = mark_held_back();
+            return Err(io::Error::other(
+                "connection limit reached, all connections to upstreams are in use",
+            ));
         }
-        self.coming.set(self.coming.get() + 1);
-        let coming = Coming(&self.coming);
+        self.opening.set(self.opening.get() + 1);
+        let guard = OpeningGuard(&self.opening);
         let stream = TcpStream::connect(address).await;
-        drop(coming);
-        let stream = stream.inspect_err(|why| {
-            if why.raw_os_error().is_some_and(|code| OURS.contains(&code)) {
-                let _ = hold_back();
+        drop(guard);
+        let stream = stream.inspect_err(|error| {
+            if error.raw_os_error().is_some_and(|code| LOCAL_LIMIT_ERRORS.contains(&code)) {
+                let _ = mark_held_back();
             }
         })?;
-        without_delay(&stream);
-        Ok(OutboundStream::new(self.enter(stream, home)))
+        set_nodelay(&stream);
+        Ok(OutboundStream::new(self.insert(stream, pool)))
     }
 
-    fn enter(&self, stream: TcpStream, home: Weak<IdlePool>) -> Rc<UpstreamConnection> {
+    fn insert(&self, stream: TcpStream, pool: Weak<IdlePool>) -> Rc<UpstreamConnection> {
         let connection = Rc::new(UpstreamConnection {
             stream: RefCell::new(Some(stream)),
-            left: RefCell::default(),
+            unsent: RefCell::default(),
             idle_since: Cell::new(None),
             reusable: Cell::new(false),
-            home,
-            most_body: self.most_body,
+            pool,
+            max_body: self.max_body,
         });
         self.all.borrow_mut().push(Rc::downgrade(&connection));
         connection
     }
 
-    /// How many there are, those that are being made with them.
+    /// Number of connections, including those that are being opened.
     pub fn count(&self) -> usize {
         self.all
             .borrow()
             .iter()
             .filter(|connection| connection.upgrade().is_some_and(|s| s.stream.borrow().is_some()))
             .count()
-            + self.coming.get()
+            + self.opening.get()
     }
 
-    /// From now on there are this many at the most; idle ones beyond that go at once.
-    pub fn set_max_connections(&self, most: usize) {
-        self.most.set(most);
-        while self.count() > most && self.end_idlest() {}
+    /// Sets the limit, and closes idle connections beyond it.
+    pub fn set_max_connections(&self, max: usize) {
+        self.max_connections.set(max);
+        while self.count() > max && self.close_longest_idle() {}
     }
 
     fn make_room(&self) -> bool {
-        self.clear();
-        if self.all.borrow().len() + self.coming.get() < self.most.get() {
+        self.remove_closed();
+        if self.all.borrow().len() + self.opening.get() < self.max_connections.get() {
             return true;
         }
-        self.end_idlest()
+        self.close_longest_idle()
     }
 
-    fn end_idlest(&self) -> bool {
+    fn close_longest_idle(&self) -> bool {
         let all = self.all.borrow();
         let idle = all.iter().filter_map(Weak::upgrade).filter(|s| s.idle_since.get().is_some());
         let oldest = idle.filter(|s| s.stream.borrow().is_some()).min_by_key(|s| s.idle_since.get());
         oldest.is_some_and(|s| s.stream.take().is_some())
     }
 
-    /// Closes what has stood idle for this long. The pool looks at a connection only when it wants one to
-    /// the same address: without this, what upstreams closed would hold descriptors for good.
-    pub fn sweep(&self, idle: Duration) {
+    /// Closes connections that have been idle for `keep_alive`. A pool examines a connection only when it needs one to the
+    /// same address: without this, connections closed by upstreams would hold descriptors indefinitely.
+    pub fn sweep(&self, keep_alive: Duration) {
         for connection in self.all.borrow().iter().filter_map(Weak::upgrade) {
-            if connection.idle_since.get().is_some_and(|since| since.elapsed() >= idle) {
+            if connection.idle_since.get().is_some_and(|since| since.elapsed() >= keep_alive) {
                 connection.stream.take();
             }
         }
-        self.clear();
+        self.remove_closed();
     }
 
-    fn clear(&self) {
+    fn remove_closed(&self) {
         self.all
             .borrow_mut()
             .retain(|connection| connection.upgrade().is_some_and(|s| s.stream.borrow().is_some()));
     }
 }
 
-/// Counts a connection that is being made, until it is made or given up.
-struct Coming<'a>(&'a Cell<usize>);
+/// Counts a connection that is being opened, until it is open or has failed.
+struct OpeningGuard<'a>(&'a Cell<usize>);
 
-impl Drop for Coming<'_> {
+impl Drop for OpeningGuard<'_> {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
