--- a/crates/fernroute/src/balancer.rs
+++ b/crates/fernroute/src/balancer.rs
@@ -1,5 +1,5 @@
-//! The [`Balancer`]: one method for each event, which takes it to the modules that keep the state, and acts through the
-//! [`Host`]. It also draws the upstream of each attempt.
+//! The [`Balancer`] has one method for each kind of event. It passes the event to the modules that keep the state, picks the
+//! upstream of each attempt, and acts through the [`Host`].
 //!
 //! By default each upstream has a circuit breaker, fed by this balancer's own outcomes, and an attempt goes to a random upstream
 //! among those with a closed breaker, weighted by reported headroom. Six mechanisms add to this (`docs/design.md`):
@@ -235,7 +235,7 @@
 
     /// Draws one of the upstreams that the rules and the breakers allow, weighted by reported headroom.
     fn pick_upstream(&mut self, rpc: &Rpc) -> Option<Id> {
-        /// Well under one half, and above zero so that a full upstream still gets an RPC now and then and with it reports its load.
+        /// Well under one half, and above zero: a full upstream still gets an RPC now and then, with whose response it reports its load.
         const MIN_HEADROOM: f64 = 0.05;
         /// The factor on the weight of local upstreams, by the cost of leaving the zone: at most this, so that missing headroom
         /// still outweighs it when they are nearly full.
@@ -245,7 +245,7 @@
         const UNCACHED_FACTOR: f64 = 0.03;
         /// How many positions beyond the replicas of a key are considered, local and remote.
         const EXTRA_POSITIONS: usize = 4;
-        /// High enough that a crowded upstream gets next to nothing as long as others have room; doubled where counts tell which
+        /// High enough that an overloaded upstream gets next to nothing while others have headroom; doubled where counts tell which
         /// one is idle.
         const LOAD_EXPONENT: i32 = 8;
         let (now, has_counts) = (self.now, self.has_load_counts());
@@ -265,7 +265,7 @@
             }
             None => (self.ring.order().to_vec(), self.subset_size()),
         };
-        // Upstreams in ring order until there are enough candidates; the last resorts are those passed over on the way.
+        // Takes upstreams in ring order until there are enough candidates; the last resorts are those passed over on the way.
         let (mut candidates, mut last_resorts): (Vec<Id>, Vec<Id>) = (Vec::new(), Vec::new());
         for id in order {
             if candidates.len() >= max_candidates {
@@ -307,7 +307,7 @@
             let warmth = upstream.slow_start_weight(&self.settings.slow_start, now);
             let headroom = upstream.utilisation().map_or(mean_headroom, |used| 1.0 - used);
             let weight = headroom.max(MIN_HEADROOM) * warmth;
-            // Not during slow start: all balancers of a zone that comes back would crowd its upstreams.
+            // Not during slow start: all balancers of a zone that comes back would overload its upstreams.
             let is_preferred = prefers_local && upstream.zone() == self.settings.zone && warmth >= 1.0;
             let weight = if is_preferred { weight * local_factor } else { weight };
             // An upstream with more load than others gets less weight. Overdue attempts count twice, and recent failures as if
@@ -633,7 +633,7 @@
         }
         let Some(verdict) = verdict else { return };
         let previous = upstream.breaker().state();
-        // No breaker opens while a third of the upstreams are ejected: a fault that so many share is not this upstream's own.
+        // No closed breaker opens while a third of the upstreams are ejected: a fault that so many share is not this upstream's own.
         if upstream.breaker_mut().record(verdict, now)
             && (previous == State::HalfOpen || ejected < max_ejected)
         {
--- a/crates/fernroute/tests/deployments.rs
+++ b/crates/fernroute/tests/deployments.rs
@@ -152,7 +152,7 @@
 #[test]
 fn upstream_that_reports_a_long_queue_is_avoided() {
     let (mut balancer, host) = balancer_with(6, COUNT_SETTINGS);
-    let crowded = upstream(2).0;
+    let overloaded = upstream(2).0;
     let mut received = 0;
     for i in 0..300 {
         let id = format!("r{i}");
@@ -160,8 +160,8 @@
         let at = START + i * SECOND / 5;
         balancer.rpc_arrived(at, &id, "m0", "", "", 3 * SECOND);
         let Some(to) = host.0.borrow().sent.get(before).map(|(_, to, _)| to.clone()) else { continue };
-        received += usize::from(to == crowded && i > 50);
-        let in_flight = if to == crowded { 4.0 } else { 1.0 };
+        received += usize::from(to == overloaded && i > 50);
+        let in_flight = if to == overloaded { 4.0 } else { 1.0 };
         let latency = (500.0 * in_flight) as Time;
         balancer.attempt_ended(
             at + latency,
@@ -173,7 +173,7 @@
             &[0.5, in_flight, in_flight - 1.0],
         );
     }
-    assert!(received < 10, "{received} of 250 RPCs to the crowded upstream, one of six");
+    assert!(received < 10, "{received} of 250 RPCs to the overloaded upstream, one of six");
 }
 
 /// Guards against work for responses that come too late, and against final answers that are delayed.
