--- a/crates/fernroute-coordinator/src/commands/change.rs
+++ b/crates/fernroute-coordinator/src/commands/change.rs
@@ -51,6 +51,6 @@
 }
 
 fn summary(names: &[String], added: &[String]) -> String {
-    let added = if added.is_empty() { "nobody".to_owned() } else { added.join(", ") };
-    format!("the ledger's processes are {}; taken in: {added}", names.join(", "))
+    let added = if added.is_empty() { "none".to_owned() } else { added.join(", ") };
+    format!("the coordinators are {}; added: {added}", names.join(", "))
 }
--- a/crates/fernroute-coordinator/src/commands/client.rs
+++ b/crates/fernroute-coordinator/src/commands/client.rs
@@ -70,7 +70,7 @@
     }
 }
 
-/// Reads what one coordinator says of itself at `path`.
+/// Gets `path` from one coordinator.
 ///
 /// # Errors
 /// It did not reply in time.
@@ -86,7 +86,7 @@
     /// There is no address, or none of the coordinators replied.
     pub async fn connect(addresses: &[SocketAddr]) -> Result<Self, CommandError> {
         if addresses.is_empty() {
-            return Err(CommandError::Usage("--at names no steward".to_owned()));
+            return Err(CommandError::Usage("--at: no coordinator is named".to_owned()));
         }
         let mut errors = Vec::new();
         for address in addresses {
@@ -149,11 +149,11 @@
             match reply {
                 Ok(Ok(reply)) => return Ok(reply),
                 Ok(Err(RequestError::NotLeader(Some(leader)))) => {
-                    last_error = format!("{address}: {leader} leads, or did");
+                    last_error = format!("{address}: not the leader, redirected to {leader}");
                     address = leader;
                 }
                 Ok(Err(RequestError::NotLeader(None))) => {
-                    return Err(AttemptError::NotLeader(format!("{address}: nobody leads")));
+                    return Err(AttemptError::NotLeader(format!("{address}: no leader is known")));
                 }
                 Ok(Err(RequestError::Unknown(reason))) => {
                     return Err(AttemptError::Uncertain(format!("{address}: {reason}")));
--- a/crates/fernroute-coordinator/src/commands/configuration/file.rs
+++ b/crates/fernroute-coordinator/src/commands/configuration/file.rs
@@ -16,19 +16,19 @@
         source: std::io::Error,
     },
     /// It is longer than the coordinators accept.
-    #[error("{}: it has {bytes} bytes, over {MAX_CONTENT_BYTES}", path.display())]
+    #[error("{}: it has {bytes} bytes, the limit is {MAX_CONTENT_BYTES}", path.display())]
     TooLong {
         /// The file.
         path: PathBuf,
         /// Its length.
         bytes: usize,
     },
-    /// It is no text.
+    /// It is not UTF-8.
     #[error("{}: {source}", path.display())]
     NotUtf8 {
         /// The file.
         path: PathBuf,
-        /// The first byte that is no UTF-8.
+        /// Where it is not UTF-8.
         source: std::string::FromUtf8Error,
     },
     /// A balancer would reject it.
--- a/crates/fernroute-coordinator/src/commands/configuration/mod.rs
+++ b/crates/fernroute-coordinator/src/commands/configuration/mod.rs
@@ -1,7 +1,7 @@
 //! `fernroute-coordinator configuration`: the versioned configuration of the balancers of a fleet.
 //!
 //! `put` enters a part of a balancer's file and waits for its rollout, `table` prints status and history; the
-//! shorter commands stand here.
+//! shorter commands are in this file.
 
 mod file;
 mod put;
@@ -128,7 +128,7 @@
     let content = file::read(&arguments.file)?;
     file::validate(&arguments.file, &content)?;
     let (path, hash) = (arguments.file.display(), content_hash(&content));
-    println!("{path}: will do: {} bytes, {hash}", content.len());
+    println!("{path}: valid: {} bytes, {hash}", content.len());
     Ok(())
 }
 
--- a/crates/fernroute-coordinator/src/commands/configuration/put.rs
+++ b/crates/fernroute-coordinator/src/commands/configuration/put.rs
@@ -48,13 +48,13 @@
 #[derive(Debug, thiserror::Error)]
 pub enum PutError {
     /// Neither the arguments nor the environment name an author.
-    #[error("--who: nobody is named, and $USER is not there")]
+    #[error("--who: it is absent, and $USER is not set")]
     NoAuthor,
-    /// `--wait` is negative, no number or too large.
+    /// `--wait` is negative, not a number or too large.
     #[error("--wait: {0}")]
     InvalidWait(#[from] TryFromFloatSecsError),
     /// The file is based on another version than the scope's latest.
-    #[error("{latest}; the file was made from version {base_version}")]
+    #[error("{latest}; the file is based on version {base_version}")]
     OutOfDate {
         /// The scope's latest entry, in one line.
         latest: String,
@@ -65,9 +65,7 @@
     #[error(transparent)]
     Call(#[from] CallError),
     /// No attempt got a definite reply.
-    #[error(
-        "not known whether it is entered, see history, or put it again with --from {base_version}: {source}"
-    )]
+    #[error("outcome unknown, see history, or repeat with --from {base_version}: {source}")]
     OutcomeUnknown {
         /// The version that the file is based on.
         base_version: Version,
@@ -110,7 +108,7 @@
 fn rollout_unknown_text(error: &CallError) -> String {
     match error {
         CallError::NoLeader(_) | CallError::Rejected(RequestError::Rejected(_)) => {
-            format!("where it is in force is not known: {error}")
+            format!("its rollout state is unknown: {error}")
         }
         CallError::Rejected(_) => error.to_string(),
     }
@@ -172,14 +170,14 @@
 }
 
 fn out_of_date(latest: Option<&HistoryEntry>, request: &PutRequest) -> PutError {
-    let unknown = || format!("{}: of another version", request.scope);
+    let unknown = || format!("{}: its latest version is another one", request.scope);
     PutError::OutOfDate {
         latest: latest.map_or_else(unknown, entry_summary),
         base_version: request.base_version,
     }
 }
 
-/// The version under which the history has this very request.
+/// The version under which this request is in the history.
 async fn entered_version(client: &Client, request: &PutRequest) -> Result<Option<Version>, PutError> {
     let history: Result<Vec<HistoryEntry>, CallFailure> =
         client.call(HISTORY_PATH, &Some(&request.scope)).await;
--- a/crates/fernroute-coordinator/src/commands/configuration/table.rs
+++ b/crates/fernroute-coordinator/src/commands/configuration/table.rs
@@ -27,7 +27,7 @@
         if !self.0.is_reachability_known {
             writeln!(
                 out,
-                "it has been elected just now: a member that is not heard of may not have come yet"
+                "the leader was elected recently: a member that is not heard of may not have sent it a heartbeat yet"
             )?;
         }
         Ok(())
--- a/crates/fernroute-coordinator/src/commands/duties.rs
+++ b/crates/fernroute-coordinator/src/commands/duties.rs
@@ -78,12 +78,12 @@
     while Instant::now() < deadline {
         let status: DutiesStatus = client.call(STATUS_PATH, &()).await?;
         let Some(current) = status.duties.iter().find(|current| current.duty == duty) else {
-            println!("{duty}: {holder} gave it up; it is named no more");
+            println!("{duty}: {holder} released it; the duty is no longer configured");
             return Ok(());
         };
         if let Some(next) = current.holder.as_ref().filter(|next| next.term > term) {
             let HolderStatus { name, term: next_term, .. } = next;
-            println!("{duty}: {holder} gave it up, term {term}; {name} holds it, term {next_term}");
+            println!("{duty}: {holder} released it, term {term}; {name} holds it, term {next_term}");
             return Ok(());
         }
         actix_rt::time::sleep(POLL_INTERVAL).await;
--- a/crates/fernroute-coordinator/src/commands/error.rs
+++ b/crates/fernroute-coordinator/src/commands/error.rs
@@ -11,7 +11,7 @@
 /// Why a command ended without success; its text is the operator's one-line error.
 #[derive(Debug, thiserror::Error)]
 pub enum CommandError {
-    /// The arguments are not those of a command.
+    /// The arguments are not valid.
     #[error("{0}")]
     Usage(String),
     /// The configuration file of the coordinator cannot be used.
@@ -31,7 +31,7 @@
         /// The system's error.
         source: io::Error,
     },
-    /// The replica of this process, or a coordinator that was called, failed: its own text.
+    /// The error of this process's replica, or of a coordinator that was called.
     #[error("{0}")]
     Coordinator(String),
     /// The leader was not reached, or rejected the call.
@@ -44,14 +44,14 @@
     #[error(transparent)]
     Put(#[from] PutError),
     /// `configuration get` of a scope without an entry.
-    #[error("{0}: nothing was ever put")]
+    #[error("{0}: the scope has no entry")]
     NothingPut(Scope),
     /// A duty was released, and has no new holder in time.
-    #[error("{duty}: {holder} is to give it up, and nobody else holds it yet")]
+    #[error("{duty}: {holder} was told to release it, and there is no new holder yet")]
     NoNewHolder {
         /// The duty's name.
         duty: String,
-        /// The member that it was taken from.
+        /// The member that was told to release it.
         holder: String,
     },
     /// A reply could not be printed as JSON.
--- a/crates/fernroute-coordinator/src/commands/serve.rs
+++ b/crates/fernroute-coordinator/src/commands/serve.rs
@@ -62,11 +62,11 @@
     let (coordinators, budgets, duties) =
         (config.coordinators.len(), config.budgets.len(), config.duties.len());
     let CoordinatorConfig { name, cluster, .. } = config;
-    println!("{name} of {cluster}: {coordinators} stewards, {budgets} budgets, {duties} duties");
+    println!("{name} of {cluster}: {coordinators} coordinators, {budgets} budgets, {duties} duties");
     Ok(())
 }
 
-/// Logs to standard error from the level on that the environment names, info by default. The consensus
+/// Logs to standard error at the level that the environment names, info by default. The consensus
 /// library logs many lines a second while a coordinator is down, so its own lines are left out below debug.
 fn start_logging(json: bool) {
     let level = std::env::var(LOG_LEVEL_VARIABLE).ok().and_then(|name| name.parse().ok());
@@ -91,7 +91,7 @@
     let listener =
         TcpListener::bind(address).await.map_err(|source| CommandError::Listen { address, source })?;
     let replica = Replica::open(config).await.map_err(CommandError::coordinator)?;
-    tracing::info!("steward {name} serving on {address}");
+    tracing::info!("coordinator {name} serving on {address}");
     let server = pin!(http::serve(Rc::clone(&replica), listener));
     let consensus = pin!(run_consensus(Rc::clone(&replica), bootstrap_at_once));
     let (terminated, interrupted) = (pin!(terminate.recv()), pin!(interrupt.recv()));
--- a/crates/fernroute-coordinator/src/commands/status.rs
+++ b/crates/fernroute-coordinator/src/commands/status.rs
@@ -48,11 +48,11 @@
         let leader = self.0.leader.as_deref().unwrap_or("nobody");
         writeln!(out, "{cluster}: {name} is {state}, {leader} leads (term {term}), epoch {epoch}\n")?;
         if let Some(fault) = &self.0.fault {
-            writeln!(out, "takes no part: {fault}\n")?;
+            writeln!(out, "replica unavailable: {fault}\n")?;
         }
         let coordinators: Vec<String> = self.0.replicas.iter().map(name_and_vote).collect();
         let coordinators = coordinators.join(", ");
-        writeln!(out, "stewards: {coordinators}; messages that could not be read: {unreadable_messages}\n")
+        writeln!(out, "coordinators: {coordinators}; unreadable messages: {unreadable_messages}\n")
     }
 
     fn write_budgets(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -82,6 +82,6 @@
 }
 
 fn name_and_vote(coordinator: &ReplicaStatus) -> String {
-    let note = if coordinator.is_voter { "" } else { " (being taken in)" };
+    let note = if coordinator.is_voter { "" } else { " (learner)" };
     format!("{}{note}", coordinator.name)
 }
--- a/crates/fernroute-coordinator/src/config.rs
+++ b/crates/fernroute-coordinator/src/config.rs
@@ -51,10 +51,10 @@
 /// Why a text is no valid configuration.
 #[derive(Debug, thiserror::Error)]
 pub enum InvalidConfig {
-    /// It is no TOML, or a key or the type of a value is not known.
+    /// It is not valid TOML, a key is unknown, or a value has another type.
     #[error("line {line}: {}", source.message().replace('\n', " "))]
     Syntax {
-        /// The line, counted from 1; 0 where the parser names no place.
+        /// The line, counted from 1; 0 where the parser gives no position.
         line: usize,
         /// The parser's error.
         source: toml::de::Error,
@@ -109,14 +109,14 @@
 
 /// A duty: work that one balancer of the fleet does at a time.
 #[derive(Clone, Debug, Deserialize)]
-#[serde(deny_unknown_fields, expecting = "struct DutyPage")]
+#[serde(deny_unknown_fields, expecting = "a [[duty]] table")]
 struct RawDuty {
     name: String,
 }
 
 /// A budget that the fleet shares.
 #[derive(Clone, Debug, Deserialize)]
-#[serde(deny_unknown_fields, expecting = "struct BudgetPage")]
+#[serde(deny_unknown_fields, expecting = "a [[budget]] table")]
 struct RawBudget {
     name: String,
     /// Units per second over the fleet.
@@ -155,7 +155,7 @@
 
 /// Name and address of one coordinator.
 #[derive(Clone, Debug, Deserialize)]
-#[serde(deny_unknown_fields, expecting = "struct Steward")]
+#[serde(deny_unknown_fields, expecting = "a [[steward]] table")]
 pub struct CoordinatorAddress {
     /// Its name, unique within the cluster.
     pub name: String,
@@ -194,7 +194,7 @@
     /// Reads and validates a file.
     ///
     /// # Errors
-    /// The file can't be read, or [`CoordinatorConfig::decode`] rejects its text.
+    /// The file cannot be read, or [`CoordinatorConfig::decode`] rejects its text.
     pub fn read(path: &Path) -> Result<Self, ConfigError> {
         let text = std::fs::read_to_string(path)
             .map_err(|source| ConfigError::Unreadable { path: path.to_owned(), source })?;
@@ -216,7 +216,7 @@
             return Err(InvalidConfig::Values(faults));
         }
         let Some(address) = raw.own_address() else {
-            let problem = "no steward has it".to_owned();
+            let problem = "no [[steward]] has this name".to_owned();
             return Err(InvalidConfig::Values(vec![ConfigFault { key: "name".to_owned(), problem }]));
         };
         Ok(raw.into_config(address))
@@ -251,7 +251,7 @@
         }
     }
 
-    /// All that is out of range, in the order of the file's keys.
+    /// All values that are out of range, in the order of the file's keys.
     fn faults(&self) -> Vec<ConfigFault> {
         let mut faults = FaultList::default();
         self.check_fleet(&mut faults);
@@ -283,17 +283,17 @@
         faults.require(
             lease_ms >= MIN_HEARTBEATS_PER_GRANT_LEASE * heartbeat_ms,
             "shares_ms",
-            format!("{lease_ms} is shorter than three beats of beat_ms: {heartbeat_ms}"),
+            format!("{lease_ms} is shorter than three heartbeats, beat_ms is {heartbeat_ms}"),
         );
         faults.require(
             (lease_ms / MS_PER_SECOND..=MAX_GUARANTEE_LEASE_S).contains(&self.guarantee_lease_s),
             "floors_s",
-            format!("{} is under shares_ms, or over a day", self.guarantee_lease_s),
+            format!("{} is shorter than shares_ms or longer than one day", self.guarantee_lease_s),
         );
         faults.require(
             self.drift_ppm <= MAX_DRIFT_PPM,
             "drift_ppm",
-            format!("{} is over {MAX_DRIFT_PPM}", self.drift_ppm),
+            format!("{} is greater than {MAX_DRIFT_PPM}", self.drift_ppm),
         );
     }
 
@@ -302,15 +302,19 @@
         faults.require(
             matches!(count, 1 | 3 | 5 | 7),
             "steward",
-            format!("{count} of them; one, three or five outlive none, one or two"),
+            format!("{count} entries, expected 1, 3, 5 or 7"),
+        );
+        faults.require(
+            self.own_address().is_some(),
+            "name",
+            format!("no [[steward]] is named {}", self.name),
         );
-        faults.require(self.own_address().is_some(), "name", format!("no steward is called {}", self.name));
         let (mut names, mut addresses) = (BTreeSet::new(), BTreeSet::new());
         for (index, CoordinatorAddress { name, address }) in self.coordinators.iter().enumerate() {
             let (name_key, address_key) =
                 (format!("steward[{index}].name"), format!("steward[{index}].address"));
-            faults.require(names.insert(name), &name_key, format!("{name} is there twice"));
-            faults.require(addresses.insert(address), &address_key, format!("{address} is there twice"));
+            faults.require(names.insert(name), &name_key, format!("{name} is a duplicate"));
+            faults.require(addresses.insert(address), &address_key, format!("{address} is a duplicate"));
             faults.require(address.port() != 0, &address_key, format!("{address} has no port"));
         }
     }
@@ -321,7 +325,7 @@
             faults.require(
                 names.insert(&budget.name),
                 &format!("budget[{index}].name"),
-                format!("{} is there twice", budget.name),
+                format!("{} is a duplicate", budget.name),
             );
             faults.require(
                 (MIN_BUDGET_PER_S..=MAX_BUDGET_PER_S).contains(&budget.limit_per_s),
@@ -331,7 +335,7 @@
             faults.require(
                 (0.0..=1.0).contains(&budget.guaranteed_fraction),
                 &format!("budget[{index}].floors"),
-                format!("{} is beyond the whole", budget.guaranteed_fraction),
+                format!("{} is not between 0 and 1", budget.guaranteed_fraction),
             );
         }
     }
@@ -344,18 +348,18 @@
         faults.require(
             !is_too_short,
             "duties_ms",
-            format!("{lease_ms} is shorter than four beats of beat_ms: {heartbeat_ms}"),
+            format!("{lease_ms} is shorter than four heartbeats, beat_ms is {heartbeat_ms}"),
         );
     }
 
     fn check_duties(&self, faults: &mut FaultList) {
         let count = self.duties.len();
-        faults.require(count <= MAX_DUTIES, "duty", format!("{count} of them, over {MAX_DUTIES}"));
+        faults.require(count <= MAX_DUTIES, "duty", format!("{count} entries, the limit is {MAX_DUTIES}"));
         let mut names = BTreeSet::new();
         for (index, RawDuty { name }) in self.duties.iter().enumerate() {
             let key = format!("duty[{index}].name");
-            faults.require(is_valid_name(name), &key, format!("{name:?} won't do"));
-            faults.require(names.insert(name), &key, format!("{name} is there twice"));
+            faults.require(is_valid_name(name), &key, format!("{name:?} is not a valid name"));
+            faults.require(names.insert(name), &key, format!("{name} is a duplicate"));
         }
     }
 }
--- a/crates/fernroute-coordinator/src/configuration.rs
+++ b/crates/fernroute-coordinator/src/configuration.rs
@@ -1,4 +1,5 @@
-//! Configuration of the fleet's balancers: the leader commits an operator's change, every replica hands out what it has applied.
+//! Configuration of the fleet's balancers: the leader commits an operator's change, and every replica serves what it has
+//! applied.
 
 use crate::replica::{now, Replica};
 use crate::{ApplyFailure, Raft};
@@ -21,10 +22,10 @@
 /// The path that answers with the [`ConfigurationStatus`].
 pub const STATUS_PATH: &str = "/-/configuration/status";
 
-/// How long a majority may take to commit an entry. One that takes longer may still be committed.
+/// How long a majority may take to commit an entry. One that takes longer may still be committed later.
 const COMMIT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// An operator's change of one scope, on its way to the leader.
+/// An operator's change of one scope, as a request to the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PutRequest {
     /// The scope that is changed.
@@ -54,7 +55,7 @@
     /// The request can't be carried out, and why.
     #[serde(rename = "refused")]
     Rejected(String),
-    /// The entry may be committed already, or later. To repeat the request is harmless, since it names its base version.
+    /// The entry may be committed already, or later. The request can safely be repeated, since it names its base version.
     Unknown(String),
 }
 
@@ -111,7 +112,7 @@
     #[error("{}", one_line(.0))]
     Faulty(Vec<ConfigError>),
     /// It has faults together with the entries of wider scopes.
-    #[error("laid over {}: {}", .scopes.join(", "), one_line(.faults))]
+    #[error("merged with {}: {}", .scopes.join(", "), one_line(.faults))]
     FaultyOver {
         /// The wider scopes, the widest first.
         scopes: Vec<String>,
@@ -148,7 +149,7 @@
             Ok(Ok(written)) => written.data,
             Ok(Err(error)) => return Err(unknown(&label, error.to_string())),
             Err(_) => {
-                let reason = "a majority of the stewards has not kept it yet";
+                let reason = "no majority of the coordinators has stored it in time";
                 return Err(unknown(&label, reason.to_owned()));
             }
         };
@@ -165,7 +166,7 @@
         }
     }
 
-    /// Guards against a version that is given twice: members may still report versions of a register that was lost.
+    /// Guards against reuse of a version: members may still report versions of a register that was lost.
     fn to_configuration_put(&self, request: PutRequest) -> ConfigurationPut {
         let leadership = self.leadership.borrow();
         let highest_reported =
@@ -244,24 +245,27 @@
 }
 
 fn unknown(label: &str, reason: String) -> RequestError {
-    tracing::warn!("configuration of {label}: not known to be entered: {reason}");
+    tracing::warn!("configuration of {label}: outcome unknown: {reason}");
     RequestError::Unknown(reason)
 }
 
-/// Rejects a change before it is committed, for all that can be known by then.
+/// Rejects a change before it is committed, as far as its validity is known by then.
 fn validate(register: &Register, request: &PutRequest) -> Result<(), RequestError> {
     if register.latest_version(&request.scope) != request.base_version {
         return Err(out_of_date(register, &request.scope));
     }
     let rejected = |reason: String| Err(RequestError::Rejected(reason));
     if request.author.is_empty() || request.author.len() > MAX_NAME_BYTES {
-        return rejected(format!("the operator's name is empty, or longer than {MAX_NAME_BYTES}"));
+        return rejected(format!("the author's name is empty or longer than {MAX_NAME_BYTES} bytes"));
     }
     if request.content.len() > MAX_CONTENT_BYTES {
-        return rejected(format!("it has {} bytes, over {MAX_CONTENT_BYTES}", request.content.len()));
+        return rejected(format!(
+            "the content has {} bytes, the limit is {MAX_CONTENT_BYTES}",
+            request.content.len()
+        ));
     }
     if content_hash(&request.content) != request.content_hash {
-        return rejected("it came otherwise than it was sent: its hash is another".to_owned());
+        return rejected("the content does not match its hash".to_owned());
     }
     check_over_wider(register, &request.scope, &request.content).or_else(|error| rejected(error.to_string()))
 }
@@ -283,7 +287,7 @@
     })
 }
 
-/// A balancer's own entry is laid over its service's too, which the balancer's name does not tell.
+/// A balancer's own entry is also merged over that of its service, which cannot be derived from the balancer's name.
 fn wider_scopes(scope: &Scope) -> Vec<Scope> {
     match scope {
         Scope::All => Vec::new(),
--- a/crates/fernroute-coordinator/src/duties.rs
+++ b/crates/fernroute-coordinator/src/duties.rs
@@ -23,17 +23,17 @@
 pub struct HolderStatus {
     /// The member's name.
     pub name: String,
-    /// The term of its tenure.
+    /// The term under which it holds the duty.
     pub term: Term,
     /// How long it has held the duty, in seconds.
     pub held_for_s: f64,
-    /// `held_for_s` is a lower bound, since a former leader assigned the duty.
+    /// Whether `held_for_s` is a lower bound, since a former leader assigned the duty.
     #[serde(rename = "at_least")]
     pub is_lower_bound: bool,
     /// Seconds until its lease expires, should no heartbeat arrive.
     #[serde(rename = "left_s")]
     pub expires_in_s: f64,
-    /// Its last note on its progress.
+    /// The holder's last note on its progress.
     pub note: String,
 }
 
@@ -44,7 +44,7 @@
     pub duty: String,
     /// The member that holds it, if any does.
     pub holder: Option<HolderStatus>,
-    /// The name of the previous holder, and why its tenure ended.
+    /// The name of the previous holder, and why its term ended.
     #[serde(rename = "before")]
     pub previous_holder: Option<(String, EndReason)>,
 }
@@ -58,7 +58,7 @@
     pub leader: String,
     /// The highest term that any duty has had.
     pub highest_term: Term,
-    /// How many tenures ended since this replica started, by reason.
+    /// How many terms ended since this replica started, by reason.
     #[serde(rename = "ended")]
     pub ended_terms: BTreeMap<EndReason, u64>,
     /// All duties, by name.
@@ -70,9 +70,9 @@
 pub struct PendingRelease {
     /// The holder's name.
     pub holder: String,
-    /// The term of its tenure.
+    /// The term under which it holds the duty.
     pub term: Term,
-    /// The tenure ends after this time, in milliseconds, even without a reply of the holder.
+    /// The term ends after this time, in milliseconds, even if the holder does not reply.
     #[serde(rename = "lapses_after_ms")]
     pub expires_after_ms: u64,
 }
@@ -113,11 +113,11 @@
         true
     }
 
-    /// Logs each duty with another holder, or none any more, and counts the tenures that ended.
+    /// Logs each duty whose holder has changed, and counts the terms that ended.
     fn record_transition(&self, previous: &DutyTable, transition: &DutyTransition) {
         for end in &transition.ends {
             let name = previous.holder(&end.duty).map_or("", |holder| holder.name.as_str());
-            tracing::info!("duty {}: {name} holds it no more, term {}: {}", end.duty, end.term, end.reason);
+            tracing::info!("duty {}: {name} lost it, term {}: {}", end.duty, end.term, end.reason);
             *self.ended_terms.borrow_mut().entry(end.reason).or_insert(0) += 1;
         }
         for grant in &transition.grants {
@@ -175,8 +175,12 @@
             return Err(RequestError::Rejected(format!("{duty}: no such duty")));
         }
         let holder = self.duties(|table| leadership.duties.release(duty, table));
-        let holder = holder.ok_or_else(|| RequestError::Rejected(format!("{duty}: nobody holds it")))?;
-        tracing::info!("duty {duty}: an operator wants it released by {}, term {}", holder.name, holder.term);
+        let holder = holder.ok_or_else(|| RequestError::Rejected(format!("{duty}: it has no holder")))?;
+        tracing::info!(
+            "duty {duty}: release by {}, term {}, requested by an operator",
+            holder.name,
+            holder.term
+        );
         let expires_after_ms = self.config.duty_lease.expires_after() / 10;
         Ok(PendingRelease { holder: holder.name, term: holder.term, expires_after_ms })
     }
--- a/crates/fernroute-coordinator/src/http.rs
+++ b/crates/fernroute-coordinator/src/http.rs
@@ -36,25 +36,25 @@
 /// Why a request gets no reply of its own kind. The text is the response's body.
 #[derive(Debug, Error)]
 enum HttpError {
-    #[error("another verb")]
+    #[error("method not allowed")]
     MethodNotAllowed,
-    #[error("nothing is here")]
+    #[error("no such path")]
     NotFound,
     #[error("{0}")]
     NotStarted(String),
-    #[error("takes no part: {0}")]
+    #[error("replica unavailable: {0}")]
     Unavailable(String),
     #[error(transparent)]
     Receive(#[from] PayloadError),
-    #[error("over {max_bytes} bytes")]
+    #[error("message longer than {max_bytes} bytes")]
     TooLong { max_bytes: usize },
     #[error(transparent)]
     Decode(serde_json::Error),
-    #[error("version {version} is not known here, {PROTOCOL_VERSION} is")]
+    #[error("unsupported protocol version {version}, expected {PROTOCOL_VERSION}")]
     UnknownVersion { version: u32 },
-    #[error("this is the cluster {own}")]
+    #[error("wrong cluster: this coordinator belongs to the cluster {own}")]
     OtherCluster { own: String },
-    #[error("this is the steward {own}")]
+    #[error("wrong recipient: this coordinator has the identifier {own}")]
     OtherReplica { own: u64 },
     #[error(transparent)]
     Encode(serde_json::Error),
@@ -75,13 +75,13 @@
         }
     }
 
-    /// A message for another replica or another cluster could be read.
+    /// Whether the message could not be read, unlike one for another replica or another cluster.
     fn is_unreadable(&self) -> bool {
         matches!(self.status(), StatusCode::BAD_REQUEST | StatusCode::PAYLOAD_TOO_LARGE)
     }
 }
 
-/// What a path is for.
+/// What handles the requests of a path.
 #[derive(Clone, Copy)]
 enum Handler {
     Info,
@@ -145,12 +145,13 @@
     };
     let service =
         HttpService::<_, _, BoxBody>::build().client_request_timeout(HEAD_TIMEOUT).h1(fn_service(respond));
-    let service = service.new_service(()).await.map_err(|()| "the door did not open".to_owned())?;
+    let service =
+        service.new_service(()).await.map_err(|()| "could not build the HTTP service".to_owned())?;
     let service = Rc::new(service);
     loop {
         match listener.accept().await {
             Ok((stream, peer)) => {
-                // A failure costs latency alone.
+                // A failure only adds latency.
                 let _ = stream.set_nodelay(true);
                 let service = Rc::clone(&service);
                 actix_rt::spawn(async move {
@@ -237,7 +238,7 @@
     })
 }
 
-/// A replica that takes no part says so, and the caller turns to another one.
+/// Rejects a request while this replica takes no part in the cluster, so that the caller tries another one.
 fn check_available(replica: &Replica) -> Result<(), HttpError> {
     replica.fault().map_or(Ok(()), |fault| Err(HttpError::Unavailable(fault.to_string())))
 }
@@ -300,8 +301,8 @@
     serde_json::from_value(envelope.message).map_err(HttpError::Decode)
 }
 
-/// The message of another replica. Guards against one for a former replica whose disk is lost: this one would vote again
-/// where that one has voted.
+/// The message of another replica. Guards against one that is meant for the former replica at this address, whose disk
+/// was lost: this replica would vote a second time in a term in which that one has voted.
 async fn read_from_peer<M: DeserializeOwned>(
     replica: &Replica,
     request: &mut Request,
@@ -313,7 +314,7 @@
     serde_json::from_value(envelope.message).map_err(HttpError::Decode)
 }
 
-/// The envelope of a request, with its message as any JSON: that of another version may be unreadable.
+/// The envelope of a request, with its message as plain JSON: the fields of another protocol version are unknown.
 async fn read_envelope(
     replica: &Replica,
     request: &mut Request,
--- a/crates/fernroute-coordinator/src/lib.rs
+++ b/crates/fernroute-coordinator/src/lib.rs
@@ -1,10 +1,10 @@
-//! The replicated ledger of a fleet of balancers: one process divides its budgets; three or five outlive the loss of one or
-//! two.
+//! The replicated ledger of a fleet of balancers: one process is enough to divide its budgets, and three or five tolerate
+//! the loss of one or two.
 //!
 //! [`config`] reads the configuration, [`store`] keeps log, vote and snapshots on the disk, [`peers`] carries messages
-//! between replicas, [`replica`] holds the ledger and leads it, [`configuration`] commits what balancers are configured
-//! with and hands it out, [`duties`] assigns what one balancer alone does, [`status`] reports to operators, [`http`] serves
-//! members, replicas and operators, [`commands`] is the command line.
+//! between replicas, [`replica`] runs raft and the leader's decisions, [`configuration`] commits and serves the balancers'
+//! configuration, [`duties`] assigns work that one balancer does at a time, [`status`] reports to operators, [`http`]
+//! serves members, replicas and operators, [`commands`] is the command line.
 
 #![warn(missing_docs, clippy::unwrap_used, clippy::expect_used)]
 
@@ -29,7 +29,7 @@
 /// Why a committed entry changed nothing.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ApplyFailure {
-    /// The text that an operator reads.
+    /// The reason, for operators.
     #[serde(rename = "why")]
     pub reason: String,
     /// The scope's latest version, where the operator's change is based on another one.
--- a/crates/fernroute-coordinator/src/peers.rs
+++ b/crates/fernroute-coordinator/src/peers.rs
@@ -1,4 +1,4 @@
-//! Messages between replicas, and of members and operators' commands to them: HTTP/1.1 with JSON. An envelope round each
+//! Messages between replicas, and of members and operators' commands to them: HTTP/1.1 with JSON. The envelope of each
 //! message names the cluster, the version of the protocol and the recipient.
 
 use crate::config::CoordinatorAddress;
@@ -43,7 +43,7 @@
 /// The longest message between replicas: a ledger of some ten thousand members.
 pub const MAX_MESSAGE_BYTES: usize = 16 << 20;
 
-/// What a replica says of itself.
+/// What a replica reports about itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaInfo {
     /// The cluster of its ledger.
@@ -52,7 +52,7 @@
     pub name: String,
     /// The identifier of its disk.
     pub id: u64,
-    /// It has never belonged to a ledger.
+    /// Whether it has never belonged to a ledger.
     #[serde(rename = "blank")]
     pub is_uninitialized: bool,
     /// The latest positions of other replicas since this one started, by identifier: votes and entries that they sent or
@@ -61,7 +61,7 @@
     pub known_positions: BTreeMap<u64, ReplicaPosition>,
 }
 
-/// Why a message got no reply that can be read.
+/// Why a message got no readable reply.
 #[derive(Debug, Error)]
 pub enum PeerError {
     /// The request could not be sent, or no response came in time.
@@ -99,7 +99,7 @@
         source: serde_json::Error,
     },
     /// The configuration has no replica of this name.
-    #[error("no steward of this file is called {name}")]
+    #[error("the configuration file has no coordinator named {name}")]
     UnknownName {
         /// The name in the ledger's membership.
         name: String,
@@ -111,7 +111,7 @@
 pub struct Peers {
     cluster: String,
     client: Client,
-    /// Addresses of the configured replicas by name: the ledger knows names alone, since each configuration may reach a
+    /// Addresses of the configured replicas by name: the ledger stores names alone, since each configuration may reach a
     /// replica at another address.
     addresses: Rc<BTreeMap<String, SocketAddr>>,
     /// Written by [`Peers::record_position`]; one entry for each replica that ever belonged to the ledger.
@@ -121,9 +121,9 @@
 }
 
 impl Peers {
-    /// A client of one cluster; an empty cluster or no replicas will do for a request without an envelope.
+    /// Peers of one cluster. The cluster may be empty, and replicas may be absent, for requests without an envelope.
     pub fn new(cluster: &str, replicas: &[CoordinatorAddress]) -> Self {
-        // The time-out is each request's.
+        // Each request sets its own time-out.
         let client = Client::builder().disable_redirects().no_default_headers().finish();
         let addresses = replicas.iter().map(|replica| (replica.name.clone(), replica.address)).collect();
         Peers {
@@ -166,7 +166,7 @@
         decode(address, request.send_json(&envelope).await).await
     }
 
-    /// Reads what is at a path.
+    /// Gets a path and reads the reply.
     pub(crate) async fn get<R: DeserializeOwned>(
         &self,
         address: &str,
@@ -192,7 +192,7 @@
         self.post(address, path, recipient, message, timeout).await.map_err(|error| error.to_string())
     }
 
-    /// Reads what is at a path; for commands.
+    /// Gets a path and reads the reply; for commands.
     ///
     /// # Errors
     /// The one line that an operator reads.
@@ -263,7 +263,7 @@
         match reply {
             Ok(Ok(reply)) => Ok(reply),
             Ok(Err(error)) => Err(RPCError::RemoteError(RemoteError::new(self.id, error))),
-            // Raft backs off before it tries again.
+            // Raft backs off before it retries.
             Err(error) => {
                 let error = NetworkError::new(&AnyError::error(error));
                 Err(RPCError::Unreachable(Unreachable::new(&error)))
@@ -276,10 +276,10 @@
         let mut unreachable = self.peers.unreachable.borrow_mut();
         match error {
             None if unreachable.remove(&self.id) => {
-                tracing::info!("steward {} is reached again", self.name);
+                tracing::info!("coordinator {} is reachable again", self.name);
             }
             Some(error) if unreachable.insert(self.id) => {
-                tracing::warn!("steward {} is not reached: {error}", self.name);
+                tracing::warn!("coordinator {} is unreachable: {error}", self.name);
             }
             _ => {}
         }
--- a/crates/fernroute-coordinator/src/replica/bootstrap.rs
+++ b/crates/fernroute-coordinator/src/replica/bootstrap.rs
@@ -7,9 +7,9 @@
 use std::time::Duration;
 
 impl Replica {
-    /// Creates a ledger where there is none: the first replica of the configuration does, once all of them are reachable
-    /// and uninitialized, and the grants of a former ledger have expired. Guards against two ledgers of one fleet, and
-    /// against one that grants again what members hold of a ledger that was lost with all its disks. With `at_once` it
+    /// Creates a ledger where there is none. Only the first replica of the configuration does so, once all replicas are
+    /// reachable and uninitialized, and the grants of a former ledger have expired. Guards against two ledgers of one fleet, and
+    /// against a new one that grants again what members still hold from a ledger that was lost with all its disks. With `at_once` it
     /// does not wait for grants to expire.
     pub async fn bootstrap(&self, at_once: bool) {
         let Some(raft) = self.raft() else { return };
@@ -27,7 +27,7 @@
                 Ok(Some(replicas)) => return self.initialize(raft, replicas).await,
                 Ok(None) => {
                     return tracing::error!(
-                        "ledger not created: another replica has one, and this disk is empty; it is to be taken in anew"
+                        "ledger not created: another replica has one, and this disk is empty; add this replica with `change`"
                     )
                 }
                 Err(error) => tracing::debug!(%error, "not all replicas are reachable"),
--- a/crates/fernroute-coordinator/src/replica/disk_check.rs
+++ b/crates/fernroute-coordinator/src/replica/disk_check.rs
@@ -1,4 +1,5 @@
-//! The check that a disk is not an older copy of itself, by what the other voters know of this replica.
+//! The check that a disk is not stale, such as one restored from an older copy, by what the other voters know of this
+//! replica.
 
 use super::{now, Replica, INFO_TIMEOUT, POLL_INTERVAL};
 use crate::peers::{ReplicaInfo, INFO_PATH};
@@ -7,7 +8,7 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// How long the check waits for all other voters; after it a majority is enough.
+/// How long the check waits for all other voters; after that a majority is enough.
 const ALL_VOTERS_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Why a disk is not used.
@@ -15,15 +16,15 @@
 pub enum DiskRejection {
     /// Another replica knows of a later vote or entry.
     #[error(
-        "the disk is older than what {peer} has heard of this steward: end it, empty its folder, \
-         and have it taken in anew"
+        "the disk is stale, {peer} knows of a later vote or entry of this coordinator: stop it, empty its folder, \
+         start it and add it with `change`"
     )]
     Stale {
         /// The name of that replica.
         peer: String,
     },
     /// Too few voters replied.
-    #[error("a majority of the stewards is not there to say that its disk is no older one")]
+    #[error("no majority of the coordinators is reachable to confirm that the disk is not stale")]
     NoMajority,
 }
 
@@ -34,8 +35,8 @@
 }
 
 impl Replica {
-    /// Asks the other voters until all of them, or after a while a majority, know of nothing later than this disk. None
-    /// where the disk may be used.
+    /// Queries the other voters until all of them, or after [`ALL_VOTERS_TIMEOUT`] a majority, know of nothing later than
+    /// this disk. None where the disk may be used.
     pub(super) async fn check_disk(&self) -> Result<Option<DiskRejection>, StoreError> {
         let Some(position) = self.stored_position else { return Ok(None) };
         let others = self.other_voters()?;
--- a/crates/fernroute-coordinator/src/replica/leadership.rs
+++ b/crates/fernroute-coordinator/src/replica/leadership.rs
@@ -22,14 +22,14 @@
     /// Leads whenever this replica is elected, for as long as the program runs.
     pub async fn lead(self: Rc<Self>) {
         loop {
-            // Guards against leases that expire unnoticed: no heartbeat announces those.
+            // Guards against leases that expire unnoticed, since no message announces an expiry.
             actix_rt::time::sleep(POLL_INTERVAL).await;
             self.update_leadership();
             self.commit_due_entries().await;
         }
     }
 
-    /// Starts or ends the leader's state, as raft's state says.
+    /// Starts or ends the leader's state, following raft's state.
     pub(crate) fn update_leadership(&self) {
         let Some(metrics) = self.metrics() else { return };
         let term = metrics.current_term;
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Commits what is due: the budgets of the configuration, and what the leader decides.
+    /// Commits what is due: the budgets of the configuration, and the leader's next transitions.
     async fn commit_due_entries(&self) {
         let Some(raft) = self.raft().filter(|_| self.leadership.borrow().is_some()) else { return };
         if raft.ensure_linearizable().await.is_err() {
@@ -90,7 +90,7 @@
         tracing::warn!(%error, "commit of an entry is uncertain");
         self.uncertain_term.set(self.leadership.take().map(|ended| ended.term));
         if self.uncertain_term.get() == Some(raft.metrics().borrow().current_term) {
-            // An error says that raft does not lead, or has stopped.
+            // An error means that raft does not lead any more, or has stopped.
             let _ = raft.trigger().elect().await;
         }
         false
--- a/crates/fernroute-coordinator/src/replica/membership.rs
+++ b/crates/fernroute-coordinator/src/replica/membership.rs
@@ -16,18 +16,16 @@
 #[derive(Debug, Error)]
 pub enum MembershipError {
     /// Another replica leads.
-    #[error("{leader} leads: ask there")]
+    #[error("not the leader, {leader} is")]
     NotLeader {
         /// The name of the leader.
         leader: String,
     },
     /// No leader is known.
-    #[error("nobody leads")]
+    #[error("no leader is known")]
     NoLeader,
     /// The operator's file and the leader's name different replicas.
-    #[error(
-        "the file of {leader}, which leads, names {names}: end it, give it the new file, and start it again"
-    )]
+    #[error("the file of the leader {leader} names {names}: restart the leader with the new file")]
     DifferentConfig {
         /// The name of the leader.
         leader: String,
@@ -35,13 +33,13 @@
         names: String,
     },
     /// A new replica did not receive the ledger in time.
-    #[error("{name}: it did not catch up")]
+    #[error("{name}: it did not receive the ledger in time")]
     CatchUpTimeout {
         /// The name of the new replica.
         name: String,
     },
     /// A replica belongs to another ledger of the same cluster.
-    #[error("{name}: it has a part in another ledger of {cluster}")]
+    #[error("{name}: it belongs to another ledger of the cluster {cluster}")]
     OtherLedger {
         /// The name of that replica.
         name: String,
--- a/crates/fernroute-coordinator/src/replica/mod.rs
+++ b/crates/fernroute-coordinator/src/replica/mod.rs
@@ -33,10 +33,10 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// How often the replica's state is looked at where no event announces a change.
+/// How often the replica's state is polled where no event announces a change.
 const POLL_INTERVAL: Duration = Duration::from_millis(25);
 
-/// How long another replica may take to describe itself.
+/// The time-out of a request for another replica's [`ReplicaInfo`].
 const INFO_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// This machine's time since its start, in tenths of a millisecond. It counts while the process is stopped and while the
@@ -85,7 +85,7 @@
     #[error(transparent)]
     Peer(#[from] PeerError),
     /// Another replica answers at its address.
-    #[error("{address}: it is {name} of {cluster}")]
+    #[error("{address}: {name} of the cluster {cluster} answers there")]
     Mismatch {
         /// The address in the configuration.
         address: SocketAddr,
@@ -98,7 +98,7 @@
 
 /// One replica of the ledger.
 pub struct Replica {
-    /// What its configuration file says.
+    /// The contents of its configuration file.
     pub config: CoordinatorConfig,
     pub(crate) identity: ReplicaIdentity,
     log_store: LogStore,
@@ -118,7 +118,7 @@
     pub(crate) ended_terms: RefCell<BTreeMap<EndReason, u64>>,
     /// When this replica last became leader; written by [`Replica::update_leadership`].
     pub(crate) became_leader_at: Cell<Time>,
-    /// The term of an entry whose commit is uncertain, in which no member is answered any more; written by
+    /// The term of an entry whose commit is uncertain, in which no further heartbeat is answered; written by
     /// [`Replica::commit_or_step_down`].
     uncertain_term: Cell<Option<u64>>,
     pub(crate) peers: Peers,
@@ -168,7 +168,7 @@
         self.disk_rejection.borrow().clone().map(ReplicaFault::from)
     }
 
-    /// What this replica says of itself to other replicas and to operators' commands.
+    /// What this replica reports about itself to other replicas and to operators' commands.
     pub(crate) fn info(&self) -> ReplicaInfo {
         // What was stored since the start counts too: an uninitialized replica may have become a learner.
         let stored_since_start = self
--- a/crates/fernroute-coordinator/src/replica/start.rs
+++ b/crates/fernroute-coordinator/src/replica/start.rs
@@ -9,15 +9,15 @@
 /// Two lost heartbeats do not start an election.
 const HEARTBEAT_INTERVAL_MS: u64 = 50;
 
-/// Votes are refused for the longer time after the last message of a leader, and two candidates at a time elect none:
-/// several rounds must fit into a lease of the usual duration.
+/// Replicas refuse to vote until the maximum has passed since the leader's last message, and two simultaneous candidates
+/// may both fail: several rounds must fit into a grant lease of the default duration.
 const ELECTION_TIMEOUT_MIN_MS: u64 = 160;
 const ELECTION_TIMEOUT_MAX_MS: u64 = 320;
 
-/// Some seconds of a large fleet's changes.
+/// A large fleet makes this many changes in some seconds.
 const SNAPSHOT_INTERVAL_ENTRIES: u64 = 2_000;
 
-/// As JSON a chunk is some four times as long on its way.
+/// A chunk is about four times as long once it is encoded as JSON.
 const SNAPSHOT_CHUNK_BYTES: u64 = 128 << 10;
 const SNAPSHOT_CHUNK_TIMEOUT_MS: u64 = 2_000;
 
@@ -26,11 +26,11 @@
 
 impl Replica {
     /// Starts raft: from here on the replica votes, stores entries and may be elected. Guards against a disk that was
-    /// set back to an older copy of itself: such a replica has forgotten votes and entries, and would vote for others
-    /// again. Other replicas know how far it went: those that led or were candidates and have run since.
+    /// restored from an older copy: such a replica has lost votes and entries, and would vote a second time in the same
+    /// term. Its former position is known to the replicas that led or were candidates, and have run since.
     ///
     /// # Errors
-    /// Where the disk can't be read, or raft does not start.
+    /// Where the disk cannot be read, or raft does not start.
     pub async fn start(&self) -> Result<(), ReplicaError> {
         while let Some(rejection) = self.check_disk().await? {
             let previous = self.disk_rejection.replace(Some(rejection.clone()));
--- a/crates/fernroute-coordinator/src/store/log_store.rs
+++ b/crates/fernroute-coordinator/src/store/log_store.rs
@@ -1,4 +1,4 @@
-//! Raft's log and vote, and single values beside them, in one redb file.
+//! Raft's log, its vote and other single values, in one redb file.
 
 use super::{
     read_error, write_error, ReplicaIdentity, ReplicaPosition, StateMachine, StorageResult, StoreError,
@@ -36,8 +36,8 @@
 const PURGED_KEY: &str = "purged";
 pub(super) const SNAPSHOT_KEY: &str = "snapshot";
 
-/// The length from which entries are left for the next message to a replica. Guards against one that never catches up:
-/// raft gives a message no longer than the pause between heartbeats, and sends it again at the same length.
+/// Once a message to a replica has this length, further entries are left for the next one. Guards against a replica that
+/// never catches up: raft allows a message no more time than a heartbeat interval, and repeats it at the same length.
 const MAX_MESSAGE_BYTES: usize = 64 << 10;
 
 /// The file of one replica.
--- a/crates/fernroute-coordinator/src/store/mod.rs
+++ b/crates/fernroute-coordinator/src/store/mod.rs
@@ -1,9 +1,9 @@
 //! The disk of a replica: raft's log and vote, the last snapshot, and the replica's identity, in one redb file.
 //!
-//! Every write is synced before it is acknowledged. A write that fails stops the part of raft that asked for it, and the
-//! replica votes no more.
+//! Every write is synced before it is acknowledged. A failed write stops the part of raft that requested it, and the
+//! replica stops voting.
 
-// The error that raft's storage traits ask for is large.
+// The error type that raft's storage traits require is large.
 #![allow(clippy::result_large_err)]
 
 mod identity;
@@ -21,7 +21,7 @@
 
 type StorageResult<T> = Result<T, StorageError<u64>>;
 
-/// Why a replica's folder can't be used.
+/// Why a replica's folder cannot be used.
 #[derive(Debug, Error)]
 pub enum StoreError {
     /// The folder could not be created.
@@ -49,7 +49,7 @@
         source: Box<StorageError<u64>>,
     },
     /// The folder belongs to a replica of another cluster.
-    #[error("{}: it is of the cluster {found}, not of {expected}", folder.display())]
+    #[error("{}: the folder belongs to the cluster {found}, not to {expected}", folder.display())]
     OtherCluster {
         /// The folder.
         folder: PathBuf,
@@ -71,7 +71,7 @@
 
 fn storage_error(verb: ErrorVerb, error: impl ToString) -> StorageError<u64> {
     let message = error.to_string();
-    tracing::error!("the disk: {message}");
+    tracing::error!("storage error: {message}");
     StorageIOError::<u64>::new(ErrorSubject::Store, verb, AnyError::error(message)).into()
 }
 
--- a/crates/fernroute-coordinator/src/store/snapshot.rs
+++ b/crates/fernroute-coordinator/src/store/snapshot.rs
@@ -9,7 +9,7 @@
 use std::io::Cursor;
 
 /// The fields of a stored snapshot that raft's metadata needs. Guards against a leader that decodes and encodes a long
-/// snapshot again for each replica that needs it, and is taken for dead meanwhile.
+/// snapshot for each replica that needs it, and is considered dead meanwhile.
 #[derive(Deserialize)]
 struct SnapshotHeader {
     #[serde(rename = "applied")]
--- a/crates/fernroute-coordinator/src/store/state_machine.rs
+++ b/crates/fernroute-coordinator/src/store/state_machine.rs
@@ -1,4 +1,4 @@
-//! The state that committed entries come to: ledger, configuration register and duties.
+//! The state after the committed entries: ledger, configuration register and duties.
 
 use super::log_store::SNAPSHOT_KEY;
 use super::{read_error, LogStore, StoreError};
@@ -68,15 +68,15 @@
     };
     let reason = match error {
         PutError::OutOfDate(latest) => format!("the scope is at version {latest}"),
-        PutError::HashMismatch => "its content is not what its hash says".to_owned(),
-        PutError::TooLong => format!("it is longer than {MAX_CONTENT_BYTES} bytes"),
-        PutError::InvalidName => "the operator's name is empty, or too long".to_owned(),
-        PutError::LimitReached => "there are as many scopes as may be".to_owned(),
+        PutError::HashMismatch => "the content does not match its hash".to_owned(),
+        PutError::TooLong => format!("the content is longer than {MAX_CONTENT_BYTES} bytes"),
+        PutError::InvalidName => "the author's name or a name in the scope is not valid".to_owned(),
+        PutError::LimitReached => "too many scopes, or too much content".to_owned(),
     };
     ApplyFailure { reason, latest_version }
 }
 
-/// The state machine of this process. It is in memory; the disk has its last snapshot and the log behind that.
+/// The state machine of this process. It is held in memory; the disk has its last snapshot and the log after that.
 #[derive(Clone)]
 pub struct StateMachineStore {
     pub(super) log_store: LogStore,
--- a/crates/fernroute-coordinator/tests/config.rs
+++ b/crates/fernroute-coordinator/tests/config.rs
@@ -26,16 +26,25 @@
 
     let error = CoordinatorConfig::decode(&text.replace("floors = 3\n", "")).expect_err("faults").to_string();
 
-    for expected in
-        ["shares_ms: 10", "2 of them", "steward[1].name", "steward[1].address", "whole: 0", "floors: 2"]
-    {
+    for expected in [
+        "shares_ms: 10",
+        "steward: 2 entries",
+        "steward[1].name",
+        "steward[1].address",
+        "whole: 0",
+        "floors: 2",
+    ] {
         assert!(error.contains(expected), "{expected}: {error}");
     }
     assert!(!error.contains('\n'));
     for (old, new, expected) in [
-        ("name = \"a\"\nfolder", "name = \"b\"\nfolder", "no steward is called b"),
+        ("name = \"a\"\nfolder", "name = \"b\"\nfolder", "no [[steward]] is named b"),
         ("cluster", "claster", "line 1"),
-        ("folder", "shares_ms = 700\nfolder", "shares_ms: 700 is shorter than three beats of beat_ms: 250"),
+        (
+            "folder",
+            "shares_ms = 700\nfolder",
+            "shares_ms: 700 is shorter than three heartbeats, beat_ms is 250",
+        ),
         ("folder", "beat_ms = 5\nfolder", "beat_ms: 5 is not between"),
         ("127.0.0.1:7001", "127.0.0.1:0", "has no port"),
     ] {
--- a/crates/fernroute-coordinator/tests/configuration.rs
+++ b/crates/fernroute-coordinator/tests/configuration.rs
@@ -234,7 +234,7 @@
         assert_eq!(history(&coordinators).await.len(), 2);
         coordinators.wait_for_state(full, "stopped").await;
         let error = fetch(&coordinators, full, 1).await.expect_err("its disk is full");
-        assert!(error.contains("503") && error.contains("takes no part"), "{error}");
+        assert!(error.contains("503") && error.contains("replica unavailable"), "{error}");
         coordinators.processes[full].kill();
         coordinators.processes[full].start();
         wait_until_served(&coordinators, full, 2, &[content(2)]).await;
@@ -257,8 +257,8 @@
         let entries = history(&coordinators).await.len();
         // The consensus library may have found the disk full before the request came: then it was rejected.
         match output.code {
-            1 => assert!(output.stderr.contains("not known whether it is entered"), "{output:?}"),
-            2 => assert!(output.stderr.contains("takes no part") && entries == 1, "{output:?}"),
+            1 => assert!(output.stderr.contains("outcome unknown"), "{output:?}"),
+            2 => assert!(output.stderr.contains("replica unavailable") && entries == 1, "{output:?}"),
             _ => panic!("{output:?}"),
         }
         let latest = get(&coordinators, "all").await.stdout;
--- a/crates/fernroute-coordinator/tests/configuration_commands.rs
+++ b/crates/fernroute-coordinator/tests/configuration_commands.rs
@@ -31,7 +31,7 @@
         let late = coordinators.command(&arguments).await;
 
         assert_rejected(&late, "service/web: version 1, by bob, 20");
-        assert!(late.stderr.trim_end().ends_with("the file was made from version 0"), "{late:?}");
+        assert!(late.stderr.trim_end().ends_with("the file is based on version 0"), "{late:?}");
         for version in 1..=5_u64 {
             let files = [10, 20].map(|retry_after| {
                 let name = format!("{retry_after}.toml");
@@ -251,7 +251,7 @@
             (part("c.toml", "name = \"x\"\n"), "name: is each balancer's own"),
             (part("d.toml", "[limits]\ntransmissions = 0\n"), "limits.transmissions"),
             (part("e.toml", "[limits]\nconnect_ms = 5\n"), "limits.connect_ms: needs a restart"),
-            (part("long.toml", &format!("# {}\n", "x".repeat(70_000))), "over 65536"),
+            (part("long.toml", &format!("# {}\n", "x".repeat(70_000))), "the limit is 65536"),
             (part("none.toml", "") + "x", "No such file"),
         ] {
             let checked = run_command(program(&["configuration", "check", &file])).await;
@@ -262,7 +262,7 @@
 
         let valid = part("good.toml", &content(1));
         let output = run_command(program(&["configuration", "check", &valid])).await;
-        assert!(output.code == 0 && output.stdout.contains("good.toml: will do: 27 bytes, "), "{output:?}");
+        assert!(output.code == 0 && output.stdout.contains("good.toml: valid: 27 bytes, "), "{output:?}");
         assert_still_one_entry(&coordinators).await;
     });
 }
@@ -275,7 +275,7 @@
         let file = write_file(&coordinators, "good.toml", &content(1));
         let too_long = "x".repeat(65);
         for (options, expected) in [
-            (&["--scope", "everybody"][..], "is none of all, service/S"),
+            (&["--scope", "everybody"][..], "expected one of all, service/S"),
             (&["--scope", "service/"], "a name is empty"),
             (&["--scope", "all", "--from", "x"], "from"),
             (&["--scope", "all", "--who", ""], "name is empty"),
@@ -289,10 +289,13 @@
             assert_rejected(&coordinators.command(&arguments).await, expected);
         }
         for (arguments, expected) in [
-            (&["configuration", "get", "--scope", "service/none"][..], "service/none: nothing was ever put"),
+            (
+                &["configuration", "get", "--scope", "service/none"][..],
+                "service/none: the scope has no entry",
+            ),
             (&["configuration", "get"], "--scope"),
             (&["configuration", "status", "more"], "more"),
-            (&["configuration", "history", "--scope", "x"], "is none of"),
+            (&["configuration", "history", "--scope", "x"], "not a scope"),
             (&["configuration", "undo"], "undo"),
         ] {
             assert_rejected(&coordinators.command(arguments).await, expected);
--- a/crates/fernroute-coordinator/tests/duties.rs
+++ b/crates/fernroute-coordinator/tests/duties.rs
@@ -102,7 +102,7 @@
         assert!(output.code == 0 && line.contains(&first) && line.contains(&term.to_string()), "{output:?}");
 
         let output = coordinators.command(&["duties", "release", "planner"]).await;
-        let expected = format!("{first} gave it up, term {term}");
+        let expected = format!("{first} released it, term {term}");
         assert!(output.code == 0 && output.stdout.contains(&expected), "{output:?}");
         let (second, second_term) = first_holder(&coordinators).await;
         assert!(second != first && second != "n1" && second_term > term);
@@ -110,8 +110,7 @@
         assert_eq!(after.duties[0].previous_holder, Some((first.clone(), EndReason::Operator)));
         assert_eq!(after.ended_terms.get(&EndReason::Operator), Some(&1));
         let leader = coordinators.leader(None).await;
-        let log_line =
-            format!("duty planner: {first} holds it no more, term {term}: an operator had it released");
+        let log_line = format!("duty planner: {first} lost it, term {term}: released by an operator");
         assert!(coordinators.processes[leader].process().says(&log_line));
     });
 }
@@ -183,11 +182,15 @@
     let more: String = (0..1_024).map(|number| format!("[[duty]]\nname = \"d{number}\"\n")).collect();
     assert_eq!(check(&valid.replace("[[duty]]\n", &format!("{more}[[duty]]\n"))).code, 0);
     for (old, new, expected) in [
-        ("\"planner\"", "\"a/b\"", "duty[0].name: \"a/b\" won't do"),
-        ("\"planner\"", "\"\"", "duty[0].name: \"\" won't do"),
-        ("[[duty]]\n", "[[duty]]\nname = \"planner\"\n[[duty]]\n", "duty[1].name: planner is there twice"),
+        ("\"planner\"", "\"a/b\"", "duty[0].name: \"a/b\" is not a valid name"),
+        ("\"planner\"", "\"\"", "duty[0].name: \"\" is not a valid name"),
+        ("[[duty]]\n", "[[duty]]\nname = \"planner\"\n[[duty]]\n", "duty[1].name: planner is a duplicate"),
         ("duties_ms = 1500", "duties_ms = 100", "duties_ms: 100 is not between 300 and 60000"),
-        ("duties_ms = 1500", "duties_ms = 900", "duties_ms: 900 is shorter than four beats of beat_ms: 250"),
+        (
+            "duties_ms = 1500",
+            "duties_ms = 900",
+            "duties_ms: 900 is shorter than four heartbeats, beat_ms is 250",
+        ),
         ("[[duty]]\n", "[[duty]]\nlength = 3\n", "unknown field `length`"),
     ] {
         let output = check(&valid.replacen(old, new, 1));
--- a/crates/fernroute-coordinator/tests/fleet.rs
+++ b/crates/fernroute-coordinator/tests/fleet.rs
@@ -36,7 +36,7 @@
             let next = coordinators.leader(Some(leader)).await;
             heartbeat_until(&coordinators, &mut members, nearly_all_allocated).await;
             // One log line, not one for each message that fails.
-            let log_line = format!("steward s{leader} is not reached");
+            let log_line = format!("coordinator s{leader} is unreachable");
             wait_until(|| async { coordinators.processes[next].process().says(&log_line) }).await;
             assert!(coordinators.processes[next].process().times(&log_line) == 1);
             assert!(members.iter().all(|member| member.longest_lapse == 0), "a grant expired");
@@ -107,7 +107,7 @@
         restarted.start();
         assert_eq!(restarted.process().ends().await, Some(2));
         // Its last line may be read after its exit is known.
-        wait_until(|| async { restarted.process().says("of the cluster c, not of d") }).await;
+        wait_until(|| async { restarted.process().says("belongs to the cluster c, not to d") }).await;
         drop(other);
     });
 }
@@ -131,13 +131,13 @@
         let heartbeat = r#"{"name":"n","identity":1,"number":1,"epoch":0,"wants":{"acme":-5}}"#;
         for (path, body, status, expected) in [
             (HEARTBEAT_PATH, "no json".to_owned(), 400, "expected"),
-            (HEARTBEAT_PATH, envelope("c", 2, "{}"), 400, "version 2 is not known here, 1 is"),
-            (HEARTBEAT_PATH, envelope("other", 1, "{}"), 409, "this is the cluster c"),
+            (HEARTBEAT_PATH, envelope("c", 2, "{}"), 400, "unsupported protocol version 2, expected 1"),
+            (HEARTBEAT_PATH, envelope("other", 1, "{}"), 409, "this coordinator belongs to the cluster c"),
             (HEARTBEAT_PATH, envelope("c", 1, "{}"), 400, "name"),
             (HEARTBEAT_PATH, envelope("c", 1, heartbeat), 400, "invalid"),
-            (HEARTBEAT_PATH, "x".repeat(MAX_HEARTBEAT_BYTES + 1), 413, "over"),
-            ("/-/vote", envelope("c", 1, "{}"), 409, "this is the steward"),
-            ("/-/none", String::new(), 404, "nothing"),
+            (HEARTBEAT_PATH, "x".repeat(MAX_HEARTBEAT_BYTES + 1), 413, "longer than"),
+            ("/-/vote", envelope("c", 1, "{}"), 409, "this coordinator has the identifier"),
+            ("/-/none", String::new(), 404, "no such path"),
         ] {
             let reply = fernroute_test_support::caller::ask(*address, request(path, &body)).await;
             let text = String::from_utf8_lossy(&reply.body).into_owned();
@@ -164,7 +164,7 @@
     heartbeat_until(coordinators, members, nearly_all_allocated).await;
     // The leader's own file has to name the new ones first.
     let output = coordinators.change(1);
-    assert!(output.code == 2 && output.text().contains("which leads, names s0"), "{output:?}");
+    assert!(output.code == 2 && output.text().contains("the file of the leader s0 names s0"), "{output:?}");
     // It leads alone with the new file, too.
     coordinators.processes[0].kill();
     coordinators.processes[0].write_config("c", &all);
@@ -177,7 +177,7 @@
     coordinators.wait_for_state(1, "blank").await;
     coordinators.wait_for_state(2, "blank").await;
     let output = coordinators.change(2);
-    assert!(output.code == 0 && output.text().contains("taken in: s1, s2"), "{output:?}");
+    assert!(output.code == 0 && output.text().contains("added: s1, s2"), "{output:?}");
     heartbeat_until(coordinators, members, nearly_all_allocated).await;
 }
 
@@ -199,7 +199,7 @@
         coordinators.processes[0].start();
         coordinators.wait_for_state(0, "blank").await;
         let output = coordinators.change(0);
-        assert!(output.code == 0 && output.text().contains("taken in: s0"), "{output:?}");
+        assert!(output.code == 0 && output.text().contains("added: s0"), "{output:?}");
         // It votes: without it there would be no majority now.
         coordinators.processes[1].kill();
         heartbeat_until(&coordinators, &mut members, nearly_all_allocated).await;
@@ -249,9 +249,8 @@
         let (stale, other) = ((leader + 1) % 3, (leader + 2) % 3);
         restart_with_stale_disk(&mut coordinators, &mut members, stale).await;
         coordinators.wait_for_state(stale, "waiting").await;
-        let reports_stale_disk = |status: &Status| {
-            status.fault.as_ref().is_some_and(|fault| fault.contains("the disk is older than"))
-        };
+        let reports_stale_disk =
+            |status: &Status| status.fault.as_ref().is_some_and(|fault| fault.contains("the disk is stale"));
         wait_until(|| async {
             coordinators.status(stale).await.is_some_and(|status| reports_stale_disk(&status))
         })
@@ -290,7 +289,7 @@
         .await;
         let status = coordinators.status(full).await.expect("a status");
         assert!(status.state == "stopped" && status.fault.is_some(), "{status:?}");
-        assert!(coordinators.processes[full].process().says("the disk: "));
+        assert!(coordinators.processes[full].process().says("storage error: "));
         // With space again it restarts with its state, and votes.
         coordinators.processes[full].kill();
         coordinators.processes[full].start();
--- a/crates/fernroute-fleet/src/configuration/mod.rs
+++ b/crates/fernroute-fleet/src/configuration/mod.rs
@@ -82,17 +82,17 @@
     }
 }
 
-/// Why a text is no [`Scope`]; each has the text, sanitized.
+/// Why a text is not a [`Scope`]; each variant has the text, sanitized.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ScopeError {
     /// A name in it does not pass [`is_valid_name`].
     #[error(
-        "{0}: a name is empty, longer than {max_bytes}, or has blanks about it or control characters",
+        "{0}: a name is empty, longer than {max_bytes} bytes, or has surrounding white space or control characters",
         max_bytes = MAX_NAME_BYTES
     )]
     InvalidName(String),
-    /// It has the form of no scope.
-    #[error("{0}: is none of all, service/S, service/S/zone/Z, balancer/B")]
+    /// It does not have the form of a scope.
+    #[error("{0}: not a scope, expected one of all, service/S, service/S/zone/Z, balancer/B")]
     UnknownForm(String),
 }
 
--- a/crates/fernroute-fleet/src/duties/mod.rs
+++ b/crates/fernroute-fleet/src/duties/mod.rs
@@ -110,11 +110,11 @@
 impl fmt::Display for EndReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            EndReason::Drained => "it drains",
-            EndReason::Expired => "its lease has lapsed",
-            EndReason::Unresponsive => "it is heard of, and hears nothing",
-            EndReason::Operator => "an operator had it released",
-            EndReason::Removed => "the duty is named no more",
+            EndReason::Drained => "the holder is draining",
+            EndReason::Expired => "its lease has expired",
+            EndReason::Unresponsive => "no reply reaches the holder",
+            EndReason::Operator => "released by an operator",
+            EndReason::Removed => "the duty is no longer configured",
         })
     }
 }
--- a/crates/fernroute-fleet/src/duties/table.rs
+++ b/crates/fernroute-fleet/src/duties/table.rs
@@ -119,7 +119,7 @@
     #[error("{0}: no such duty")]
     UnknownDuty(String),
     /// The duty has a holder, whose term has to end first.
-    #[error("{0}: it is held")]
+    #[error("{0}: it already has a holder")]
     AlreadyHeld(String),
     /// The term is not its holder's.
     #[error(transparent)]
