--- a/crates/fernroute-coordinator/src/commands/change.rs
+++ b/crates/fernroute-coordinator/src/commands/change.rs
@@ -24,7 +24,7 @@
 /// Runs the command.
 ///
 /// # Errors
-/// The file can't be used, or no coordinator made the change.
+/// The file cannot be used, or no coordinator made the change.
 pub fn run(arguments: &Change) -> Result<(), CommandError> {
     let config = CoordinatorConfig::read(&arguments.config)?;
     run_on_one_thread(change_voters(config))
@@ -51,6 +51,6 @@
 }
 
 fn summary(names: &[String], added: &[String]) -> String {
-    let added = if added.is_empty() { "none".to_owned() } else { added.join(", ") };
+    let added = if added.is_empty() { "nobody".to_owned() } else { added.join(", ") };
     format!("the coordinators are {}; added: {added}", names.join(", "))
 }
--- a/crates/fernroute-coordinator/src/commands/configuration/mod.rs
+++ b/crates/fernroute-coordinator/src/commands/configuration/mod.rs
@@ -112,7 +112,7 @@
 /// Runs the command.
 ///
 /// # Errors
-/// A file can't be used, the leader was not reached or rejected the call, or a rollout is not complete in
+/// A file cannot be used, the leader was not reached or rejected the call, or a rollout is not complete in
 /// time.
 pub fn run(arguments: Configuration) -> Result<(), CommandError> {
     match arguments.command {
--- a/crates/fernroute-coordinator/src/commands/configuration/put.rs
+++ b/crates/fernroute-coordinator/src/commands/configuration/put.rs
@@ -72,7 +72,7 @@
         /// The last attempt's error.
         source: CallError,
     },
-    /// The version is entered, but its rollout can't be followed.
+    /// The version is entered, but its rollout cannot be followed.
     #[error("version {version} is entered; {}", rollout_unknown_text(source))]
     RolloutUnknown {
         /// The version that was entered.
@@ -117,7 +117,7 @@
 /// Runs the command.
 ///
 /// # Errors
-/// The file can't be used, the leader was not reached or rejected the entry, or the rollout is not complete
+/// The file cannot be used, the leader was not reached or rejected the entry, or the rollout is not complete
 /// in time.
 pub fn run(arguments: Put) -> Result<(), CommandError> {
     let content = file::read(&arguments.file)?;
--- a/crates/fernroute-coordinator/src/commands/serve.rs
+++ b/crates/fernroute-coordinator/src/commands/serve.rs
@@ -46,7 +46,7 @@
 /// Runs `serve` until a signal ends it.
 ///
 /// # Errors
-/// The file can't be used, or the coordinator can't start or go on.
+/// The file cannot be used, or the coordinator cannot start or continue.
 pub fn run(arguments: &Serve) -> Result<(), CommandError> {
     let config = CoordinatorConfig::read(&arguments.config)?;
     start_logging(arguments.json);
--- a/crates/fernroute-coordinator/src/configuration.rs
+++ b/crates/fernroute-coordinator/src/configuration.rs
@@ -52,7 +52,7 @@
     NotLeader(Option<String>),
     /// The change was made from another version than the scope's latest entry; none where the scope has none.
     OutOfDate(Option<Box<HistoryEntry>>),
-    /// The request can't be carried out, and why.
+    /// The request cannot be carried out, and why.
     #[serde(rename = "refused")]
     Rejected(String),
     /// The entry may be committed already, or later. The request can safely be repeated, since it names its base version.
@@ -93,8 +93,8 @@
     pub leader: String,
     /// The version of the last entry, whichever scope it is for.
     pub version: Version,
-    /// The leader has led for longer than a quota's lease: a member without a heartbeat since then is unreachable. Before
-    /// that, its first heartbeat to this leader may be still to come.
+    /// Whether the leader has led for longer than a quota's lease, so that a member without a heartbeat since then is
+    /// unreachable. Before that, its first heartbeat to this leader may still be to come.
     #[serde(rename = "settled")]
     pub is_reachability_known: bool,
     /// All scopes that were ever changed.
--- a/crates/fernroute-coordinator/src/replica/membership.rs
+++ b/crates/fernroute-coordinator/src/replica/membership.rs
@@ -77,7 +77,7 @@
     /// not named any more loses its vote. Returns the names of the added replicas.
     ///
     /// # Errors
-    /// Where this replica does not lead, the names differ, a new replica can't be added, or raft refuses.
+    /// Where this replica does not lead, the names differ, a new replica cannot be added, or raft refuses.
     pub async fn change_membership(&self, names: &[String]) -> Result<Vec<String>, MembershipError> {
         self.update_leadership();
         let Some(raft) = self.raft().filter(|_| self.leadership.borrow().is_some()) else {
--- a/crates/fernroute-coordinator/src/replica/mod.rs
+++ b/crates/fernroute-coordinator/src/replica/mod.rs
@@ -128,7 +128,7 @@
     /// Opens the folder that the configuration names, without taking part in the cluster.
     ///
     /// # Errors
-    /// Where the folder can't be opened, can't be read, or belongs to another cluster.
+    /// Where the folder cannot be opened, cannot be read, or belongs to another cluster.
     pub async fn open(config: CoordinatorConfig) -> Result<Rc<Self>, ReplicaError> {
         let (log_store, identity) = LogStore::open(&config.folder, &config.cluster)?;
         let state_machine = StateMachineStore::open(log_store.clone())?;
--- a/crates/fernroute-coordinator/src/store/log_store.rs
+++ b/crates/fernroute-coordinator/src/store/log_store.rs
@@ -50,7 +50,7 @@
     /// Opens the folder, or creates it with a new identity.
     ///
     /// # Errors
-    /// Where the folder can't be used or belongs to another cluster.
+    /// Where the folder cannot be used or belongs to another cluster.
     pub fn open(folder: &Path, cluster: &str) -> Result<(Self, ReplicaIdentity), StoreError> {
         std::fs::create_dir_all(folder)
             .map_err(|source| StoreError::CreateFolder { folder: folder.to_owned(), source })?;
@@ -83,7 +83,7 @@
     /// The replica's position by what is stored; none where it never belonged to a ledger.
     ///
     /// # Errors
-    /// Where the disk can't be read.
+    /// Where the disk cannot be read.
     pub fn position(&self) -> Result<Option<ReplicaPosition>, StoreError> {
         let vote: Option<Vote<u64>> = self.read_value(VOTE_KEY)?;
         let snapshot: Option<StateMachine> = self.read_value(SNAPSHOT_KEY)?;
@@ -99,7 +99,7 @@
     /// The voters of the last membership on this disk: their names by identifier.
     ///
     /// # Errors
-    /// Where the disk can't be read.
+    /// Where the disk cannot be read.
     pub fn voters(&self) -> Result<BTreeMap<u64, String>, StoreError> {
         let membership = self.last_membership()?;
         let voters: BTreeSet<u64> = membership.voter_ids().collect();
--- a/crates/fernroute-coordinator/src/store/state_machine.rs
+++ b/crates/fernroute-coordinator/src/store/state_machine.rs
@@ -88,7 +88,7 @@
     /// Restores the state machine from the last snapshot, or starts an empty one.
     ///
     /// # Errors
-    /// Where the disk can't be read.
+    /// Where the disk cannot be read.
     pub fn open(log_store: LogStore) -> Result<Self, StoreError> {
         let state: Option<StateMachine> = log_store.read_value(SNAPSHOT_KEY)?;
         Ok(StateMachineStore { log_store, state: Rc::new(RefCell::new(state.unwrap_or_default())) })
--- a/crates/fernroute-coordinator/tests/common/balancer.rs
+++ b/crates/fernroute-coordinator/tests/common/balancer.rs
@@ -1,4 +1,4 @@
-//! Balancers that run the real decisions of membership and configuration, with a heartbeat task of their own.
+//! Balancers that use the production code for membership and configuration, each with its own heartbeat task.
 
 use super::{Coordinators, TestMember, CALL_TIMEOUT};
 use fernroute_coordinator::peers::Peers;
@@ -20,19 +20,19 @@
     pub activated: RefCell<Vec<Version>>,
     /// The contents of its active version.
     pub contents: RefCell<Vec<String>>,
-    /// It sends no heartbeat.
+    /// Whether it sends no heartbeats.
     pub is_paused: Cell<bool>,
     /// Heartbeats that got a reply.
     pub heartbeats: Cell<usize>,
-    /// Fetches that a coordinator could not serve because it lagged.
+    /// Fetches that a coordinator could not serve because it was behind.
     pub behind_replies: Cell<usize>,
-    /// What it may spend of the budget.
+    /// The amount of the budget that it may spend.
     pub allocated: Cell<MilliUnits>,
-    /// It rejects contents with this text.
+    /// It rejects contents that contain this text.
     pub rejected_text: RefCell<Option<String>>,
 }
 
-/// A balancer whose task ends with it.
+/// A balancer whose task is aborted when it is dropped.
 pub struct Balancer {
     pub state: Rc<BalancerState>,
     task: actix_rt::task::JoinHandle<()>,
@@ -60,7 +60,7 @@
         Balancer::spawn(coordinators, TestMember::new(name, id, 10_000), Some(follower), first)
     }
 
-    /// A balancer of a version that knows no configuration.
+    /// A balancer of a version that does not support configuration.
     pub fn without_configuration(coordinators: &Coordinators, id: u64, name: &str) -> Self {
         Balancer::spawn(coordinators, TestMember::new(name, id, 10_000), None, 0)
     }
@@ -88,7 +88,7 @@
         self.state.contents.borrow().clone()
     }
 
-    /// Each version was activated after an earlier one.
+    /// Whether versions were activated in increasing order.
     pub fn activated_in_order(&self) -> bool {
         self.state.activated.borrow().is_sorted_by(|earlier, later| earlier < later)
     }
@@ -124,7 +124,7 @@
     }
 }
 
-/// Activates or rejects what was fetched; fetches again later where there is nothing.
+/// Activates or rejects the fetched snapshot, or schedules another fetch where there is none.
 fn apply(state: &BalancerState, follower: &mut ConfigurationFollower, reply: Option<FetchReply>) {
     if let Some(FetchReply::Behind) = reply {
         state.behind_replies.set(state.behind_replies.get() + 1);
@@ -137,7 +137,7 @@
     let rejected_text = state.rejected_text.borrow().clone();
     let rejected_text = rejected_text.filter(|text| contents.iter().any(|content| content.contains(text)));
     if let Some(text) = rejected_text {
-        follower.reject(snapshot.version, &format!("{text} will not do here"));
+        follower.reject(snapshot.version, &format!("{text} is not allowed here"));
         return;
     }
     state.activated.borrow_mut().push(snapshot.version);
--- a/crates/fernroute-coordinator/tests/common/configuration.rs
+++ b/crates/fernroute-coordinator/tests/common/configuration.rs
@@ -1,4 +1,4 @@
-//! Configuration as an operator enters it, and what coordinators and balancers make of it.
+//! Helpers that enter configuration as an operator does, and wait until coordinators and balancers have it.
 
 use super::balancer::Balancer;
 use super::{wait_until, CommandOutput, Coordinators, CALL_TIMEOUT};
@@ -17,14 +17,14 @@
     format!("[limits]\nretry_after_s = {number}\n")
 }
 
-/// Writes a file next to the coordinators' own; its path.
+/// Writes a file into the test's folder and returns its path.
 pub fn write_file(coordinators: &Coordinators, name: &str, content: &str) -> String {
     let path = coordinators.folder.join(name);
     std::fs::write(&path, content).expect("a file");
     path.display().to_string()
 }
 
-/// Runs `put`, which succeeds; the version that it prints.
+/// Runs `put`, asserts that it succeeds, and returns the version that it prints.
 pub async fn put(coordinators: &Coordinators, scope: &str, content: &str, options: &[&str]) -> Version {
     let file = write_file(coordinators, "part.toml", content);
     let arguments = [&["configuration", "put", &file, "--scope", scope], options].concat();
@@ -40,7 +40,7 @@
     coordinators.command(&["configuration", "get", "--scope", scope]).await
 }
 
-/// What one coordinator replies to a balancer of the service web in the zone a.
+/// The reply of one coordinator to a fetch by a balancer of the service web in the zone a.
 pub async fn fetch(
     coordinators: &Coordinators,
     index: usize,
@@ -53,22 +53,22 @@
     reply.map_err(|error| error.to_string())
 }
 
-/// Enters a content without a process of its own. It is repeated while the leader is too busy to be sure that
-/// it leads: the leader rejects the request then, and enters nothing.
+/// Enters a content by a request of this process instead of a command. The request is repeated while the leader cannot
+/// confirm its leadership in time: it then rejects the request and enters nothing.
 pub async fn put_directly(
     coordinators: &Coordinators,
     mut leader: usize,
     scope: &Scope,
-    base: Version,
+    base_version: Version,
     content: &str,
 ) -> Version {
-    let (content, who) = (content.to_owned(), "bob".to_owned());
+    let content = content.to_owned();
     let request = PutRequest {
         scope: scope.clone(),
-        base_version: base,
+        base_version,
         content_hash: content_hash(&content),
         content,
-        author: who,
+        author: "bob".to_owned(),
     };
     loop {
         let address = coordinators.processes[leader].address.to_string();
@@ -76,7 +76,7 @@
             Ok(Ok(version)) => return version,
             // An earlier attempt whose outcome was unknown has entered it.
             Ok(Err(RequestError::OutOfDate(Some(latest))))
-                if latest.base_version == base && latest.content_hash == request.content_hash =>
+                if latest.base_version == base_version && latest.content_hash == request.content_hash =>
             {
                 return latest.version
             }
@@ -88,7 +88,7 @@
     }
 }
 
-/// All entries, as the leader has them.
+/// The history of all scopes, as the leader has it.
 pub async fn history(coordinators: &Coordinators) -> Vec<HistoryEntry> {
     let all_scopes: Option<Scope> = None;
     loop {
--- a/crates/fernroute-coordinator/tests/common/mod.rs
+++ b/crates/fernroute-coordinator/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! Coordinator processes on loopback, and members that send them heartbeats.
+//! Coordinator processes on the loopback interface, and members that send them heartbeats.
 
-// Each test file uses a part of it.
+// Each test file uses a part of this module.
 #![allow(dead_code)]
 
 pub mod balancer;
@@ -59,7 +59,7 @@
 impl From<Output> for CommandOutput {
     fn from(output: Output) -> Self {
         let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
-        let code = output.status.code().expect("no signal ended it");
+        let code = output.status.code().expect("an exit code");
         CommandOutput { code, stdout: text(&output.stdout), stderr: text(&output.stderr) }
     }
 }
@@ -71,17 +71,17 @@
     }
 }
 
-/// A command of the program.
+/// The program with these arguments.
 pub fn program(arguments: &[&str]) -> Command {
     let mut command = Command::new(PROGRAM);
     command.args(arguments);
     command
 }
 
-/// Runs a command while the test's other tasks go on.
+/// Runs a command without blocking the test's other tasks.
 pub async fn run_command(mut command: Command) -> CommandOutput {
-    let output = tokio::task::spawn_blocking(move || command.output().expect("it runs"));
-    output.await.expect("it ends").into()
+    let output = tokio::task::spawn_blocking(move || command.output().expect("the program runs"));
+    output.await.expect("the command ends").into()
 }
 
 /// A coordinator with a disk and a configuration file of its own, which can be restarted.
@@ -96,14 +96,14 @@
 }
 
 impl CoordinatorProcess {
-    /// Starts it with its file and its disk.
+    /// Starts it with its configuration file and its disk.
     pub fn start(&mut self) {
         let mut command = program(&["serve", "--first", "--config"]);
         command.arg(&self.config_path).env_remove("FERNROUTE_LOG");
-        self.process = Some(Process::launch(ignoring_limits(&command)).expect("it starts"));
+        self.process = Some(Process::launch(ignoring_limits(&command)).expect("the process starts"));
     }
 
-    /// Writes a file whose coordinators are at these addresses: the first of all, in their order.
+    /// Writes a configuration file with coordinators at these addresses: `s0` at the first, and so on.
     pub fn write_config(&self, cluster: &str, addresses: &[SocketAddr]) {
         let coordinator = |(index, address): (usize, &SocketAddr)| {
             format!("[[steward]]\nname = \"s{index}\"\naddress = \"{address}\"\n")
@@ -118,7 +118,7 @@
         std::fs::write(&self.config_path, text).expect("a file");
     }
 
-    /// Replaces a text of its file; it takes effect at the next start.
+    /// Replaces a text of its configuration file; this takes effect at the next start.
     pub fn replace_in_config(&self, old: &str, new: &str) {
         let text = std::fs::read_to_string(&self.config_path).expect("a file");
         assert!(text.contains(old), "{old}");
@@ -127,14 +127,14 @@
 
     /// The running process; panics before the first start.
     pub fn process(&self) -> &Process {
-        self.process.as_ref().expect("it was started")
+        self.process.as_ref().expect("a started process")
     }
 
     pub fn kill(&self) {
         self.process().kill();
     }
 
-    /// Kills it, and starts it again with an empty disk.
+    /// Kills it, and restarts it with an empty disk.
     pub fn restart_without_disk(&mut self) {
         self.kill();
         self.disk.wipe().expect("an empty disk");
@@ -151,11 +151,11 @@
 }
 
 impl Coordinators {
-    /// Prepares disks and files under a folder of this test; starts none.
+    /// Prepares disks and configuration files in a folder of this test, and starts no process.
     pub fn new(test: &str, cluster: &str, count: usize) -> Self {
         let folder =
             std::env::temp_dir().join(format!("fernroute-coordinator-{test}-{}", std::process::id()));
-        let addresses = addresses(count).expect("ports");
+        let addresses = addresses(count).expect("free ports");
         let mut processes = Vec::new();
         for (index, address) in addresses.iter().copied().enumerate() {
             let name = format!("s{index}");
@@ -210,7 +210,7 @@
     /// Runs `change` with the file of one coordinator.
     pub fn change(&self, index: usize) -> CommandOutput {
         let mut command = program(&["change", "--config"]);
-        command.arg(&self.processes[index].config_path).output().expect("it runs").into()
+        command.arg(&self.processes[index].config_path).output().expect("the program runs").into()
     }
 
     /// Waits until one of them reports this state.
@@ -230,7 +230,7 @@
             leader.get().is_some()
         })
         .await;
-        leader.get().expect("one leads")
+        leader.get().expect("a leader")
     }
 }
 
@@ -250,13 +250,13 @@
     /// The longest time without a grant beyond the guarantee, after the first one, in tenths of a
     /// millisecond.
     pub longest_lapse: u64,
-    /// It has had a grant beyond its guarantee.
+    /// Whether it has had a grant beyond its guarantee.
     pub was_granted: bool,
-    /// Its state of configuration; none as a version without configuration.
+    /// Its configuration report; none for a version that does not support configuration.
     pub report: Option<ConfigurationReport>,
     /// The configuration version that the last reply notified it of.
     pub notified_version: Option<Version>,
-    /// Its duties; none as a version without duties.
+    /// Its duties; none for a version that does not support duties.
     pub duties: Option<MemberDuties>,
 }
 
@@ -273,12 +273,12 @@
         }
     }
 
-    /// What it may spend of the budget now.
+    /// The amount of the budget that it may spend now.
     pub fn allocated(&self) -> MilliUnits {
         self.member.allocated(now(), "acme")
     }
 
-    /// Sends one heartbeat; whether a coordinator replied to it.
+    /// Sends one heartbeat, and returns whether a coordinator replied to it.
     pub async fn send_heartbeat(&mut self, peers: &Peers, coordinators: &[SocketAddr]) -> bool {
         let lapse = now().saturating_sub(self.member.expirations().0);
         if self.was_granted {
@@ -329,12 +329,12 @@
     }
 }
 
-/// At least 95 percent of the limit is allocated.
+/// Whether at least 95 percent of the limit is allocated.
 pub fn nearly_all_allocated(members: &[TestMember]) -> bool {
     members.iter().map(TestMember::allocated).sum::<MilliUnits>() * 20 >= BUDGET_LIMIT * 19
 }
 
-/// No member holds more than its guarantee.
+/// Whether each member holds exactly its guarantee.
 pub fn only_guarantees(members: &[TestMember]) -> bool {
     members.iter().all(|member| member.allocated() == GUARANTEED)
 }
--- a/crates/fernroute-coordinator/tests/config.rs
+++ b/crates/fernroute-coordinator/tests/config.rs
@@ -1,4 +1,4 @@
-//! The configuration file: what is filled in where it is absent, and how faults are reported.
+//! The configuration file: the defaults of absent keys, and how faults are reported.
 
 use fernroute_coordinator::config::CoordinatorConfig;
 
--- a/crates/fernroute-coordinator/tests/configuration.rs
+++ b/crates/fernroute-coordinator/tests/configuration.rs
@@ -21,8 +21,8 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Guards against a change that reaches other balancers than those of its scope; against followers that do
-/// not serve it; and against a notification that a member of an older version does not know.
+/// Guards against a change that reaches balancers outside of its scope, against followers that do not serve it, and
+/// against a notification to a member of a version that does not support configuration.
 #[test]
 fn a_change_reaches_the_balancers_of_its_scope_and_every_coordinator_serves_it() {
     run(async {
@@ -47,7 +47,7 @@
             wait_until_served(&coordinators, index, 2, &[content(1), content(2)]).await;
             assert_eq!(fetch(&coordinators, index, 4).await, Ok(FetchReply::Behind));
         }
-        // The older version gets no notification, and its grants.
+        // The member of the older version gets grants, and no notification.
         assert!(old.active_version() == 0);
         wait_until(|| async { old.state.allocated.get() > 0 }).await;
         let output = coordinators.command(&["configuration", "status"]).await;
@@ -106,7 +106,7 @@
             let content = content(number);
             if number % 2 == 0 {
                 let kill = async {
-                    // At any step of the entry: the result is the same.
+                    // Whichever step of the entry the kill interrupts, the result is the same.
                     actix_rt::time::sleep(Duration::from_millis(10 * number)).await;
                     coordinators.processes[leader].kill();
                 };
@@ -155,7 +155,7 @@
     });
 }
 
-/// Guards against changes that overtake each other, and against a fleet that does not catch up.
+/// Guards against changes that overtake each other, and against balancers that do not catch up.
 #[test]
 fn a_hundred_changes_in_ten_seconds_are_activated_in_order_and_the_history_is_complete() {
     run(async {
@@ -184,13 +184,13 @@
     });
 }
 
-/// Guards against a coordinator that serves an older version as the latest, and a balancer that fetches from
-/// no other.
+/// Guards against a coordinator that serves an older version as the latest, and against a balancer that does not turn
+/// to another coordinator.
 #[test]
 fn a_lagging_coordinator_replies_that_it_is_behind_and_another_one_serves() {
     run(async {
         let mut coordinators = Coordinators::new("lag", "shop", 3);
-        // The other coordinators reach the third one by a link.
+        // The other coordinators reach the third one through a link that can be interrupted.
         let link = Link::to(coordinators.processes[2].address).await.expect("a link");
         let mut addresses = coordinators.addresses();
         addresses[2] = link.address;
@@ -217,15 +217,14 @@
     });
 }
 
-/// Guards against a partial change, and against one that is reported as entered and is not, where a disk
-/// can't be written.
+/// Guards against a partial change, and against one that is wrongly reported as entered, where a disk cannot be written.
 #[test]
 fn a_put_at_a_leader_with_a_full_disk_is_entered_by_another() {
     run(async {
         let mut coordinators = Coordinators::launch("full", "shop", 3).await;
         let full = coordinators.leader(None).await;
         let balancers = [Balancer::new(&coordinators, 1, "n0", "web", "a", full)];
-        // Before it is a member `--wait` does not wait for it.
+        // `--wait` waits only for balancers that are members already.
         wait_until_known(&balancers).await;
         put(&coordinators, "all", &content(1), &["--wait", "30"]).await;
         coordinators.processes[full].process().fill_disk().expect("a full disk");
@@ -241,7 +240,7 @@
     });
 }
 
-/// Guards against the same where no other coordinator can enter it.
+/// Guards against the same where there is no other coordinator that could enter the change.
 #[test]
 fn a_put_at_the_only_coordinator_with_a_full_disk_is_rejected_or_unknown_and_never_partial() {
     run(async {
@@ -255,7 +254,7 @@
         coordinators.processes[0].kill();
         coordinators.processes[0].start();
         let entries = history(&coordinators).await.len();
-        // The consensus library may have found the disk full before the request came: then it was rejected.
+        // The consensus library may have detected the full disk before the request arrived: then it was rejected.
         match output.code {
             1 => assert!(output.stderr.contains("outcome unknown"), "{output:?}"),
             2 => assert!(output.stderr.contains("replica unavailable") && entries == 1, "{output:?}"),
@@ -267,14 +266,14 @@
     });
 }
 
-/// Guards against a register that is lost with a restart of all coordinators, and against entries so long
-/// that a message between coordinators exceeds its time-out.
+/// Guards against a register that is lost when all coordinators restart, and against entries so long that a message
+/// between coordinators exceeds its time-out.
 #[test]
 fn long_entries_are_replicated_and_survive_a_restart_of_all_coordinators() {
     run(async {
         let mut coordinators = Coordinators::launch("again", "shop", 3).await;
         let leader = coordinators.leader(None).await;
-        // One coordinator receives nearly all of them together.
+        // A suspended coordinator receives nearly all entries together once it resumes.
         let lagging = (leader + 1) % 3;
         coordinators.processes[lagging].process().stop();
         for number in 0..20 {
@@ -300,8 +299,8 @@
     });
 }
 
-/// Guards against a snapshot without the register, where the log is purged, and against a snapshot that is
-/// too long to be sent: 1 MB of contents, and 2,000 entries of history.
+/// Guards against a snapshot without the register where the log is purged, and against a snapshot that is too long to
+/// be sent: this one has 1 MB of contents and 2,000 entries of history.
 #[test]
 fn new_coordinators_receive_the_register_as_a_snapshot() {
     run(async {
@@ -319,12 +318,12 @@
         assert_eq!(fetch(&coordinators, 1, 1).await, Ok(FetchReply::Behind));
         let output = coordinators.change(0);
         assert_eq!(output.code, 0, "{output:?}");
-        // All have what is entered after the last change of voters, and that change.
+        // All coordinators have the entries after the change of voters.
         assert_eq!(put(&coordinators, "all", &content(2), &[]).await, 2001);
         for index in 0..3 {
             wait_until_served(&coordinators, index, 2001, &[content(2)]).await;
         }
-        // The others restart with the snapshot that they received, without the first one.
+        // The two others restart without the first one, with the snapshot that they received.
         coordinators.kill();
         for process in &mut coordinators.processes[1..] {
             process.start();
@@ -357,10 +356,10 @@
     })
 }
 
-/// Writes the disk of a coordinator that was the only one: a snapshot with these entries, and no log of them.
+/// Writes the disk of a cluster's only coordinator: a snapshot with these entries, and a purged log.
 async fn store_snapshot(folder: &Path, entries: Vec<Entry>) {
-    let (mut log_store, identity) = LogStore::open(folder, "shop").expect("it opens");
-    let mut state_machine = StateMachineStore::open(log_store.clone()).expect("it is read");
+    let (mut log_store, identity) = LogStore::open(folder, "shop").expect("the store opens");
+    let mut state_machine = StateMachineStore::open(log_store.clone()).expect("the read succeeds");
     let nodes = BTreeMap::from([(identity.id, BasicNode::new("s0"))]);
     let membership = Membership::new(vec![BTreeSet::from([identity.id])], nodes);
     let payloads = [EntryPayload::Membership(membership)]
@@ -370,9 +369,9 @@
     let log = payloads.enumerate().map(|(index, payload)| openraft::Entry { log_id: log_id(index), payload });
     let log: Vec<openraft::Entry<RaftTypes>> = log.collect();
     let last = log_id(log.len() - 1);
-    let results = state_machine.apply(log).await.expect("it applies");
+    let results = state_machine.apply(log).await.expect("the entries apply");
     assert!(results.iter().all(Result::is_ok));
-    state_machine.build_snapshot().await.expect("it is written");
-    log_store.purge(last).await.expect("it is written");
-    log_store.save_vote(&Vote::new_committed(1, identity.id)).await.expect("it is written");
+    state_machine.build_snapshot().await.expect("the write succeeds");
+    log_store.purge(last).await.expect("the write succeeds");
+    log_store.save_vote(&Vote::new_committed(1, identity.id)).await.expect("the write succeeds");
 }
--- a/crates/fernroute-coordinator/tests/configuration_commands.rs
+++ b/crates/fernroute-coordinator/tests/configuration_commands.rs
@@ -1,4 +1,4 @@
-//! `fernroute-coordinator configuration`: its output, its errors and its exit codes.
+//! The output, errors and exit codes of `fernroute-coordinator configuration`.
 
 mod common;
 
@@ -10,7 +10,7 @@
 use fernroute_fleet::configuration::Scope;
 use fernroute_test_support::link::Link;
 
-/// Asserts exit code 2, and an error of one line with this text.
+/// Asserts exit code 2 and an error of one line that contains this text.
 fn assert_rejected(output: &CommandOutput, expected: &str) {
     assert!(
         output.code == 2 && output.stdout.is_empty() && output.stderr.contains(expected),
@@ -19,7 +19,7 @@
     assert_eq!(output.stderr.lines().count(), 1, "{output:?}");
 }
 
-/// Guards against a change that is based on an older version than the latest, which it would silently revert.
+/// Guards against a change that is based on an older version, and would silently revert the latest one.
 #[test]
 fn of_two_concurrent_puts_one_is_rejected_and_names_the_author_of_the_other() {
     run(async {
@@ -52,8 +52,8 @@
     });
 }
 
-/// Guards against a change that is entered twice or reported as rejected because the reply was lost, and
-/// against one that is delayed and overwrites a newer one.
+/// Guards against a change that is entered twice or reported as rejected because its reply was lost, and against a
+/// delayed change that overwrites a newer one.
 #[test]
 fn a_put_with_a_lost_reply_is_recognized_and_a_delayed_one_is_rejected() {
     run(async {
@@ -112,7 +112,7 @@
         Fleet { coordinators, balancers, old_balancer }
     }
 
-    /// Runs `put --wait` for the service of the three.
+    /// Runs `put --wait` for the service of the three balancers.
     async fn put_and_wait(&self, content: String, wait_s: &str) -> CommandOutput {
         let file = write_file(&self.coordinators, "part.toml", &content);
         let arguments = ["configuration", "put", &file, "--scope", "service/web", "--wait", wait_s];
@@ -131,11 +131,11 @@
         assert_eq!((output.code, output.stdout.as_str()), (1, "version 2\n"), "{output:?}");
         assert_eq!(
             output.stderr,
-            "fernroute-coordinator: version 2 is in force at 2 of 3; refused by n1: retry_after_s = 2 will not do here\n"
+            "fernroute-coordinator: version 2 is in force at 2 of 3; refused by n1: retry_after_s = 2 is not allowed here\n"
         );
         let table = self.status_table().await;
         let line = |name: &str| table.lines().find(|line| line.starts_with(name)).unwrap_or_default();
-        assert!(line("n1").ends_with("refused: retry_after_s = 2 will not do here"), "{table}");
+        assert!(line("n1").ends_with("refused: retry_after_s = 2 is not allowed here"), "{table}");
         assert!(line("n0").ends_with("in force") && line("n3").ends_with("follows none"), "{table}");
         assert!(line("service/web").contains(" 2 "), "{table}");
     }
@@ -192,7 +192,7 @@
         assert!(scopes.eq([(&Scope::All, 1), (&Scope::Service("web".to_owned()), 5)]));
     }
 
-    /// A new leader has received no heartbeat, which does not count as active.
+    /// A new leader has received no heartbeat yet, so that no member counts as active.
     async fn members_are_pending_right_after_an_election(&self) {
         for balancer in self.balancers.iter().chain(&self.old_balancer) {
             balancer.state.is_paused.set(true);
@@ -239,7 +239,7 @@
     );
 }
 
-/// Guards against a content that balancers can't load.
+/// Guards against a content that balancers cannot load.
 #[test]
 fn invalid_contents_are_rejected_by_check_and_put_in_one_line() {
     run(async {
@@ -267,7 +267,7 @@
     });
 }
 
-/// Guards against arguments that are taken for others.
+/// Guards against invalid arguments that are accepted or misread.
 #[test]
 fn invalid_arguments_are_rejected_in_one_line() {
     run(async {
@@ -306,7 +306,7 @@
     });
 }
 
-/// Guards against a command that succeeds or hangs without a coordinator.
+/// Guards against a command that succeeds or hangs where no coordinator is reachable.
 #[test]
 fn commands_without_a_reachable_coordinator_are_rejected_in_one_line() {
     run(async {
--- a/crates/fernroute-coordinator/tests/duties.rs
+++ b/crates/fernroute-coordinator/tests/duties.rs
@@ -1,4 +1,4 @@
-//! Duties: the commands, members of an older version beside new ones, and invalid files.
+//! Duties: the commands, members of versions with and without duties, and invalid configuration files.
 
 mod common;
 
@@ -26,7 +26,7 @@
         let member = Rc::new(RefCell::new(member));
         let shared = Rc::clone(&member);
         let (peers, addresses) = (coordinators.peers.clone(), coordinators.addresses());
-        // Only `term` borrows it beside this task, and does without where it can't.
+        // Besides this task only `term` borrows the member, and returns none where it is borrowed already.
         #[allow(clippy::await_holding_refcell_ref)]
         let task = actix_rt::spawn(async move {
             loop {
@@ -39,7 +39,7 @@
         RunningMember { member, task }
     }
 
-    /// The term under which it may act on the duty; none while a heartbeat is on its way.
+    /// The term under which it may act on the duty; none while a heartbeat is in flight.
     fn term(&self, duty: &str) -> Option<u64> {
         self.member.try_borrow().ok()?.duties.as_ref()?.term(now(), duty)
     }
@@ -65,7 +65,7 @@
     serde_json::from_str(&output.stdout).expect("a status")
 }
 
-/// Waits until each duty has a holder; name and term of the first one's.
+/// Waits until each duty has a holder, and returns the name and term of the first duty's holder.
 async fn first_holder(coordinators: &Coordinators) -> (String, u64) {
     let found = RefCell::new(None);
     wait_until(|| async {
@@ -79,8 +79,8 @@
     (holder.name, holder.term)
 }
 
-/// Guards against two holders where members ask at the same time, a duty at a member of a version without
-/// duties, and commands whose output differs from the state.
+/// Guards against two holders where members start at the same time, against a duty at a member whose version does not
+/// support duties, and against commands whose output differs from the state.
 #[test]
 fn commands_print_the_holder_of_a_duty_and_release_it_to_another() {
     run(async {
@@ -88,7 +88,7 @@
         add_duties(&coordinators, &["planner", "sweep"]);
         coordinators.start();
         coordinators.leader(None).await;
-        // All start at the same time; n1 is of an older version.
+        // All start at the same time; the version of n1 does not support duties.
         let members: Vec<RunningMember> =
             (1..=4).map(|id| RunningMember::new(&coordinators, id, id != 1)).collect();
 
@@ -96,9 +96,10 @@
         assert_ne!(first, "n1");
         wait_until(|| async { members.iter().any(|member| member.term("planner") == Some(term)) }).await;
         let active = members.iter().filter(|member| member.term("planner").is_some()).count();
-        assert!(active <= 1, "{active} act on it");
+        assert!(active <= 1, "{active} members act on the duty");
         let output = coordinators.command(&["duties", "status"]).await;
-        let line = output.stdout.lines().find(|line| line.starts_with("planner")).expect("its line");
+        let line =
+            output.stdout.lines().find(|line| line.starts_with("planner")).expect("a line for the duty");
         assert!(output.code == 0 && line.contains(&first) && line.contains(&term.to_string()), "{output:?}");
 
         let output = coordinators.command(&["duties", "release", "planner"]).await;
@@ -115,7 +116,7 @@
     });
 }
 
-/// Guards against a command with invalid arguments that succeeds, or is reported in more than one line.
+/// Guards against a command with invalid arguments that succeeds, or whose error has more than one line.
 #[test]
 fn invalid_duty_commands_are_one_line_and_exit_code_2() {
     run(async {
@@ -138,7 +139,7 @@
     });
 }
 
-/// Guards against a duty that stays with its holder when the files name it no more.
+/// Guards against a duty that stays with its holder after it was removed from the configuration file.
 #[test]
 fn a_duty_that_is_removed_from_the_file_ends_with_its_holder() {
     run(async {
@@ -164,7 +165,7 @@
     });
 }
 
-/// Guards against an invalid file that is accepted, or reported in more than one line.
+/// Guards against an invalid file that is accepted, or whose error has more than one line.
 #[test]
 fn invalid_duties_are_one_line_and_exit_code_2() {
     let coordinators = Coordinators::new("bad-duties", "c", 1);
@@ -173,7 +174,7 @@
     let valid = std::fs::read_to_string(path).expect("a file");
     let check = |text: &str| {
         std::fs::write(path, text).expect("a file");
-        let output = program(&["check", "--config"]).arg(path).output().expect("it runs");
+        let output = program(&["check", "--config"]).arg(path).output().expect("the program runs");
         CommandOutput::from(output)
     };
 
--- a/crates/fernroute-coordinator/tests/fleet.rs
+++ b/crates/fernroute-coordinator/tests/fleet.rs
@@ -1,5 +1,4 @@
-//! The ledger of a fleet while its coordinators are killed, suspended, restarted and replaced, and while
-//! disks are lost or full.
+//! A fleet's ledger while coordinators are killed, suspended, restarted and replaced, and while disks are lost or full.
 
 mod common;
 
@@ -11,13 +10,13 @@
 use fernroute_coordinator::replica::Status;
 use fernroute_fleet::message::HEARTBEAT_PATH;
 
-fn forget_lapses(members: &mut [TestMember]) {
+fn reset_lapses(members: &mut [TestMember]) {
     for member in members {
         member.longest_lapse = 0;
     }
 }
 
-/// Guards against grants that expire because a leader was killed, and against a ledger that loses them.
+/// Guards against grants that expire because a leader was killed, and against a ledger that loses grants.
 #[test]
 fn grants_do_not_expire_when_the_leader_is_killed() {
     run(async {
@@ -32,27 +31,27 @@
             let leader = coordinators.leader(None).await;
             let epoch = coordinators.status(leader).await.expect("a status").epoch;
             coordinators.processes[leader].kill();
-            forget_lapses(&mut members);
+            reset_lapses(&mut members);
             let next = coordinators.leader(Some(leader)).await;
             heartbeat_until(&coordinators, &mut members, nearly_all_allocated).await;
-            // One log line, not one for each message that fails.
+            // It is logged once, instead of for each message that fails.
             let log_line = format!("coordinator s{leader} is unreachable");
             wait_until(|| async { coordinators.processes[next].process().says(&log_line) }).await;
             assert!(coordinators.processes[next].process().times(&log_line) == 1);
             assert!(members.iter().all(|member| member.longest_lapse == 0), "a grant expired");
             let status = coordinators.status(next).await.expect("a status");
             assert!(status.epoch >= epoch && status.members.len() == 2, "{status:?}");
-            // It restarts with its disk.
+            // The killed coordinator restarts with its disk.
             coordinators.processes[leader].start();
             coordinators.wait_for_state(leader, "follower").await;
         }
     });
 }
 
-/// Guards against a minority that grants, and against guarantees that expire with the other grants. All
-/// coordinators are suspended and resumed.
+/// Guards against a minority that grants, and against guarantees that expire together with the quotas. Each coordinator
+/// is suspended and resumed.
 #[test]
-fn without_a_majority_members_keep_their_guarantees_alone_until_it_is_back() {
+fn without_a_majority_members_keep_only_their_guarantees_until_it_is_restored() {
     run(async {
         let mut coordinators = Coordinators::new("minority", "c", 3);
         coordinators.start();
@@ -63,22 +62,22 @@
         for follower in &followers {
             coordinators.processes[*follower].process().stop();
         }
-        // The leader alone replies to nobody.
+        // Without a majority the leader replies to no member.
         heartbeat_until(&coordinators, &mut members, only_guarantees).await;
         coordinators.processes[leader].process().stop();
         for follower in &followers {
             coordinators.processes[*follower].process().go_on();
         }
         heartbeat_until(&coordinators, &mut members, nearly_all_allocated).await;
-        // The old leader resumes, and learns that it leads no more.
+        // The former leader resumes, and learns that it has been replaced.
         coordinators.processes[leader].process().go_on();
         coordinators.wait_for_state(leader, "follower").await;
         heartbeat_until(&coordinators, &mut members, nearly_all_allocated).await;
     });
 }
 
-/// Guards against a coordinator that votes twice because its vote was lost with its disk, or that serves
-/// another cluster.
+/// Guards against a coordinator that votes twice because its vote was lost with its disk, and against one that uses the
+/// disk of another cluster.
 #[test]
 fn a_coordinator_without_its_disk_or_with_one_of_another_cluster_has_no_vote() {
     run(async {
@@ -93,26 +92,26 @@
         coordinators.wait_for_state(lost, "blank").await;
         assert_ne!(coordinators.status(lost).await.expect("a status").id, id);
         heartbeat_until(&coordinators, &mut members, nearly_all_allocated).await;
-        // It is no part of a majority, and votes for nobody.
+        // The coordinator without its disk does not vote, so that there is no majority.
         coordinators.processes[leader].kill();
         heartbeat_until(&coordinators, &mut members, |members| members[0].allocated() == GUARANTEED).await;
         assert!(coordinators.status(lost).await.is_some_and(|status| status.state == "blank"));
         coordinators.processes[leader].start();
         heartbeat_until(&coordinators, &mut members, nearly_all_allocated).await;
-        // A disk of another cluster ends the start with an error.
+        // A start with the disk of another cluster fails.
         let other = Coordinators::new("other", "d", 1);
         let restarted = &mut coordinators.processes[lost];
         restarted.kill();
         restarted.replace_in_config("\"c\"", "\"d\"");
         restarted.start();
         assert_eq!(restarted.process().ends().await, Some(2));
-        // Its last line may be read after its exit is known.
+        // Its last log line may be read after its exit has been noticed.
         wait_until(|| async { restarted.process().says("belongs to the cluster c, not to d") }).await;
         drop(other);
     });
 }
 
-/// Guards against a coordinator that ends because of a message.
+/// Guards against a coordinator that terminates because of an invalid message.
 #[test]
 fn invalid_messages_are_rejected_with_a_reason_and_counted() {
     run(async {
@@ -145,7 +144,7 @@
         }
         let mut members = [TestMember::new("n0", 1, 150_000)];
         heartbeat_until(&coordinators, &mut members, nearly_all_allocated).await;
-        // Five were unreadable; those for another cluster or coordinator were not.
+        // Five messages were unreadable; those for another cluster or coordinator do not count.
         assert_eq!(coordinators.status(leader).await.expect("a status").unreadable_messages, 5);
         let output = run_command(program(&["status", &address.to_string()])).await;
         for expected in ["s0 is leader, s0 leads", "acme", "200.000", "n0"] {
@@ -155,17 +154,17 @@
     });
 }
 
-/// Starts the first coordinator alone, and adds the others; they are rejected until the leader's file names
-/// them and they run.
+/// Starts the first coordinator alone, and adds the others. These are rejected until the leader's file names them and
+/// they run.
 async fn grow_from_one_to_three(coordinators: &mut Coordinators, members: &mut [TestMember]) {
     let all = coordinators.addresses();
     coordinators.processes[0].write_config("c", &all[..1]);
     coordinators.processes[0].start();
     heartbeat_until(coordinators, members, nearly_all_allocated).await;
-    // The leader's own file has to name the new ones first.
+    // The leader's own file has to name the new coordinators first.
     let output = coordinators.change(1);
     assert!(output.code == 2 && output.text().contains("the file of the leader s0 names s0"), "{output:?}");
-    // It leads alone with the new file, too.
+    // With the new file it still leads alone.
     coordinators.processes[0].kill();
     coordinators.processes[0].write_config("c", &all);
     coordinators.processes[0].start();
@@ -181,18 +180,17 @@
     heartbeat_until(coordinators, members, nearly_all_allocated).await;
 }
 
-/// Guards against a cluster that can't grow from one coordinator, or can't replace a lost one, without grants
-/// that expire.
+/// Guards against grants that expire while a cluster grows from one coordinator, or replaces a lost one.
 #[test]
 fn a_cluster_grows_from_one_to_three_and_replaces_a_lost_coordinator() {
     run(async {
         let mut coordinators = Coordinators::new("grow", "c", 3);
         let mut members = [TestMember::new("n0", 1, 150_000), TestMember::new("n1", 2, 50_000)];
         grow_from_one_to_three(&mut coordinators, &mut members).await;
-        // The first one is lost with its disk, and restarts with another identity.
+        // The first coordinator loses its disk, and restarts with another identity.
         coordinators.processes[0].kill();
         coordinators.processes[0].disk.wipe().expect("an empty disk");
-        forget_lapses(&mut members);
+        reset_lapses(&mut members);
         coordinators.leader(Some(0)).await;
         heartbeat_until(&coordinators, &mut members, nearly_all_allocated).await;
         assert!(members.iter().all(|member| member.longest_lapse == 0), "a grant expired");
@@ -200,7 +198,7 @@
         coordinators.wait_for_state(0, "blank").await;
         let output = coordinators.change(0);
         assert!(output.code == 0 && output.text().contains("added: s0"), "{output:?}");
-        // It votes: without it there would be no majority now.
+        // The new coordinator votes: without its vote there would be no majority now.
         coordinators.processes[1].kill();
         heartbeat_until(&coordinators, &mut members, nearly_all_allocated).await;
         let leader = coordinators.leader(Some(1)).await;
@@ -236,8 +234,8 @@
     coordinators.processes[follower].start();
 }
 
-/// Guards against a coordinator that votes and accepts entries a second time because its disk is a stale
-/// copy.
+/// Guards against a coordinator that votes or acknowledges entries a second time because its disk was restored from an
+/// older copy.
 #[test]
 fn a_coordinator_with_a_stale_copy_of_its_disk_takes_no_part_until_it_is_replaced() {
     run(async {
@@ -255,13 +253,13 @@
             coordinators.status(stale).await.is_some_and(|status| reports_stale_disk(&status))
         })
         .await;
-        // It is no part of a majority.
+        // The coordinator with the stale disk does not vote, so that there is no majority.
         coordinators.processes[other].kill();
         heartbeat_until(&coordinators, &mut members, only_guarantees).await;
         assert!(coordinators.status(stale).await.is_some_and(|status| reports_stale_disk(&status)));
         coordinators.processes[other].start();
         heartbeat_until(&coordinators, &mut members, nearly_all_allocated).await;
-        // A restart without a disk, and a change, bring it back.
+        // After a restart without its disk it can be added again.
         coordinators.processes[stale].restart_without_disk();
         coordinators.wait_for_state(stale, "blank").await;
         let output = coordinators.change(stale);
@@ -270,8 +268,7 @@
     });
 }
 
-/// Guards against a coordinator that goes on as if its writes had succeeded, and against one that stalls the
-/// cluster.
+/// Guards against a coordinator that continues as if its writes had succeeded, and against one that blocks the cluster.
 #[test]
 fn a_coordinator_that_cannot_write_stops_with_a_fault_and_restarts_with_its_state() {
     run(async {
@@ -290,7 +287,7 @@
         let status = coordinators.status(full).await.expect("a status");
         assert!(status.state == "stopped" && status.fault.is_some(), "{status:?}");
         assert!(coordinators.processes[full].process().says("storage error: "));
-        // With space again it restarts with its state, and votes.
+        // After a restart with free space it has its state and votes again.
         coordinators.processes[full].kill();
         coordinators.processes[full].start();
         coordinators.wait_for_state(full, "follower").await;
@@ -299,7 +296,7 @@
     });
 }
 
-/// Guards against a bound on members, or on the length of a status, that a large fleet exceeds.
+/// Guards against limits on the number of members or the length of a status that a large fleet exceeds.
 #[test]
 fn a_thousand_members_join_at_once_and_are_in_the_status() {
     const MEMBERS: usize = 1_024;
@@ -310,7 +307,7 @@
         coordinators.leader(None).await;
         let mut members: Vec<TestMember> =
             (0..MEMBERS).map(|n| TestMember::new(&format!("n{n}"), n as u64 + 1, 150)).collect();
-        // All at once, as after a restart of the whole fleet.
+        // All members at once, as after a restart of the whole fleet.
         for _ in 0..3 {
             let addresses = coordinators.addresses();
             let heartbeats =
--- a/crates/fernroute-coordinator/tests/public_interface.rs
+++ b/crates/fernroute-coordinator/tests/public_interface.rs
@@ -1,12 +1,12 @@
-//! What operators see of a coordinator's command line: exit codes and the texts of errors, as fixed texts. `PROGRAM` stands for
-//! the program's name, `FILE` for the file's path.
+//! The command line as operators see it: exit codes and error messages, compared with fixed texts. `PROGRAM` stands for the
+//! program's name, `FILE` for the file's path.
 
 use std::path::Path;
 use std::process::Command;
 
 const CONFIG: &str = "cluster = \"c\"\nname = \"a\"\nfolder = \"/tmp/a\"\n[[steward]]\nname = \"a\"\naddress = \"127.0.0.1:7001\"\n[[budget]]\nname = \"acme\"\nwhole = 200\n[[duty]]\nname = \"sweep\"\n";
 
-/// A text of the file, what stands in its place, and the line that follows.
+/// A text of the file, its replacement, and the expected error.
 const ERRORS: &[(&str, &str, &str)] = &[
     ("cluster = \"c\"", "cluster = \"\"", "PROGRAM: FILE: cluster: is empty\n"),
     ("name = \"a\"\nfolder", "name = \"b\"\nfolder", "PROGRAM: FILE: name: no [[steward]] is named b\n"),
@@ -29,7 +29,8 @@
 fn run(folder: &Path, text: &str) -> (Option<i32>, String, String) {
     let path = folder.join("steward.toml");
     std::fs::write(&path, text).expect("a file");
-    let output = Command::new(PROGRAM).args(["check", "--config"]).arg(&path).output().expect("it runs");
+    let output =
+        Command::new(PROGRAM).args(["check", "--config"]).arg(&path).output().expect("the program runs");
     let name = Path::new(PROGRAM).file_name().expect("a name").to_string_lossy().into_owned();
     let error = String::from_utf8_lossy(&output.stderr)
         .replace(&path.display().to_string(), "FILE")
@@ -38,7 +39,7 @@
 }
 
 #[test]
-fn a_bad_file_is_one_known_line_and_exit_code_2() {
+fn an_invalid_file_gives_one_line_and_exit_code_2() {
     let folder = std::env::temp_dir().join(format!("fernroute-coordinator-errors-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     let (code, _, error) = run(&folder, CONFIG);
--- a/crates/fernroute-coordinator/tests/wire_format.rs
+++ b/crates/fernroute-coordinator/tests/wire_format.rs
@@ -1,4 +1,4 @@
-//! The JSON between coordinators, and from them to operators: fixed texts, read and written again without a change.
+//! The JSON between coordinators, and from them to operators: fixed texts must survive decoding and encoding unchanged.
 
 use fernroute_coordinator::configuration::{
     ConfigurationStatus, LatestEntry, PutRequest, RequestError, ScopeStatus,
@@ -15,10 +15,10 @@
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
-/// The text is read as this type, and written again as the very same text.
+/// Asserts that the text decodes as this type and encodes to the same text.
 fn assert_unchanged<T: Serialize + DeserializeOwned>(text: &str) {
     let value: T = serde_json::from_str(text).unwrap_or_else(|error| panic!("{error}: {text}"));
-    assert_eq!(serde_json::to_string(&value).expect("it is written"), text);
+    assert_eq!(serde_json::to_string(&value).expect("the write succeeds"), text);
 }
 
 const VOTE: &str = r#"{"leader_id":{"term":3,"node_id":42},"committed":true}"#;
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn messages_of_the_consensus_keep_their_keys() {
+fn raft_messages_keep_their_keys() {
     let entries = [
         r#""Blank""#,
         r#"{"Normal":{"Budgets":{"acme":{"whole":200000,"floor":40}}}}"#,
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn what_coordinators_say_of_themselves_keeps_its_keys() {
+fn replica_info_and_replicated_state_keep_their_keys() {
     assert_unchanged::<ReplicaInfo>(
         r#"{"cluster":"shop","name":"s0","id":42,"blank":false,"heard":{"43":{"vote":[3,42],"entry":[3,42,5]}}}"#,
     );
@@ -74,12 +74,12 @@
 }
 
 #[test]
-fn what_an_operator_sends_and_is_answered_keeps_its_keys() {
+fn operators_requests_and_their_replies_keep_their_keys() {
     let line = r#"{"version":1,"scope":"all","base":0,"hash":"a1","bytes":6,"who":"ann","when_ms":1}"#;
     assert_unchanged::<PutRequest>(
         r#"{"scope":"service/web","base":0,"hash":"a1","content":"a = 1\n","who":"ann"}"#,
     );
-    for answer in [
+    for reply in [
         r#"{"Ok":7}"#.to_owned(),
         r#"{"Err":{"elsewhere":"127.0.0.1:7001"}}"#.to_owned(),
         r#"{"Err":{"elsewhere":null}}"#.to_owned(),
@@ -88,7 +88,7 @@
         r#"{"Err":{"refused":"why"}}"#.to_owned(),
         r#"{"Err":{"unknown":"why"}}"#.to_owned(),
     ] {
-        assert_unchanged::<Result<u64, RequestError>>(&answer);
+        assert_unchanged::<Result<u64, RequestError>>(&reply);
     }
     assert_unchanged::<ApplyResult>(r#"{"Ok":7}"#);
     assert_unchanged::<ApplyResult>(r#"{"Err":{"why":"the scope is at version 1","latest":1}}"#);
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn what_operators_read_as_json_keeps_its_keys() {
+fn status_reports_keep_their_keys() {
     assert_unchanged::<ScopeStatus>(r#"{"scope":"all","version":1,"hash":"a1","bytes":6}"#);
     assert_unchanged::<ConfigurationStatus>(
         r#"{"cluster":"shop","leader":"s0","version":2,"settled":true,"scopes":[{"scope":"all","version":1,"hash":"a1","bytes":6}],"summary":{"in_force":1,"on_its_way":0,"refused":0,"ahead":0,"not_heard_of":0,"follows_none":0},"members":[{"name":"n0","service":"web","zone":"a","wanted":2,"in_force":2,"refused":null,"standing":"in_force"}]}"#,
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn paths_stay_as_they_are() {
+fn request_paths_are_unchanged() {
     use fernroute_coordinator::{configuration, duties, peers};
     assert_eq!(
         [
--- a/crates/fernroute-fleet/src/configuration/follower.rs
+++ b/crates/fernroute-fleet/src/configuration/follower.rs
@@ -3,7 +3,7 @@
 //!
 //! The balancer's configuration task sends what [`ConfigurationFollower::next_fetch`] returns to any
 //! coordinator. It passes the reply to [`ConfigurationFollower::on_reply`], or reports a failure with
-//! [`ConfigurationFollower::fetch_failed`]. A [`ConfigurationSnapshot`] from a reply is laid over the
+//! [`ConfigurationFollower::fetch_failed`]. A [`ConfigurationSnapshot`] from a reply is merged over the
 //! balancer's own file; the caller then reports [`ConfigurationFollower::activate`] or
 //! [`ConfigurationFollower::reject`], and stores an active one on its disk.
 //!
@@ -35,7 +35,7 @@
     target: Target,
     /// The highest version of its entries; 0 without any.
     pub version: Version,
-    /// As [`bundle_hash`] makes it.
+    /// The [`bundle_hash`] of its entries.
     #[serde(default)]
     #[serde(rename = "whole")]
     bundle_hash: String,
@@ -85,17 +85,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FetchError {
     /// The coordinator has not applied the wanted version yet.
-    #[error("the coordinator is behind")]
+    #[error("the coordinator has not applied the wanted version")]
     Behind,
     /// It is no newer than the active version, or was rejected.
-    #[error("the version is not newer")]
+    #[error("the version is not newer than the active or rejected one")]
     Older,
     /// A content does not match its hash, an entry is not of this balancer, or the entries do not form one
     /// bundle with those that the balancer has. The next request asks for all entries.
     #[error("the entries do not match their hashes")]
     Corrupt,
     /// No request is unanswered.
-    #[error("nothing was requested")]
+    #[error("no request is pending")]
     Unsolicited,
 }
 
@@ -169,10 +169,10 @@
         self.rejection.as_ref().map_or(0, |rejection| rejection.version).max(self.active.version)
     }
 
-    /// The leader's notice of the version that concerns this balancer. The last notice counts, even a lower
-    /// one: it is of an overtaken reply, and corrected by the next, or of a register that was set up anew,
-    /// where the higher version would be fetched in vain. Neither brings anything older than the active
-    /// version.
+    /// The leader's notice of the version that concerns this balancer. The last notice counts, even if it is
+    /// lower: it is from an overtaken reply, and the next one corrects it, or from a register that was created
+    /// anew, which does not have the higher version. In neither case an older version than the active one is
+    /// used.
     pub fn on_notification(&mut self, version: Version) {
         if version > self.notified_version {
             self.reset_backoff();
--- a/crates/fernroute-fleet/src/configuration/mod.rs
+++ b/crates/fernroute-fleet/src/configuration/mod.rs
@@ -2,13 +2,13 @@
 //! uses which.
 //!
 //! An entry is a part of a balancer's file, for a [`Scope`]: the whole fleet, a service, a service in one
-//! zone, or one balancer. The entries that concern a balancer are laid over its own file from the widest
+//! zone, or one balancer. The entries that concern a balancer are merged over its own file from the widest
 //! scope to the narrowest. Versions increase over all scopes, so the highest one that concerns a balancer
 //! identifies all that it should use.
 //!
 //! - [`register`]: the replicated state: the latest entry of each scope, and a history without contents.
 //! - [`follower`]: a balancer's side: what is active, which version it was notified of, when it fetches that.
-//! - [`rollout`]: how far the members are, for `status`.
+//! - [`rollout`]: the rollout state of the members, for `status`.
 //!
 //! Why an older entry never replaces a newer one, and none is applied in part, is in
 //! `docs/fleet-configuration-design.md`.
@@ -37,8 +37,8 @@
 /// The path at which a coordinator answers a [`FetchRequest`].
 pub const FETCH_PATH: &str = "/-/configuration/fetch";
 
-/// Whether a service, a zone, a balancer or a duty may have this name: it fits a scope, a log line and a
-/// table as it is.
+/// Whether a service, a zone, a balancer or a duty may have this name: it needs no escaping in a scope, a log
+/// line or a table.
 pub fn is_valid_name(text: &str) -> bool {
     !text.is_empty()
         && text.len() <= MAX_NAME_BYTES
@@ -161,7 +161,7 @@
     pub scope: Scope,
     /// The version of the change that entered it.
     pub version: Version,
-    /// Of the content, as [`content_hash`] makes it.
+    /// The [`content_hash`] of the content.
     #[serde(rename = "hash")]
     pub content_hash: String,
     /// Part of a balancer's file; empty where the scope was cleared.
@@ -210,7 +210,7 @@
     /// The balancer.
     #[serde(rename = "place")]
     pub target: Target,
-    /// The balancer has all entries up to this version; 0 to get all there are.
+    /// The balancer has all entries up to this version; 0 to get all entries.
     #[serde(rename = "have")]
     pub known_version: Version,
     /// The version that the balancer was notified of; a coordinator that has not applied it is behind.
--- a/crates/fernroute-fleet/src/configuration/register.rs
+++ b/crates/fernroute-fleet/src/configuration/register.rs
@@ -19,18 +19,18 @@
 /// Enough for some thousand balancers and their services.
 const MAX_SCOPES: usize = 10_000;
 
-/// Of all contents together: each coordinator holds them, and sends them in one piece to one that has
-/// restarted.
+/// The limit of all contents together: each coordinator holds them in memory, and sends them in one snapshot
+/// to one that has restarted.
 const MAX_TOTAL_BYTES: usize = 16 << 20;
 
-/// How far a version may be above the last one. Guards against a member that reports the highest number there
-/// is.
+/// How far a version may be above the last one. Guards against a member that reports the highest possible
+/// number.
 const MAX_VERSION_STEP: Version = 1_000_000;
 
-/// More than a day's changes of the largest fleet.
+/// More than the largest fleet's changes of one day.
 const MAX_HISTORY_ENTRIES: usize = 4_000;
 
-/// An operator's change of one scope, as it stands in the replicated log.
+/// An operator's change of one scope, as an entry of the replicated log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigurationPut {
     /// The scope to change.
@@ -38,7 +38,7 @@
     /// The scope's version that the operator started from; 0 where there was none.
     #[serde(rename = "base")]
     pub base_version: Version,
-    /// Of the content, as [`content_hash`] makes it.
+    /// The [`content_hash`] of the content.
     #[serde(rename = "hash")]
     pub content_hash: String,
     /// Part of a balancer's file; empty to clear the scope.
@@ -80,7 +80,7 @@
     /// The scope's version before.
     #[serde(rename = "base")]
     pub base_version: Version,
-    /// Of the content, as [`content_hash`] makes it.
+    /// The [`content_hash`] of the content.
     #[serde(rename = "hash")]
     pub content_hash: String,
     /// The content's length.
@@ -116,7 +116,7 @@
 /// The replicated state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Register {
-    /// Of the last change in any scope.
+    /// The version of the last change in any scope.
     version: Version,
     /// The latest entry of each scope. A cleared scope keeps its entry, since its version still counts.
     #[serde(rename = "parts")]
@@ -170,7 +170,7 @@
         put.content.is_empty() || other_bytes + put.content.len() <= MAX_TOTAL_BYTES
     }
 
-    /// None where the numbers are used up.
+    /// None where no higher number is left.
     fn next_version(&self, put: &ConfigurationPut) -> Option<Version> {
         let highest_base = self.version.saturating_add(MAX_VERSION_STEP);
         put.min_version_exclusive.clamp(self.version, highest_base).checked_add(1)
--- a/crates/fernroute-fleet/src/configuration/rollout.rs
+++ b/crates/fernroute-fleet/src/configuration/rollout.rs
@@ -1,4 +1,4 @@
-//! How far each member is with the configuration that concerns it, as the leader knows it.
+//! The rollout state of the configuration at each member, as the leader knows it.
 //!
 //! [`crate::leader::Leader::configuration_states`] makes a [`MemberRollout`] of each member; the
 //! coordinator's `status` shows them and their [`RolloutSummary`].
@@ -6,7 +6,7 @@
 use super::{ConfigurationReport, Version};
 use serde::{Deserialize, Serialize};
 
-/// How far a member is.
+/// The state of a rollout at one member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RolloutState {
@@ -19,7 +19,7 @@
     /// It has rejected the wanted version, and reported why.
     #[serde(rename = "refused")]
     Rejected,
-    /// Its active version is not in this register: it is of one that was lost with all coordinators' disks.
+    /// Its active version is not in this register: it is from one that was lost with all coordinators' disks.
     Ahead,
     /// No heartbeat for longer than the quota lease, or none yet since this leader was elected.
     #[serde(rename = "not_heard_of")]
@@ -29,7 +29,7 @@
     NotFollowing,
 }
 
-/// One member's progress.
+/// The rollout at one member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberRollout {
     /// The member's name.
@@ -46,7 +46,7 @@
     /// The version that it last rejected, and why; it may be older than the wanted one.
     #[serde(rename = "refused")]
     pub rejected: Option<(Version, String)>,
-    /// How far it is.
+    /// The member's rollout state.
     #[serde(rename = "standing")]
     pub state: RolloutState,
 }
--- a/crates/fernroute-fleet/src/demand.rs
+++ b/crates/fernroute-fleet/src/demand.rs
@@ -1,4 +1,4 @@
-//! How much of a budget a member could use, estimated from its recent requests.
+//! Estimates how much of a budget a member could use, from its recent requests.
 //!
 //! The balancer's dispatcher counts each request in a [`DemandMeter`]; its fleet task reports the result in
 //! heartbeats.
@@ -15,8 +15,8 @@
 const SHORT_TIME_CONSTANT: f64 = SECOND as f64;
 const LONG_TIME_CONSTANT: f64 = 10.0 * SECOND as f64;
 
-/// A lower bound of the observed part of the time constant. Guards against a rate without bound right after
-/// the start.
+/// A lower bound of the observed part of the time constant. Guards against an unbounded rate right after the
+/// start.
 const MIN_OBSERVED_FRACTION: f64 = 0.05;
 
 /// How far the two rates may differ, in standard deviations: a smaller number is exceeded by chance too
--- a/crates/fernroute-fleet/src/duties/fence.rs
+++ b/crates/fernroute-fleet/src/duties/fence.rs
@@ -1,5 +1,5 @@
-//! Protection against a former holder whose order arrives late: a receiver of orders refuses every term below
-//! the highest that it has seen.
+//! Fencing against late orders of a former holder: a receiver refuses every term below the highest that it has
+//! seen.
 //!
 //! The holder's own check of its lease makes such orders rare; only the fence excludes them.
 
--- a/crates/fernroute-fleet/src/duties/holder.rs
+++ b/crates/fernroute-fleet/src/duties/holder.rs
@@ -54,7 +54,7 @@
     LeaseExpired,
     /// A reply does not name it any more.
     Revoked,
-    /// The member gave it up: it drains, or another process takes its place.
+    /// The member released it: it drains, or another process replaces it.
     Released,
 }
 
@@ -137,7 +137,7 @@
         events
     }
 
-    /// Takes or renews one lease, unless its term has been released or it has expired already.
+    /// Accepts or renews one lease, unless its term has been released or it has expired already.
     fn accept(&mut self, now: Time, duty: &str, lease: HeldLease, events: &mut Vec<Event>) {
         let term = lease.term;
         self.highest_term = self.highest_term.max(term);
@@ -184,8 +184,8 @@
         removed
     }
 
-    /// Gives up all duties, and takes none until [`MemberDuties::resume`]: the member drains or is about to
-    /// end. The next heartbeat reports it, and is best sent at once.
+    /// Releases all duties, and accepts none until [`MemberDuties::resume`]: the member drains or is about to
+    /// end. The next heartbeat reports the release, and should be sent at once.
     pub fn release_all(&mut self) -> Vec<Event> {
         self.eligible = false;
         let mut events = Vec::new();
--- a/crates/fernroute-fleet/src/duties/leader.rs
+++ b/crates/fernroute-fleet/src/duties/leader.rs
@@ -1,5 +1,5 @@
-//! What the coordinators' leader knows of candidates beside the table of duties, and which duties it grants
-//! or ends next.
+//! The state that the coordinators' leader keeps of candidates in addition to the table of duties, and which
+//! terms it grants or ends next.
 //!
 //! The coordinator's replica makes a [`Leader`] at the start of each leadership, passes it every heartbeat,
 //! enters what [`Leader::next_transition`] returns, and calls [`Leader::transition_done`] once the outcome is
@@ -10,7 +10,7 @@
 //!
 //! - A held duty ends once its holder has reported the term as released, or once its lease cannot be believed
 //!   any more: [`Lease::expires_after`] the heartbeat of the last reply that confirmed the term.
-//! - To take a duty from its holder, replies stop to confirm its term, so that one of the two follows.
+//! - To take a duty from its holder, replies stop confirming its term, so that one of the two follows.
 //! - A free duty is granted to an eligible candidate by [`crate::duties::placement`].
 //!
 //! The caller sends assignments only after it has confirmed that it still led when the heartbeat arrived, and
@@ -159,8 +159,8 @@
         Some(DutyAssignments { terms, hold_duration: hold_duration(&self.lease), acknowledged })
     }
 
-    /// What the candidate holds and is to keep. Guards against a renewed lease of a term whose end is being
-    /// entered.
+    /// The terms that the candidate holds and is to keep. Guards against a renewed lease of a term whose end is
+    /// being entered.
     fn confirmable_terms(&self, candidate: Candidate, table: &DutyTable) -> DutyTerms {
         let mut terms = DutyTerms::new();
         for (name, duty) in table.duties() {
--- a/crates/fernroute-fleet/src/duties/mod.rs
+++ b/crates/fernroute-fleet/src/duties/mod.rs
@@ -2,7 +2,8 @@
 //!
 //! - [`table`]: the replicated state: who holds which duty, under which term. Terms only increase and are
 //!   never reused.
-//! - [`leader`]: what the coordinators' leader knows beside it, and which duties it grants or ends next.
+//! - [`leader`]: the state that the coordinators' leader keeps in addition, and which terms it grants or ends
+//!   next.
 //! - [`holder`]: a member's side: which duties it may act on, and until when by its own clock.
 //! - [`fence`]: for receivers of a holder's orders: refuses every term below the highest one seen.
 //! - [`placement`]: which member gets a duty that nobody holds.
@@ -34,7 +35,7 @@
 /// The longest note of a holder, in characters.
 pub const MAX_NOTE_CHARS: usize = 200;
 
-/// A holder stops one part in so many of the lease early, in addition to the allowance for clock drift.
+/// A holder stops early by one part in so many of the lease, in addition to the allowance for clock drift.
 const HOLD_MARGIN_DIVISOR: Time = 8;
 
 /// For how long a holder acts on a lease, counted from when it sent its heartbeat: the lease without the
--- a/crates/fernroute-fleet/src/duties/table.rs
+++ b/crates/fernroute-fleet/src/duties/table.rs
@@ -113,7 +113,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DutyError {
     /// The transition was decided at another version of the table.
-    #[error("decided at another version")]
+    #[error("decided at another version of the table")]
     OutOfDate,
     /// There is no such duty, or its name is not valid.
     #[error("{0}: no such duty")]
--- a/crates/fernroute-fleet/src/leader.rs
+++ b/crates/fernroute-fleet/src/leader.rs
@@ -1,4 +1,5 @@
-//! What the coordinators' leader knows of the members beside the ledger, and the transitions it decides on.
+//! The state that the coordinators' leader keeps of members in addition to the ledger, and the transitions that
+//! it decides on.
 //!
 //! The coordinator's replica makes a [`Leader`] at the start of each leadership, passes it every heartbeat,
 //! enters what [`Leader::next_transition`] returns, and calls [`Leader::transition_done`] once the outcome is
@@ -30,7 +31,7 @@
 /// The longest name of a member.
 const MAX_MEMBER_NAME_BYTES: usize = 64;
 
-/// Which heartbeat brought a configuration report.
+/// The heartbeat that carried a configuration report.
 #[derive(Clone, Copy, Debug, Default)]
 struct ReportOrigin {
     heartbeat_number: u64,
@@ -83,7 +84,7 @@
     }
 
     /// An overtaken heartbeat does not replace a later report. A lower number after `max_silence` without any
-    /// report is of a process that counts from a new start.
+    /// report is from a restarted process that numbers its heartbeats anew.
     fn update_report(&mut self, now: Time, heartbeat: &Heartbeat, max_silence: Time) {
         let previous = self.report_origin;
         let is_overtaken = heartbeat.number < previous.heartbeat_number;
@@ -104,7 +105,7 @@
 pub struct Leader {
     quota_lease: Lease,
     guaranteed_lease: Lease,
-    /// As many as have their guaranteed amounts within each budget's limit.
+    /// The number of members whose guaranteed amounts together fit into each budget's limit.
     max_members: usize,
     leader_since: Time,
     /// Members and candidates; [`Leader::remove_expired`] empties it.
@@ -205,7 +206,7 @@
         })
     }
 
-    /// How far each member is with the configuration that concerns it.
+    /// The rollout state of each member's configuration.
     pub fn configuration_states(
         &self,
         now: Time,
@@ -278,7 +279,7 @@
         }
     }
 
-    /// Who joins, has accepted, expires or goes; without offers.
+    /// The members that join, have accepted, expire or are removed; without offers.
     fn membership_transition(&self, now: Time, ledger: &Ledger) -> LedgerTransition {
         let mut transition = LedgerTransition { base_epoch: ledger.epoch(), ..LedgerTransition::default() };
         for (identity, member) in &self.members {
--- a/crates/fernroute-fleet/src/lease.rs
+++ b/crates/fernroute-fleet/src/lease.rs
@@ -1,8 +1,8 @@
-//! How long a grant or a duty may be used: by its holder's clock, and by the clock of the leader that gave
+//! How long a grant or a duty may be used: by its holder's clock, and by the clock of the leader that granted
 //! it.
 //!
-//! The holder stops at [`Lease::expires_at`], counted from when it sent the request. The leader gives the
-//! same thing to another only [`Lease::expires_after`] the holder's last request arrived. Used by
+//! The holder stops at [`Lease::expires_at`], counted from when it sent the request. The leader grants the
+//! same to another holder only [`Lease::expires_after`] the arrival of the holder's last request. Used by
 //! [`crate::leader`] for grants and by [`crate::duties::leader`] for duties.
 
 use fernroute::Time;
--- a/crates/fernroute-fleet/src/ledger.rs
+++ b/crates/fernroute-fleet/src/ledger.rs
@@ -153,8 +153,8 @@
 /// An entry of the replicated log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Entry {
-    /// Replaces the budgets. A lower limit binds each later offer at once; what members hold above it comes
-    /// back as they accept smaller grants, or as their leases expire.
+    /// Replaces the budgets. A lower limit applies to each later offer at once. What members hold above it is
+    /// freed as they accept smaller grants, or as their leases expire.
     Budgets(BTreeMap<String, Budget>),
     /// Changes allocations.
     #[serde(rename = "Step")]
@@ -169,7 +169,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ApplyError {
     /// The transition was decided at another epoch.
-    #[error("decided at another epoch")]
+    #[error("decided at another epoch of the ledger")]
     OutOfDate,
     /// All members together would hold more than the limit of this budget.
     #[error("{0}: more than the budget's limit")]
--- a/crates/fernroute-fleet/src/lib.rs
+++ b/crates/fernroute-fleet/src/lib.rs
@@ -1,5 +1,5 @@
-//! The decisions of a fleet of balancers: budgets that all share, duties that one holds, configuration that
-//! all follow.
+//! The decisions of a fleet of balancers: budgets that all members share, duties that one member holds at a
+//! time, and configuration that all members follow.
 //!
 //! No I/O and no clock: the caller passes the time in, in tenths of a millisecond of its own clock, which
 //! also counts while its process is stopped. The coordinators replicate [`ledger::Ledger`],
@@ -8,10 +8,10 @@
 //!
 //! - [`ledger`]: the replicated state of the budgets. It refuses whatever would let all members together hold
 //!   more than a budget's limit.
-//! - [`leader`]: what the coordinators' leader knows of members, and the changes of the ledger that it
+//! - [`leader`]: the state that the coordinators' leader keeps of members, and the ledger transitions that it
 //!   decides on.
 //! - [`member`]: a balancer's side: the grant that it holds, and when that expires.
-//! - [`duties`]: what at most one member does at a time, under a lease with a fencing token.
+//! - [`duties`]: work that at most one member does at a time, under a lease with a fencing token.
 //! - [`configuration`]: versioned entries of configuration, and which balancer uses which.
 //! - [`division`]: how one budget is divided. [`demand`]: what a member could use of it.
 //! - [`lease`]: how long a grant or a duty may be used, by whose clock. [`message`]: what members and leader
--- a/crates/fernroute-fleet/src/member.rs
+++ b/crates/fernroute-fleet/src/member.rs
@@ -93,9 +93,8 @@
         self.identity
     }
 
-    /// The epoch to report. While a grant is shared with the predecessor it is that grant's: guards against a
-    /// ledger that takes a smaller grant for accepted while the predecessor still uses half of the larger
-    /// one.
+    /// The epoch to report. While a grant is shared with the predecessor it is that grant's. Guards against a
+    /// ledger that considers a smaller grant accepted while the predecessor still uses half of the larger one.
     pub fn epoch(&self) -> u64 {
         self.shared_grant.as_ref().unwrap_or(&self.grant).epoch
     }
--- a/crates/fernroute-fleet/src/offers.rs
+++ b/crates/fernroute-fleet/src/offers.rs
@@ -4,8 +4,8 @@
 //! [`crate::ledger::LedgerTransition::offers`]. A smaller grant frees its difference only once it is
 //! accepted, so moving a quota from one member to another takes two transitions.
 //!
-//! A member has a part in those budgets alone that its demand names. Guards against work, messages and
-//! entries that grow with all budgets times all members.
+//! A member is offered amounts only of the budgets that its demand names. Guards against work, messages and
+//! entries that grow with the product of budgets and members.
 
 use crate::division::divide;
 use crate::ledger::{Allocation, Budget, Ledger, Offer};
@@ -13,7 +13,7 @@
 use crate::{BudgetAmounts, MemberId, MilliUnits};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// An increase waits while less than this fraction (one in so many) of it is free. Guards against a
+/// An increase waits while less than one part in so many of it is free. Guards against a
 /// transition for each small amount that is freed.
 const MIN_INCREASE_DIVISOR: MilliUnits = 8;
 
@@ -28,8 +28,8 @@
 }
 
 impl MemberDemand<'_> {
-    /// The budgets that it has a part in: those its demand names, or those of its latest grant while that is
-    /// not known.
+    /// The budgets that it is offered amounts of: those that its demand names, or those of its latest grant
+    /// while its demand is not known.
     fn budget_names(&self) -> BTreeSet<&str> {
         let latest = self.allocation.latest_grant();
         match self.demand {
@@ -129,7 +129,7 @@
     amounts: Amounts,
 }
 
-/// One budget, and the members that have a part in it.
+/// One budget, and the members that are offered amounts of it.
 struct BudgetDivision<'a> {
     name: &'a str,
     budget: &'a Budget,
@@ -156,7 +156,7 @@
         total / member_count.max(1)
     }
 
-    /// The quota that each of the reachable members should have in the end.
+    /// The quota that each reachable member should have once all transitions are accepted.
     fn target_quotas(&self, reachable: &[&MemberDemand], guaranteed: MilliUnits) -> Vec<MilliUnits> {
         let current: Vec<MilliUnits> =
             reachable.iter().map(|member| self.latest_amounts(member).quota).collect();
--- a/crates/fernroute-fleet/tests/budget_grants.rs
+++ b/crates/fernroute-fleet/tests/budget_grants.rs
@@ -1,4 +1,4 @@
-//! Grants of a budget through faults of members, leaders and the network, case by case and in virtual time.
+//! Single cases of budget grants in virtual time, with faults of members, leaders and the network.
 
 mod budget_simulation;
 
@@ -12,7 +12,7 @@
 /// In ticks of a tenth of a millisecond.
 const SECOND: u64 = 10_000;
 
-/// Members with these demands, after the budget has been divided among them.
+/// A fleet of members with these demands, after the budget has been divided among them.
 fn divided_fleet(demands: &[MilliUnits]) -> Simulation {
     let mut simulation = Simulation::new(Flaw::None);
     for (index, demand) in demands.iter().enumerate() {
@@ -52,7 +52,7 @@
     );
 }
 
-/// A tenth of noise in the demands leads to no transition.
+/// Guards against a transition for each small variation of demand: here about a tenth.
 #[test]
 fn noise_in_demand_changes_no_grant() {
     let mut simulation = divided_fleet(&[300, 300, 300]);
@@ -83,7 +83,7 @@
     simulation.check_limit().expect("the limit holds");
     simulation.run_undisturbed(2 * SECOND);
     assert!(simulation.allocated(0) > LIMIT / 3 && is_nearly_limit(simulation.total_allocated()));
-    // For longer than the guaranteed lease, too.
+    // The same when it is stopped for longer than the guaranteed lease.
     simulation.process(0).stopped = true;
     run_without(&mut simulation, &[0], GUARANTEED_LEASE.expires_after() + SECOND);
     assert_eq!((simulation.allocated(0), simulation.ledger.allocations().len()), (0, 1));
@@ -92,8 +92,8 @@
     assert!(is_nearly_limit(simulation.total_allocated()) && simulation.allocated(0) > LIMIT / 3);
 }
 
-/// Its heartbeats arrive and the replies are lost: its grant expires by its own clock, and the ledger keeps
-/// it reserved.
+/// A member's heartbeats arrive and the replies to it are lost: its quota expires by its own clock, and the ledger
+/// keeps the grant reserved.
 #[test]
 fn a_member_that_receives_no_reply_spends_its_guaranteed_amount() {
     let mut simulation = divided_fleet(&[900, 900]);
@@ -111,7 +111,7 @@
     assert!(is_nearly_limit(simulation.total_allocated()));
 }
 
-/// The unreachable half keeps its quotas until the lease ends, and the other half gets them soon after.
+/// The unreachable half keeps its quotas until the lease expires, and the other half gets them soon after.
 #[test]
 fn an_unreachable_half_keeps_its_guaranteed_amounts_and_the_rest_goes_to_the_others() {
     let mut simulation = divided_fleet(&[400, 400, 400, 400]);
@@ -122,7 +122,7 @@
     assert!(simulation.allocated(0) > 200 && is_nearly_limit(simulation.total_allocated()));
 }
 
-/// The leader is replaced while a smaller grant is offered, and before any larger one is.
+/// The leader is replaced after it has offered a smaller grant, and before it offers a larger one to another member.
 #[test]
 fn a_new_leader_grants_nothing_that_another_member_may_still_hold() {
     let mut simulation = divided_fleet(&[900, 0]);
@@ -134,12 +134,12 @@
     simulation.request_reply(1, last);
     simulation.network.clear();
     simulation.enter_all();
-    let held = simulation.allocated(0);
+    let allocated_before = simulation.allocated(0);
     simulation.elect(0);
     for _ in 0..QUOTA_LEASE.expires_after() / HEARTBEAT_INTERVAL {
         simulation.exchange(1);
         simulation.check_limit().expect("the limit holds");
-        assert!(simulation.allocated(1) + held <= LIMIT);
+        assert!(simulation.allocated(1) + allocated_before <= LIMIT);
         simulation.advance(HEARTBEAT_INTERVAL);
     }
     run_without(&mut simulation, &[0], SECOND);
@@ -173,7 +173,7 @@
     assert!(is_nearly_limit(simulation.total_allocated()));
 }
 
-/// Guards against two grants under one name; once the first has expired the second member gets it.
+/// Guards against two grants under one name. The second member gets a grant once the first one's has expired.
 #[test]
 fn another_member_of_the_same_name_gets_nothing_while_the_first_may_hold_a_grant() {
     let mut simulation = divided_fleet(&[900]);
@@ -194,48 +194,49 @@
     assert!(is_nearly_limit(simulation.allocated(third)));
 }
 
-/// A restarted balancer has its grant again with its first heartbeat.
+/// Guards against a restarted balancer that has to wait until the grant of its former process expires.
 #[test]
 fn a_restarted_process_with_its_stored_identity_gets_its_grant_back() {
     let mut simulation = divided_fleet(&[900, 300]);
-    let (identity, held) = (simulation.identity(0), simulation.allocated(0));
+    let (identity, allocated_before) = (simulation.identity(0), simulation.allocated(0));
     simulation.kill(0);
-    let again = simulation.start("n0", Some(identity), 0, 900);
-    assert_eq!(simulation.allocated(again), 0);
-    simulation.exchange(again);
-    assert_eq!(simulation.allocated(again), held);
+    let restarted = simulation.start("n0", Some(identity), 0, 900);
+    assert_eq!(simulation.allocated(restarted), 0);
+    simulation.exchange(restarted);
+    assert_eq!(simulation.allocated(restarted), allocated_before);
     simulation.check_limit().expect("the limit holds");
 }
 
 /// Which of two processes of a balancer is killed.
 #[derive(Clone, Copy, Debug)]
-enum Ended {
+enum KilledProcess {
     Predecessor,
     Successor,
 }
 
-/// Whatever is offered meanwhile, and whichever of the two processes ends first.
+/// Guards against two processes of one balancer that spend more than its grant, whatever is offered during the
+/// upgrade and whichever of the two ends first.
 #[test]
 fn a_predecessor_and_its_successor_spend_one_grant() {
-    for ended in [None, Some(Ended::Predecessor), Some(Ended::Successor)] {
+    for killed in [None, Some(KilledProcess::Predecessor), Some(KilledProcess::Successor)] {
         let mut simulation = divided_fleet(&[900, 300]);
-        let held = simulation.allocated(0);
-        let successor = simulation.upgrade(0).expect("it shares with no other process");
+        let allocated_before = simulation.allocated(0);
+        let successor = simulation.upgrade(0).expect("the grant is not shared yet");
         assert!(
-            simulation.allocated(0) + simulation.allocated(successor) <= held
-                && simulation.allocated(successor) >= held / 2 - 1
+            simulation.allocated(0) + simulation.allocated(successor) <= allocated_before
+                && simulation.allocated(successor) >= allocated_before / 2 - 1
         );
         simulation.process(1).demand = 3_000;
         run_without(&mut simulation, &[0], SECOND);
-        match ended {
+        match killed {
             None => simulation.end_predecessor(0),
-            Some(Ended::Predecessor) => simulation.kill(0),
-            Some(Ended::Successor) => simulation.kill(successor),
+            Some(KilledProcess::Predecessor) => simulation.kill(0),
+            Some(KilledProcess::Successor) => simulation.kill(successor),
         }
         simulation.check_limit().expect("the limit holds");
         simulation.run_undisturbed(2 * SECOND);
         simulation.check_limit().expect("the limit holds");
-        assert!(is_nearly_limit(simulation.total_allocated()), "{ended:?} {}", simulation.total_allocated());
+        assert!(is_nearly_limit(simulation.total_allocated()), "{killed:?} {}", simulation.total_allocated());
     }
 }
 
@@ -243,12 +244,12 @@
 fn after_a_lower_limit_the_granted_total_shrinks_to_it_and_never_grows() {
     let mut simulation = divided_fleet(&[900, 900, 900]);
     simulation.set_limit(600);
-    let mut held = simulation.ledger.total_allocated(BUDGET);
+    let mut previous_total = simulation.ledger.total_allocated(BUDGET);
     for n in 0..40 {
         simulation.exchange(n % 2);
-        let now = simulation.ledger.total_allocated(BUDGET);
-        assert!(now <= held);
-        held = now;
+        let total = simulation.ledger.total_allocated(BUDGET);
+        assert!(total <= previous_total);
+        previous_total = total;
         simulation.check_limit().expect("the limit holds");
         simulation.advance(1_250);
     }
@@ -260,7 +261,7 @@
     );
 }
 
-/// Also at a leader that has been replaced.
+/// Guards against leases that are renewed by old messages, also through a leader that has been replaced.
 #[test]
 fn late_repeated_and_reordered_messages_renew_nothing_that_has_expired() {
     let mut simulation = divided_fleet(&[900, 100]);
@@ -296,8 +297,8 @@
     }
 }
 
-/// Guards against one member that takes the budget from the others, and against names and members without
-/// bound.
+/// Guards against one member that takes the budget from the others, and against an unbounded number of members or
+/// length of a name.
 #[test]
 fn a_demand_without_bound_gets_an_even_share_and_names_and_members_are_bounded() {
     let mut simulation = divided_fleet(&[MilliUnits::MAX, 400, 400]);
@@ -339,7 +340,7 @@
     }
 }
 
-/// Guards against guaranteed amounts of members that never spend them.
+/// Guards against guaranteed amounts that are reserved for members that never spend them.
 #[test]
 fn a_member_that_does_not_name_a_budget_has_no_part_in_it() {
     let mut simulation = divided_fleet(&[400, 400, 400]);
@@ -375,7 +376,8 @@
     );
 }
 
-/// Guards against grants and transitions whose length grows with all budgets: of fifty each member names one.
+/// Guards against grants and transitions whose length grows with the number of all budgets: each member names one of
+/// fifty.
 #[test]
 fn grants_hold_only_named_budgets_and_each_budget_is_nearly_used_up() {
     use fernroute_fleet::configuration::register::Register;
@@ -399,14 +401,14 @@
         for (index, member) in members.iter_mut().enumerate() {
             let heartbeat =
                 member.heartbeat(now, BudgetAmounts::from([(names[index % SERVICES].clone(), 900)]));
-            leader.on_heartbeat(now, &heartbeat, &ledger).expect("the member fits");
+            leader.on_heartbeat(now, &heartbeat, &ledger).expect("there is room for the member");
             if let Ok(reply) = leader.reply(&heartbeat, &ledger, &Register::default()) {
                 member.on_reply(now, &reply);
                 assert!(reply.grant.guaranteed.len() <= 1 && reply.grant.quotas.len() <= 1);
             }
         }
         while let Some(transition) = leader.next_transition(now, &ledger) {
-            ledger.apply(&Entry::Transition(transition)).expect("it is up to date");
+            ledger.apply(&Entry::Transition(transition)).expect("the transition is up to date");
             leader.transition_done();
         }
     }
@@ -416,7 +418,7 @@
     }
 }
 
-/// Guards against a transition for each member that joins.
+/// Guards against one transition per member that joins: many joins share a transition.
 #[test]
 fn a_thousand_members_at_once_get_their_grants_in_few_transitions() {
     use fernroute_fleet::configuration::register::Register;
@@ -439,13 +441,13 @@
             let demand =
                 BudgetAmounts::from([(BUDGET.to_owned(), if index % 10 == 0 { 5_000 } else { 500 })]);
             let heartbeat = member.heartbeat(now, demand);
-            leader.on_heartbeat(now, &heartbeat, &ledger).expect("the member fits");
+            leader.on_heartbeat(now, &heartbeat, &ledger).expect("there is room for the member");
             if let Ok(reply) = leader.reply(&heartbeat, &ledger, &Register::default()) {
                 member.on_reply(now, &reply);
             }
         }
         while let Some(transition) = leader.next_transition(now, &ledger) {
-            ledger.apply(&Entry::Transition(transition)).expect("it is up to date");
+            ledger.apply(&Entry::Transition(transition)).expect("the transition is up to date");
             leader.transition_done();
             transitions += 1;
         }
--- a/crates/fernroute-fleet/tests/budget_schedules.rs
+++ b/crates/fernroute-fleet/tests/budget_schedules.rs
@@ -1,5 +1,5 @@
-//! Grants of a budget under thousands of random schedules, the same in each run; one that exceeds the limit
-//! is shrunk to the shortest.
+//! Budget grants under thousands of random schedules, drawn from a fixed seed. A schedule that exceeds the limit is
+//! shrunk to a minimal one.
 
 mod budget_simulation;
 
@@ -8,7 +8,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestError, TestRng, TestRunner};
 
-/// Processes are chosen by any number, modulo how many there are; so are messages and leaders.
+/// Processes, messages and leaders are chosen by a number, modulo how many there are.
 #[derive(Clone, Debug)]
 enum Event {
     Advance(u64),
@@ -18,7 +18,7 @@
         demand: MilliUnits,
         drift_ppm: i64,
     },
-    /// The process is killed and started again, with the identity that it stored or a new one.
+    /// The process is killed and restarted, with the identity that it stored or a new one.
     Restart {
         process: usize,
         has_stored_identity: bool,
@@ -33,9 +33,9 @@
     /// Whether the heartbeats of the process name the budget from now on.
     NameBudget(usize, bool),
     SetLimit(MilliUnits),
-    /// With the last leader, or with a replaced one.
+    /// A complete exchange with the last leader, or with a replaced one.
     Exchange(usize, usize),
-    /// The reply stays in the network.
+    /// A heartbeat is delivered and answered; the reply stays in the network.
     RequestReply(usize, usize),
     SendHeartbeat(usize),
     Deliver(usize, usize),
@@ -214,7 +214,7 @@
         let granted = simulation.ledger.total_allocated(BUDGET);
         let limit = simulation.ledger.budgets()[BUDGET].limit;
         if granted > limit.max(granted_before) {
-            return Err(format!("{step}: {event:?}: the ledger granted {granted} of {limit}"));
+            return Err(format!("{step}: {event:?}: the ledger has granted {granted}, the limit is {limit}"));
         }
     }
     if flaw == Flaw::None && schedule.len().is_multiple_of(4) {
@@ -223,7 +223,7 @@
     Ok(())
 }
 
-/// Once faults have ended the budget is used up again, but for what is noise.
+/// Once faults have ended nearly all of the budget is allocated again.
 fn check_recovery(simulation: &mut Simulation) -> Result<(), String> {
     simulation.network.clear();
     simulation.set_limit(LIMIT);
@@ -241,7 +241,7 @@
     let total = simulation.total_allocated();
     let running = simulation.processes.iter().flatten().count();
     if running > 0 && total * 20 < LIMIT * 19 {
-        return Err(format!("{running} processes may spend {total} of {LIMIT} long after the last fault"));
+        return Err(format!("{running} processes may spend {total} of {LIMIT} after all faults have ended"));
     }
     Ok(())
 }
--- a/crates/fernroute-fleet/tests/budget_simulation/mod.rs
+++ b/crates/fernroute-fleet/tests/budget_simulation/mod.rs
@@ -1,8 +1,8 @@
 //! A fleet in virtual time: processes with clocks of their own, a network that loses, repeats and reorders
-//! messages, and leaders that replace each other. Consensus is taken for granted: there is one log, and only
-//! the last elected leader enters anything.
+//! messages, and leaders that replace each other. Consensus is not simulated: there is one log, and only the last
+//! elected leader enters transitions.
 
-// Each file of tests uses a part of this.
+// Each test file uses a part of this module.
 #![allow(dead_code)]
 
 use fernroute::Time;
@@ -19,14 +19,14 @@
 pub const LIMIT: MilliUnits = 1200;
 pub const GUARANTEED: MilliUnits = 50;
 pub const MAX_MEMBERS: usize = 8;
-/// Large, so that a wrong bound shows.
+/// Large, so that a missing allowance for drift is detected.
 pub const DRIFT_PPM: u32 = 1000;
 pub const QUOTA_LEASE: Lease = Lease { duration: 15_000, drift_ppm: DRIFT_PPM };
 pub const GUARANTEED_LEASE: Lease = Lease { duration: 60_000, drift_ppm: DRIFT_PPM };
-/// Between two heartbeats of a member.
+/// The time between two heartbeats of a member.
 pub const HEARTBEAT_INTERVAL: Time = 2_500;
 
-/// A fault in the protocol; each must be detected.
+/// A deliberate defect of the protocol; the checks must detect each.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Flaw {
     None,
@@ -59,7 +59,7 @@
     }
 }
 
-/// A process of a balancer.
+/// One process of a balancer.
 pub struct Process {
     pub member: Member,
     pub name: String,
@@ -76,7 +76,7 @@
 /// A heartbeat that a leader has received and not answered yet.
 struct UnansweredHeartbeat {
     heartbeat: Heartbeat,
-    /// The leader has confirmed since that it still leads.
+    /// Whether the leader has confirmed since then that it still leads.
     is_leadership_confirmed: bool,
 }
 
@@ -84,7 +84,7 @@
 struct LeaderProcess {
     leader: Leader,
     clock: Clock,
-    /// What it has applied; the simulation's ledger while it leads.
+    /// The entries that it has applied; equal to the simulation's ledger while it leads.
     ledger: Ledger,
     unanswered: Vec<UnansweredHeartbeat>,
     pending_transition: Option<LedgerTransition>,
@@ -138,7 +138,7 @@
         self.now += duration;
     }
 
-    /// Elects a new leader. The one before does not know yet that it has been replaced.
+    /// Elects a new leader. The previous one does not know yet that it has been replaced.
     pub fn elect(&mut self, drift_ppm: i64) {
         if let Some(last) = self.leaders.last_mut() {
             last.ledger = self.ledger.clone();
@@ -169,7 +169,7 @@
         self.ledger.apply(&Entry::Budgets(budgets(limit))).expect("budgets are accepted");
     }
 
-    /// Starts a process: under the identity that an ended process has stored, or a new one.
+    /// Starts a process, under the identity that an ended process has stored or a new one.
     pub fn start(
         &mut self,
         name: &str,
@@ -216,7 +216,7 @@
         }
     }
 
-    /// Starts a successor of the same balancer, on the same machine and so with the same clock.
+    /// Starts a successor of the same balancer, on the same machine and hence with the same clock.
     pub fn upgrade(&mut self, index: usize) -> Option<usize> {
         let successor = self.processes.len();
         let first_number = (successor as u64 + 1) << 32;
@@ -246,11 +246,11 @@
     }
 
     pub fn process(&mut self, index: usize) -> &mut Process {
-        self.processes[index].as_mut().expect("it runs")
+        self.processes[index].as_mut().expect("the process runs")
     }
 
     pub fn identity(&self, index: usize) -> MemberId {
-        self.processes[index].as_ref().expect("it runs").member.identity()
+        self.processes[index].as_ref().expect("the process runs").member.identity()
     }
 
     pub fn send_heartbeat(&mut self, index: usize) {
@@ -272,7 +272,7 @@
         }
     }
 
-    /// Delivers one message; a heartbeat to this leader, however long ago it was replaced.
+    /// Delivers one message. A heartbeat goes to this leader, even if it was replaced long ago.
     pub fn deliver(&mut self, index: usize, leader: usize) {
         match self.network.remove(index) {
             Packet::Heartbeat(heartbeat) => self.receive_heartbeat(&heartbeat, leader),
@@ -295,7 +295,7 @@
         }
     }
 
-    /// Applies a transition that a flaw makes at the current epoch.
+    /// Applies a transition that a flaw adds, at the current epoch.
     fn apply(&mut self, transition: LedgerTransition) {
         let transition = LedgerTransition { base_epoch: self.ledger.epoch(), ..transition };
         let _ = self.ledger.apply(&Entry::Transition(transition));
@@ -320,7 +320,7 @@
         process.unanswered = unconfirmed;
         for UnansweredHeartbeat { heartbeat, .. } in confirmed {
             match process.leader.reply(&heartbeat, &process.ledger, &Register::default()) {
-                // Members get the whole lease also from a leader whose flaw is a shorter one.
+                // Members get the full lease even where the leader's flaw is that it uses a shorter one itself.
                 Ok(reply) => self.network.push(Packet::Reply(HeartbeatReply {
                     quotas_valid_for: QUOTA_LEASE.duration,
                     guaranteed_valid_for: GUARANTEED_LEASE.duration,
@@ -338,7 +338,7 @@
         let process = &mut self.leaders[leader];
         if let Some(transition) = process.pending_transition.take() {
             if is_leading {
-                // An outdated transition is refused, and decided again.
+                // An outdated transition is refused, and the leader decides again.
                 let _ = self.ledger.apply(&Entry::Transition(transition));
             }
             process.leader.transition_done();
@@ -364,14 +364,14 @@
         }
     }
 
-    /// The last leader has applied all that was entered.
+    /// The last leader applies all that was entered.
     fn update_leader(&mut self) {
         if let Some(leader) = self.leaders.last_mut() {
             leader.ledger.clone_from(&self.ledger);
         }
     }
 
-    /// A reply reaches every process of its identity, since the network does not know which one is meant.
+    /// A reply reaches every process of its identity, since the network does not distinguish them.
     fn receive_reply(&mut self, reply: &HeartbeatReply) {
         let (now, flaw) = (self.now, self.flaw);
         for process in self.processes.iter_mut().flatten() {
@@ -396,14 +396,14 @@
         }
     }
 
-    // --------------------------------------------------------------------------------------- whole exchanges
+    // ------------------------------------------------------------------------------------ complete exchanges
 
     /// A heartbeat and its reply with the last leader, and all transitions that follow.
     pub fn exchange(&mut self, index: usize) {
         self.exchange_with(index, self.last_leader());
     }
 
-    /// The same with this leader, however long ago it was replaced.
+    /// The same with this leader, even if it was replaced long ago.
     pub fn exchange_with(&mut self, index: usize, leader: usize) {
         let first_packet = self.network.len();
         self.request_reply(index, leader);
@@ -411,7 +411,7 @@
         self.enter_all();
     }
 
-    /// A heartbeat reaches this leader, and the reply is in the network.
+    /// A heartbeat reaches this leader, whose reply stays in the network.
     pub fn request_reply(&mut self, index: usize, leader: usize) {
         let first_packet = self.network.len();
         self.send_heartbeat(index);
@@ -443,18 +443,18 @@
         }
     }
 
-    /// What one process may spend now.
+    /// The amount that one process may spend now.
     pub fn allocated(&self, index: usize) -> MilliUnits {
         let process = self.processes[index].as_ref();
         process.map_or(0, |process| process.member.allocated(process.clock.read(self.now), BUDGET))
     }
 
-    /// What all processes together may spend now.
+    /// The amount that all processes together may spend now.
     pub fn total_allocated(&self) -> MilliUnits {
         (0..self.processes.len()).map(|index| self.allocated(index)).sum()
     }
 
-    /// The invariant: no more than the limit, or what the ledger has granted under a higher one.
+    /// The invariant: processes may spend no more than the limit, or than the ledger granted under a higher limit.
     pub fn check_limit(&self) -> Result<(), String> {
         let limit = self.ledger.budgets()[BUDGET].limit;
         let (total, granted) = (self.total_allocated(), self.ledger.total_allocated(BUDGET));
@@ -462,7 +462,7 @@
             let each: Vec<MilliUnits> =
                 (0..self.processes.len()).map(|index| self.allocated(index)).collect();
             return Err(format!(
-                "at {} all may spend {total} of {limit} ({granted} by the ledger): {each:?}",
+                "at {} all processes may spend {total} of {limit} ({granted} by the ledger): {each:?}",
                 self.now
             ));
         }
--- a/crates/fernroute-fleet/tests/configuration.rs
+++ b/crates/fernroute-fleet/tests/configuration.rs
@@ -1,5 +1,5 @@
-//! Configuration of a fleet, case by case: what the leader notifies members of, what it reports on them, and
-//! which version they have active.
+//! Single cases of a fleet's configuration: which version the leader notifies members of, what it reports on them,
+//! and which version they have active.
 
 mod configuration_simulation;
 
@@ -11,8 +11,8 @@
 use fernroute_fleet::leader::Leader;
 use fernroute_fleet::message::{Heartbeat, HeartbeatReply};
 
-/// Guards against a notice that is lost for good, and against one to a member whose version does not support
-/// it.
+/// Guards against a notice that is lost for good, and against a notice to a member whose version does not support
+/// configuration.
 #[test]
 fn each_reply_names_the_wanted_version_until_it_is_reported() {
     let (ledger, mut leader) = ledger_and_leader();
@@ -56,7 +56,7 @@
     change(&mut register, parse_scope("all"), "c = 2");
     let rollout = |leader: &Leader, now| leader.configuration_states(now, &ledger, &register).remove(0);
     let state = |leader: &Leader, now| rollout(leader, now).state;
-    // A new leader has no report yet, and the wanted version depends on the report.
+    // A new leader has no report yet, and the wanted version is derived from the report.
     let unreachable = MemberRollout::new("b0", 0, None, false);
     assert_eq!((rollout(&leader, 5), state(&leader, 5)), (unreachable, RolloutState::Unreachable));
     let mut received_at = 100;
@@ -81,10 +81,10 @@
     assert_eq!((active.service.as_str(), active.zone.as_str()), ("cart", "east"));
     let now = receive(&mut leader, Some(report(7)));
     assert_eq!((state(&leader, now), leader.highest_reported_version()), (RolloutState::Ahead, 7));
-    // A member that has reported does so no longer: it was downgraded, or follows no configuration any more.
+    // A member stops reporting: it was downgraded, or follows no configuration any more.
     let now = receive(&mut leader, None);
     assert_eq!((state(&leader, now), leader.highest_reported_version()), (RolloutState::NotFollowing, 0));
-    // Names that no scope can have, or that would break a table.
+    // Names that no scope can have, or that would break the lines of a table.
     for service in ["", "a/b", "a\nb", &"s".repeat(65)] {
         let now =
             receive(&mut leader, Some(ConfigurationReport { service: service.to_owned(), ..report(2) }));
@@ -95,16 +95,16 @@
     // Silent for longer than the quota lease.
     assert_eq!(state(&leader, now + QUOTA_LEASE.expires_after()), RolloutState::Active);
     assert_eq!(state(&leader, now + QUOTA_LEASE.expires_after() + 1), RolloutState::Unreachable);
-    // It leaves, and is still a member until that is entered.
+    // A member that leaves is still listed until its removal is entered.
     let last = Heartbeat { leaving: true, ..heartbeat(99, Some(report(2))) };
     leader.on_heartbeat(now, &last, &ledger).expect("a heartbeat");
     assert_eq!(state(&leader, now), RolloutState::Unreachable);
 }
 
-/// Guards against a state that an overtaken heartbeat sets back, and against one that is not updated after a
-/// process has started to count anew.
+/// Guards against an overtaken heartbeat that restores an older state, and against a state that is not updated after a
+/// restarted process has begun to number its heartbeats anew.
 #[test]
-fn an_overtaken_report_is_ignored_and_one_that_counts_anew_is_used() {
+fn an_overtaken_report_is_ignored_and_one_of_a_restarted_process_is_used() {
     let (ledger, mut leader) = ledger_and_leader();
     let register = Register::default();
     let active = |leader: &Leader, now| leader.configuration_states(now, &ledger, &register)[0].active;
@@ -160,7 +160,7 @@
 }
 
 fn applied_contents(simulation: &Simulation, index: usize) -> Vec<String> {
-    simulation.balancers[index].as_ref().expect("it runs").applied_contents.clone()
+    simulation.balancers[index].as_ref().expect("the process runs").applied_contents.clone()
 }
 
 #[test]
@@ -249,7 +249,7 @@
     assert!(simulation.rollouts().iter().all(|rollout| rollout.active == 3));
 }
 
-/// Its heartbeats arrive, and the replies are lost.
+/// The balancer's heartbeats arrive, and the replies to it are lost.
 #[test]
 fn a_balancer_that_no_reply_reaches_is_pending() {
     let mut simulation = converged_fleet();
@@ -268,13 +268,14 @@
     assert_converged(&mut simulation);
 }
 
-/// A coordinator that has not applied the wanted version replies so.
+/// Guards against a coordinator that serves older entries because it has not applied the wanted version yet.
 #[test]
 fn a_coordinator_that_is_behind_serves_nothing_older() {
     let mut simulation = converged_fleet();
     simulation.change(scope(3), "c = 2");
-    let concerned =
-        (0..BALANCERS).find(|n| target(*n, 0).scopes().contains(&scope(3))).expect("it concerns one");
+    let concerned = (0..BALANCERS)
+        .find(|n| target(*n, 0).scopes().contains(&scope(3)))
+        .expect("the scope concerns a balancer");
     simulation.start_exchange(concerned);
     let behind = (simulation.leader + 1) % 3;
     simulation.deliver(0, behind);
@@ -303,7 +304,7 @@
     simulation.crash(0);
     simulation.start(0, 0);
     assert_eq!(applied_contents(&simulation, 0), ["c = 1"]);
-    // While no coordinator is reachable it uses the copy, and then the latest version.
+    // It uses the stored copy while no coordinator is reachable, and the latest version afterwards.
     simulation.now += 10 * GUARANTEED_LEASE.expires_after();
     simulation.check().expect("the invariants hold");
     simulation.run_undisturbed();
--- a/crates/fernroute-fleet/tests/configuration_follower.rs
+++ b/crates/fernroute-fleet/tests/configuration_follower.rs
@@ -27,14 +27,14 @@
     follow(&mut follower, &register);
     assert_eq!(contents(&follower), ["c = \"all\"", "c = \"balancer/b0\""]);
     assert_eq!(follower.report(), ConfigurationReport { active: 4, ..report(0) });
-    // With all scopes cleared its own file is used alone, and the version is still the latest.
+    // With all scopes cleared only the balancer's own file is used, and the version is still the latest.
     change(&mut register, parse_scope("all"), "");
     change(&mut register, parse_scope("balancer/b0"), "");
     follow(&mut follower, &register);
     assert_eq!((contents(&follower).len(), follower.report().active), (0, 6));
 }
 
-/// Guards against an older version over a newer one, from whichever sender and however late.
+/// Guards against an older version that replaces a newer one, whichever sender it is from and however late it arrives.
 #[test]
 fn an_older_notice_and_an_older_reply_change_nothing() {
     let mut register = Register::default();
@@ -43,7 +43,7 @@
     let old = register.clone();
     change(&mut register, parse_scope("all"), "c = 2");
     follow(&mut follower, &register);
-    // From a replaced leader, and in a late reply.
+    // An older version in a notice of a replaced leader, and in a late reply.
     follower.on_notification(1);
     assert_eq!(follower.next_fetch(0), None);
     assert_eq!(
@@ -69,10 +69,10 @@
     assert_eq!(follower.on_reply(old.fetch(&request)), Err(FetchError::Older));
     assert_eq!(follower.on_reply(between.fetch(&request)), Err(FetchError::Behind));
     follower.activate(follower.active().clone());
-    // Also when an older snapshot is activated.
-    let mut behind = ConfigurationFollower::new(cart_balancer(), None);
-    follow(&mut behind, &old);
-    follower.activate(behind.active().clone());
+    // An older snapshot that is activated changes nothing either.
+    let mut older = ConfigurationFollower::new(cart_balancer(), None);
+    follow(&mut older, &old);
+    follower.activate(older.active().clone());
     assert_eq!((contents(&follower), follower.report().active), (vec!["c = 2"], 2));
     // The next notice corrects an overtaken one.
     follower.on_notification(3);
@@ -93,7 +93,7 @@
     change(&mut register, parse_scope("all"), "c = 2");
     follower.on_notification(2);
     assert_eq!(follower.next_fetch(0), None);
-    let snapshot = follower.on_reply(reply).expect("it is newer than the active version");
+    let snapshot = follower.on_reply(reply).expect("the reply is newer than the active version");
     assert_eq!(follower.report().active, 0, "nothing is active before it is applied");
     follower.activate(snapshot);
     assert_eq!(
@@ -117,7 +117,7 @@
     follow(&mut follower, &register);
     change(&mut register, parse_scope("all"), "bad");
     follower.on_notification(2);
-    let rejected = fetch(&mut follower, &register).expect("it is complete").version;
+    let rejected = fetch(&mut follower, &register).expect("the reply is complete").version;
     follower.reject(rejected, &format!("no\nsuch key {}", "x".repeat(500)));
     let (version, reason) = follower.report().rejected.expect("a rejection");
     assert_eq!((version, reason.chars().count(), reason.contains('\n')), (2, MAX_REASON_CHARS, false));
@@ -129,7 +129,7 @@
     // The balancer's own file has changed.
     follower.retry_rejected();
     assert_eq!(follower.report().rejected, None);
-    let snapshot = fetch(&mut follower, &register).expect("it is complete");
+    let snapshot = fetch(&mut follower, &register).expect("the reply is complete");
     follower.reject(snapshot.version, "still not");
     change(&mut register, parse_scope("all"), "c = 3");
     follow(&mut follower, &register);
@@ -150,7 +150,7 @@
         assert!(follower.next_fetch(now).is_some());
         follower.fetch_failed(now, 1.0);
         let backoff = (0..).step_by(100).find(|backoff| follower.clone().next_fetch(now + backoff).is_some());
-        backoffs.push(backoff.expect("it retries"));
+        backoffs.push(backoff.expect("the follower retries"));
         now += backoffs[backoffs.len() - 1];
     }
     assert_eq!(backoffs, [1_000, 2_000, 4_000, 8_000, 10_000, 10_000]);
@@ -174,7 +174,7 @@
     assert_eq!(follower.next_fetch(now).map(|request| request.wanted_version), Some(2));
 }
 
-/// Guards against a part of a change, and against entries that do not belong together.
+/// Guards against a change that is applied in part, and against entries of different versions that are combined.
 #[test]
 fn an_incomplete_reply_is_not_used_and_all_entries_are_fetched() {
     let mut register = Register::default();
@@ -213,7 +213,7 @@
         assert_eq!(contents(&follower), ["c = 1"]);
         let retry = follower.next_fetch(1_000).expect("a retry");
         assert_eq!((retry.known_version, retry.wanted_version), (0, 3));
-        let snapshot = follower.on_reply(register.fetch(&retry)).expect("it is complete");
+        let snapshot = follower.on_reply(register.fetch(&retry)).expect("the reply is complete");
         follower.activate(snapshot);
         assert_eq!(contents(&follower), ["c = 1", "c = 2", "c = 3"]);
     }
@@ -243,29 +243,30 @@
     ];
     for text in damaged {
         assert_ne!(text, stored);
-        let copy = read(&text).expect("it can be read");
+        let copy = read(&text).expect("valid JSON");
         assert!(!copy.matches(&cart_balancer()), "{text}");
         assert_eq!(ConfigurationFollower::new(cart_balancer(), Some(copy)).report().active, 0);
     }
-    // An entry is missing that was not the newest, so that the version does not show it.
+    // An entry other than the newest is missing, which the version does not show.
     let mut json: serde_json::Value = serde_json::from_str(&stored).expect("JSON");
-    json["parts"].as_object_mut().expect("parts").remove("service/cart");
-    assert!(!serde_json::from_value::<ConfigurationSnapshot>(json).expect("it can be read").is_sound());
+    json["parts"].as_object_mut().expect("the stored parts").remove("service/cart");
+    assert!(!serde_json::from_value::<ConfigurationSnapshot>(json).expect("valid JSON").is_sound());
     assert_eq!(read(&stored[..stored.len() / 2]), None);
-    // In another service version 3 concerns it too, and an entry that it has never fetched is older.
+    // After a move to another service version 3 concerns the balancer too, and so does an older entry that it has never
+    // fetched.
     let search_balancer = Target { service: "search".to_owned(), ..cart_balancer() };
     let mut moved = ConfigurationFollower::new(search_balancer.clone(), read(&stored));
     assert_eq!((moved.report().active, register.version_for(&search_balancer)), (0, 3));
     moved.on_notification(3);
     let request = moved.next_fetch(0).expect("a request");
     assert_eq!(request.known_version, 0);
-    let snapshot = moved.on_reply(register.fetch(&request)).expect("it is complete");
+    let snapshot = moved.on_reply(register.fetch(&request)).expect("the reply is complete");
     moved.activate(snapshot);
     assert_eq!(contents(&moved), ["c = 3", "c = 1"]);
 }
 
-/// All coordinators' disks are lost and the register is set up anew, while a balancer has the former one's
-/// entries active.
+/// Guards against reused versions and mixed entries after the disks of all coordinators were lost and the register was
+/// created anew, while a balancer still has entries of the former register active.
 #[test]
 fn a_new_register_continues_the_versions_and_its_entries_replace_all_former_ones() {
     let mut old = Register::default();
@@ -274,15 +275,17 @@
         change(&mut old, parse_scope("service/cart"), &format!("c = {n}"));
     }
     follow(&mut follower, &old);
-    // It was notified of a fifth version, which is lost.
+    // The balancer was notified of a fifth version, which is lost.
     follower.on_notification(5);
     let mut new = Register::default();
     let (ledger, mut leader) = ledger_and_leader();
-    leader.on_heartbeat(10, &heartbeat(1, Some(follower.report())), &ledger).expect("it is recorded");
+    leader
+        .on_heartbeat(10, &heartbeat(1, Some(follower.report())), &ledger)
+        .expect("the heartbeat is accepted");
     let rollouts = leader.configuration_states(10, &ledger, &new);
     assert_eq!((rollouts[0].state, leader.highest_reported_version()), (RolloutState::Ahead, 4));
     let reply = leader.reply(&heartbeat(1, Some(follower.report())), &ledger, &new).expect("a reply");
-    follower.on_notification(reply.configuration.expect("it reports another version"));
+    follower.on_notification(reply.configuration.expect("the reply names another version"));
     assert_eq!(follower.next_fetch(0), None, "a lost version is not fetched");
     assert_eq!(contents(&follower), ["c = 4"]);
     let first = ConfigurationPut {
--- a/crates/fernroute-fleet/tests/configuration_register.rs
+++ b/crates/fernroute-fleet/tests/configuration_register.rs
@@ -1,4 +1,4 @@
-//! The register of configuration: what it applies, what it refuses, and which balancers an entry concerns.
+//! The configuration register: which changes it applies or refuses, and which balancers an entry concerns.
 
 mod configuration_simulation;
 
@@ -68,7 +68,7 @@
             ConfigurationPut { author: "a".repeat(65), ..put(parse_scope("all"), 0, "") },
             PutError::InvalidName,
         ),
-        // Constructed, and not parsed from a text.
+        // Scopes that were constructed instead of parsed.
         (put(Scope::Service("cart/zone/east".to_owned()), 0, ""), PutError::InvalidName),
         (put(Scope::Zone { service: "cart".to_owned(), zone: String::new() }, 0, ""), PutError::InvalidName),
     ];
@@ -82,13 +82,12 @@
     let history: Vec<(Version, usize)> =
         register.history().map(|entry| (entry.version, entry.bytes)).collect();
     assert_eq!(history, [(1, 5), (2, 5), (3, 0)]);
-    // It is stored as JSON.
+    // The register survives a round trip through JSON.
     let stored = serde_json::to_string(&register).expect("a register");
     assert_eq!(serde_json::from_str::<Register>(&stored).expect("a register"), register);
 }
 
-/// Guards against a state without bound, and against one that is too large to be sent to a restarted
-/// coordinator.
+/// Guards against state that grows without bound, or is too large to be sent to a restarted coordinator.
 #[test]
 fn history_contents_and_scopes_are_bounded() {
     let mut register = Register::default();
@@ -109,7 +108,7 @@
             break;
         }
     }
-    // 16 MiB less the content of the first scope.
+    // The limit is 16 MiB, of which the content of the first scope uses a little.
     assert_eq!(refused, Some((255, PutError::LimitReached)));
     // Clearing a scope frees its space.
     change(&mut register, parse_scope("balancer/b7"), "");
@@ -122,7 +121,7 @@
     change(&mut register, parse_scope("balancer/b3"), "c = 1");
 }
 
-/// Guards against reuse of a version by a register that was set up anew, or in another region.
+/// Guards against reuse of a version by a register that was created anew, or by that of another region.
 #[test]
 fn a_version_is_above_the_reported_ones_and_never_near_the_highest_number() {
     let mut register = Register::default();
@@ -132,9 +131,9 @@
     };
     assert_eq!(register.apply(&above(41, 0)), Ok(42));
     assert_eq!(register.apply(&above(3, 42)), Ok(43));
-    // A member has reported the highest number there is.
+    // A member has reported the highest possible number.
     assert_eq!(register.apply(&above(Version::MAX, 43)), Ok(1_000_044));
-    // An entry of a version that did not have the field.
+    // An entry that was written by a program version without the field.
     let mut json = serde_json::to_value(above(0, 1_000_044)).expect("a put");
     json.as_object_mut().expect("an object").remove("above");
     let older: ConfigurationPut = serde_json::from_value(json).expect("a put");
--- a/crates/fernroute-fleet/tests/configuration_schedules.rs
+++ b/crates/fernroute-fleet/tests/configuration_schedules.rs
@@ -1,5 +1,5 @@
-//! Configuration under thousands of random schedules, the same in each run; one that breaks an invariant is
-//! shrunk to the shortest.
+//! Configuration under thousands of random schedules, drawn from a fixed seed. A schedule that breaks an invariant is
+//! shrunk to a minimal one.
 
 mod configuration_simulation;
 
@@ -17,7 +17,7 @@
         kind: usize,
     },
     Enter(usize),
-    /// Put from the latest version, and entered at once.
+    /// A put that is based on the latest version and entered at once.
     Change {
         scope: usize,
         kind: usize,
@@ -40,9 +40,9 @@
     LoseDisk(usize),
     DamageDisk(usize),
     ChangeOwnFile(usize),
-    /// To the leader, or to another coordinator.
+    /// Delivers a message to the leader, or to another coordinator.
     Deliver(usize, usize),
-    /// The same, and all balancers apply what they have fetched.
+    /// The same; then all balancers apply what they have fetched.
     DeliverAndApply(usize, usize),
     Lose(usize),
     Repeat(usize),
@@ -89,7 +89,7 @@
     }
 }
 
-/// `number` is the event's place in the schedule.
+/// `number` is the event's index in the schedule.
 fn play(simulation: &mut Simulation, number: usize, event: &Event) {
     match *event {
         Event::Advance(duration) => simulation.now += duration,
--- a/crates/fernroute-fleet/tests/configuration_simulation/fixtures.rs
+++ b/crates/fernroute-fleet/tests/configuration_simulation/fixtures.rs
@@ -1,4 +1,4 @@
-//! Registers, followers and heartbeats for single cases.
+//! Registers, followers and heartbeats for tests of single cases.
 
 use super::{GUARANTEED_LEASE, QUOTA_LEASE};
 use fernroute_fleet::configuration::follower::{ConfigurationFollower, ConfigurationSnapshot, FetchError};
@@ -21,10 +21,10 @@
     }
 }
 
-/// Applies a change from the latest version.
+/// Applies a change that is based on the latest version.
 pub fn change(register: &mut Register, scope: Scope, content: &str) -> Version {
     let latest_version = register.latest_version(&scope);
-    register.apply(&put(scope, latest_version, content)).expect("it is from the latest")
+    register.apply(&put(scope, latest_version, content)).expect("the change is based on the latest version")
 }
 
 pub fn parse_scope(text: &str) -> Scope {
@@ -36,7 +36,7 @@
     Target { name: "b0".to_owned(), service: "cart".to_owned(), zone: "east".to_owned() }
 }
 
-/// The follower sends its request, and this register answers it.
+/// The follower sends its request, which this register answers.
 pub fn fetch(
     follower: &mut ConfigurationFollower,
     register: &Register,
@@ -79,7 +79,7 @@
     let joined = vec![(1, "b0".to_owned())];
     ledger
         .apply(&Entry::Transition(LedgerTransition { joined, ..LedgerTransition::default() }))
-        .expect("it is new");
+        .expect("the member is new");
     let leader = Leader::new(0, &ledger, QUOTA_LEASE, GUARANTEED_LEASE, 4);
     (ledger, leader)
 }
--- a/crates/fernroute-fleet/tests/configuration_simulation/mod.rs
+++ b/crates/fernroute-fleet/tests/configuration_simulation/mod.rs
@@ -1,8 +1,8 @@
 //! Configuration of a fleet in virtual time: operators, coordinators that have applied a part of one log, old
 //! and new leaders, a network that loses, repeats and reorders messages, and balancers that fetch, apply,
-//! store, crash and restart. Consensus is taken for granted: only the last elected leader enters anything.
+//! store, crash and restart. Consensus is not simulated: only the last elected leader enters changes.
 
-// Each file of tests uses a part of this.
+// Each test file uses a part of this module.
 #![allow(dead_code)]
 
 pub mod fixtures;
@@ -27,7 +27,7 @@
 /// More entries than any log here has.
 const ALL_ENTRIES: usize = usize::MAX / 2;
 
-/// A fault in the protocol; each must be detected.
+/// A deliberate defect of the protocol; the checks must detect each.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Flaw {
     None,
@@ -41,13 +41,13 @@
     NotifiedOnce,
     /// A start reports the stored copy as active without applying it.
     StoredCopyNotApplied,
-    /// A stored copy is used wherever the balancer is now.
+    /// A stored copy is used even if the balancer's service or zone has changed.
     StoredCopyOfAnotherTarget,
     /// A rejected version is reported as active, so that it is not fetched again.
     RejectedReportedAsActive,
 }
 
-/// Of few services, zones and balancers, so that changes meet.
+/// One of a few services, zones and balancers, so that changes overlap.
 pub fn scope(number: usize) -> Scope {
     let service = |number: usize| ["cart", "search"][number % 2].to_owned();
     match number % 10 {
@@ -86,14 +86,14 @@
     pub register: Register,
     /// How many entries of the log it has applied.
     applied_entries: usize,
-    /// It leads, or takes itself for the leader.
+    /// Present while it leads, or believes that it leads.
     leader: Option<Leader>,
 }
 
 pub struct Process {
     pub follower: ConfigurationFollower,
     pub target: Target,
-    /// The contents that it has really applied.
+    /// The contents that it has actually applied.
     pub applied_contents: Vec<String>,
     /// Fetched, and not applied yet.
     pub fetched: Option<ConfigurationSnapshot>,
@@ -101,7 +101,7 @@
     min_version: Version,
 }
 
-/// A content and its scope, as they were entered.
+/// A content with its scope, as entered.
 pub struct EnteredContent {
     scope: Scope,
     content: String,
@@ -131,7 +131,7 @@
         let mut ledger = Ledger::default();
         let joined = (0..BALANCERS).map(|index| (identity(index), format!("b{index}"))).collect();
         let transition = LedgerTransition { joined, ..LedgerTransition::default() };
-        ledger.apply(&Entry::Transition(transition)).expect("they are new");
+        ledger.apply(&Entry::Transition(transition)).expect("the members are new");
         let coordinator = || Coordinator { register: Register::default(), applied_entries: 0, leader: None };
         let mut simulation = Simulation {
             flaw,
@@ -194,10 +194,10 @@
     /// Puts a change from the latest version, and enters it at once.
     pub fn change(&mut self, scope: Scope, content: &str) -> Version {
         self.put(scope, content, true);
-        self.enter(self.puts.len() - 1).expect("it is from the latest")
+        self.enter(self.puts.len() - 1).expect("the change is based on the latest version")
     }
 
-    /// A coordinator applies up to so many further entries of the log.
+    /// A coordinator applies up to `max_entries` further entries of the log.
     pub fn catch_up(&mut self, index: usize, max_entries: usize) {
         let coordinator = &mut self.coordinators[index];
         let end = (coordinator.applied_entries + max_entries).min(self.log.len());
@@ -207,7 +207,7 @@
         coordinator.applied_entries = end;
     }
 
-    /// A new leader has applied all entries. The one before does not know that it has been replaced.
+    /// Elects a leader, which applies all entries. The previous one does not know that it has been replaced.
     pub fn elect(&mut self, index: usize) {
         self.catch_up(index, ALL_ENTRIES);
         self.leader = index;
@@ -217,13 +217,13 @@
 
     pub fn rollouts(&self) -> Vec<MemberRollout> {
         let coordinator = &self.coordinators[self.leader];
-        let leader = coordinator.leader.as_ref().expect("it leads");
+        let leader = coordinator.leader.as_ref().expect("the coordinator leads");
         leader.configuration_states(self.now, &self.ledger, &coordinator.register)
     }
 
     // ------------------------------------------------------------------------------------------------- balancers
 
-    /// Starts a balancer with its stored copy; its target may be another one than before.
+    /// Starts a balancer with its stored copy; its target may have changed.
     pub fn start(&mut self, index: usize, moves: usize) {
         let target = target(index, moves);
         let is_usable = |copy: &ConfigurationSnapshot| match self.flaw {
@@ -290,7 +290,7 @@
         self.network.push(Packet::FetchRequest(index, request));
     }
 
-    /// The balancer does not wait for the reply to its request any longer.
+    /// The balancer stops waiting for the reply to its request.
     pub fn time_out(&mut self, index: usize) {
         let now = self.now;
         if let Some(process) = self.balancers[index].as_mut().filter(|process| process.fetched.is_none()) {
@@ -298,7 +298,7 @@
         }
     }
 
-    /// What was fetched is applied completely, or rejected.
+    /// Applies the fetched snapshot completely, or rejects it.
     pub fn apply(&mut self, index: usize) {
         let flaw = self.flaw;
         let Some(process) = &mut self.balancers[index] else { return };
@@ -320,7 +320,7 @@
         process.follower.activate(snapshot);
     }
 
-    /// While a snapshot is being applied the balancer receives no other.
+    /// The balancer ignores replies while it applies a snapshot.
     fn receive_fetch_reply(&mut self, index: usize, reply: FetchReply) {
         let (now, flaw) = (self.now, self.flaw);
         let Some(process) = &mut self.balancers[index] else { return };
@@ -347,7 +347,7 @@
 
     // --------------------------------------------------------------------------------------------------- network
 
-    /// One message arrives; a heartbeat or a request at this coordinator.
+    /// Delivers one message. A heartbeat or a request goes to this coordinator.
     pub fn deliver(&mut self, packet: usize, coordinator: usize) {
         match self.network.remove(packet) {
             Packet::Heartbeat(heartbeat) => self.receive_heartbeat(&heartbeat, coordinator),
@@ -386,7 +386,7 @@
         }
     }
 
-    /// A heartbeat and its reply; the request that follows is in the network.
+    /// A heartbeat and its reply; the request that follows stays in the network.
     pub fn start_exchange(&mut self, index: usize) {
         let first_packet = self.network.len();
         self.send_heartbeat(index);
@@ -394,7 +394,7 @@
         self.request_fetch(index);
     }
 
-    /// A heartbeat, its reply, and the fetch that follows; applied and stored, without any loss.
+    /// A heartbeat, its reply and the fetch that follows without any loss; the balancer applies and stores the result.
     pub fn exchange(&mut self, index: usize) {
         let first_packet = self.network.len();
         self.start_exchange(index);
@@ -426,7 +426,7 @@
 
     // ------------------------------------------------------------------------------------------------ invariants
 
-    /// The version that concerned this target, and its contents, when this one was the register's last.
+    /// The version that concerned this target, and its contents, when `version` was the register's last.
     fn expected_at(&self, target: &Target, version: Version) -> (Version, Vec<String>) {
         let mut expected_version = 0;
         let mut contents = Vec::new();
@@ -443,8 +443,8 @@
         (expected_version, contents)
     }
 
-    /// The contents that are applied are all that the register had at the reported version, which never
-    /// decreases.
+    /// The invariants: the applied contents are those that the register had at the reported version, and that version
+    /// never decreases.
     pub fn check(&mut self) -> Result<(), String> {
         for index in 0..BALANCERS {
             let Some(process) = &self.balancers[index] else { continue };
@@ -466,8 +466,7 @@
         Ok(())
     }
 
-    /// Without faults all balancers have the latest version active, or report why not; and the leader knows
-    /// it.
+    /// Checks that all balancers have the latest version active or have rejected it, and that the leader reports so.
     pub fn check_converged(&self) -> Result<(), String> {
         for (index, (process, rollout)) in self.balancers.iter().zip(self.rollouts()).enumerate() {
             let Some(process) = process else { continue };
@@ -486,12 +485,12 @@
     }
 }
 
-/// A follower that uses a copy of whichever of the balancer's targets the copy is for.
+/// A follower that uses the copy, whichever of the balancer's targets it is for.
 fn follower_of_copy(index: usize, copy: ConfigurationSnapshot) -> ConfigurationFollower {
     let text = serde_json::to_string(&copy).expect("a copy");
     let newest_version = copy.entries().map(|entry| entry.version).max().unwrap_or(0);
     let other = (0..2).map(|moves| target(index, moves)).find(|other| copy.matches(other));
-    let other = other.expect("it is for one of the targets");
+    let other = other.expect("the copy is for one of the targets");
     let follower = ConfigurationFollower::new(other, serde_json::from_str(&text).ok());
     assert_eq!(follower.active().version, newest_version);
     follower
--- a/crates/fernroute-fleet/tests/demand.rs
+++ b/crates/fernroute-fleet/tests/demand.rs
@@ -1,9 +1,9 @@
-//! The demand that is estimated from recent requests.
+//! The estimate of demand from recent requests.
 
 use fernroute::host::SECOND;
 use fernroute_fleet::demand::DemandMeter;
 
-/// Guards against quotas that follow bursts, and against quotas that stay where demand has ended.
+/// Guards against quotas that follow each burst, and against quotas that stay after demand has ended.
 #[test]
 fn a_steady_demand_is_estimated_closely_and_a_change_is_followed_soon() {
     let mut meter = DemandMeter::new(0);
@@ -11,7 +11,7 @@
     let mut now = 0;
     let mut send_requests = |meter: &mut DemandMeter, per_second: u64, seconds: u64| {
         for request in 0..per_second * seconds {
-            // In bursts of five.
+            // Requests arrive in bursts of five.
             now += if request % 5 == 0 { 5 * SECOND / per_second } else { 0 };
             meter.count(now);
             if request % 5 == 0 {
--- a/crates/fernroute-fleet/tests/division.rs
+++ b/crates/fernroute-fleet/tests/division.rs
@@ -1,4 +1,4 @@
-//! How one budget is divided among members by their demands.
+//! The division of one budget among members by their demands.
 
 use fernroute_fleet::division::{divide, fair_shares};
 use fernroute_fleet::MilliUnits;
@@ -22,7 +22,7 @@
     // The unassigned part goes to the member that is short, then to those furthest below their fair shares.
     assert_eq!(divide(120, &[50, 0, 0], &[10, 30, 30]), [60, 30, 30]);
     assert_eq!(divide(120, &[0, 0], &[30, 60]), [60, 60]);
-    // No member is above its fair share; the total was lowered; a demand without bound; no member at all.
+    // No member is above its fair share; the total was lowered; an unbounded demand; no member.
     assert_eq!(divide(120, &[90, 90, 90], &[40, 40, 40]), [40, 40, 40]);
     assert_eq!(divide(60, &[90, 90, 90], &[40, 40, 40]), [20, 20, 20]);
     assert_eq!(divide(120, &[MilliUnits::MAX, 60], &[60, 60]), [60, 60]);
--- a/crates/fernroute-fleet/tests/duties.rs
+++ b/crates/fernroute-fleet/tests/duties.rs
@@ -1,4 +1,4 @@
-//! Duties case by case: which member gets one, when it ends and why, and what the table refuses.
+//! Single cases of duties: which member gets one, when and why a term ends, and what the table refuses.
 
 mod duties_simulation;
 
@@ -38,8 +38,8 @@
         grants: vec![grant(duty, identity)],
         ..DutyTransition::default()
     };
-    table.apply(&DutyEntry::Transition(transition)).expect("it is free");
-    table.holder(duty).expect("it was granted").term
+    table.apply(&DutyEntry::Transition(transition)).expect("the duty is free");
+    table.holder(duty).expect("the duty was granted").term
 }
 
 fn end_term(table: &mut DutyTable, duty: &str, term: u64) -> Result<(), DutyError> {
@@ -51,7 +51,7 @@
     }))
 }
 
-/// Guards against two holders, or an old term, after two transitions or an outdated one.
+/// Guards against two holders or a reused term after a repeated or an outdated transition.
 #[test]
 fn the_table_grants_each_term_once_and_each_duty_to_one_candidate() {
     let mut table = table(&["a", "b"]);
@@ -67,7 +67,7 @@
     assert_eq!(table.apply(&DutyEntry::Transition(late)), Err(DutyError::OutOfDate));
     assert!(matches!(end_term(&mut table, "a", first + 1), Err(DutyError::Stale(_))));
     assert_eq!(table.version(), version, "a refused transition changes nothing");
-    end_term(&mut table, "a", first).expect("it is held under this term");
+    end_term(&mut table, "a", first).expect("the duty is held under this term");
     assert!(matches!(end_term(&mut table, "a", first), Err(DutyError::Stale(_))));
     let second = grant_term(&mut table, "b", 1);
     let third = grant_term(&mut table, "a", 1);
@@ -85,15 +85,15 @@
 fn terms_increase_through_removal_snapshots_and_lost_disks() {
     let mut table = table(&["a"]);
     let first = grant_term(&mut table, "a", 1);
-    table.apply(&DutyEntry::Names(BTreeSet::new())).expect("no name is valid too");
+    table.apply(&DutyEntry::Names(BTreeSet::new())).expect("an empty set of names is valid");
     assert!(table.holder("a").is_some(), "it is dropped with its holder");
-    end_term(&mut table, "a", first).expect("it is held");
+    end_term(&mut table, "a", first).expect("the duty is held");
     assert!(table.duties().is_empty());
     table.apply(&DutyEntry::Names(BTreeSet::from(["a".to_owned()]))).expect("the name is valid");
-    let snapshot = serde_json::to_string(&table).expect("it is JSON");
+    let snapshot = serde_json::to_string(&table).expect("valid JSON");
     let mut table: DutyTable = serde_json::from_str(&snapshot).expect("a table");
     assert!(grant_term(&mut table, "a", 2) > first);
-    // After the loss of all disks a member still knows the highest term.
+    // After all disks were lost a member still reports the highest term.
     let mut new_table = DutyTable::default();
     new_table.apply(&DutyEntry::Names(BTreeSet::from(["a".to_owned()]))).expect("the name is valid");
     let transition = DutyTransition {
@@ -102,7 +102,7 @@
         base_version: new_table.version(),
         ..DutyTransition::default()
     };
-    new_table.apply(&DutyEntry::Transition(transition)).expect("it is free");
+    new_table.apply(&DutyEntry::Transition(transition)).expect("the duty is free");
     assert_eq!(new_table.holder("a").map(|holder| holder.term), Some(42));
 }
 
@@ -112,15 +112,15 @@
     let names = |count: usize| DutyEntry::Names((0..count).map(|n| format!("d{n}")).collect());
     assert_eq!(table.apply(&names(MAX_DUTIES + 1)), Err(DutyError::TooMany));
     const { assert!(MAX_DUTIES >= 1_024) };
-    table.apply(&names(1_024)).expect("so many are allowed");
+    table.apply(&names(1_024)).expect("the number of names is allowed");
     let invalid = DutyEntry::Names(BTreeSet::from(["a/b".to_owned()]));
     assert_eq!(table.apply(&invalid), Err(DutyError::UnknownDuty("a/b".to_owned())));
     let term = grant_term(&mut table, "d0", 1);
     let note =
         |term| DutyEntry::Note(DutyNote { duty: "d0".to_owned(), term, text: "x\n".repeat(MAX_NOTE_CHARS) });
     assert!(matches!(table.apply(&note(term - 1)), Err(DutyError::Stale(_))));
-    table.apply(&note(term)).expect("it is the holder's");
-    let text = &table.holder("d0").expect("it is held").note;
+    table.apply(&note(term)).expect("the term is the holder's");
+    let text = &table.holder("d0").expect("the duty is held").note;
     assert!(text.chars().count() == MAX_NOTE_CHARS && !text.contains('\n'));
 }
 
@@ -134,8 +134,7 @@
     assert_eq!((fence.highest_term("a"), fence.highest_term("b"), fence.highest_term("c")), (3, 1, 0));
 }
 
-/// Guards against duties that are all held by one member, and against a placement that changes without a
-/// reason.
+/// Guards against duties that are all held by one member, and against a placement that changes without need.
 #[test]
 fn duties_are_spread_and_the_same_members_get_the_same_ones() {
     let place = |members: u64| {
@@ -158,7 +157,7 @@
     assert_eq!(choose("d0", &BTreeMap::new()), None);
 }
 
-/// Guards against a holder that acts for as long as the leader waits.
+/// Guards against a holder that still acts when the leader may grant the duty again.
 #[test]
 fn a_holder_stops_a_margin_before_the_duty_can_be_granted_again() {
     let margin = LEASE.duration - hold_duration(&LEASE);
@@ -191,7 +190,7 @@
     assert_eq!(duties.term(1_149, "a"), Some(5));
     let lost = |reason| Event::Lost { duty: "a".to_owned(), term: 5, reason };
     assert_eq!(duties.expire(1_150), vec![lost(StopReason::LeaseExpired)]);
-    // The same term again, in a reply that is late, and in one that is not.
+    // The same term in a reply that is late, and in one that is on time.
     duties.report(1_200, 3);
     assert_eq!(duties.on_reply(1_300, 3, Some(&assignments(&[("a", 5)]))), vec![]);
     duties.report(1_300, 4);
@@ -217,12 +216,12 @@
 fn a_draining_member_releases_its_duties_at_once_and_gets_none() {
     let mut simulation = Simulation::new(Flaw::None);
     run_until_granted(&mut simulation);
-    let (first, term) = simulation.holder("planner").expect("it is held");
+    let (first, term) = simulation.holder("planner").expect("the duty is held");
     simulation.drain(first);
     assert!(simulation.holder("planner").is_none());
     simulation.exchange().expect("the invariants hold");
     simulation.exchange().expect("the invariants hold");
-    let (second, next_term) = simulation.holder("planner").expect("another member holds it at once");
+    let (second, next_term) = simulation.holder("planner").expect("another member holds the duty at once");
     assert!(second != first && next_term > term);
     assert!(DUTIES.iter().all(|duty| simulation.holder(duty).is_some_and(|(member, _)| member != first)));
     let previous_holder = simulation.table().duties()["planner"].previous_holder.clone();
@@ -245,13 +244,13 @@
 fn a_duty_that_an_operator_releases_is_granted_to_another_member() {
     let mut simulation = Simulation::new(Flaw::None);
     run_until_granted(&mut simulation);
-    let (first, term) = simulation.holder("sweep").expect("it is held");
+    let (first, term) = simulation.holder("sweep").expect("the duty is held");
     simulation.release(2);
     for _ in 0..3 {
         simulation.advance(2_000).expect("the invariants hold");
         simulation.exchange().expect("the invariants hold");
     }
-    let (second, next_term) = simulation.holder("sweep").expect("another member holds it");
+    let (second, next_term) = simulation.holder("sweep").expect("another member holds the duty");
     assert!(second != first && next_term > term);
     assert_eq!(
         simulation.table().duties()["sweep"].previous_holder,
@@ -272,8 +271,8 @@
     }
 }
 
-/// Guards against a duty for a member whose version does not support duties, and against messages that such a
-/// member or coordinator cannot read.
+/// Guards against a duty that is granted to a member whose version does not support duties, and against messages that
+/// such a member or coordinator cannot read.
 #[test]
 fn members_and_coordinators_without_support_for_duties_are_understood() {
     let table = table(&["a"]);
@@ -283,11 +282,11 @@
         assert_eq!(leader.assignments_for(&heartbeat(number, None), &table), None);
         assert_eq!(leader.next_transition(number * 2_000, &table), None);
     }
-    let old = r#"{"name":"n1","identity":1,"number":3,"epoch":0,"wants":{}}"#;
-    assert_eq!(serde_json::from_str::<Heartbeat>(old).expect("it is read"), heartbeat(3, None));
-    assert!(!serde_json::to_string(&heartbeat(3, None)).expect("it is JSON").contains("duties"));
-    let old = r#"{"identity":1,"number":3,"grant":{"epoch":0,"floors":{},"shares":{}},"shares_for":1,"floors_for":1}"#;
-    assert_eq!(serde_json::from_str::<HeartbeatReply>(old).expect("it is read").duties, None);
+    let old_heartbeat = r#"{"name":"n1","identity":1,"number":3,"epoch":0,"wants":{}}"#;
+    assert_eq!(serde_json::from_str::<Heartbeat>(old_heartbeat).expect("valid JSON"), heartbeat(3, None));
+    assert!(!serde_json::to_string(&heartbeat(3, None)).expect("valid JSON").contains("duties"));
+    let old_reply = r#"{"identity":1,"number":3,"grant":{"epoch":0,"floors":{},"shares":{}},"shares_for":1,"floors_for":1}"#;
+    assert_eq!(serde_json::from_str::<HeartbeatReply>(old_reply).expect("valid JSON").duties, None);
     // After a reply without duties a member holds none.
     let mut duties = MemberDuties::new(1);
     duties.report(0, 1);
@@ -320,7 +319,7 @@
         leader.on_heartbeat(now, &heartbeat);
         let assignments = leader.assignments_for(&heartbeat, table);
         if let Some(transition) = leader.next_transition(now, table) {
-            table.apply(&DutyEntry::Transition(transition)).expect("it is up to date");
+            table.apply(&DutyEntry::Transition(transition)).expect("the transition is up to date");
             leader.transition_done(now, table);
         }
         assignments
@@ -340,8 +339,8 @@
     assert_eq!(table.holder("a"), None);
 }
 
-/// Guards against traffic that grows with all members while nothing changes: long heartbeats and replies, and
-/// log entries.
+/// Guards against traffic that grows with the number of members while nothing changes: long heartbeats and replies, and
+/// entries of the log.
 #[test]
 fn twelve_hundred_members_and_fifty_duties_cause_little_traffic_while_nothing_changes() {
     const MEMBER_COUNT: u64 = 1_200;
@@ -362,14 +361,14 @@
                 Heartbeat { identity, name: format!("n{identity}"), ..self::heartbeat(round, Some(duties)) };
             leader.on_heartbeat(now, &heartbeat);
             let without_report = Heartbeat { duties: None, ..heartbeat.clone() };
-            let length = |heartbeat: &Heartbeat| serde_json::to_string(heartbeat).expect("it is JSON").len();
+            let length = |heartbeat: &Heartbeat| serde_json::to_string(heartbeat).expect("valid JSON").len();
             report_bytes = length(&heartbeat) - length(&without_report);
             reply_bytes += leader
                 .assignments_for(&heartbeat, &table)
                 .map_or(0, |assignments| serde_json::to_string(&assignments).expect("JSON").len());
         }
         if let Some(transition) = leader.next_transition(now, &table) {
-            table.apply(&DutyEntry::Transition(transition)).expect("it is up to date");
+            table.apply(&DutyEntry::Transition(transition)).expect("the transition is up to date");
             leader.transition_done(now, &table);
             entries += 1;
         }
@@ -379,5 +378,5 @@
         "{report_bytes} bytes more in a heartbeat, {reply_bytes} bytes in all replies, {entries} entries"
     );
     assert!(report_bytes <= 100, "{report_bytes} bytes more in a heartbeat");
-    assert_eq!(entries, 1, "one entry grants all of them");
+    assert_eq!(entries, 1, "one entry grants all duties");
 }
--- a/crates/fernroute-fleet/tests/duties_schedules.rs
+++ b/crates/fernroute-fleet/tests/duties_schedules.rs
@@ -1,6 +1,6 @@
-//! Duties under thousands of random schedules, the same in each run, with clocks that drift at the stated
-//! bound; one that breaks an invariant is shrunk to the shortest. The invariants: no two holders at once, no
-//! term used twice, no order of an older holder followed after one of a newer.
+//! Duties under thousands of random schedules, drawn from a fixed seed, with clocks that drift at the stated bound. A
+//! schedule that breaks an invariant is shrunk to a minimal one. The invariants: a duty never has two holders at once,
+//! no term is used twice, and no order of an older term is followed after one of a newer term.
 
 mod duties_simulation;
 
@@ -59,7 +59,7 @@
     prop::collection::vec(event, 40..160)
 }
 
-/// How often a holder was observed, or the invariant that was broken.
+/// Returns how often a holder was observed, or the invariant that was broken.
 fn play(schedule: &[Event], flaw: Flaw) -> Result<usize, String> {
     let mut simulation = Simulation::new(flaw);
     for event in schedule {
@@ -122,7 +122,7 @@
 
 fn assert_detected(flaw: Flaw, violation: &str) {
     let failure = run(flaw).failure.unwrap_or_else(|| panic!("{flaw:?} is not detected"));
-    assert!(failure.contains(violation), "{flaw:?} is detected otherwise: {failure}");
+    assert!(failure.contains(violation), "{flaw:?} is detected by another violation: {failure}");
 }
 
 #[test]
--- a/crates/fernroute-fleet/tests/duties_simulation/mod.rs
+++ b/crates/fernroute-fleet/tests/duties_simulation/mod.rs
@@ -1,8 +1,8 @@
 //! Duties in virtual time: members and leaders with clocks of their own, a network that loses, repeats and
-//! reorders messages, and an observer with one clock that sees all members. Consensus is taken for granted:
-//! there is one table, and only the current leader enters anything.
+//! reorders messages, and an observer with one clock that sees all members. Consensus is not simulated: there is one
+//! table, and only the current leader enters transitions.
 
-// Each file of tests uses a part of it.
+// Each test file uses a part of this module.
 #![allow(dead_code)]
 
 use fernroute_fleet::duties::fence::Fence;
@@ -18,10 +18,10 @@
 pub const MEMBERS: usize = 4;
 pub const DUTIES: [&str; 3] = ["planner", "report", "sweep"];
 
-/// Two seconds; clocks drift by two in a hundred, the bound that the lease states.
+/// Two seconds. Clocks drift by two percent, the bound that the lease states.
 pub const LEASE: Lease = Lease { duration: 20_000, drift_ppm: 20_000 };
 
-/// A fault in the protocol; each must be detected.
+/// A deliberate defect of the protocol; the checks must detect each.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Flaw {
     None,
@@ -35,7 +35,7 @@
     WallClock,
 }
 
-/// A clock whose rate is off, and whose reading starts elsewhere.
+/// A clock with a wrong rate and an offset.
 #[derive(Clone, Copy, Debug)]
 struct Clock {
     rate: f64,
@@ -52,7 +52,7 @@
     f64::from(LEASE.drift_ppm) / 1e6
 }
 
-/// An order that a member has decided on, under its term at that moment, and that has not arrived yet.
+/// An order that a member has sent under its term at that moment, and that has not arrived yet.
 struct Order {
     duty: usize,
     term: Term,
@@ -94,14 +94,14 @@
     assignments: Option<DutyAssignments>,
 }
 
-/// The current leader; a replaced one enters nothing and answers nobody.
+/// The current leader. A replaced one enters no transition and sends no reply.
 struct LeaderProcess {
     clock: Clock,
     duties: Leader,
 }
 
 impl LeaderProcess {
-    /// Leaders' clocks run fast and slow in turn, at the bound.
+    /// Leaders' clocks run fast and slow in turn, at the bound of the drift.
     fn new(real_time: u64, table: &DutyTable, flaw: Flaw, elections: u64) -> Self {
         let rate = if elections.is_multiple_of(2) { 1.0 + max_drift() } else { 1.0 - max_drift() };
         let clock = Clock { rate, offset: 5e8 * elections as f64 };
@@ -121,9 +121,9 @@
     replies: Vec<SentReply>,
     fence: Fence,
     /// The terms of the orders that were followed, by duty and in order.
-    followed: BTreeMap<usize, Vec<Term>>,
+    followed_terms: BTreeMap<usize, Vec<Term>>,
     /// The candidate that acted under each term.
-    acted: BTreeMap<Term, Candidate>,
+    candidates_by_term: BTreeMap<Term, Candidate>,
     elections: u64,
     /// How often the observer has seen a holder.
     pub observed_holders: usize,
@@ -149,8 +149,8 @@
             heartbeats: Vec::new(),
             replies: Vec::new(),
             fence: Fence::default(),
-            followed: BTreeMap::new(),
-            acted: BTreeMap::new(),
+            followed_terms: BTreeMap::new(),
+            candidates_by_term: BTreeMap::new(),
             elections: 0,
             observed_holders: 0,
         }
@@ -160,7 +160,7 @@
         self.members[index].clock.read(self.real_time)
     }
 
-    /// Time passes in steps, so that the observer sees a short overlap too.
+    /// Advances in small steps, so that the observer detects a short overlap too.
     pub fn advance(&mut self, duration: u64) -> Result<(), String> {
         const STEP: u64 = 200;
         let end = self.real_time + duration;
@@ -266,7 +266,7 @@
         self.leader.duties.transition_done(self.leader.clock.read(self.real_time), &self.table);
     }
 
-    /// Elects a new leader. A pending transition was entered before that, or never is.
+    /// Elects a new leader. A pending transition is entered before that, or never.
     pub fn elect(&mut self, is_entered: bool) {
         if let Some(transition) = self.pending_transition.take().filter(|_| is_entered) {
             let _ = self.table.apply(&DutyEntry::Transition(transition));
@@ -277,7 +277,7 @@
 
     /// All coordinators restart from a snapshot.
     pub fn restart_coordinators(&mut self) {
-        let mut snapshot = serde_json::to_value(&self.table).expect("it is JSON");
+        let mut snapshot = serde_json::to_value(&self.table).expect("valid JSON");
         if self.flaw == Flaw::TermReused {
             snapshot["highest"] = 0.into();
         }
@@ -298,15 +298,14 @@
         self.members[index].duties.resume();
     }
 
-    /// The process is killed, and another one starts under the same identity. Orders that were sent may still
-    /// arrive.
+    /// Kills the process and starts another one under the same identity. Orders that were sent may still arrive.
     pub fn restart(&mut self, index: usize) {
         let member = &mut self.members[index];
         member.incarnation += 1_000;
         member.duties = MemberDuties::new(member.incarnation);
     }
 
-    /// A holder decides on an order for each of its duties; they arrive later.
+    /// A holder sends an order for each of its duties; they arrive later.
     pub fn send_orders(&mut self, index: usize) {
         let now = self.now(index);
         let member = &mut self.members[index];
@@ -326,7 +325,7 @@
         if self.flaw != Flaw::TokenIgnored && self.fence.admit(DUTIES[duty], term).is_err() {
             return Ok(());
         }
-        let followed = self.followed.entry(duty).or_default();
+        let followed = self.followed_terms.entry(duty).or_default();
         if followed.last().is_some_and(|last| *last > term) {
             return Err(format!("{}: an order of term {term} was followed after {followed:?}", DUTIES[duty]));
         }
@@ -334,7 +333,7 @@
         Ok(())
     }
 
-    /// By the observer's clock each duty has at most one holder, and each term one candidate for ever.
+    /// Checks that each duty has at most one holder at a time, and each term one candidate at all times.
     fn observe(&mut self) -> Result<(), String> {
         for name in DUTIES {
             let holders = self.holders(name);
@@ -343,7 +342,7 @@
             }
             for (candidate, term) in holders {
                 self.observed_holders += 1;
-                let first = *self.acted.entry(term).or_insert(candidate);
+                let first = *self.candidates_by_term.entry(term).or_insert(candidate);
                 if first != candidate {
                     return Err(format!("{name}: term {term} is used twice, by {first:?} and {candidate:?}"));
                 }
--- a/crates/fernroute-fleet/tests/lease.rs
+++ b/crates/fernroute-fleet/tests/lease.rs
@@ -1,8 +1,8 @@
-//! How long a lease may be used, by its holder's clock and by the leader's.
+//! The duration of a lease by its holder's clock and by the leader's.
 
 use fernroute_fleet::lease::Lease;
 
-/// Guards against a leader that gives away what a holder with the slowest clock still uses.
+/// Guards against a leader that grants again what a holder with the slowest clock still uses.
 #[test]
 fn the_leader_waits_longer_than_the_slowest_holder_whatever_its_own_clock() {
     for duration in [1, 9_999, 15_000, 36_000_000] {
--- a/crates/fernroute-fleet/tests/member.rs
+++ b/crates/fernroute-fleet/tests/member.rs
@@ -44,8 +44,8 @@
         (3, ReplyStatus::Extended)
     );
     assert_eq!(member.expirations(), (245, 1145));
-    // After a long stop its clock shows that the grant has expired; then a ledger that was set up anew may
-    // grant again.
+    // After a long stop the member's clock shows that the grant has expired; then a ledger that was created anew may
+    // grant at a lower epoch.
     let fourth = member.heartbeat(150, BudgetAmounts::new());
     assert_eq!(member.on_reply(5000, &reply(&fourth, grant(4, 2, 90))), ReplyStatus::Stale);
     assert_eq!(member.allocated(5000, "acme"), 0);
@@ -62,7 +62,7 @@
     );
     let unanswered: Vec<Heartbeat> =
         (0..1000).map(|_| member.heartbeat(5000, BudgetAmounts::new())).collect();
-    // Replies to the last sixteen alone are used.
+    // Only replies to the last 16 heartbeats are used.
     for (index, heartbeat) in unanswered.iter().enumerate() {
         let expected = if index < 984 { ReplyStatus::Stale } else { ReplyStatus::Extended };
         let status = member.clone().on_reply(5001, &reply(heartbeat, grant(1, 2, 8)));
@@ -78,7 +78,7 @@
     let mut predecessor = Member::new("n0", 7, 0);
     let heartbeat = predecessor.heartbeat(0, BudgetAmounts::new());
     predecessor.on_reply(1, &reply(&heartbeat, grant(3, 3, 9)));
-    let handover = predecessor.hand_over(2).expect("it shares with no other process");
+    let handover = predecessor.hand_over(2).expect("the grant is not shared yet");
     let mut successor = Member::take_over("n0", 2, 1 << 32, &handover);
     assert_eq!((successor.hand_over(2), successor.expirations()), (None, predecessor.expirations()));
     assert_eq!((predecessor.allocated(2, "acme"), successor.allocated(2, "acme")), (5, 5));
--- a/crates/fernroute-fleet/tests/wire_format.rs
+++ b/crates/fernroute-fleet/tests/wire_format.rs
@@ -1,5 +1,5 @@
-//! The JSON of messages between processes and of replicated state: fixed texts, read and written again without a change.
-//! A process of another version reads and writes the same.
+//! The JSON of messages between processes and of replicated state, which processes of other versions read and write:
+//! fixed texts must survive decoding and encoding unchanged.
 
 use fernroute_fleet::configuration::follower::ConfigurationSnapshot;
 use fernroute_fleet::configuration::register::{HistoryEntry, Register};
@@ -13,16 +13,16 @@
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
-/// The text is read as this type, and written again as the very same text.
+/// Asserts that the text decodes as this type and encodes to the same text.
 fn assert_unchanged<T: Serialize + DeserializeOwned>(text: &str) {
     let value: T = serde_json::from_str(text).unwrap_or_else(|error| panic!("{error}: {text}"));
-    assert_eq!(serde_json::to_string(&value).expect("it is written"), text);
+    assert_eq!(serde_json::to_string(&value).expect("serializable"), text);
 }
 
-/// The shorter text of an older version is read as what the longer one says.
+/// Asserts that the text of an older version decodes, and encodes to the newer text.
 fn assert_read_as<T: Serialize + DeserializeOwned>(old: &str, new: &str) {
     let value: T = serde_json::from_str(old).unwrap_or_else(|error| panic!("{error}: {old}"));
-    assert_eq!(serde_json::to_string(&value).expect("it is written"), new);
+    assert_eq!(serde_json::to_string(&value).expect("serializable"), new);
 }
 
 const HEARTBEAT: &str = r#"{"name":"n0","identity":7,"number":3,"epoch":2,"wants":{"acme":1000},"leaves":true,"configuration":{"service":"web","zone":"a","in_force":4,"refused":[5,"it does not load"]},"duties":{"incarnation":9,"eligible":true,"released":{"sweep":3},"answered":2,"highest":8}}"#;
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn what_a_balancer_stores_and_hands_over_keeps_its_keys() {
+fn a_stored_snapshot_and_a_handover_keep_their_keys() {
     assert_unchanged::<ConfigurationSnapshot>(
         r#"{"place":{"name":"n0","service":"web","zone":"a"},"version":2,"whole":"f0","parts":{"all":{"scope":"all","version":2,"hash":"b2","content":"b"}}}"#,
     );
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn what_operators_read_as_json_keeps_its_keys() {
+fn history_and_rollout_for_operators_keep_their_keys() {
     assert_unchanged::<HistoryEntry>(
         r#"{"version":1,"scope":"all","base":0,"hash":"a1","bytes":6,"who":"ann","when_ms":1}"#,
     );
