--- a/crates/fernroute-coordinator/tests/common/mod.rs
+++ b/crates/fernroute-coordinator/tests/common/mod.rs
@@ -13,7 +13,7 @@
 use fernroute_fleet::member::Member;
 use fernroute_fleet::message::{HeartbeatError, HeartbeatReply, HEARTBEAT_PATH};
 use fernroute_fleet::{BudgetAmounts, MilliUnits};
-use fernroute_test_support::process::{addresses, ignoring_limits, Disk, Process};
+use fernroute_test_support::process::{free_addresses, ignoring_file_size_signal, Disk, Process};
 use std::cell::Cell;
 use std::future::Future;
 use std::net::SocketAddr;
@@ -100,7 +100,8 @@
     pub fn start(&mut self) {
         let mut command = program(&["serve", "--first", "--config"]);
         command.arg(&self.config_path).env_remove("FERNROUTE_LOG");
-        self.process = Some(Process::launch(ignoring_limits(&command)).expect("the process starts"));
+        self.process =
+            Some(Process::launch(ignoring_file_size_signal(&command)).expect("the process starts"));
     }
 
     /// Writes a configuration file with coordinators at these addresses: `s0` at the first, and so on.
@@ -155,7 +156,7 @@
     pub fn new(test: &str, cluster: &str, count: usize) -> Self {
         let folder =
             std::env::temp_dir().join(format!("fernroute-coordinator-{test}-{}", std::process::id()));
-        let addresses = addresses(count).expect("free ports");
+        let addresses = free_addresses(count).expect("free ports");
         let mut processes = Vec::new();
         for (index, address) in addresses.iter().copied().enumerate() {
             let name = format!("s{index}");
--- a/crates/fernroute-coordinator/tests/configuration.rs
+++ b/crates/fernroute-coordinator/tests/configuration.rs
@@ -191,7 +191,7 @@
     run(async {
         let mut coordinators = Coordinators::new("lag", "shop", 3);
         // The other coordinators reach the third one through a link that can be interrupted.
-        let link = Link::to(coordinators.processes[2].address).await.expect("a link");
+        let link = Link::start(coordinators.processes[2].address).await.expect("a link");
         let mut addresses = coordinators.addresses();
         addresses[2] = link.address;
         for process in &coordinators.processes[..2] {
@@ -205,14 +205,14 @@
         }
         assert_eq!(put(&coordinators, "all", &content(1), &[]).await, 1);
         wait_until_served(&coordinators, 2, 1, &[content(1)]).await;
-        link.refuse();
+        link.refuse_connections();
         assert_eq!(put(&coordinators, "all", &content(2), &[]).await, 2);
         assert_eq!(fetch(&coordinators, 2, 2).await, Ok(FetchReply::Behind));
         let balancers = [Balancer::new(&coordinators, 1, "n0", "web", "a", 2)];
         wait_until_active(&balancers, 2).await;
         assert!(balancers[0].state.behind_replies.get() > 0 && *balancers[0].state.activated.borrow() == [2]);
         assert_eq!(fetch(&coordinators, 2, 2).await, Ok(FetchReply::Behind));
-        link.mend();
+        link.restore();
         wait_until_served(&coordinators, 2, 2, &[content(2)]).await;
     });
 }
@@ -275,14 +275,14 @@
         let leader = coordinators.leader(None).await;
         // A suspended coordinator receives nearly all entries together once it resumes.
         let lagging = (leader + 1) % 3;
-        coordinators.processes[lagging].process().stop();
+        coordinators.processes[lagging].process().pause();
         for number in 0..20 {
             let scope = Scope::Service(format!("s{number}"));
             let version = put_directly(&coordinators, leader, &scope, 0, &long_content(number)).await;
             assert_eq!(version, number + 1);
         }
         assert_eq!(put_directly(&coordinators, leader, &Scope::All, 0, &content(9)).await, 21);
-        coordinators.processes[lagging].process().go_on();
+        coordinators.processes[lagging].process().resume();
         for index in 0..3 {
             wait_until_served(&coordinators, index, 21, &[content(9)]).await;
         }
--- a/crates/fernroute-coordinator/tests/configuration_commands.rs
+++ b/crates/fernroute-coordinator/tests/configuration_commands.rs
@@ -58,7 +58,7 @@
 fn a_put_with_a_lost_reply_is_recognized_and_a_delayed_one_is_rejected() {
     run(async {
         let coordinators = Coordinators::launch("lost", "shop", 1).await;
-        let link = Link::to(coordinators.processes[0].address).await.expect("a link");
+        let link = Link::start(coordinators.processes[0].address).await.expect("a link");
         let file = write_file(&coordinators, "part.toml", &content(1));
         let put_by_link = || {
             let mut command =
@@ -67,20 +67,20 @@
             run_command(command)
         };
 
-        link.catch("/-/configuration/put");
+        link.hold_next("/-/configuration/put");
         let release = async {
-            wait_until(|| async { link.has_caught() }).await;
-            link.let_go().await.expect("a reply");
+            wait_until(|| async { link.has_held() }).await;
+            link.release_held().await.expect("a reply");
         };
         let (output, ()) = futures_util::join!(put_by_link(), release);
         assert_eq!((output.code, output.stdout.as_str()), (0, "version 1\n"), "{output:?}");
         assert_eq!(history(&coordinators).await.len(), 1);
 
-        link.catch("/-/configuration/put");
+        link.hold_next("/-/configuration/put");
         let overtake_and_release = async {
-            wait_until(|| async { link.has_caught() }).await;
+            wait_until(|| async { link.has_held() }).await;
             assert_eq!(put(&coordinators, "all", &content(2), &["--who", "bob"]).await, 2);
-            link.let_go().await.expect("a reply");
+            link.release_held().await.expect("a reply");
         };
         let (delayed, ()) = futures_util::join!(put_by_link(), overtake_and_release);
         assert_rejected(&delayed, "all: version 2, by bob");
--- a/crates/fernroute-coordinator/tests/duties.rs
+++ b/crates/fernroute-coordinator/tests/duties.rs
@@ -112,7 +112,7 @@
         assert_eq!(after.ended_terms.get(&EndReason::Operator), Some(&1));
         let leader = coordinators.leader(None).await;
         let log_line = format!("duty planner: {first} lost it, term {term}: released by an operator");
-        assert!(coordinators.processes[leader].process().says(&log_line));
+        assert!(coordinators.processes[leader].process().log_contains(&log_line));
     });
 }
 
--- a/crates/fernroute-coordinator/tests/fleet.rs
+++ b/crates/fernroute-coordinator/tests/fleet.rs
@@ -36,8 +36,8 @@
             heartbeat_until(&coordinators, &mut members, nearly_all_allocated).await;
             // It is logged once, instead of for each message that fails.
             let log_line = format!("coordinator s{leader} is unreachable");
-            wait_until(|| async { coordinators.processes[next].process().says(&log_line) }).await;
-            assert!(coordinators.processes[next].process().times(&log_line) == 1);
+            wait_until(|| async { coordinators.processes[next].process().log_contains(&log_line) }).await;
+            assert!(coordinators.processes[next].process().log_count(&log_line) == 1);
             assert!(members.iter().all(|member| member.longest_lapse == 0), "a grant expired");
             let status = coordinators.status(next).await.expect("a status");
             assert!(status.epoch >= epoch && status.members.len() == 2, "{status:?}");
@@ -60,17 +60,17 @@
         let leader = coordinators.leader(None).await;
         let followers: Vec<usize> = (0..3).filter(|index| *index != leader).collect();
         for follower in &followers {
-            coordinators.processes[*follower].process().stop();
+            coordinators.processes[*follower].process().pause();
         }
         // Without a majority the leader replies to no member.
         heartbeat_until(&coordinators, &mut members, only_guarantees).await;
-        coordinators.processes[leader].process().stop();
+        coordinators.processes[leader].process().pause();
         for follower in &followers {
-            coordinators.processes[*follower].process().go_on();
+            coordinators.processes[*follower].process().resume();
         }
         heartbeat_until(&coordinators, &mut members, nearly_all_allocated).await;
         // The former leader resumes, and learns that it has been replaced.
-        coordinators.processes[leader].process().go_on();
+        coordinators.processes[leader].process().resume();
         coordinators.wait_for_state(leader, "follower").await;
         heartbeat_until(&coordinators, &mut members, nearly_all_allocated).await;
     });
@@ -104,9 +104,9 @@
         restarted.kill();
         restarted.replace_in_config("\"c\"", "\"d\"");
         restarted.start();
-        assert_eq!(restarted.process().ends().await, Some(2));
+        assert_eq!(restarted.process().wait_for_exit().await, Some(2));
         // Its last log line may be read after its exit has been noticed.
-        wait_until(|| async { restarted.process().says("belongs to the cluster c, not to d") }).await;
+        wait_until(|| async { restarted.process().log_contains("belongs to the cluster c, not to d") }).await;
         drop(other);
     });
 }
@@ -138,7 +138,7 @@
             ("/-/vote", envelope("c", 1, "{}"), 409, "this coordinator has the identifier"),
             ("/-/none", String::new(), 404, "no such path"),
         ] {
-            let reply = fernroute_test_support::caller::ask(*address, request(path, &body)).await;
+            let reply = fernroute_test_support::caller::send_and_read(*address, request(path, &body)).await;
             let text = String::from_utf8_lossy(&reply.body).into_owned();
             assert!(reply.status() == status && text.contains(expected), "{path}: {} {text}", reply.status());
         }
@@ -230,7 +230,7 @@
     let has_stored_more = |status: Status| status.epoch > epoch;
     wait_until(|| async { coordinators.status(follower).await.is_some_and(has_stored_more) }).await;
     coordinators.processes[follower].kill();
-    coordinators.processes[follower].disk.become_like(&copy).expect("the copy");
+    coordinators.processes[follower].disk.replace_with(&copy).expect("the copy");
     coordinators.processes[follower].start();
 }
 
@@ -286,7 +286,7 @@
         .await;
         let status = coordinators.status(full).await.expect("a status");
         assert!(status.state == "stopped" && status.fault.is_some(), "{status:?}");
-        assert!(coordinators.processes[full].process().says("storage error: "));
+        assert!(coordinators.processes[full].process().log_contains("storage error: "));
         // After a restart with free space it has its state and votes again.
         coordinators.processes[full].kill();
         coordinators.processes[full].start();
--- a/crates/fernroute-server/tests/attempts.rs
+++ b/crates/fernroute-server/tests/attempts.rs
@@ -6,7 +6,7 @@
 use actix_http::header::HeaderMap;
 use actix_http::Method;
 use bytes::Bytes;
-use common::{balancer_at, connect, run, until};
+use common::{balancer_at, connect, run, wait_until};
 use fernroute_server::transport::client::{Body, Client, UpstreamRequest};
 use fernroute_server::transport::outbound::{AttemptProgress, AttemptState};
 use std::cell::Cell;
@@ -155,7 +155,7 @@
             let up = upstream(reads, end);
             let b = balancer_at(&[up.address], &[]).await;
             let mut caller = connect(b.address).await;
-            let head = common::rpc("POST", "/pay", &format!("Content-Length: {BODY}\r\n"));
+            let head = common::rpc_head("POST", "/pay", &format!("Content-Length: {BODY}\r\n"));
             caller.write_all(head.as_bytes()).await.expect("it is read");
             let (mut answers, mut sends) = caller.split();
             let sending = async {
@@ -186,7 +186,7 @@
             assert!(!had_all || up.attempts.get() == 1 || matches!(end, End::TurnAway), "{told}");
             assert!(!had_all || !exhausted || matches!(end, End::TurnAway), "{told}");
             drop(caller);
-            until(|| b.board.open.borrow().is_empty()).await;
+            wait_until(|| b.board.open.borrow().is_empty()).await;
         }
         assert!(whole > 0, "some were whole");
     });
--- a/crates/fernroute-server/tests/common/mod.rs
+++ b/crates/fernroute-server/tests/common/mod.rs
@@ -3,10 +3,12 @@
 // Each file of tests uses a part of these.
 #![allow(dead_code, unused_imports)]
 
-pub use fernroute_test_support::caller::{ask, connect, is_ready, rpc, send, told, until_ready, Load};
-pub use fernroute_test_support::http::{read, Message};
-pub use fernroute_test_support::stand_in::{entry, ok, say, stand_in, Deed, StandIn};
-pub use fernroute_test_support::until;
+pub use fernroute_test_support::caller::{
+    connect, is_ready, request_status, rpc_head, send, send_and_read, until_ready, CallerLoad,
+};
+pub use fernroute_test_support::http::{read_message, Message};
+pub use fernroute_test_support::stub::{list_entry, ok, start_stub, status_reply, Reply, StubServer};
+pub use fernroute_test_support::wait_until;
 
 use actix_http::header::HeaderName;
 use actix_http::{Method, RequestHead};
@@ -27,7 +29,7 @@
 
 /// A deployment of the tests' own: a method of each kind, and whatever `changes` puts in place of a text.
 pub fn page(upstreams: &[SocketAddr], discovery: SocketAddr, changes: &[(&str, &str)]) -> String {
-    let list = upstreams.iter().enumerate().map(|(n, at)| entry(&format!("s-{n}"), *at, "z", "SERVING"));
+    let list = upstreams.iter().enumerate().map(|(n, at)| list_entry(&format!("s-{n}"), *at, "z", "SERVING"));
     let list: Vec<String> = list.collect();
     let method = |name: &str, effect: &str| {
         format!(
@@ -92,11 +94,11 @@
 }
 
 /// A balancer before these upstreams, with discovery silent.
-pub async fn balancer(upstreams: &[&StandIn], changes: &[(&str, &str)]) -> RunningInstance {
+pub async fn balancer(upstreams: &[&StubServer], changes: &[(&str, &str)]) -> RunningInstance {
     balancer_at(&upstreams.iter().map(|u| u.address).collect::<Vec<_>>(), changes).await
 }
 
 pub async fn balancer_at(upstreams: &[SocketAddr], changes: &[(&str, &str)]) -> RunningInstance {
-    let discovery = stand_in(|_, _| Deed::Silence).await;
+    let discovery = start_stub(|_, _| Reply::NoReply).await;
     serve::start(station(upstreams, discovery.address, changes)).await.expect("it starts")
 }
--- a/crates/fernroute-server/tests/common/process.rs
+++ b/crates/fernroute-server/tests/common/process.rs
@@ -2,7 +2,7 @@
 
 #![allow(dead_code)]
 
-use fernroute_test_support::process::{with_descriptors, Process};
+use fernroute_test_support::process::{with_descriptor_limit, Process};
 use std::net::SocketAddr;
 use std::ops::Deref;
 use std::path::{Path, PathBuf};
@@ -42,7 +42,7 @@
 
     /// Serves already; its machine grants it so many descriptors, whatever its file says.
     pub async fn start_with(folder: &Path, page: &str, descriptors: usize) -> Self {
-        let limited = |command| with_descriptors(&command, descriptors);
+        let limited = |command| with_descriptor_limit(&command, descriptors);
         Program::run(folder, page, Some(folder), limited).await.serving().await
     }
 
@@ -58,13 +58,13 @@
             None => command.env_remove("TMPDIR"),
         };
         let process = Process::launch(how(command)).expect("it starts");
-        let door = process.address_after("operators are answered on ", START).await.expect("its door");
+        let door = process.logged_address("operators are answered on ", START).await.expect("its door");
         Program { process, path, address: door, door }
     }
 
     /// Waits until it serves, and learns where.
     pub async fn serving(mut self) -> Self {
-        self.address = self.process.address_after("serving on ", START).await.expect("its address");
+        self.address = self.process.logged_address("serving on ", START).await.expect("its address");
         self
     }
 
@@ -83,7 +83,7 @@
     }
 
     pub async fn ends_well(self) {
-        assert_eq!(self.ends().await, Some(0));
+        assert_eq!(self.wait_for_exit().await, Some(0));
     }
 }
 
--- a/crates/fernroute-server/tests/configuration.rs
+++ b/crates/fernroute-server/tests/configuration.rs
@@ -10,7 +10,7 @@
     content_hash, ConfigurationReport, FetchReply, FetchRequest, Scope, Target, FETCH_PATH,
 };
 use fernroute_fleet::message::{Envelope, Grant, Heartbeat, HeartbeatError, HeartbeatReply};
-use fernroute_test_support::http::answer;
+use fernroute_test_support::http::response;
 use process::{folder, Program};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -47,9 +47,9 @@
         let mut at = Vec::new();
         for n in 0..count {
             let slot = Rc::clone(&slot);
-            let door = stand_in(move |_, message| match &*slot.borrow() {
+            let door = start_stub(move |_, message| match &*slot.borrow() {
                 Some(stewards) => stewards.say(n, message),
-                None => Deed::Silence,
+                None => Reply::NoReply,
             });
             at.push(door.await.address);
         }
@@ -66,8 +66,8 @@
         stewards
     }
 
-    fn say(&self, n: usize, message: &Message) -> Deed {
-        let json = |what: String| Deed::Say(answer(200, "", &what));
+    fn say(&self, n: usize, message: &Message) -> Reply {
+        let json = |what: String| Reply::Send(response(200, "", &what));
         if message.target == FETCH_PATH {
             self.fetches.set(self.fetches.get() + 1);
             let asked: Envelope<FetchRequest> = serde_json::from_slice(&message.body).expect("a fetch");
@@ -75,7 +75,7 @@
             match self.ways.borrow()[n] {
                 Way::Well => {}
                 Way::Behind => fetched = FetchReply::Behind,
-                Way::Silent => return Deed::Silence,
+                Way::Silent => return Reply::NoReply,
                 Way::Spoilt => {
                     if let FetchReply::Entries { entries: parts, .. } = &mut fetched {
                         parts.iter_mut().for_each(|part| part.content = method("spoilt"));
@@ -85,7 +85,7 @@
             return json(serde_json::to_string(&fetched).expect("JSON"));
         }
         if !self.answer.get() {
-            return Deed::Silence;
+            return Reply::NoReply;
         }
         let beat: Envelope<Heartbeat> = serde_json::from_slice(&message.body).expect("a beat");
         let beat = beat.message;
@@ -139,11 +139,11 @@
     }
 
     async fn until_in_force(&self, version: u64) {
-        until(|| self.report().active == version).await;
+        wait_until(|| self.report().active == version).await;
     }
 
     async fn until_refused(&self, version: u64) -> String {
-        until(|| self.report().rejected.is_some_and(|(refused, _)| refused == version)).await;
+        wait_until(|| self.report().rejected.is_some_and(|(refused, _)| refused == version)).await;
         self.report().rejected.map(|(_, why)| why).unwrap_or_default()
     }
 }
@@ -174,11 +174,13 @@
 }
 
 async fn status(program: &Program, method: &str) -> u16 {
-    ask(program.address, rpc("GET", &format!("/{method}"), "Connection: close\r\n")).await.status()
+    send_and_read(program.address, rpc_head("GET", &format!("/{method}"), "Connection: close\r\n"))
+        .await
+        .status()
 }
 
 async fn figures(program: &Program) -> serde_json::Value {
-    let answer = ask(program.door, "GET /-/metrics HTTP/1.1\r\nHost: n0\r\n\r\n").await;
+    let answer = send_and_read(program.door, "GET /-/metrics HTTP/1.1\r\nHost: n0\r\n\r\n").await;
     serde_json::from_slice(&answer.body).expect("JSON")
 }
 
@@ -187,7 +189,7 @@
 #[test]
 fn a_change_shows_and_sighup_between_changes_keeps_what_is_in_force() {
     run(async {
-        let (up, stewards) = (stand_in(|_, _| ok("whole")).await, Stewards::start(2).await);
+        let (up, stewards) = (start_stub(|_, _| ok("whole")).await, Stewards::start(2).await);
         let text = page(up.address, &stewards.at, SHOP);
         let program = Program::start(&folder("change"), &text).await;
         assert_eq!((status(&program, "look").await, status(&program, "pay").await), (200, 404));
@@ -196,7 +198,7 @@
         assert_eq!(status(&program, "pay").await, 200);
         // Its own file has another method now, and the fleet's list of them stands over it.
         program.reload(&text.replace("\"look\"", "\"other\"").replace("rate = 100", "rate = 50"));
-        until(|| program.says("read again")).await;
+        wait_until(|| program.log_contains("read again")).await;
         assert_eq!((status(&program, "pay").await, status(&program, "other").await), (200, 404));
         // A narrower part's list takes the place of a wider one's.
         let second = stewards.put_for("service/shop/zone/z", &method("zoned"));
@@ -207,7 +209,7 @@
         stewards.put_for("balancer/n1", &method("elsewhere"));
         let fetches = stewards.fetches.get();
         let beats = stewards.beats.borrow().len();
-        until(|| stewards.beats.borrow().len() > beats + 5).await;
+        wait_until(|| stewards.beats.borrow().len() > beats + 5).await;
         assert_eq!((stewards.fetches.get(), stewards.report().active), (fetches, second));
         stewards.put_for("service/shop/zone/z", "");
         let last = stewards.put("");
@@ -230,7 +232,7 @@
 #[test]
 fn what_does_not_load_over_its_own_file_is_refused_with_the_reason_and_the_next_heals_it() {
     run(async {
-        let (up, stewards) = (stand_in(|_, _| ok("whole")).await, Stewards::start(2).await);
+        let (up, stewards) = (start_stub(|_, _| ok("whole")).await, Stewards::start(2).await);
         let text = page(up.address, &stewards.at, SHOP);
         let program = Program::start(&folder("refused"), &text).await;
         let first = stewards.put(&method("first"));
@@ -245,9 +247,9 @@
         assert_eq!((status(&program, "first").await, status(&program, "bad").await), (200, 404));
         assert_eq!(stewards.report().active, first);
         let (fetches, beats) = (stewards.fetches.get(), stewards.beats.borrow().len());
-        until(|| stewards.beats.borrow().len() > beats + 10).await;
+        wait_until(|| stewards.beats.borrow().len() > beats + 10).await;
         assert_eq!(stewards.fetches.get(), fetches);
-        assert_eq!(program.times("is refused"), 1);
+        assert_eq!(program.log_count("is refused"), 1);
         let refused = figures(&program).await["fleet"]["configuration"]["refused"].clone();
         assert_eq!(refused[0], bad);
         let third = stewards.put(&method("third"));
@@ -263,7 +265,7 @@
 #[test]
 fn a_file_that_is_mended_has_what_was_refused_loaded_and_one_that_clashes_changes_nothing() {
     run(async {
-        let (up, stewards) = (stand_in(|_, _| ok("whole")).await, Stewards::start(1).await);
+        let (up, stewards) = (start_stub(|_, _| ok("whole")).await, Stewards::start(1).await);
         let text = page(up.address, &stewards.at, SHOP);
         let program = Program::start(&folder("mended"), &text).await;
         let asks = stewards.put("[list]\nmode = \"ask\"\n");
@@ -274,7 +276,7 @@
         stewards.until_in_force(asks).await;
         // Without it again: what the fleet says would not load any more.
         program.reload(&text.replace("\"look\"", "\"other\""));
-        until(|| program.says("not taken over, all stays as it was")).await;
+        wait_until(|| program.log_contains("not taken over, all stays as it was")).await;
         assert_eq!((status(&program, "look").await, status(&program, "other").await), (200, 404));
         assert_eq!(stewards.report().active, asks);
     });
@@ -284,7 +286,7 @@
 #[test]
 fn a_steward_that_is_behind_silent_or_spoils_is_passed_over() {
     run(async {
-        let (up, stewards) = (stand_in(|_, _| ok("whole")).await, Stewards::start(4).await);
+        let (up, stewards) = (start_stub(|_, _| ok("whole")).await, Stewards::start(4).await);
         let program = Program::start(&folder("ways"), &page(up.address, &stewards.at, SHOP)).await;
         stewards.ways.replace(vec![Way::Behind, Way::Spoilt, Way::Well, Way::Silent]);
         for n in 0..4 {
@@ -296,7 +298,7 @@
         stewards.ways.replace(vec![Way::Behind, Way::Spoilt, Way::Spoilt, Way::Behind]);
         let last = stewards.put(&method("last"));
         let fetches = stewards.fetches.get();
-        until(|| stewards.fetches.get() >= fetches + 12).await;
+        wait_until(|| stewards.fetches.get() >= fetches + 12).await;
         assert_eq!((status(&program, "m3").await, status(&program, "spoilt").await), (200, 404));
         assert_eq!(stewards.report().rejected, None);
         stewards.ways.replace(vec![Way::Well; 4]);
@@ -308,19 +310,21 @@
 #[test]
 fn stewards_that_know_nothing_of_it_change_nothing() {
     run(async {
-        let (up, stewards) = (stand_in(|_, _| ok("whole")).await, Stewards::start(1).await);
+        let (up, stewards) = (start_stub(|_, _| ok("whole")).await, Stewards::start(1).await);
         stewards.know.set(false);
         stewards.put(&method("new"));
         let program = Program::start(&folder("older"), &page(up.address, &stewards.at, SHOP)).await;
-        assert!(!program.says("no word of the stewards"));
-        until(|| stewards.beats.borrow().len() > 10).await;
+        assert!(!program.log_contains("no word of the stewards"));
+        wait_until(|| stewards.beats.borrow().len() > 10).await;
         assert_eq!((status(&program, "look").await, stewards.fetches.get()), (200, 0));
         // One that follows none reports none, and is told of none.
         stewards.know.set(true);
         let other = Program::start(&folder("none"), &page(up.address, &stewards.at, "")).await;
         let beats = stewards.beats.borrow().len();
-        until(|| stewards.beats.borrow()[beats..].iter().filter(|b| b.configuration.is_none()).count() > 3)
-            .await;
+        wait_until(|| {
+            stewards.beats.borrow()[beats..].iter().filter(|b| b.configuration.is_none()).count() > 3
+        })
+        .await;
         assert_eq!(status(&other, "new").await, 404);
         stewards.until_in_force(1).await;
     });
@@ -330,7 +334,7 @@
 #[test]
 fn a_start_without_stewards_goes_by_the_sound_copy_within_its_time() {
     run(async {
-        let (up, stewards) = (stand_in(|_, _| ok("whole")).await, Stewards::start(2).await);
+        let (up, stewards) = (start_stub(|_, _| ok("whole")).await, Stewards::start(2).await);
         let folder = folder("copy");
         let text = page(up.address, &stewards.at, &format!("{SHOP}\nwait_ms = 300"));
         let program = Program::start(&folder, &text).await;
@@ -347,8 +351,8 @@
         let from = Instant::now();
         let program = Program::start(&folder, &text).await;
         assert!(from.elapsed() >= Duration::from_millis(300));
-        assert!(program.says(&format!("configuration {version} is in force, as it was kept")));
-        assert!(program.says("no word of the stewards in time"));
+        assert!(program.log_contains(&format!("configuration {version} is in force, as it was kept")));
+        assert!(program.log_contains("no word of the stewards in time"));
         assert_eq!((status(&program, "kept").await, status(&program, "look").await), (200, 404));
         program.kill();
         let cut = &whole[..whole.len() / 2];
@@ -356,7 +360,7 @@
         for damaged in [cut, "", "{}", &other, &whole.replace("\"z\"", "\"y\""), "\u{0}"] {
             std::fs::write(&path, damaged).expect("a file");
             let program = Program::start(&folder, &text).await;
-            assert_eq!(program.times("passed over: "), 1, "{:?}", program.log());
+            assert_eq!(program.log_count("passed over: "), 1, "{:?}", program.log());
             assert_eq!((status(&program, "kept").await, status(&program, "look").await), (404, 200));
             program.kill();
         }
@@ -364,7 +368,7 @@
         std::fs::write(&path, &whole).expect("a file");
         let program =
             Program::start(&folder, &text.replace("zone = \"z\"\n[fleet]", "zone = \"x\"\n[fleet]")).await;
-        assert_eq!(program.times("passed over: it is not of the balancer n0"), 1);
+        assert_eq!(program.log_count("passed over: it is not of the balancer n0"), 1);
         program.kill();
         // The stewards are back: their word goes into force before it serves.
         stewards.answer.set(true);
@@ -379,7 +383,7 @@
 #[test]
 fn what_the_disk_does_not_take_is_in_force_and_told_once() {
     run(async {
-        let (up, stewards) = (stand_in(|_, _| ok("whole")).await, Stewards::start(1).await);
+        let (up, stewards) = (start_stub(|_, _| ok("whole")).await, Stewards::start(1).await);
         let folder = folder("disk");
         let place = folder.join("gone");
         let text = page(up.address, &stewards.at, &format!("{SHOP}\nfolder = \"{}\"", place.display()));
@@ -389,12 +393,12 @@
             stewards.until_in_force(version).await;
             assert_eq!(status(&program, &format!("m{n}")).await, 200);
         }
-        assert_eq!(program.times("in force and not kept"), 1, "{:?}", program.log());
+        assert_eq!(program.log_count("in force and not kept"), 1, "{:?}", program.log());
         assert_eq!(figures(&program).await["fleet"]["configuration"]["kept"], false);
         std::fs::create_dir(&place).expect("a folder");
         let version = stewards.put(&method("last"));
         stewards.until_in_force(version).await;
-        assert_eq!(program.times("is kept, as those after it"), 1);
+        assert_eq!(program.log_count("is kept, as those after it"), 1);
         program.kill();
         stewards.answer.set(false);
         let program = Program::start(&folder, &text).await;
@@ -410,28 +414,28 @@
 fn rpcs_in_flight_keep_what_they_were_taken_under_and_none_is_lost() {
     run(async {
         let slow = |_, message: &Message| match message.target.as_str() {
-            "/look" => Deed::Silence,
+            "/look" => Reply::NoReply,
             _ => ok("whole"),
         };
-        let (up, stewards) = (stand_in(slow).await, Stewards::start(2).await);
+        let (up, stewards) = (start_stub(slow).await, Stewards::start(2).await);
         let program = Program::start(&folder("flight"), &page(up.address, &stewards.at, SHOP)).await;
         let pay = "[[method]]\nname = \"pay\"\neffect = \"non_retriable\"\nhard_ms = 3000\n";
         let first = stewards.put(&(method("look") + pay));
         stewards.until_in_force(first).await;
         // Under three seconds, and open while its method is cut to a fifth of one, then to nothing.
         let from = Instant::now();
-        let mut open = send(program.address, rpc("GET", "/look", "")).await;
-        until(|| up.seen.borrow().iter().any(|seen| seen.target == "/look")).await;
-        let load = Load::start(4, program.address);
+        let mut open = send(program.address, rpc_head("GET", "/look", "")).await;
+        wait_until(|| up.received.borrow().iter().any(|seen| seen.target == "/look")).await;
+        let load = CallerLoad::start(4, program.address);
         for n in 0..12 {
             let short = method("look").replace("3000", "200");
             let version = stewards.put(&if n % 2 == 0 { short + pay } else { pay.to_owned() });
-            load.more(20).await;
+            load.wait_for_answers(20).await;
             stewards.until_in_force(version).await;
         }
-        load.end().await;
+        load.finish().await;
         assert_eq!(status(&program, "look").await, 404);
-        let end = read(&mut open).await.expect("an answer");
+        let end = read_message(&mut open).await.expect("an answer");
         assert!(from.elapsed() > Duration::from_millis(2500), "{:?} {}", from.elapsed(), end.head);
         assert_ne!(end.status(), 404);
         let figures = figures(&program).await;
@@ -444,28 +448,28 @@
 #[test]
 fn what_is_asked_of_the_stewards_follows_a_change_of_tenants() {
     run(async {
-        let (up, stewards) = (stand_in(|_, _| ok("whole")).await, Stewards::start(1).await);
+        let (up, stewards) = (start_stub(|_, _| ok("whole")).await, Stewards::start(1).await);
         let text = page(up.address, &stewards.at, SHOP);
         let program = Program::start(&folder("tenants"), &text).await;
         let asked = || -> Vec<String> {
             let beats = stewards.beats.borrow();
             beats.last().map(|beat| beat.demand.keys().cloned().collect()).unwrap_or_default()
         };
-        until(|| asked() == ["acme"]).await;
+        wait_until(|| asked() == ["acme"]).await;
         let tenant = |name: &str| format!("[[tenant]]\nname = \"{name}\"\nrate = 10\n");
         let version = stewards.put(&(tenant("acme") + &tenant("bolt")));
         stewards.until_in_force(version).await;
-        until(|| asked() == ["acme", "bolt"]).await;
+        wait_until(|| asked() == ["acme", "bolt"]).await;
         stewards.put(&tenant("bolt"));
-        until(|| asked() == ["bolt"]).await;
+        wait_until(|| asked() == ["bolt"]).await;
         // By SIGHUP the same: the fleet says nothing of tenants any more.
         stewards.put("");
-        until(|| asked() == ["acme"]).await;
+        wait_until(|| asked() == ["acme"]).await;
         program.reload(&text.replace("\"acme\"", "\"dart\""));
-        until(|| asked() == ["dart"]).await;
+        wait_until(|| asked() == ["dart"]).await;
         let beats = stewards.beats.borrow().len();
-        until(|| stewards.beats.borrow().len() > beats + 3).await;
-        assert!(!program.says("all stays as it was"), "{:?}", program.log());
+        wait_until(|| stewards.beats.borrow().len() > beats + 3).await;
+        assert!(!program.log_contains("all stays as it was"), "{:?}", program.log());
     });
 }
 
@@ -473,7 +477,7 @@
 #[test]
 fn a_successor_begins_with_what_the_process_before_it_had_in_force() {
     run(async {
-        let (up, stewards) = (stand_in(|_, _| ok("whole")).await, Stewards::start(1).await);
+        let (up, stewards) = (start_stub(|_, _| ok("whole")).await, Stewards::start(1).await);
         let folder = folder("successor");
         let text = page(up.address, &stewards.at, &format!("{SHOP}\nwait_ms = 200"));
         let old = Program::start(&folder, &text).await;
@@ -481,8 +485,12 @@
         stewards.until_in_force(first).await;
         stewards.answer.set(false);
         let new = Program::start(&folder, &text).await;
-        assert!(new.says(&format!("configuration {first} is in force, as it was kept")), "{:?}", new.log());
-        assert!(new.says("taking over"));
+        assert!(
+            new.log_contains(&format!("configuration {first} is in force, as it was kept")),
+            "{:?}",
+            new.log()
+        );
+        assert!(new.log_contains("taking over"));
         assert_eq!((status(&new, "first").await, status(&new, "look").await), (200, 404));
         old.ends_well().await;
         stewards.answer.set(true);
--- a/crates/fernroute-server/tests/connections.rs
+++ b/crates/fernroute-server/tests/connections.rs
@@ -5,12 +5,12 @@
 use actix_http::header::HeaderMap;
 use actix_http::Method;
 use bytes::Bytes;
-use common::{ask, balancer_at, entry, list, rpc, run};
+use common::{balancer_at, list, list_entry, rpc_head, run, send_and_read};
 use fernroute_server::transport::client::{
     AnswerStream, Body, Client, UpstreamAnswer, UpstreamClient, UpstreamError, UpstreamRequest,
 };
 use fernroute_server::transport::outbound::AttemptState;
-use fernroute_test_support::http::{answer, Peer};
+use fernroute_test_support::http::{response, Connection};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -31,7 +31,7 @@
     actix_rt::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
             actix_rt::spawn(async move {
-                let mut connection = Peer::new(stream);
+                let mut connection = Connection::new(stream);
                 while let Ok(Some(message)) = connection.read().await {
                     let path = message.target.clone();
                     let body = if path == "/long" { "x".repeat(LONG) } else { path };
@@ -39,7 +39,7 @@
                         tokio::time::sleep(WORK).await;
                     }
                     // Whoever has closed it does not want it.
-                    let _ = connection.write(&answer(200, "", &body)).await;
+                    let _ = connection.write(&response(200, "", &body)).await;
                 }
             });
         }
@@ -129,19 +129,19 @@
         while let Ok((stream, _)) = listener.accept().await {
             let (ran, count) = (Rc::clone(&ran), Rc::clone(&count));
             actix_rt::spawn(async move {
-                let mut connection = Peer::new(stream);
+                let mut connection = Connection::new(stream);
                 while let Ok(Some(message)) = connection.read().await {
                     let said = if message.target == "/look/long" {
-                        answer(200, "", &"x".repeat(SLOWLY_TAKEN))
+                        response(200, "", &"x".repeat(SLOWLY_TAKEN))
                     } else {
                         tokio::time::sleep(WORK / 3).await;
                         count.set(count.get() + 1);
                         let key = message.header("idempotency-key").unwrap_or_default().to_owned();
                         if n == 0 && count.get().is_multiple_of(4) {
-                            answer(503, "Srv-Declined: 1\r\n", "")
+                            response(503, "Srv-Declined: 1\r\n", "")
                         } else {
                             ran.borrow_mut()[n].push(key.clone());
-                            answer(200, "", &key)
+                            response(200, "", &key)
                         }
                     };
                     let _ = connection.write(&said).await;
@@ -157,7 +157,7 @@
     let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
     socket.set_recv_buffer_size(16 * 1024).expect("a size");
     let mut stream = socket.connect(balancer).await.expect("it accepts");
-    let asked = rpc("GET", "/look/long", "Connection: close\r\n");
+    let asked = rpc_head("GET", "/look/long", "Connection: close\r\n");
     stream.write_all(asked.as_bytes()).await.expect("it is read");
     let mut piece = vec![0; step];
     let mut came = 0;
@@ -179,7 +179,7 @@
         let ran: Ran = Rc::default();
         let at = [zoned(0, Rc::clone(&ran)).await, zoned(1, Rc::clone(&ran)).await];
         let b = balancer_at(&at, &[(r#""group":"all""#, r#""group":"zone""#)]).await;
-        let zones = [entry("s-0", at[0], "z", "SERVING"), entry("s-1", at[1], "y", "SERVING")];
+        let zones = [list_entry("s-0", at[0], "z", "SERVING"), list_entry("s-1", at[1], "y", "SERVING")];
         b.board.take_list(&list(8, true, &zones), true);
         // Accepted connections have the same: with the usual megabytes a slow caller holds up the end of few answers.
         let listener = b.server.listener().expect("it listens");
@@ -200,7 +200,7 @@
             let (address, key) = (b.address, format!("k{n}"));
             others.push(actix_rt::spawn(async move {
                 let headers = format!("Idempotency-Key: {key}\r\nContent-Length: 0\r\nConnection: close\r\n");
-                let said = ask(address, rpc("POST", "/put", &headers)).await;
+                let said = send_and_read(address, rpc_head("POST", "/put", &headers)).await;
                 assert!(
                     said.status() != 200 || said.body == key.as_bytes(),
                     "{key} has the answer of another"
--- a/crates/fernroute-server/tests/crowds.rs
+++ b/crates/fernroute-server/tests/crowds.rs
@@ -5,9 +5,11 @@
 #[path = "common/process.rs"]
 mod process;
 
-use common::{balancer, entry, is_ready, ok, page, read, rpc, run, stand_in, until, Deed};
-use fernroute_test_support::process::addresses;
-use fernroute_test_support::stand_in::Discovery;
+use common::{
+    balancer, is_ready, list_entry, ok, page, read_message, rpc_head, run, start_stub, wait_until, Reply,
+};
+use fernroute_test_support::process::free_addresses;
+use fernroute_test_support::stub::StubDiscovery;
 use process::{folder, Program};
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -54,13 +56,13 @@
     async fn one(&self, at: SocketAddr, said: Said) -> std::io::Result<()> {
         let mut stream = TcpStream::connect(at).await?;
         self.came.set(self.came.get() + 1);
-        let whole = rpc("GET", "/look", "");
+        let whole = rpc_head("GET", "/look", "");
         match said {
             Said::Nothing => {}
             Said::Half => stream.write_all(&whole.as_bytes()[..40]).await?,
             Said::Asked => {
                 stream.write_all(whole.as_bytes()).await?;
-                read(&mut stream).await;
+                read_message(&mut stream).await;
             }
         }
         self.resting.set(self.resting.get() + 1);
@@ -73,8 +75,8 @@
 /// A newcomer's RPC; on a new connection once more where that was closed unread, as callers do.
 async fn newcomer(at: SocketAddr) -> Vec<u8> {
     loop {
-        let mut stream = common::send(at, rpc("GET", "/look", "")).await;
-        match read(&mut stream).await {
+        let mut stream = common::send(at, rpc_head("GET", "/look", "")).await;
+        match read_message(&mut stream).await {
             Some(answer) if answer.status() == 200 => return answer.body,
             Some(answer) => assert_eq!(answer.status(), 503, "{}", answer.head),
             None => {}
@@ -87,8 +89,8 @@
 /// machine grants, from the start or once it serves; `told` what the file says.
 fn crossing(name: &'static str, said: Said, told: usize, granted: usize, from_the_start: bool) {
     run(async move {
-        let (old, new) = (stand_in(|_, _| ok("old")).await, stand_in(|_, _| ok("new")).await);
-        let down = addresses(1).expect("a port")[0];
+        let (old, new) = (start_stub(|_, _| ok("old")).await, start_stub(|_, _| ok("new")).await);
+        let down = free_addresses(1).expect("a port")[0];
         let sockets = format!(r#""sockets":{told}"#);
         // Discovery's first list is the first one newer.
         let changes = [(r#""sockets":1024"#, sockets.as_str()), (r#""version":7"#, r#""version":0"#)];
@@ -100,7 +102,7 @@
         }
         let crowd = Crowd::come(b.address, said);
         // And again, who was sent away before it said anything.
-        until(|| crowd.came.get() >= 2 * CROWD).await;
+        wait_until(|| crowd.came.get() >= 2 * CROWD).await;
         // Served while all have come, by what is known.
         let from = Instant::now();
         for _ in 0..3 {
@@ -111,32 +113,34 @@
         assert!(is_ready(b.door).await);
         until_ready_among(b.address).await;
         let ready = from.elapsed();
-        let discovery = Discovery::start(down, entry("s-1", new.address, "z", "SERVING")).await;
+        let discovery = StubDiscovery::start(down, list_entry("s-1", new.address, "z", "SERVING")).await;
         let discovery = discovery.expect("it is back");
         let from = Instant::now();
         while newcomer(b.address).await != b"new" {}
         let told_after = from.elapsed();
         // And one change more, by the watch that is open now.
         let from = Instant::now();
-        discovery.tell(
-            entry("s-2", old.address, "z", "SERVING") + "," + &entry("s-1", new.address, "z", "DRAINING"),
+        discovery.publish(
+            list_entry("s-2", old.address, "z", "SERVING")
+                + ","
+                + &list_entry("s-1", new.address, "z", "DRAINING"),
         );
         while newcomer(b.address).await != b"old" {}
         let told_again = from.elapsed();
         assert!(is_ready(b.door).await);
-        let busy = b.processor_ms();
+        let busy = b.cpu_ms();
         tokio::time::sleep(Duration::from_secs(1)).await;
-        let busy = b.processor_ms() - busy;
+        let busy = b.cpu_ms() - busy;
         eprintln!(
             "{name}: newcomers {newcomers:?}, ready {ready:?}, told {told_after:?}, again {told_again:?}, \
             {busy} ms of a second, {} descriptors, {} came, {} lines",
-            b.descriptors(),
+            b.open_descriptors(),
             crowd.came.get(),
             b.log().len()
         );
-        assert!(b.descriptors() <= granted && b.is_running());
+        assert!(b.open_descriptors() <= granted && b.is_running());
         // What is known from the start is kept to, and never met.
-        assert_eq!(b.says("accept: "), !from_the_start);
+        assert_eq!(b.log_contains("accept: "), !from_the_start);
         // Neither a turn after another for nobody, nor a line for each that comes.
         assert!(busy < 800 && b.log().len() < 40, "{busy} {:?}", b.log());
     });
@@ -145,7 +149,7 @@
 async fn until_ready_among(at: SocketAddr) {
     loop {
         let mut stream = common::send(at, "GET /-/ready HTTP/1.1\r\nHost: n0\r\n\r\n").await;
-        if read(&mut stream).await.is_some_and(|answer| answer.status() == 200) {
+        if read_message(&mut stream).await.is_some_and(|answer| answer.status() == 200) {
             return;
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
@@ -191,25 +195,25 @@
 fn who_becomes_idle_makes_room_for_who_waits() {
     run(async {
         let go = Rc::new(Cell::new(false));
-        let up = stand_in(|n, _| if n < 2 { Deed::Silence } else { ok("whole") }).await;
+        let up = start_stub(|n, _| if n < 2 { Reply::NoReply } else { ok("whole") }).await;
         // Its first two are answered by the end of their time.
         let b = balancer(&[&up], &[(r#""max-transmissions":3"#, r#""max-transmissions":1"#)]).await;
         b.server.set_max_connections(2);
-        let brief = || rpc("GET", "/look", "").replace("Ms: 4000", "Ms: 700");
+        let brief = || rpc_head("GET", "/look", "").replace("Ms: 4000", "Ms: 700");
         let mut busy = [common::send(b.address, brief()).await, common::send(b.address, brief()).await];
-        until(|| up.seen.borrow().len() == 2).await;
+        wait_until(|| up.received.borrow().len() == 2).await;
         let told = Rc::clone(&go);
         let at = b.address;
         spawn_local(async move {
-            let mut stream = common::send(at, rpc("GET", "/look", "")).await;
-            assert_eq!(read(&mut stream).await.expect("an answer").status(), 200);
+            let mut stream = common::send(at, rpc_head("GET", "/look", "")).await;
+            assert_eq!(read_message(&mut stream).await.expect("an answer").status(), 200);
             told.set(true);
         });
         for caller in &mut busy {
-            assert!(read(caller).await.expect("an answer").status() >= 500);
+            assert!(read_message(caller).await.expect("an answer").status() >= 500);
         }
         // They rest; one is sent away for it.
-        until(|| go.get()).await;
+        wait_until(|| go.get()).await;
         drop(busy);
     });
 }
@@ -219,21 +223,21 @@
 #[test]
 fn idle_callers_beyond_the_most_go_at_once() {
     run(async {
-        let up = stand_in(|_, _| ok("whole")).await;
+        let up = start_stub(|_, _| ok("whole")).await;
         let b = balancer(&[&up], &[]).await;
         let mut kept = Vec::new();
         for _ in 0..20 {
-            let mut caller = common::send(b.address, rpc("GET", "/look", "")).await;
-            assert_eq!(read(&mut caller).await.expect("an answer").status(), 200);
+            let mut caller = common::send(b.address, rpc_head("GET", "/look", "")).await;
+            assert_eq!(read_message(&mut caller).await.expect("an answer").status(), 200);
             kept.push(caller);
         }
-        until(|| b.board.open.borrow().is_empty()).await;
+        wait_until(|| b.board.open.borrow().is_empty()).await;
         b.server.set_max_connections(5);
-        until(|| b.server.connections() == 5).await;
+        wait_until(|| b.server.connections() == 5).await;
         // The last five are served on.
         for caller in &mut kept[15..] {
-            caller.write_all(rpc("GET", "/look", "").as_bytes()).await.expect("it reads");
-            assert_eq!(read(caller).await.expect("an answer").status(), 200);
+            caller.write_all(rpc_head("GET", "/look", "").as_bytes()).await.expect("it reads");
+            assert_eq!(read_message(caller).await.expect("an answer").status(), 200);
         }
     });
 }
--- a/crates/fernroute-server/tests/daily.rs
+++ b/crates/fernroute-server/tests/daily.rs
@@ -2,7 +2,10 @@
 
 mod common;
 
-use common::{ask, balancer, connect, ok, read, rpc, run, say, send, stand_in, until, Deed, Message};
+use common::{
+    balancer, connect, ok, read_message, rpc_head, run, send, send_and_read, start_stub, status_reply,
+    wait_until, Message, Reply,
+};
 use fernroute_server::program::serve::RunningInstance;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -17,11 +20,11 @@
 }
 
 async fn tell(b: &RunningInstance, verb: &str, path: &str) -> u16 {
-    ask(door(b), call(verb, path)).await.status()
+    send_and_read(door(b), call(verb, path)).await.status()
 }
 
 async fn figures(b: &RunningInstance) -> serde_json::Value {
-    let message: Message = ask(door(b), call("GET", "/-/metrics")).await;
+    let message: Message = send_and_read(door(b), call("GET", "/-/metrics")).await;
     assert_eq!((message.status(), message.header("connection")), (200, Some("close")));
     serde_json::from_slice(&message.body).expect("figures")
 }
@@ -29,7 +32,7 @@
 #[test]
 fn the_door_answers_operators_and_nobody_else() {
     run(async {
-        let up = stand_in(|_, _| ok("whole")).await;
+        let up = start_stub(|_, _| ok("whole")).await;
         let b = balancer(&[&up], &[]).await;
         for (verb, path, status) in [
             ("GET", "/-/ready", 200),
@@ -45,18 +48,18 @@
             let mut stream = connect(door(&b)).await;
             stream.write_all(bytes.as_bytes()).await.expect("it reads");
             stream.shutdown().await.expect("half an end");
-            let answer = read(&mut stream).await.expect("an answer");
+            let answer = read_message(&mut stream).await.expect("an answer");
             assert_eq!(answer.status(), status, "{bytes:.20}");
             assert_eq!(stream.read(&mut [0; 1]).await.expect("an orderly end"), 0);
         }
         // What follows a call on its connection is no call.
         let mut stream = send(door(&b), call("GET", "/-/ready") + &call("POST", "/-/drain")).await;
-        assert_eq!(read(&mut stream).await.expect("an answer").status(), 200);
+        assert_eq!(read_message(&mut stream).await.expect("an answer").status(), 200);
         assert_eq!(stream.read(&mut [0; 1]).await.expect("an orderly end"), 0);
         // The callers' address keeps its one path.
-        assert_eq!(ask(b.address, call("GET", "/-/ready")).await.status(), 200);
+        assert_eq!(send_and_read(b.address, call("GET", "/-/ready")).await.status(), 200);
         for (verb, path) in [("GET", "/-/metrics"), ("POST", "/-/drain"), ("POST", "/-/resume")] {
-            assert_eq!(ask(b.address, call(verb, path)).await.status(), 404, "{path}");
+            assert_eq!(send_and_read(b.address, call(verb, path)).await.status(), 404, "{path}");
         }
         assert!(b.board.is_ready());
     });
@@ -66,7 +69,7 @@
 #[test]
 fn neither_silent_nor_many_callers_shut_the_door() {
     run(async {
-        let up = stand_in(|_, _| Deed::Silence).await;
+        let up = start_stub(|_, _| Reply::NoReply).await;
         let b = balancer(&[&up], &[]).await;
         let mut silent = Vec::new();
         for n in 0..20 {
@@ -74,7 +77,7 @@
         }
         let mut busy = Vec::new();
         for _ in 0..700 {
-            busy.push(send(b.address, rpc("GET", "/look", "")).await);
+            busy.push(send(b.address, rpc_head("GET", "/look", "")).await);
         }
         for _ in 0..20 {
             let from = Instant::now();
@@ -91,15 +94,15 @@
 #[test]
 fn figures_add_up_whatever_happens() {
     run(async {
-        let up = stand_in(|_, message| {
+        let up = start_stub(|_, message| {
             let path = message.head.split(' ').nth(1).expect("a path").to_owned();
             match path.rsplit('/').next().expect("a last part") {
                 "declined" => {
-                    Deed::Say(b"HTTP/1.1 503 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n".to_vec())
+                    Reply::Send(b"HTTP/1.1 503 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n".to_vec())
                 }
-                "erred" => say("500 No"),
-                "cut" => Deed::SayAndClose(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf".to_vec()),
-                "silent" => Deed::Silence,
+                "erred" => status_reply("500 No"),
+                "cut" => Reply::SendAndClose(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf".to_vec()),
+                "silent" => Reply::NoReply,
                 _ => ok("whole"),
             }
         })
@@ -109,18 +112,19 @@
         let start = figures(&b).await;
         assert_eq!(start["results"], serde_json::json!({"look": empty, "put": empty, "pay": empty}));
         assert_eq!((&start["discovered"], &start["ejected"]), (&1.into(), &0.into()));
-        let paid = |path: &str| rpc("POST", path, "Content-Length: 0\r\n");
+        let paid = |path: &str| rpc_head("POST", path, "Content-Length: 0\r\n");
         for (path, status) in
             [("/pay/declined", 503), ("/pay/erred", 502), ("/pay/cut", 502), ("/pay/whole", 200)]
         {
-            assert_eq!(ask(b.address, paid(path)).await.status(), status, "{path}");
+            assert_eq!(send_and_read(b.address, paid(path)).await.status(), status, "{path}");
         }
         // None of these is an RPC.
-        for bytes in ["nonsense\r\n\r\n".to_owned(), rpc("GET", "/nowhere", ""), call("GET", "/-/ready")] {
-            ask(b.address, bytes).await;
+        for bytes in ["nonsense\r\n\r\n".to_owned(), rpc_head("GET", "/nowhere", ""), call("GET", "/-/ready")]
+        {
+            send_and_read(b.address, bytes).await;
         }
         let leaver = send(b.address, paid("/pay/silent")).await;
-        let stayer = send(b.address, rpc("GET", "/look/silent", "")).await;
+        let stayer = send(b.address, rpc_head("GET", "/look/silent", "")).await;
         let told = figures(&b).await;
         let counts = |v: &serde_json::Value| {
             let number = |v: &serde_json::Value| v.as_u64().expect("a count");
@@ -129,18 +133,18 @@
             (number(&v["taken"]), ended + number(&v["left"]) + number(&v["outstanding"]))
         };
         assert_eq!(counts(&told).0, counts(&told).1, "{told}");
-        until(|| b.board.open.borrow().values().filter(|rpc| !rpc.out.is_empty()).count() == 2).await;
-        until(|| up.seen.borrow().len() >= 6).await;
+        wait_until(|| b.board.open.borrow().values().filter(|rpc| !rpc.out.is_empty()).count() == 2).await;
+        wait_until(|| up.received.borrow().len() >= 6).await;
         drop(leaver);
-        until(|| b.board.open.borrow().len() == 1).await;
+        wait_until(|| b.board.open.borrow().len() == 1).await;
         let told = figures(&b).await;
         assert_eq!(told["outstanding"], 1);
         assert_eq!(told["left"], 1);
         assert_eq!(told["results"]["pay"], serde_json::json!({"succeeded": 1, "declined": 1, "aborted": 2}));
         assert_eq!((counts(&told).0, counts(&told).1), (6, 6), "{told}");
-        assert_eq!(told["forwards"], up.seen.borrow().len(), "{told}");
+        assert_eq!(told["forwards"], up.received.borrow().len(), "{told}");
         drop(stayer);
-        until(|| b.board.open.borrow().is_empty()).await;
+        wait_until(|| b.board.open.borrow().is_empty()).await;
         b.board.take_list(&Default::default(), true);
         let told = figures(&b).await;
         assert_eq!((counts(&told).0, counts(&told).1, &told["discovered"]), (6, 6, &1.into()));
@@ -155,27 +159,28 @@
 #[test]
 fn a_drain_empties_the_balancer_and_a_resume_brings_it_back() {
     run(async {
-        let up =
-            stand_in(|_, message| if message.head.contains("/silent") { Deed::Silence } else { ok("whole") })
-                .await;
+        let up = start_stub(
+            |_, message| if message.head.contains("/silent") { Reply::NoReply } else { ok("whole") },
+        )
+        .await;
         let b = balancer(&[&up], &[]).await;
         let (mut idle, mut kept) = (connect(b.address).await, connect(b.address).await);
-        kept.write_all(rpc("GET", "/look", "").as_bytes()).await.expect("it reads");
-        assert_eq!(read(&mut kept).await.expect("an answer").status(), 200);
-        let mut open = send(b.address, rpc("POST", "/pay/silent", "Content-Length: 0\r\n")).await;
-        until(|| up.seen.borrow().len() == 2).await;
+        kept.write_all(rpc_head("GET", "/look", "").as_bytes()).await.expect("it reads");
+        assert_eq!(read_message(&mut kept).await.expect("an answer").status(), 200);
+        let mut open = send(b.address, rpc_head("POST", "/pay/silent", "Content-Length: 0\r\n")).await;
+        wait_until(|| up.received.borrow().len() == 2).await;
         let from = Instant::now();
         for _ in 0..2 {
             assert_eq!(tell(&b, "POST", "/-/drain").await, 200);
         }
         for at in [b.address, door(&b)] {
-            assert_eq!(ask(at, call("GET", "/-/ready")).await.status(), 503);
+            assert_eq!(send_and_read(at, call("GET", "/-/ready")).await.status(), 503);
         }
         // Who comes in the next moments is served; later answers close their connections, then idle ones end.
-        assert_eq!(ask(b.address, rpc("GET", "/look", "")).await.status(), 200);
+        assert_eq!(send_and_read(b.address, rpc_head("GET", "/look", "")).await.status(), 200);
         actix_rt::time::sleep(Duration::from_millis(700)).await;
-        kept.write_all(rpc("GET", "/look", "").as_bytes()).await.expect("it reads");
-        let last = read(&mut kept).await.expect("an answer");
+        kept.write_all(rpc_head("GET", "/look", "").as_bytes()).await.expect("it reads");
+        let last = read_message(&mut kept).await.expect("an answer");
         assert_eq!((last.status(), last.header("connection")), (200, Some("close")));
         assert_eq!(idle.read(&mut [0; 1]).await.expect("an orderly end"), 0);
         assert!(from.elapsed() < Duration::from_secs(2), "{:?}", from.elapsed());
@@ -188,12 +193,12 @@
         for _ in 0..2 {
             assert_eq!(tell(&b, "POST", "/-/resume").await, 200);
         }
-        assert_eq!(ask(b.address, call("GET", "/-/ready")).await.status(), 200);
+        assert_eq!(send_and_read(b.address, call("GET", "/-/ready")).await.status(), 200);
         // A connection is kept again, also over the time of the drain's end.
         let mut back = connect(b.address).await;
         for _ in 0..2 {
-            back.write_all(rpc("GET", "/look", "").as_bytes()).await.expect("it reads");
-            let answer = read(&mut back).await.expect("an answer");
+            back.write_all(rpc_head("GET", "/look", "").as_bytes()).await.expect("it reads");
+            let answer = read_message(&mut back).await.expect("an answer");
             assert_eq!((answer.status(), answer.header("connection")), (200, None));
             actix_rt::time::sleep(Duration::from_millis(300)).await;
         }
--- a/crates/fernroute-server/tests/departures.rs
+++ b/crates/fernroute-server/tests/departures.rs
@@ -4,11 +4,12 @@
 mod common;
 
 use common::{
-    ask, balancer, balancer_at, connect, entry, list, ok, rested, rpc, run, send, stand_in, until, Deed,
+    balancer, balancer_at, connect, list, list_entry, ok, rested, rpc_head, run, send, send_and_read,
+    start_stub, wait_until, Reply,
 };
 use fernroute_server::program::serve::RunningInstance;
-use fernroute_test_support::http::{answer, take};
-use fernroute_test_support::stand_in::Held;
+use fernroute_test_support::http::{parse_message, response};
+use fernroute_test_support::stub::FullBacklog;
 use std::io::{ErrorKind, Read as _, Write as _};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -91,9 +92,9 @@
         self.look();
         let mut said = 0;
         for (stream, heard) in &mut self.open {
-            if let Some((_, length)) = take(heard).expect("messages") {
+            if let Some((_, length)) = parse_message(heard).expect("messages") {
                 heard.drain(..length);
-                stream.write_all(&answer(status, headers, "whole")).expect("the machine takes it");
+                stream.write_all(&response(status, headers, "whole")).expect("the machine takes it");
                 said += 1;
             }
         }
@@ -102,23 +103,23 @@
 }
 
 async fn nothing_left(b: &RunningInstance) {
-    until(|| b.board.open.borrow().is_empty()).await;
+    wait_until(|| b.board.open.borrow().is_empty()).await;
     assert_eq!(b.board.figures().outstanding, 0);
-    until(|| b.board.timers.count() == 0).await;
-    until(|| b.server.connections() == 0).await;
+    wait_until(|| b.board.timers.count() == 0).await;
+    wait_until(|| b.server.connections() == 0).await;
 }
 
 /// An RPC with so much behind it that the balancer does not read on: its caller's end lies in the socket behind that.
 fn with_more_behind() -> String {
     const UNREAD: usize = 210_000;
-    let behind = rpc("POST", "/pay", &format!("Content-Length: {UNREAD}\r\n"));
-    rpc("GET", "/look", "") + &behind + &"x".repeat(UNREAD)
+    let behind = rpc_head("POST", "/pay", &format!("Content-Length: {UNREAD}\r\n"));
+    rpc_head("GET", "/look", "") + &behind + &"x".repeat(UNREAD)
 }
 
 /// One that is a long message itself: its first 64 KiB are taken, and no more while nothing of it is sent on.
 fn long() -> String {
     const LONG: usize = 275_000;
-    rpc("POST", "/put", &format!("Idempotency-Key: k\r\nContent-Length: {LONG}\r\n")) + &"x".repeat(LONG)
+    rpc_head("POST", "/put", &format!("Idempotency-Key: k\r\nContent-Length: {LONG}\r\n")) + &"x".repeat(LONG)
 }
 
 /// Guards against RPCs that begin in the turn in which their callers' ends lie in the sockets: many at once, some not read yet,
@@ -133,9 +134,9 @@
             for _ in 0..200 {
                 callers.push(connect(b.address).await);
             }
-            until(|| b.server.connections() == 200).await;
+            wait_until(|| b.server.connections() == 200).await;
             for caller in &callers {
-                let whole = rpc("GET", "/look", "");
+                let whole = rpc_head("GET", "/look", "");
                 assert_eq!(caller.try_write(whole.as_bytes()).expect("the machine takes it"), whole.len());
             }
             // A connection is up, and its RPC's first byte would leave in the next turn.
@@ -163,20 +164,20 @@
             let b = balancer_at(&ups.each_ref().map(|up| up.address), &[]).await;
             // Each has a kept connection that may be used at once.
             while ups.iter().any(|up| up.open.is_empty()) {
-                let mut caller = send(b.address, rpc("GET", "/look", "")).await;
+                let mut caller = send(b.address, rpc_head("GET", "/look", "")).await;
                 while ups.iter_mut().map(|up| up.say(200, "")).sum::<usize>() == 0 {
                     yield_now().await;
                 }
-                assert_eq!(common::read(&mut caller).await.expect("an answer").status(), 200);
+                assert_eq!(common::read_message(&mut caller).await.expect("an answer").status(), 200);
             }
-            until(|| b.server.connections() == 0).await;
+            wait_until(|| b.server.connections() == 0).await;
             rested().await;
             let heard = |ups: &mut [Plain; 2]| {
                 ups.iter_mut().for_each(Plain::look);
                 ups.iter().map(|up| up.bytes).sum::<usize>()
             };
             let before = heard(&mut ups);
-            let caller = send(b.address, rpc("GET", "/look", "")).await;
+            let caller = send(b.address, rpc_head("GET", "/look", "")).await;
             while heard(&mut ups) == before {
                 yield_now().await;
             }
@@ -200,19 +201,19 @@
     for how in ENDS {
         for whole in [with_more_behind(), long()] {
             run(async move {
-                let up = stand_in(|_, _| ok("whole")).await;
+                let up = start_stub(|_, _| ok("whole")).await;
                 let b = balancer_at(&[], &[]).await;
                 let caller = send(b.address, whole).await;
-                until(|| b.board.open.borrow().len() == 1).await;
+                wait_until(|| b.board.open.borrow().len() == 1).await;
                 // As much is read as ever will be.
                 tokio::time::sleep(Duration::from_millis(100)).await;
                 let half = leave(caller, how);
                 yield_now().await;
                 std::thread::sleep(TURN);
-                b.board.take_list(&list(8, true, &[entry("s-0", up.address, "z", "SERVING")]), true);
+                b.board.take_list(&list(8, true, &[list_entry("s-0", up.address, "z", "SERVING")]), true);
                 nothing_left(&b).await;
-                assert!(up.seen.borrow().is_empty() && up.connections.get() == 0, "{how:?}");
-                assert_eq!(ask(b.address, rpc("GET", "/look", "")).await.status(), 200);
+                assert!(up.received.borrow().is_empty() && up.connections.get() == 0, "{how:?}");
+                assert_eq!(send_and_read(b.address, rpc_head("GET", "/look", "")).await.status(), 200);
                 drop(half);
             });
         }
@@ -227,21 +228,21 @@
         let mut waiting = Vec::new();
         for how in ENDS {
             for whole in [with_more_behind(), long()] {
-                let held = Held::new().await.expect("a full queue");
+                let held = FullBacklog::new().await.expect("a full queue");
                 let b = balancer_at(&[held.address], &late).await;
                 let caller = send(b.address, whole).await;
-                until(|| b.board.open.borrow().values().any(|rpc| rpc.out.len() == 1)).await;
+                wait_until(|| b.board.open.borrow().values().any(|rpc| rpc.out.len() == 1)).await;
                 tokio::time::sleep(Duration::from_millis(100)).await;
                 let half = leave(caller, how);
                 yield_now().await;
-                waiting.push((b, held.let_go(|_, _| ok("late")), half));
+                waiting.push((b, held.release(|_, _| ok("late")), half));
             }
         }
         // Past the second after which the machine tries again.
         tokio::time::sleep(Duration::from_millis(1300)).await;
         for (b, up, half) in waiting {
             nothing_left(&b).await;
-            assert!(up.seen.borrow().is_empty());
+            assert!(up.received.borrow().is_empty());
             drop(half);
         }
     });
@@ -252,21 +253,21 @@
 fn who_leaves_a_long_body_unread_has_no_further_attempt() {
     for how in ENDS {
         run(async move {
-            let held = Held::new().await.expect("a full queue");
-            let other = stand_in(|_, _| ok("whole")).await;
+            let held = FullBacklog::new().await.expect("a full queue");
+            let other = start_stub(|_, _| ok("whole")).await;
             let b = balancer_at(&[held.address], &[]).await;
             let caller = send(b.address, long()).await;
-            until(|| b.board.open.borrow().values().any(|rpc| rpc.out.len() == 1)).await;
+            wait_until(|| b.board.open.borrow().values().any(|rpc| rpc.out.len() == 1)).await;
             tokio::time::sleep(Duration::from_millis(60)).await;
             let both = [held.address, other.address];
-            let both = [0, 1].map(|n| entry(&format!("s-{n}"), both[n], "z", "SERVING"));
+            let both = [0, 1].map(|n| list_entry(&format!("s-{n}"), both[n], "z", "SERVING"));
             b.board.take_list(&list(8, true, &both), true);
             let half = leave(caller, how);
             yield_now().await;
             // The first one's time is over by then.
             std::thread::sleep(TURN + TURN);
             nothing_left(&b).await;
-            assert!(other.seen.borrow().is_empty() && other.connections.get() == 0, "{how:?}");
+            assert!(other.received.borrow().is_empty() && other.connections.get() == 0, "{how:?}");
             drop(half);
         });
     }
@@ -278,18 +279,18 @@
 fn who_leaves_behind_unread_bytes_has_its_rpc_called_off() {
     for how in ENDS {
         run(async move {
-            let up = stand_in(|_, _| Deed::Silence).await;
+            let up = start_stub(|_, _| Reply::NoReply).await;
             // Its time is not over in this test's.
             let long = [(r#""soft-deadline-s":2.5"#, r#""soft-deadline-s":90.0"#)];
             let b =
                 balancer(&[&up], &[long[0], (r#""hard-deadline-s":6.0"#, r#""hard-deadline-s":99.0"#)]).await;
             let caller = send(b.address, with_more_behind().replace("Ms: 4000", "Ms: 90000")).await;
-            until(|| up.seen.borrow().len() == 1).await;
+            wait_until(|| up.received.borrow().len() == 1).await;
             tokio::time::sleep(Duration::from_millis(100)).await;
             let half = leave(caller, how);
-            until(|| up.left.get() == 1).await;
+            wait_until(|| up.closed.get() == 1).await;
             nothing_left(&b).await;
-            assert_eq!(up.seen.borrow().len(), 1);
+            assert_eq!(up.received.borrow().len(), 1);
             drop(half);
         });
     }
--- a/crates/fernroute-server/tests/endings.rs
+++ b/crates/fernroute-server/tests/endings.rs
@@ -4,13 +4,13 @@
 mod common;
 
 use common::{
-    ask, balancer, balancer_at, connect, entry, id_of, list, ok, read, request, rested, rpc, run, send,
-    stand_in, until, Deed,
+    balancer, balancer_at, connect, id_of, list, list_entry, ok, read_message, request, rested, rpc_head,
+    run, send, send_and_read, start_stub, wait_until, Reply,
 };
 use fernroute_server::program::serve::RunningInstance;
 use fernroute_server::protocol::answer::Final;
-use fernroute_test_support::http::{answer, Peer};
-use fernroute_test_support::stand_in::Held;
+use fernroute_test_support::http::{response, Connection};
+use fernroute_test_support::stub::FullBacklog;
 use futures_util::FutureExt as _;
 use std::cell::{Cell, RefCell};
 use std::io::Write as _;
@@ -30,9 +30,9 @@
 
 /// Nothing is left of what the crossing was about.
 async fn nothing_left(b: &RunningInstance) {
-    until(|| b.board.open.borrow().is_empty()).await;
+    wait_until(|| b.board.open.borrow().is_empty()).await;
     assert_eq!(b.board.figures().outstanding, 0);
-    until(|| b.board.timers.count() == 0).await;
+    wait_until(|| b.board.timers.count() == 0).await;
 }
 
 fn out(b: &RunningInstance) -> usize {
@@ -40,7 +40,7 @@
 }
 
 fn post(more: &str) -> String {
-    rpc("POST", "/pay", &format!("Content-Length: 0\r\n{more}"))
+    rpc_head("POST", "/pay", &format!("Content-Length: 0\r\n{more}"))
 }
 
 // ---------------------------------------------------------------------------------------- a caller leaves
@@ -51,22 +51,22 @@
 fn who_leaves_before_the_connection_is_up_has_nothing_sent_on() {
     for resets in [false, true] {
         run(async move {
-            let held = Held::new().await.expect("a full queue");
+            let held = FullBacklog::new().await.expect("a full queue");
             let b = balancer_at(&[held.address], &LATE).await;
             let caller = send(b.address, post("")).await;
-            until(|| out(&b) == 1).await;
+            wait_until(|| out(&b) == 1).await;
             if resets {
                 caller.set_zero_linger().expect("it may");
             }
             drop(caller);
-            until(|| b.board.figures().outstanding == 0).await;
-            let up = held.let_go(|_, _| ok("whole"));
+            wait_until(|| b.board.figures().outstanding == 0).await;
+            let up = held.release(|_, _| ok("whole"));
             // Past the second after which its machine would have tried again.
             tokio::time::sleep(Duration::from_millis(1300)).await;
-            assert!(up.seen.borrow().is_empty());
+            assert!(up.received.borrow().is_empty());
             nothing_left(&b).await;
             // And the upstream is none the worse for it.
-            assert_eq!(ask(b.address, post("")).await.status(), 200);
+            assert_eq!(send_and_read(b.address, post("")).await.status(), 200);
         });
     }
 }
@@ -76,17 +76,17 @@
 fn who_leaves_after_the_last_byte_has_it_called_off_only_where_that_is_allowed() {
     for allowed in [false, true] {
         run(async move {
-            let up = stand_in(|_, _| Deed::Silence).await;
+            let up = start_stub(|_, _| Reply::NoReply).await;
             let b = balancer(&[&up], if allowed { &[] } else { &LATE[..1] }).await;
-            let caller = send(b.address, rpc("GET", "/look", "").replace("Ms: 4000", "Ms: 700")).await;
-            until(|| up.seen.borrow().len() == 1).await;
+            let caller = send(b.address, rpc_head("GET", "/look", "").replace("Ms: 4000", "Ms: 700")).await;
+            wait_until(|| up.received.borrow().len() == 1).await;
             drop(caller);
-            until(|| b.board.figures().outstanding == 0).await;
-            assert!(allowed || up.left.get() == 0);
+            wait_until(|| b.board.figures().outstanding == 0).await;
+            assert!(allowed || up.closed.get() == 0);
             // Called off, or once its time is up.
-            until(|| up.left.get() == 1).await;
+            wait_until(|| up.closed.get() == 1).await;
             nothing_left(&b).await;
-            assert_eq!(up.seen.borrow().len(), 1);
+            assert_eq!(up.received.borrow().len(), 1);
         });
     }
 }
@@ -96,30 +96,30 @@
 #[test]
 fn who_left_before_it_was_accepted_has_nothing_sent_on() {
     run(async {
-        let up = stand_in(|_, _| ok("whole")).await;
+        let up = start_stub(|_, _| ok("whole")).await;
         let b = balancer(&[&up], &[]).await;
         // A kept connection is there to send on at once.
-        assert_eq!(ask(b.address, rpc("GET", "/look", "")).await.status(), 200);
+        assert_eq!(send_and_read(b.address, rpc_head("GET", "/look", "")).await.status(), 200);
         rested().await;
         b.server.set_accepting(false);
-        until(|| b.server.connections() == 0).await;
+        wait_until(|| b.server.connections() == 0).await;
         for n in 0..40 {
             let mut caller = connect(b.address).await;
             let body = "x".repeat(if n % 4 == 3 { 40_000 } else { 3 });
-            let post =
-                rpc("POST", &format!("/pay?{n}"), &format!("Content-Length: {}\r\n", body.len())) + &body;
-            let whole = if n % 4 == 0 { rpc("GET", &format!("/look?{n}"), "") } else { post };
+            let post = rpc_head("POST", &format!("/pay?{n}"), &format!("Content-Length: {}\r\n", body.len()))
+                + &body;
+            let whole = if n % 4 == 0 { rpc_head("GET", &format!("/look?{n}"), "") } else { post };
             caller.write_all(whole.as_bytes()).await.expect("the machine takes it");
             if n % 2 == 0 {
                 caller.set_zero_linger().expect("it may");
             }
         }
         b.server.set_accepting(true);
-        let marked = ask(b.address, rpc("GET", "/look", "")).await;
+        let marked = send_and_read(b.address, rpc_head("GET", "/look", "")).await;
         assert_eq!(marked.status(), 200);
-        until(|| b.server.connections() == 0).await;
+        wait_until(|| b.server.connections() == 0).await;
         nothing_left(&b).await;
-        let seen: Vec<String> = up.seen.borrow().iter().map(|m| m.target.clone()).collect();
+        let seen: Vec<String> = up.received.borrow().iter().map(|m| m.target.clone()).collect();
         assert_eq!(seen.len(), 2, "of the forty none was sent on: {seen:?}");
     });
 }
@@ -128,18 +128,19 @@
 #[test]
 fn who_leaves_with_more_behind_ends_its_rpc_all_the_same() {
     run(async {
-        let up = stand_in(|_, _| Deed::Silence).await;
+        let up = start_stub(|_, _| Reply::NoReply).await;
         let b = balancer(&[&up], &[]).await;
-        let long = rpc("GET", "/look", "").replace("Ms: 4000", "Ms: 90000");
-        for behind in [String::new(), "GET /lo".to_owned(), rpc("GET", "/look", ""), "x".repeat(20_000)] {
-            let seen = up.seen.borrow().len();
+        let long = rpc_head("GET", "/look", "").replace("Ms: 4000", "Ms: 90000");
+        for behind in [String::new(), "GET /lo".to_owned(), rpc_head("GET", "/look", ""), "x".repeat(20_000)]
+        {
+            let seen = up.received.borrow().len();
             let mut caller = send(b.address, &long).await;
-            until(|| up.seen.borrow().len() == seen + 1).await;
+            wait_until(|| up.received.borrow().len() == seen + 1).await;
             caller.write_all(behind.as_bytes()).await.expect("the machine takes it");
             drop(caller);
             nothing_left(&b).await;
-            until(|| up.left.get() == seen + 1).await;
-            assert_eq!(up.seen.borrow().len(), seen + 1);
+            wait_until(|| up.closed.get() == seen + 1).await;
+            assert_eq!(up.received.borrow().len(), seen + 1);
         }
     });
 }
@@ -148,16 +149,16 @@
 #[test]
 fn who_leaves_with_half_a_message_asked_for_nothing() {
     run(async {
-        let up = stand_in(|_, _| ok("whole")).await;
+        let up = start_stub(|_, _| ok("whole")).await;
         let b = balancer(&[&up], &[]).await;
-        let whole = rpc("POST", "/pay", "Content-Length: 20\r\n") + "01234567890123456789";
+        let whole = rpc_head("POST", "/pay", "Content-Length: 20\r\n") + "01234567890123456789";
         for cut in (0..whole.len()).step_by(3) {
             drop(send(b.address, &whole[..cut]).await);
         }
-        until(|| b.server.connections() == 0).await;
+        wait_until(|| b.server.connections() == 0).await;
         nothing_left(&b).await;
-        assert!(up.seen.borrow().is_empty());
-        assert_eq!(ask(b.address, whole).await.status(), 200);
+        assert!(up.received.borrow().is_empty());
+        assert_eq!(send_and_read(b.address, whole).await.status(), 200);
     });
 }
 
@@ -165,16 +166,16 @@
 #[test]
 fn who_leaves_while_its_rpc_is_held_has_nothing_sent_on() {
     run(async {
-        let up = stand_in(|_, _| ok("whole")).await;
+        let up = start_stub(|_, _| ok("whole")).await;
         let b = balancer_at(&[], &[]).await;
-        let caller = send(b.address, rpc("GET", "/look", "")).await;
-        until(|| b.board.open.borrow().len() == 1).await;
+        let caller = send(b.address, rpc_head("GET", "/look", "")).await;
+        wait_until(|| b.board.open.borrow().len() == 1).await;
         drop(caller);
-        until(|| b.board.open.borrow().is_empty()).await;
-        b.board.take_list(&list(8, true, &[entry("s-0", up.address, "z", "SERVING")]), true);
-        assert_eq!(ask(b.address, rpc("GET", "/look", "")).await.status(), 200);
+        wait_until(|| b.board.open.borrow().is_empty()).await;
+        b.board.take_list(&list(8, true, &[list_entry("s-0", up.address, "z", "SERVING")]), true);
+        assert_eq!(send_and_read(b.address, rpc_head("GET", "/look", "")).await.status(), 200);
         nothing_left(&b).await;
-        assert_eq!(up.seen.borrow().len(), 1);
+        assert_eq!(up.received.borrow().len(), 1);
     });
 }
 
@@ -186,27 +187,27 @@
 fn what_has_not_begun_does_not_begin_at_an_upstream_that_left() {
     for state in ["DRAINING", "DELETED", "elsewhere", "not named"] {
         run(async move {
-            let held = Held::new().await.expect("a full queue");
-            let other = stand_in(|_, _| ok("whole")).await;
+            let held = FullBacklog::new().await.expect("a full queue");
+            let other = start_stub(|_, _| ok("whole")).await;
             let b = balancer_at(&[held.address], &LATE).await;
             let mut caller = send(b.address, post("")).await;
-            until(|| out(&b) == 1).await;
+            wait_until(|| out(&b) == 1).await;
             let from = Instant::now();
-            let mut entries = vec![entry("s-1", other.address, "z", "SERVING")];
+            let mut entries = vec![list_entry("s-1", other.address, "z", "SERVING")];
             match state {
-                "elsewhere" => entries.push(entry("s-0", other.address, "z", "SERVING")),
+                "elsewhere" => entries.push(list_entry("s-0", other.address, "z", "SERVING")),
                 "not named" => {}
-                state => entries.push(entry("s-0", held.address, "z", state)),
+                state => entries.push(list_entry("s-0", held.address, "z", state)),
             }
             b.board.take_list(&list(8, state == "not named", &entries), true);
-            let answer = read(&mut caller).await.expect("an answer");
+            let answer = read_message(&mut caller).await.expect("an answer");
             assert_eq!((answer.status(), answer.body), (200, b"whole".to_vec()), "{state}");
             // Its machine tries to connect again after a second: that was not waited for.
             assert!(from.elapsed() < Duration::from_millis(900), "{state} {:?}", from.elapsed());
             nothing_left(&b).await;
-            let up = held.let_go(|_, _| ok("late"));
+            let up = held.release(|_, _| ok("late"));
             tokio::time::sleep(Duration::from_millis(1300)).await;
-            assert!(up.seen.borrow().is_empty() && other.seen.borrow().len() == 1, "{state}");
+            assert!(up.received.borrow().is_empty() && other.received.borrow().len() == 1, "{state}");
         });
     }
 }
@@ -215,17 +216,18 @@
 #[test]
 fn a_drain_in_the_turn_of_the_send_comes_first() {
     run(async {
-        let (one, two) = (stand_in(|_, _| ok("one")).await, stand_in(|_, _| ok("two")).await);
+        let (one, two) = (start_stub(|_, _| ok("one")).await, start_stub(|_, _| ok("two")).await);
         let b = balancer(&[&one], &[]).await;
         // A kept connection would be written to at once.
-        assert_eq!(ask(b.address, rpc("GET", "/look", "")).await.body, b"one");
+        assert_eq!(send_and_read(b.address, rpc_head("GET", "/look", "")).await.body, b"one");
         rested().await;
         let mut asked = pin!(b.board.admit(request(&b, "turn", "look", "4000"), None));
         assert!(asked.as_mut().now_or_never().is_none() && out(&b) == 1);
-        let entries = [entry("s-0", one.address, "z", "DRAINING"), entry("s-1", two.address, "z", "SERVING")];
+        let entries =
+            [list_entry("s-0", one.address, "z", "DRAINING"), list_entry("s-1", two.address, "z", "SERVING")];
         b.board.take_list(&list(8, false, &entries), true);
         let Ok(Final::Completed(last)) = asked.await else { panic!("it is served") };
-        assert_eq!((&last.body[..], one.seen.borrow().len()), (&b"two"[..], 1));
+        assert_eq!((&last.body[..], one.received.borrow().len()), (&b"two"[..], 1));
         nothing_left(&b).await;
     });
 }
@@ -238,10 +240,10 @@
         let up = commanded(Rc::clone(&go)).await;
         let b = balancer_at(&[up], &[]).await;
         let mut caller = send(b.address, post("")).await;
-        until(|| b.board.figures().transmissions == 1).await;
-        b.board.take_list(&list(8, false, &[entry("s-0", up, "z", "DRAINING")]), true);
+        wait_until(|| b.board.figures().transmissions == 1).await;
+        b.board.take_list(&list(8, false, &[list_entry("s-0", up, "z", "DRAINING")]), true);
         go.notify_one();
-        assert_eq!(read(&mut caller).await.expect("an answer").status(), 200);
+        assert_eq!(read_message(&mut caller).await.expect("an answer").status(), 200);
         nothing_left(&b).await;
     });
 }
@@ -254,10 +256,10 @@
         while let Ok((stream, _)) = listener.accept().await {
             let go = Rc::clone(&go);
             tokio::task::spawn_local(async move {
-                let mut peer = Peer::new(stream);
+                let mut peer = Connection::new(stream);
                 while let Ok(Some(_)) = peer.read().await {
                     go.notified().await;
-                    let _ = peer.write(&answer(200, "", "whole")).await;
+                    let _ = peer.write(&response(200, "", "whole")).await;
                 }
             });
         }
@@ -273,14 +275,14 @@
         // Connections as they came; what each is sent late is written when the next RPC has come, whichever way.
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
-        let first: Rc<RefCell<Option<Rc<RefCell<Peer>>>>> = Rc::default();
+        let first: Rc<RefCell<Option<Rc<RefCell<Connection>>>>> = Rc::default();
         let (answered, soon) = (Rc::new(Cell::new(Instant::now())), Rc::new(Cell::new(0)));
         let (kept, when, counted) = (Rc::clone(&first), Rc::clone(&answered), Rc::clone(&soon));
         tokio::task::spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 let (kept, when, counted) = (Rc::clone(&kept), Rc::clone(&when), Rc::clone(&counted));
                 tokio::task::spawn_local(async move {
-                    let peer = Rc::new(RefCell::new(Peer::new(stream)));
+                    let peer = Rc::new(RefCell::new(Connection::new(stream)));
                     loop {
                         let next = std::future::poll_fn(|cx| {
                             let mut peer = peer.borrow_mut();
@@ -295,11 +297,12 @@
                             let within = when.get().elapsed() < Duration::from_millis(5);
                             counted.set(counted.get() + usize::from(within));
                             if within {
-                                let _ = late.borrow().stream.try_write(&answer(200, "", "the one before's"));
+                                let _ =
+                                    late.borrow().stream.try_write(&response(200, "", "the one before's"));
                             }
-                            let _ = peer.borrow().stream.try_write(&answer(200, "", &id));
+                            let _ = peer.borrow().stream.try_write(&response(200, "", &id));
                         } else {
-                            let _ = peer.borrow().stream.try_write(&answer(200, "", &id));
+                            let _ = peer.borrow().stream.try_write(&response(200, "", &id));
                             when.set(Instant::now());
                             kept.borrow_mut().replace(Rc::clone(&peer));
                         }
@@ -312,9 +315,9 @@
         // A busy machine may be too slow to cross: until it did often enough.
         while soon.get() < 20 {
             for _ in 0..2 {
-                let bytes = rpc("GET", "/look", "");
+                let bytes = rpc_head("GET", "/look", "");
                 caller.write_all(bytes.as_bytes()).await.expect("it reads");
-                let last = read(&mut caller).await.expect("an answer");
+                let last = read_message(&mut caller).await.expect("an answer");
                 assert_eq!((last.status(), last.body), (200, id_of(&bytes).as_bytes().to_vec()));
             }
             rested().await;
@@ -334,7 +337,7 @@
         let told = Rc::clone(&gone);
         tokio::task::spawn_local(async move {
             let (stream, _) = listener.accept().await.expect("a connection");
-            let mut peer = Peer::new(stream);
+            let mut peer = Connection::new(stream);
             peer.read().await.expect("an RPC");
             let _ = peer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await;
             while peer.write(b"1\r\nx\r\n").await.is_ok() {
@@ -344,14 +347,14 @@
         });
         let b = balancer_at(&[address], &[]).await;
         let from = Instant::now();
-        let mut caller = send(b.address, rpc("GET", "/look", "").replace("Ms: 4000", "Ms: 1500")).await;
+        let mut caller = send(b.address, rpc_head("GET", "/look", "").replace("Ms: 4000", "Ms: 1500")).await;
         let mut heard = Vec::new();
         while from.elapsed() < Duration::from_millis(2500) {
             assert!(caller.read_buf(&mut heard).await.expect("it goes on") > 0, "{heard:?}");
         }
         assert!(heard.starts_with(b"HTTP/1.1 200") && !gone.get());
         drop(caller);
-        until(|| gone.get()).await;
+        wait_until(|| gone.get()).await;
         nothing_left(&b).await;
     });
 }
@@ -361,19 +364,19 @@
 #[test]
 fn an_idle_connection_that_closes_costs_no_rpc_where_that_can_be_told() {
     run(async {
-        let up = stand_in(|n, _| match n % 2 {
-            0 => Deed::SayAndClose(answer(200, "", "and it closes")),
+        let up = start_stub(|n, _| match n % 2 {
+            0 => Reply::SendAndClose(response(200, "", "and it closes")),
             _ => ok("whole"),
         });
         let up = up.await;
         let b = balancer(&[&up], &[]).await;
         for n in 0..20 {
             rested().await;
-            until(|| up.left.get() >= n / 2).await;
-            let verb = if n % 3 == 0 { rpc("GET", "/look", "") } else { post("") };
-            assert_eq!(ask(b.address, verb).await.status(), 200, "{n}");
+            wait_until(|| up.closed.get() >= n / 2).await;
+            let verb = if n % 3 == 0 { rpc_head("GET", "/look", "") } else { post("") };
+            assert_eq!(send_and_read(b.address, verb).await.status(), 200, "{n}");
         }
-        assert_eq!(up.seen.borrow().len(), 20);
+        assert_eq!(up.received.borrow().len(), 20);
         nothing_left(&b).await;
     });
 }
@@ -385,12 +388,12 @@
 #[test]
 fn an_id_used_again_at_once_gets_nothing_of_the_old_ones() {
     run(async {
-        let up = stand_in(|n, _| if n == 0 { Deed::Silence } else { ok("whole") }).await;
+        let up = start_stub(|n, _| if n == 0 { Reply::NoReply } else { ok("whole") }).await;
         let b = balancer(&[&up], &[]).await;
         {
             let mut asked = Box::pin(b.board.admit(request(&b, "twice", "look", "4000"), None));
             assert!(asked.as_mut().now_or_never().is_none());
-            until(|| up.seen.borrow().len() == 1).await;
+            wait_until(|| up.received.borrow().len() == 1).await;
             drop(asked);
         }
         // In the same turn: nothing else has run since.
@@ -412,12 +415,12 @@
         let b = balancer_at(&[up], &[("\"max-transmissions\":3", "\"max-transmissions\":1")]).await;
         for n in 0..20 {
             let mut caller = send(b.address, post("").replace("Ms: 4000", "Ms: 30")).await;
-            until(|| b.board.figures().transmissions == n + 1).await;
+            wait_until(|| b.board.figures().transmissions == n + 1).await;
             // Both come due while nothing runs here.
             go.notify_one();
             tokio::task::yield_now().await;
             std::thread::sleep(Duration::from_millis(35));
-            let last = read(&mut caller).await.expect("an answer");
+            let last = read_message(&mut caller).await.expect("an answer");
             assert!([200, 502].contains(&last.status()), "{}", last.head);
             drop(caller);
             nothing_left(&b).await;
@@ -431,15 +434,15 @@
 #[test]
 fn who_has_just_connected_is_heard_though_the_balancer_ends() {
     run(async {
-        let up = stand_in(|_, _| ok("whole")).await;
+        let up = start_stub(|_, _| ok("whole")).await;
         let b = balancer(&[&up], &[]).await;
         let mut new = connect(b.address).await;
-        until(|| b.server.connections() == 1).await;
+        wait_until(|| b.server.connections() == 1).await;
         let server = b.server.clone();
         let end = actix_rt::spawn(async move { server.shut_down().await });
-        until(|| b.server.listener().is_none()).await;
-        new.write_all(rpc("GET", "/look", "").as_bytes()).await.expect("it reads");
-        assert_eq!(read(&mut new).await.expect("an answer").status(), 200);
+        wait_until(|| b.server.listener().is_none()).await;
+        new.write_all(rpc_head("GET", "/look", "").as_bytes()).await.expect("it reads");
+        assert_eq!(read_message(&mut new).await.expect("an answer").status(), 200);
         drop(new);
         end.await.expect("it ends");
         // One that asks for nothing is not waited for.
@@ -451,13 +454,13 @@
 #[test]
 fn who_is_in_the_queue_as_it_closes_is_answered() {
     run(async {
-        let up = stand_in(|_, _| ok("whole")).await;
+        let up = start_stub(|_, _| ok("whole")).await;
         let b = balancer(&[&up], &[]).await;
         // No turn of the balancer's from here on, until its end has begun.
         let mut waiting = Vec::new();
         for _ in 0..50 {
             let mut caller = std::net::TcpStream::connect(b.address).expect("the machine accepts");
-            caller.write_all(rpc("GET", "/look", "").as_bytes()).expect("the machine takes it");
+            caller.write_all(rpc_head("GET", "/look", "").as_bytes()).expect("the machine takes it");
             waiting.push(caller);
         }
         let server = b.server.clone();
@@ -465,7 +468,7 @@
         for caller in waiting {
             caller.set_nonblocking(true).expect("it does not block");
             let mut caller = TcpStream::from_std(caller).expect("a stream");
-            assert_eq!(read(&mut caller).await.expect("an answer").status(), 200);
+            assert_eq!(read_message(&mut caller).await.expect("an answer").status(), 200);
         }
         end.await.expect("it ends");
         nothing_left(&b).await;
@@ -476,18 +479,18 @@
 #[test]
 fn what_comes_after_the_last_answers_is_exhausted_at_once() {
     run(async {
-        let up = stand_in(|_, _| Deed::Silence).await;
+        let up = start_stub(|_, _| Reply::NoReply).await;
         let b = balancer(&[&up], &[]).await;
         let whole = post("").replace("Ms: 4000", "Ms: 90000");
         let (first, rest) = whole.split_at(40);
         let mut slow = send(b.address, first).await;
-        until(|| b.server.connections() == 1).await;
+        wait_until(|| b.server.connections() == 1).await;
         b.board.phase_change(|phase, now| phase.leave(now - 90_000));
         b.board.error_all();
         slow.write_all(rest.as_bytes()).await.expect("it reads");
-        let last = read(&mut slow).await.expect("an answer");
+        let last = read_message(&mut slow).await.expect("an answer");
         assert_eq!((last.status(), last.header("connection")), (503, Some("close")));
-        assert!(up.seen.borrow().is_empty());
+        assert!(up.received.borrow().is_empty());
         nothing_left(&b).await;
     });
 }
@@ -498,12 +501,12 @@
 #[test]
 fn half_a_message_whose_rest_has_come_by_now_is_no_half_message() {
     run(async {
-        let up = stand_in(|_, _| ok("whole")).await;
+        let up = start_stub(|_, _| ok("whole")).await;
         let b = balancer(&[&up], &[]).await;
-        let whole = rpc("GET", "/look", "");
+        let whole = rpc_head("GET", "/look", "");
         let mut caller = connect(b.address).await;
         caller.write_all(&whole.as_bytes()[..40]).await.expect("it reads");
-        until(|| b.server.connections() == 1).await;
+        wait_until(|| b.server.connections() == 1).await;
         tokio::time::sleep(Duration::from_millis(50)).await;
         // Nothing runs here until its time is up; the rest comes meanwhile.
         std::thread::sleep(Duration::from_millis(2700));
@@ -512,10 +515,10 @@
             whole.len() - 40
         );
         b.server.sweep(false);
-        assert_eq!(read(&mut caller).await.expect("an answer").status(), 200);
+        assert_eq!(read_message(&mut caller).await.expect("an answer").status(), 200);
         // And one whose rest does not come is told so.
         caller.write_all(&whole.as_bytes()[..40]).await.expect("it reads");
-        assert_eq!(read(&mut caller).await.expect("an answer").status(), 408);
+        assert_eq!(read_message(&mut caller).await.expect("an answer").status(), 408);
         nothing_left(&b).await;
     });
 }
@@ -524,19 +527,19 @@
 #[test]
 fn who_is_sent_away_as_its_next_rpc_comes_is_answered() {
     run(async {
-        let up = stand_in(|_, _| ok("whole")).await;
+        let up = start_stub(|_, _| ok("whole")).await;
         let b = balancer(&[&up], &[("\"sockets\":1024", "\"sockets\":64")]).await;
         let mut kept = connect(b.address).await;
         for _ in 0..10 {
-            kept.write_all(rpc("GET", "/look", "").as_bytes()).await.expect("it reads");
-            assert_eq!(read(&mut kept).await.expect("an answer").status(), 200);
-            until(|| b.board.open.borrow().is_empty()).await;
-            let next = rpc("GET", "/look", "");
+            kept.write_all(rpc_head("GET", "/look", "").as_bytes()).await.expect("it reads");
+            assert_eq!(read_message(&mut kept).await.expect("an answer").status(), 200);
+            wait_until(|| b.board.open.borrow().is_empty()).await;
+            let next = rpc_head("GET", "/look", "");
             assert_eq!(kept.try_write(next.as_bytes()).expect("the machine takes it"), next.len());
             // In the same turn its room is wanted.
             b.server.set_max_connections(0);
             b.server.set_max_connections(10);
-            assert_eq!(read(&mut kept).await.expect("an answer").status(), 200);
+            assert_eq!(read_message(&mut kept).await.expect("an answer").status(), 200);
             kept = connect(b.address).await;
         }
         nothing_left(&b).await;
@@ -549,7 +552,7 @@
 #[test]
 fn what_cannot_be_read_leaves_nothing_behind() {
     run(async {
-        let up = stand_in(|_, _| ok("whole")).await;
+        let up = start_stub(|_, _| ok("whole")).await;
         let b = balancer(&[&up], &[]).await;
         let two = "POST /pay HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n";
         let bad = [
@@ -557,7 +560,7 @@
             "GET /look HTTP/1.1\r\nno header\r\n\r\n".to_owned(),
             two.to_owned(),
             post("").replace("Req-Deadline-Ms: 4000", "Req-Deadline-Ms: soon"),
-            rpc("POST", "/pay", "Content-Length: -1\r\n"),
+            rpc_head("POST", "/pay", "Content-Length: -1\r\n"),
         ];
         for (n, text) in bad.iter().enumerate() {
             match n % 3 {
@@ -570,13 +573,13 @@
                 waiting.push(send(b.address, &text[..cut]).await);
             }
             let mut last = waiting.pop().expect("the whole of it");
-            if let Some(told) = read(&mut last).await {
+            if let Some(told) = read_message(&mut last).await {
                 assert!((400..500).contains(&told.status()), "{}", told.head);
             }
             drop(waiting);
         }
-        until(|| b.server.connections() == 0).await;
+        wait_until(|| b.server.connections() == 0).await;
         nothing_left(&b).await;
-        assert!(up.seen.borrow().is_empty());
+        assert!(up.received.borrow().is_empty());
     });
 }
--- a/crates/fernroute-server/tests/forms.rs
+++ b/crates/fernroute-server/tests/forms.rs
@@ -2,7 +2,10 @@
 
 mod common;
 
-use common::{ask, balancer, balancer_at, connect, ok, read, rpc, run, send, stand_in, until, Deed};
+use common::{
+    balancer, balancer_at, connect, ok, read_message, rpc_head, run, send, send_and_read, start_stub,
+    wait_until, Reply,
+};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -18,12 +21,12 @@
 #[test]
 fn callers_may_write_an_rpc_in_any_form() {
     run(async {
-        let up = stand_in(|_, message| {
+        let up = start_stub(|_, message| {
             ok(if message.head.starts_with("GET /look") && message.body.is_empty() { "whole" } else { "odd" })
         })
         .await;
         let b = balancer(&[&up], &[]).await;
-        let good = || rpc("GET", "/look/a?b=c", "");
+        let good = || rpc_head("GET", "/look/a?b=c", "");
         let cases = [
             good(),
             good().replace("GET /look", "GET http://app.svc/look"),
@@ -52,9 +55,9 @@
             for byte in bytes.as_bytes() {
                 stream.write_all(&[*byte]).await.expect("it reads");
             }
-            let mut answer = read(&mut stream).await.expect("an answer");
+            let mut answer = read_message(&mut stream).await.expect("an answer");
             if answer.status() == 100 {
-                answer = read(&mut stream).await.expect("an answer");
+                answer = read_message(&mut stream).await.expect("an answer");
             }
             assert_eq!((answer.status(), answer.body.as_slice()), (200, &b"whole"[..]), "{bytes}");
         }
@@ -69,7 +72,7 @@
         while let Ok((mut stream, _)) = listener.accept().await {
             let answer = answer.clone();
             actix_rt::spawn(async move {
-                if read(&mut stream).await.is_some() {
+                if read_message(&mut stream).await.is_some() {
                     let _ = stream.write_all(&answer).await;
                 }
             });
@@ -92,7 +95,7 @@
         ];
         for answer in cases {
             let b = balancer_at(&[plain_upstream(answer.as_bytes().to_vec()).await], &[]).await;
-            let got = ask(b.address, rpc("GET", "/look", "")).await;
+            let got = send_and_read(b.address, rpc_head("GET", "/look", "")).await;
             assert_eq!((got.status(), got.body.as_slice()), (200, &b"whole"[..]), "{answer}");
             assert!(got.header("x-one").is_none() && got.header("connection").is_none(), "{}", got.head);
         }
@@ -104,7 +107,7 @@
             "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nwhole\r\n0\r\n\r\n",
         ] {
             let b = balancer_at(&[plain_upstream(answer.as_bytes().to_vec()).await], &[]).await;
-            let got = ask(b.address, rpc("POST", "/pay", "Content-Length: 0\r\n")).await;
+            let got = send_and_read(b.address, rpc_head("POST", "/pay", "Content-Length: 0\r\n")).await;
             assert_eq!(got.status(), 502, "{answer}");
         }
     });
@@ -199,12 +202,16 @@
             let b = balancer_at(&[address], &[]).await;
             let request = match size {
                 Some(size) => {
-                    let head = rpc("POST", "/pay", "Transfer-Encoding: chunked\r\nConnection: close\r\n");
+                    let head =
+                        rpc_head("POST", "/pay", "Transfer-Encoding: chunked\r\nConnection: close\r\n");
                     [head.as_bytes(), &in_chunks(&body, size)].concat()
                 }
                 None => {
-                    let head =
-                        rpc("POST", "/pay", &format!("Content-Length: {LARGE}\r\nConnection: close\r\n"));
+                    let head = rpc_head(
+                        "POST",
+                        "/pay",
+                        &format!("Content-Length: {LARGE}\r\nConnection: close\r\n"),
+                    );
                     [head.as_bytes(), &body[..]].concat()
                 }
             };
@@ -235,7 +242,7 @@
         actix_rt::spawn(async move {
             while let Ok((mut stream, _)) = listener.accept().await {
                 counted.set(counted.get() + 1);
-                read(&mut stream).await.expect("a message");
+                read_message(&mut stream).await.expect("a message");
                 let head = "HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n";
                 stream.write_all(&[head.as_bytes(), &sent].concat()).await.expect("it reads");
                 going.notified().await;
@@ -246,7 +253,7 @@
         });
         let b = balancer_at(&[address], &[]).await;
         for whole in [true, false] {
-            let mut caller = send(b.address, rpc("GET", "/look", "").replace("4000", "300")).await;
+            let mut caller = send(b.address, rpc_head("GET", "/look", "").replace("4000", "300")).await;
             let mut first = vec![0; 100_000];
             caller.read_exact(&mut first).await.expect("it has begun");
             assert_eq!(b.board.figures().outstanding, 1);
@@ -261,7 +268,7 @@
                 to_the_end(&mut caller).await
             };
             assert_eq!(rest.len() > 50_000, whole, "{}", rest.len());
-            until(|| b.board.figures().outstanding == 0).await;
+            wait_until(|| b.board.figures().outstanding == 0).await;
         }
         let told = b.board.figures().ends["look"];
         assert_eq!((told.completed, told.errored, calls.get()), (1, 1, 2));
@@ -290,24 +297,25 @@
             }
         });
         let b = balancer_at(&[address], &[]).await;
-        let head = |path: &str| rpc("POST", path, "Content-Length: 9000000\r\n");
+        let head = |path: &str| rpc_head("POST", path, "Content-Length: 9000000\r\n");
         // Turned away by the upstream while it comes: refused at once, and the rest is no RPC.
         let mut early = send(b.address, [head("/pay/early").as_bytes(), &pattern(200_000)].concat()).await;
-        assert_eq!(read(&mut early).await.expect("an answer").status(), 503);
+        assert_eq!(read_message(&mut early).await.expect("an answer").status(), 503);
         // Its caller stops: told so in time, and nothing has run.
         let mut stops = send(b.address, [head("/pay").as_bytes(), &pattern(200_000)].concat()).await;
         let from = std::time::Instant::now();
-        let told = read(&mut stops).await.expect("an answer").status();
+        let told = read_message(&mut stops).await.expect("an answer").status();
         assert!(told >= 400 && from.elapsed() < Duration::from_secs(3), "{told} {:?}", from.elapsed());
         // Its caller goes.
         drop(send(b.address, [head("/pay").as_bytes(), &pattern(200_000)].concat()).await);
-        until(|| b.board.figures().left == 1 && b.board.open.borrow().is_empty()).await;
+        wait_until(|| b.board.figures().left == 1 && b.board.open.borrow().is_empty()).await;
         // More than any RPC may hold, said or not.
         let (said, _) =
-            exchange(b.address, rpc("POST", "/pay", "Content-Length: 33554433\r\n").into_bytes()).await;
+            exchange(b.address, rpc_head("POST", "/pay", "Content-Length: 33554433\r\n").into_bytes()).await;
         assert!(said.starts_with("HTTP/1.1 413"), "{said}");
         let chunks = in_chunks(&pattern(LARGE + 1), 1 << 20);
-        let request = [rpc("POST", "/pay", "Transfer-Encoding: chunked\r\n").as_bytes(), &chunks].concat();
+        let request =
+            [rpc_head("POST", "/pay", "Transfer-Encoding: chunked\r\n").as_bytes(), &chunks].concat();
         let (said, _) = exchange(b.address, request).await;
         assert!(said.starts_with("HTTP/1.1 413"), "{said}");
         assert_eq!(b.board.figures().transmissions, 0);
@@ -319,17 +327,17 @@
 fn a_slow_upload_is_judged_by_its_progress_and_its_deadline_counts_from_its_last_byte() {
     run(async {
         let up =
-            stand_in(|_, message| if message.body.len() == 100_000 { ok("whole") } else { Deed::Silence })
+            start_stub(|_, message| if message.body.len() == 100_000 { ok("whole") } else { Reply::NoReply })
                 .await;
         let b = balancer(&[&up], &[]).await;
         let body = pattern(100_000);
-        let head = rpc("POST", "/pay", "Content-Length: 100000\r\n").replace("4000", "500");
+        let head = rpc_head("POST", "/pay", "Content-Length: 100000\r\n").replace("4000", "500");
         let mut caller = send(b.address, head).await;
         for part in body.chunks(10_000) {
             caller.write_all(part).await.expect("it reads");
             actix_rt::time::sleep(Duration::from_millis(100)).await;
         }
-        let answer = read(&mut caller).await.expect("an answer");
+        let answer = read_message(&mut caller).await.expect("an answer");
         assert_eq!((answer.status(), answer.body.as_slice()), (200, &b"whole"[..]));
     });
 }
--- a/crates/fernroute-server/tests/program.rs
+++ b/crates/fernroute-server/tests/program.rs
@@ -4,7 +4,10 @@
 #[path = "common/process.rs"]
 mod process;
 
-use common::{ask, balancer, connect, ok, read, rpc, run, send, stand_in, station, until, Deed};
+use common::{
+    balancer, connect, ok, read_message, rpc_head, run, send, send_and_read, start_stub, station, wait_until,
+    Reply,
+};
 use fernroute_server::program::instance::InstanceConfig;
 use fernroute_server::program::{serve, shutdown};
 use fernroute_server::protocol::list::{self as lists, State};
@@ -19,22 +22,22 @@
 
 const READY: &str = "GET /-/ready HTTP/1.1\r\nHost: n0\r\n\r\n";
 
-fn list(version: u64, full: bool, entries: &str) -> Deed {
+fn list(version: u64, full: bool, entries: &str) -> Reply {
     ok(&format!(r#"{{"version":{version},"full":{full},"servers":[{entries}]}}"#))
 }
 
 #[test]
 fn follows_the_list_through_half_answers_and_bad_entries() {
     run(async {
-        let up = stand_in(|_, _| ok("whole")).await;
+        let up = start_stub(|_, _| ok("whole")).await;
         let address = up.address;
         let entry = move |id: &str, state: &str| {
             format!(
                 r#"{{"id":"{id}","addr":"{address}","zone":"z","cell":1,"state":"{state}","started_ms":0}}"#
             )
         };
-        let discovery = stand_in(move |n, _| match n {
-            0 => Deed::SayAndClose(b"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{\"version\":8".to_vec()),
+        let discovery = start_stub(move |n, _| match n {
+            0 => Reply::SendAndClose(b"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{\"version\":8".to_vec()),
             1 => ok("{}"),
             2 => {
                 let bad = r#"{"id":"s-8","state":"SERVING","addr":"nowhere"},5,"#;
@@ -42,22 +45,22 @@
             }
             3 => list(9, false, ""),
             4 => list(10, false, &entry("s-9", "DRAINING")),
-            _ => Deed::Silence,
+            _ => Reply::NoReply,
         })
         .await;
         let b = serve::start(station(&[], discovery.address, &[])).await.expect("it starts");
-        assert_eq!(ask(b.address, READY).await.status(), 503);
-        until(|| discovery.seen.borrow().len() == 6).await;
-        let first = |n: usize| discovery.seen.borrow()[n].head.lines().next().map(str::to_owned);
+        assert_eq!(send_and_read(b.address, READY).await.status(), 503);
+        wait_until(|| discovery.received.borrow().len() == 6).await;
+        let first = |n: usize| discovery.received.borrow()[n].head.lines().next().map(str::to_owned);
         for (n, version) in [7, 7, 7, 8, 9, 10].iter().enumerate() {
             let line = first(n).expect("a first line");
             assert!(line.starts_with(&format!("GET /api/targets?index={version}&wait=")), "{line}");
         }
         // It drains: nothing is sent, and there is nothing to be ready with.
-        assert_eq!(ask(b.address, READY).await.status(), 503);
-        let bytes = rpc("POST", "/pay", "Content-Length: 0\r\n").replace("4000", "300");
-        assert_eq!(ask(b.address, bytes).await.status(), 503);
-        assert!(up.seen.borrow().is_empty());
+        assert_eq!(send_and_read(b.address, READY).await.status(), 503);
+        let bytes = rpc_head("POST", "/pay", "Content-Length: 0\r\n").replace("4000", "300");
+        assert_eq!(send_and_read(b.address, bytes).await.status(), 503);
+        assert!(up.received.borrow().is_empty());
     });
 }
 
@@ -66,12 +69,12 @@
 #[test]
 fn a_doubtful_list_is_asked_for_again_and_believed_if_it_stays() {
     run(async {
-        let up = stand_in(|_, _| ok("whole")).await;
+        let up = start_stub(|_, _| ok("whole")).await;
         let address = up.address;
         let entry = move |state: &str| {
             format!(r#"{{"id":"s-9","addr":"{address}","state":"{state}","started_ms":0}}"#)
         };
-        let discovery = stand_in(move |n, _| match n {
+        let discovery = start_stub(move |n, _| match n {
             0 => list(8, true, &entry("SERVING")),
             1 => list(9, true, ""),
             2 => list(10, true, &entry("SERVING")),
@@ -80,13 +83,13 @@
             4 => list(5, true, &entry("SERVING")),
             5 => list(12, true, &entry("DRAINING")),
             6 => list(12, true, ""),
-            _ => Deed::Silence,
+            _ => Reply::NoReply,
         })
         .await;
         let b = serve::start(station(&[], discovery.address, &[])).await.expect("it starts");
         let mut most = 0;
-        until(|| {
-            let seen = discovery.seen.borrow().len();
+        wait_until(|| {
+            let seen = discovery.received.borrow().len();
             // Never without upstreams from the first list on, up to the answer that confirms the end.
             if (2..=6).contains(&seen) {
                 assert!(b.board.is_ready(), "after {seen} calls");
@@ -96,10 +99,11 @@
         })
         .await;
         assert!(most >= 5, "looked at after {most}");
-        until(|| !b.board.is_ready()).await;
-        let asked: Vec<bool> = discovery.seen.borrow().iter().map(|m| m.head.contains("?index=")).collect();
+        wait_until(|| !b.board.is_ready()).await;
+        let asked: Vec<bool> =
+            discovery.received.borrow().iter().map(|m| m.head.contains("?index=")).collect();
         assert_eq!(asked, [true, true, false, true, false, true, false, true]);
-        assert!(discovery.seen.borrow()[5].head.contains("?index=5&"));
+        assert!(discovery.received.borrow()[5].head.contains("?index=5&"));
     });
 }
 
@@ -174,24 +178,24 @@
 #[test]
 fn a_new_upstream_at_an_old_address_gets_connections_of_its_own() {
     run(async {
-        let up = stand_in(|_, _| ok("whole")).await;
+        let up = start_stub(|_, _| ok("whole")).await;
         let address = up.address;
         let entry = move |id: &str| format!(r#"{{"id":"{id}","addr":"{address}","state":"SERVING"}}"#);
         // The first call waits until an RPC has been served.
-        let discovery = stand_in(move |n, _| match n {
-            0 => Deed::Silence,
+        let discovery = start_stub(move |n, _| match n {
+            0 => Reply::NoReply,
             1 => list(8, true, &entry("s-9")),
-            _ => Deed::Silence,
+            _ => Reply::NoReply,
         });
         let discovery = discovery.await;
         let b = serve::start(station(&[up.address], discovery.address, &[])).await.expect("it starts");
-        assert_eq!(ask(b.address, rpc("GET", "/look", "")).await.status(), 200);
+        assert_eq!(send_and_read(b.address, rpc_head("GET", "/look", "")).await.status(), 200);
         common::rested().await;
-        assert_eq!(ask(b.address, rpc("GET", "/look", "")).await.status(), 200);
-        assert_eq!((up.connections.get(), up.left.get()), (1, 0));
+        assert_eq!(send_and_read(b.address, rpc_head("GET", "/look", "")).await.status(), 200);
+        assert_eq!((up.connections.get(), up.closed.get()), (1, 0));
         b.set_discovery(discovery.address);
-        until(|| up.left.get() == 1).await;
-        assert_eq!(ask(b.address, rpc("GET", "/look", "")).await.status(), 200);
+        wait_until(|| up.closed.get() == 1).await;
+        assert_eq!(send_and_read(b.address, rpc_head("GET", "/look", "")).await.status(), 200);
         assert_eq!(up.connections.get(), 2);
     });
 }
@@ -200,10 +204,10 @@
 #[test]
 fn asks_when_the_decisions_say_so() {
     run(async {
-        let discovery = stand_in(|n, _| match n {
-            0 => common::say("503 No"),
+        let discovery = start_stub(|n, _| match n {
+            0 => common::status_reply("503 No"),
             1 => list(8, true, ""),
-            _ => Deed::Silence,
+            _ => Reply::NoReply,
         })
         .await;
         let ask = [
@@ -213,7 +217,7 @@
         // The decisions wait for up to a twentieth of the four seconds at the start, a tenth after a failure.
         let from = Instant::now();
         let b = serve::start(station(&[], discovery.address, &ask)).await.expect("it starts");
-        until(|| discovery.seen.borrow().len() == 3).await;
+        wait_until(|| discovery.received.borrow().len() == 3).await;
         assert!(from.elapsed() >= Duration::from_millis(300), "{:?}", from.elapsed());
         drop(b);
     });
@@ -222,10 +226,10 @@
 #[test]
 fn starts_from_the_list_it_knew() {
     run(async {
-        let up = stand_in(|_, _| ok("whole")).await;
+        let up = start_stub(|_, _| ok("whole")).await;
         let b = balancer(&[&up], &[]).await;
-        assert_eq!(ask(b.address, READY).await.status(), 200);
-        assert_eq!(ask(b.address, rpc("GET", "/look", "")).await.status(), 200);
+        assert_eq!(send_and_read(b.address, READY).await.status(), 200);
+        assert_eq!(send_and_read(b.address, rpc_head("GET", "/look", "")).await.status(), 200);
     });
 }
 
@@ -233,7 +237,7 @@
 #[test]
 fn ends_when_all_is_answered() {
     run(async {
-        let up = stand_in(|n, _| if n < 2 { Deed::Silence } else { ok("whole") }).await;
+        let up = start_stub(|n, _| if n < 2 { Reply::NoReply } else { ok("whole") }).await;
         // Killed a second and 0.7 after it is told; what is silent is not sent again meanwhile.
         let changes = [
             (r#""soft-deadline-s":2.5"#, r#""soft-deadline-s":1.0"#),
@@ -242,20 +246,20 @@
         ];
         let b = balancer(&[&up], &changes).await;
         let mut idle = connect(b.address).await;
-        let mut busy = send(b.address, rpc("GET", "/look", "").replace("4000", "1100")).await;
-        until(|| up.seen.borrow().len() == 1).await;
-        let mut open = send(b.address, rpc("GET", "/look", "").replace("4000", "90000")).await;
-        until(|| up.seen.borrow().len() == 2).await;
+        let mut busy = send(b.address, rpc_head("GET", "/look", "").replace("4000", "1100")).await;
+        wait_until(|| up.received.borrow().len() == 1).await;
+        let mut open = send(b.address, rpc_head("GET", "/look", "").replace("4000", "90000")).await;
+        wait_until(|| up.received.borrow().len() == 2).await;
         let (board, server, from) = (b.board.clone(), b.server.clone(), Instant::now());
         let end = actix_rt::spawn(async move { shutdown::shut_down(&board, &server).await });
-        until(|| b.board.phase.get().is_leaving()).await;
-        assert_eq!(ask(b.address, READY).await.status(), 503);
-        let late = ask(b.address, rpc("GET", "/look", "")).await;
+        wait_until(|| b.board.phase.get().is_leaving()).await;
+        assert_eq!(send_and_read(b.address, READY).await.status(), 503);
+        let late = send_and_read(b.address, rpc_head("GET", "/look", "")).await;
         assert!(late.status() == 200 && late.header("connection").is_none(), "{}", late.head);
         assert_eq!(idle.read(&mut [0; 1]).await.expect("an orderly end"), 0);
-        let last = read(&mut busy).await.expect("an answer");
+        let last = read_message(&mut busy).await.expect("an answer");
         assert_eq!((last.status(), last.header("connection")), (503, Some("close")));
-        let last = read(&mut open).await.expect("an answer");
+        let last = read_message(&mut open).await.expect("an answer");
         assert_eq!((last.status(), last.header("connection")), (502, Some("close")));
         assert!(from.elapsed() < Duration::from_millis(1700), "{:?}", from.elapsed());
         end.await.expect("it ends");
@@ -267,15 +271,15 @@
 #[test]
 fn callers_are_kept_as_long_as_they_may_be_served() {
     run(async {
-        let up = stand_in(|_, _| ok("whole")).await;
+        let up = start_stub(|_, _| ok("whole")).await;
         let b = balancer(&[&up], &[]).await;
         let mut kept = connect(b.address).await;
         let (board, server, from) = (b.board.clone(), b.server.clone(), Instant::now());
         let end = actix_rt::spawn(async move { shutdown::shut_down(&board, &server).await });
         let mut served = from.elapsed();
         // Until it ends the connection.
-        while kept.write_all(rpc("GET", "/look", "").as_bytes()).await.is_ok() {
-            let Some(answer) = read(&mut kept).await else { break };
+        while kept.write_all(rpc_head("GET", "/look", "").as_bytes()).await.is_ok() {
+            let Some(answer) = read_message(&mut kept).await else { break };
             assert_eq!(answer.status(), 200);
             served = from.elapsed();
             actix_rt::time::sleep(Duration::from_millis(50)).await;
@@ -289,12 +293,12 @@
 #[test]
 fn a_signal_ends_it_with_code_0() {
     run(async {
-        let up = stand_in(|_, _| ok("whole")).await;
+        let up = start_stub(|_, _| ok("whole")).await;
         let program = Program::start(&folder("signal"), &common::page(&[up.address], up.address, &[])).await;
         let mut kept = connect(program.address).await;
         for n in 0..2 {
-            kept.write_all(rpc("GET", "/look", "").as_bytes()).await.expect("it reads");
-            assert_eq!(read(&mut kept).await.expect("an answer").status(), 200);
+            kept.write_all(rpc_head("GET", "/look", "").as_bytes()).await.expect("it reads");
+            assert_eq!(read_message(&mut kept).await.expect("an answer").status(), 200);
             if n == 0 {
                 program.term();
                 // Read again or not, it goes on ending.
@@ -310,28 +314,28 @@
 #[test]
 fn turns_to_another_discovery_when_its_file_names_one() {
     run(async {
-        let (one, two) = (stand_in(|_, _| ok("one")).await, stand_in(|_, _| ok("two")).await);
-        let old = stand_in(|_, _| Deed::Silence).await;
+        let (one, two) = (start_stub(|_, _| ok("one")).await, start_stub(|_, _| ok("two")).await);
+        let old = start_stub(|_, _| Reply::NoReply).await;
         let entry = format!(r#"{{"id":"s-2","addr":"{}","state":"SERVING"}}"#, two.address);
-        let new = stand_in(move |n, _| if n == 1 { list(3, true, &entry) } else { Deed::Silence }).await;
+        let new = start_stub(move |n, _| if n == 1 { list(3, true, &entry) } else { Reply::NoReply }).await;
         let page = |discovery| common::page(&[one.address], discovery, &[]);
         let program = Program::start(&folder("reload"), &page(old.address)).await;
-        let body = || async { ask(program.address, rpc("GET", "/look", "")).await.body };
-        until(|| old.seen.borrow().len() == 1).await;
+        let body = || async { send_and_read(program.address, rpc_head("GET", "/look", "")).await.body };
+        wait_until(|| old.received.borrow().len() == 1).await;
         program.reload("no page at all");
         program.reload(&page(old.address));
         assert_eq!(body().await, b"one");
         program.reload(&page(new.address));
-        until(|| old.left.get() == 1).await;
-        until(|| new.seen.borrow().len() == 1).await;
+        wait_until(|| old.closed.get() == 1).await;
+        wait_until(|| new.received.borrow().len() == 1).await;
         // Silent so far: what it has stands.
         assert_eq!(body().await, b"one");
-        until(|| new.seen.borrow().len() == 3).await;
+        wait_until(|| new.received.borrow().len() == 3).await;
         for (n, line) in ["GET /api/targets HTTP", "GET /api/targets HTTP", "GET /api/targets?index=3&wait="]
             .iter()
             .enumerate()
         {
-            assert!(new.seen.borrow()[n].head.starts_with(line), "{}", new.seen.borrow()[n].head);
+            assert!(new.received.borrow()[n].head.starts_with(line), "{}", new.received.borrow()[n].head);
         }
         assert_eq!((body().await, old.connections.get()), (b"two".to_vec(), 1));
         program.term();
@@ -359,21 +363,21 @@
     let counts = tracing_subscriber::registry().with(Openings(&OPENINGS));
     tracing::subscriber::set_global_default(counts).expect("the only one");
     run(async {
-        let up = stand_in(|n, _| if n < 12 { Deed::Silence } else { ok("whole") }).await;
+        let up = start_stub(|n, _| if n < 12 { Reply::NoReply } else { ok("whole") }).await;
         let b = balancer(&[&up, &up, &up, &up], &[("\"sockets\":1024", "\"sockets\":73")]).await;
         let mut waiting = Vec::new();
         for n in 0..12 {
-            waiting.push(send(b.address, rpc("GET", "/look", "")).await);
-            until(|| up.seen.borrow().len() > n).await;
+            waiting.push(send(b.address, rpc_head("GET", "/look", "")).await);
+            wait_until(|| up.received.borrow().len() > n).await;
         }
         for _ in 0..12 {
-            let answer = ask(b.address, rpc("POST", "/pay", "Content-Length: 0\r\n")).await;
+            let answer = send_and_read(b.address, rpc_head("POST", "/pay", "Content-Length: 0\r\n")).await;
             assert_eq!(answer.status(), 503);
         }
         assert_eq!(OPENINGS.load(Ordering::Relaxed), 0);
         waiting.clear();
-        until(|| up.left.get() == 12).await;
-        assert_eq!(ask(b.address, rpc("GET", "/look", "")).await.status(), 200);
+        wait_until(|| up.closed.get() == 12).await;
+        assert_eq!(send_and_read(b.address, rpc_head("GET", "/look", "")).await.status(), 200);
     });
 }
 
@@ -479,7 +483,7 @@
                 let (body, counted) = (body.clone(), std::rc::Rc::clone(&counted));
                 let came = std::rc::Rc::clone(&came);
                 actix_rt::spawn(async move {
-                    while read(&mut stream).await.is_some() {
+                    while read_message(&mut stream).await.is_some() {
                         counted.set(counted.get() + 1);
                         let call = counted.get();
                         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
@@ -503,13 +507,13 @@
         });
         let from = Instant::now();
         let b = serve::start(station(&[], address, &[])).await.expect("it starts");
-        until(|| calls.get() >= 2).await;
+        wait_until(|| calls.get() >= 2).await;
         assert!(from.elapsed() < Duration::from_millis(2500), "{:?}", from.elapsed());
-        until(|| b.board.is_ready()).await;
+        wait_until(|| b.board.is_ready()).await;
         // Longer in coming than a silent agent is waited for: the first call whose list trickles is heard out. Others are made
         // beside it, two at the most, since what changes as it begins counts as told before it is whole.
         assert!(from.elapsed() > Duration::from_millis(4000), "{:?}", from.elapsed());
-        until(|| !whole.borrow().is_empty()).await;
+        wait_until(|| !whole.borrow().is_empty()).await;
         let (first, beside) = whole.borrow()[0];
         assert!(first == 2 && (1..=2).contains(&beside), "{first} {beside}");
     });
@@ -533,14 +537,14 @@
 fn new_settings_are_taken_over_under_load_there_and_back() {
     run(async {
         let upstream = || async {
-            stand_in(|_, message| match message.head.contains("/pay") {
+            start_stub(|_, message| match message.head.contains("/pay") {
                 true => ok("paid"),
                 false => ok("whole"),
             })
             .await
         };
         let (one, two) = (upstream().await, upstream().await);
-        let agent = stand_in(|_, _| Deed::Silence).await;
+        let agent = start_stub(|_, _| Reply::NoReply).await;
         let ups = [one.address, two.address];
         let before = common::page(&ups, agent.address, &[]);
         let program = Program::start(&folder("switch"), &before).await;
@@ -551,7 +555,8 @@
                 actix_rt::spawn(async move {
                     let mut ends = Vec::new();
                     while !stop.get() {
-                        let answer = ask(address, rpc("POST", "/pay", "Content-Length: 0\r\n")).await;
+                        let answer =
+                            send_and_read(address, rpc_head("POST", "/pay", "Content-Length: 0\r\n")).await;
                         ends.push(answer.status());
                     }
                     ends
@@ -560,26 +565,26 @@
             .collect();
         let put = "Idempotency-Key: k\r\nContent-Length: 0\r\n";
         let status = |verb: &'static str, path: &'static str, more: &'static str| async move {
-            ask(program.address, rpc(verb, path, more)).await.status()
+            send_and_read(program.address, rpc_head(verb, path, more)).await.status()
         };
         for turn in 0..3 {
             assert_eq!(status("POST", "/put", put).await, 200, "turn {turn}");
             assert_eq!(status("GET", "/other", "").await, 404, "turn {turn}");
             let after = moved(&ups, agent.address);
             program.reload(&after);
-            until(|| program.times("new settings from now on") == 2 * turn + 1).await;
+            wait_until(|| program.log_count("new settings from now on") == 2 * turn + 1).await;
             assert_eq!(status("GET", "/other", "").await, 200, "turn {turn}");
             assert_eq!(status("POST", "/put", put).await, 404, "turn {turn}");
             // Half a file, and one that contradicts itself.
             program.reload(&before[..before.len() / 2]);
-            until(|| program.times("not taken over") == 2 * turn + 1).await;
+            wait_until(|| program.log_count("not taken over") == 2 * turn + 1).await;
             program.reload(&after.replace(r#""cold-from":0.3"#, r#""cold-from":3"#));
-            until(|| program.times("out of range contract.cold-from") == turn + 1).await;
+            wait_until(|| program.log_count("out of range contract.cold-from") == turn + 1).await;
             assert_eq!(status("GET", "/other", "").await, 200, "turn {turn}");
             // Two in quick succession: the last counts.
             program.reload(&after);
             program.reload(&before);
-            until(|| program.times("new settings from now on") == 2 * turn + 2).await;
+            wait_until(|| program.log_count("new settings from now on") == 2 * turn + 2).await;
         }
         stop.set(true);
         let mut ends = Vec::new();
@@ -587,7 +592,8 @@
             ends.extend(caller.await.expect("it ends"));
         }
         assert!(ends.len() > 20 && ends.iter().all(|end| *end == 200), "{ends:?}");
-        let seen = [&one, &two].map(|up| up.seen.borrow().iter().filter(|m| m.head.contains("/pay")).count());
+        let seen =
+            [&one, &two].map(|up| up.received.borrow().iter().filter(|m| m.head.contains("/pay")).count());
         assert_eq!(seen[0] + seen[1], ends.len(), "each once");
         program.term();
         program.ends_well().await;
--- a/crates/fernroute-server/tests/public_interface.rs
+++ b/crates/fernroute-server/tests/public_interface.rs
@@ -154,13 +154,13 @@
     run(async {
         let heartbeats: Rc<RefCell<Vec<(String, serde_json::Value)>>> = Rc::default();
         let received = Rc::clone(&heartbeats);
-        let coordinator = stand_in(move |_, message| {
+        let coordinator = start_stub(move |_, message| {
             let heartbeat: serde_json::Value = serde_json::from_slice(&message.body).expect("JSON");
             let number = heartbeat["message"]["number"].clone();
             let is_eligible = heartbeat["message"]["duties"]["eligible"] == true;
             let terms = if is_eligible { r#"{"sweep":4}"# } else { "{}" };
             received.borrow_mut().push((message.target.clone(), heartbeat));
-            Deed::Say(fernroute_test_support::http::answer(
+            Reply::Send(fernroute_test_support::http::response(
                 200,
                 "",
                 &format!(
@@ -169,7 +169,7 @@
             ))
         })
         .await;
-        let discovery = stand_in(|_, _| Deed::Silence).await;
+        let discovery = start_stub(|_, _| Reply::NoReply).await;
         let folder = folder("interface");
         // The file's name is made of the balancer's name and the address of its file.
         std::fs::write(folder.join("fernroute-n0-127.0.0.1_0.member"), "00000000000000ff\n").expect("a file");
@@ -178,7 +178,7 @@
             .replace("COORDINATOR", &coordinator.address.to_string());
         let program = Program::start(&folder, &page).await;
         let metrics = async || {
-            let reply = ask(program.door, "GET /-/metrics HTTP/1.1\r\nHost: n0\r\n\r\n").await;
+            let reply = send_and_read(program.door, "GET /-/metrics HTTP/1.1\r\nHost: n0\r\n\r\n").await;
             serde_json::from_slice::<serde_json::Value>(&reply.body).expect("JSON")
         };
         while metrics().await["fleet"]["duties"]["sweep"]["term"] != 4 {
--- a/crates/fernroute-server/tests/ready.rs
+++ b/crates/fernroute-server/tests/ready.rs
@@ -5,9 +5,9 @@
 #[path = "common/process.rs"]
 mod process;
 
-use common::{ask, is_ready, ok, page, rpc, run, stand_in, until, Deed, StandIn};
-use fernroute_test_support::process::addresses;
-use fernroute_test_support::stand_in::Held;
+use common::{is_ready, ok, page, rpc_head, run, send_and_read, start_stub, wait_until, Reply, StubServer};
+use fernroute_test_support::process::free_addresses;
+use fernroute_test_support::stub::FullBacklog;
 use futures_util::future::join_all;
 use process::{folder, Program};
 use std::fs::File;
@@ -53,12 +53,12 @@
     }
 }
 
-async fn upstream() -> Rc<StandIn> {
-    stand_in(|_, message| if message.head.contains("/silent") { Deed::Silence } else { ok("whole") }).await
+async fn upstream() -> Rc<StubServer> {
+    start_stub(|_, message| if message.head.contains("/silent") { Reply::NoReply } else { ok("whole") }).await
 }
 
 /// A file with one upstream that is known, and an address that is the same at each start.
-fn file(listen: SocketAddr, up: &StandIn, discovery: SocketAddr) -> String {
+fn file(listen: SocketAddr, up: &StubServer, discovery: SocketAddr) -> String {
     let listen = format!(r#""listen":"{listen}""#);
     page(&[up.address], discovery, &[(r#""listen":"127.0.0.1:0""#, &listen)])
 }
@@ -72,7 +72,7 @@
     }
     println!("{:?} {:?}", std::thread::current().name().unwrap_or_default(), from.elapsed());
     assert!(from.elapsed() < READY, "{:?}", from.elapsed());
-    assert_eq!(ask(program.address, rpc("GET", "/look", "")).await.body, b"whole");
+    assert_eq!(send_and_read(program.address, rpc_head("GET", "/look", "")).await.body, b"whole");
     program
 }
 
@@ -83,9 +83,9 @@
     const BALANCERS: usize = 9;
     run(async {
         let up = upstream().await;
-        let silent = stand_in(|_, _| Deed::Silence).await.address;
-        let away = Held::new().await.expect("a queue that is full");
-        let free = addresses(BALANCERS + 1).expect("addresses");
+        let silent = start_stub(|_, _| Reply::NoReply).await.address;
+        let away = FullBacklog::new().await.expect("a queue that is full");
+        let free = free_addresses(BALANCERS + 1).expect("addresses");
         let discoveries = [silent, free[BALANCERS], away.address];
         let folders: Vec<_> = (0..BALANCERS).map(|n| folder(&format!("ready-{n}"))).collect();
         let files: Vec<_> = (0..BALANCERS).map(|n| file(free[n], &up, discoveries[n % 3])).collect();
@@ -104,10 +104,10 @@
 #[test]
 fn of_a_fleet_without_stewards_it_is_ready() {
     run(async {
-        let (up, silent) = (upstream().await, stand_in(|_, _| Deed::Silence).await.address);
-        let away = Held::new().await.expect("a queue that is full");
+        let (up, silent) = (upstream().await, start_stub(|_, _| Reply::NoReply).await.address);
+        let away = FullBacklog::new().await.expect("a queue that is full");
         let folder = folder("ready-fleet");
-        let listen = addresses(1).expect("an address")[0];
+        let listen = free_addresses(1).expect("an address")[0];
         let file = format!(
             "name = \"n0\"\nlisten = \"{listen}\"\ndiscovery = \"{silent}\"\nops = \"127.0.0.1:0\"\n\
              [place]\ninstances = 2\nnumber = 0\nzone = \"z\"\n[list]\nmode = \"push\"\n\
@@ -135,15 +135,15 @@
 #[test]
 fn beside_a_process_that_stands_still_or_ends_it_is_ready() {
     run(async {
-        let (up, silent) = (upstream().await, stand_in(|_, _| Deed::Silence).await.address);
+        let (up, silent) = (upstream().await, start_stub(|_, _| Reply::NoReply).await.address);
         let folders = [folder("ready-still"), folder("ready-ends")];
-        let free = addresses(2).expect("addresses");
+        let free = free_addresses(2).expect("addresses");
         let files = [file(free[0], &up, silent), file(free[1], &up, silent)];
         let still = Program::start(&folders[0], &files[0]).await;
         let ends = Program::start(&folders[1], &files[1]).await;
-        let _open = common::send(ends.address, rpc("GET", "/look/silent", "")).await;
-        until(|| up.seen.borrow().len() == 1).await;
-        still.stop();
+        let _open = common::send(ends.address, rpc_head("GET", "/look/silent", "")).await;
+        wait_until(|| up.received.borrow().len() == 1).await;
+        still.pause();
         ends.term();
         // From here on it waits for the answer to what is open, and for nobody else.
         while TcpStream::connect(ends.address).await.is_ok() {
@@ -152,7 +152,7 @@
         let beside_still = async {
             let from = Instant::now();
             let program = Program::start(&folders[0], &files[0]).await;
-            until(|| program.is_running() && program.says("serving on")).await;
+            wait_until(|| program.is_running() && program.log_contains("serving on")).await;
             println!("beside one that stands still {:?}", from.elapsed());
             // Callers that the machine gives to the other wait there: asked at the door.
             while !is_ready(program.door).await {
@@ -172,11 +172,11 @@
 #[test]
 fn after_a_process_that_knows_nobody_it_serves_by_its_file() {
     run(async {
-        let (up, silent) = (upstream().await, stand_in(|_, _| Deed::Silence).await.address);
+        let (up, silent) = (upstream().await, start_stub(|_, _| Reply::NoReply).await.address);
         let folder = folder("ready-knows");
-        let listen = addresses(1).expect("an address")[0];
+        let listen = free_addresses(1).expect("an address")[0];
         let file = file(listen, &up, silent);
-        let entry = common::entry("s-0", up.address, "z", "SERVING");
+        let entry = common::list_entry("s-0", up.address, "z", "SERVING");
         let known = format!(r#""known":{{"version":7,"full":true,"servers":[{entry}]}}"#);
         assert!(file.contains(&known));
         let old = Program::start(&folder, &file.replace(&known, r#""known":null"#)).await;
--- a/crates/fernroute-server/tests/repeats.rs
+++ b/crates/fernroute-server/tests/repeats.rs
@@ -5,12 +5,12 @@
 use actix_http::header::HeaderMap;
 use actix_http::Method;
 use bytes::Bytes;
-use common::{balancer_at, entry, list, ok, read, rpc, run, send, until};
+use common::{balancer_at, list, list_entry, ok, read_message, rpc_head, run, send, wait_until};
 use fernroute_server::transport::client::{Body, Client, UpstreamRequest};
 use fernroute_server::transport::outbound::{AttemptProgress, AttemptState, CURRENT_ATTEMPT};
 use fernroute_server::transport::upstream_connections::ConnectionTable;
-use fernroute_test_support::http::answer;
-use fernroute_test_support::stand_in::Held;
+use fernroute_test_support::http::response;
+use fernroute_test_support::stub::FullBacklog;
 use std::rc::{Rc, Weak};
 use std::time::{Duration, Instant};
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
@@ -27,30 +27,31 @@
 fn a_repeat_whose_connection_comes_up_after_the_window_does_not_begin() {
     for (window, status) in [(r#""window-s":2"#, 502), (r#""window-s":6"#, 200)] {
         run(async move {
-            let held = Held::new().await.expect("a full queue");
+            let held = FullBacklog::new().await.expect("a full queue");
             let first = TcpListener::bind("127.0.0.1:0").await.expect("a port");
             let at = first.local_addr().expect("an address");
             let b = balancer_at(&[at], &[LATE, (r#""window-s":5"#, window)]).await;
             let begun = Instant::now();
-            let put = rpc("POST", "/put", "Idempotency-Key: k\r\nContent-Length: 0\r\n");
+            let put = rpc_head("POST", "/put", "Idempotency-Key: k\r\nContent-Length: 0\r\n");
             let mut caller = send(b.address, put).await;
             let (mut stream, _) = first.accept().await.expect("a connection");
-            read(&mut stream).await.expect("the RPC");
+            read_message(&mut stream).await.expect("the RPC");
             // It may have run there. From here on there is only one whose connections come up late.
-            let both = [entry("s-0", at, "z", "DRAINING"), entry("s-1", held.address, "z", "SERVING")];
+            let both =
+                [list_entry("s-0", at, "z", "DRAINING"), list_entry("s-1", held.address, "z", "SERVING")];
             b.board.take_list(&list(8, true, &both), true);
-            stream.write_all(&answer(500, "", "")).await.expect("it is read");
-            until(|| b.board.open.borrow().values().any(|rpc| rpc.made == 2)).await;
+            stream.write_all(&response(500, "", "")).await.expect("it is read");
+            wait_until(|| b.board.open.borrow().values().any(|rpc| rpc.made == 2)).await;
             assert!(begun.elapsed() < WINDOW, "too slow a machine: the repeat was to be sent off in time");
             tokio::time::sleep(WINDOW.saturating_sub(begun.elapsed())).await;
-            let up = held.let_go(|_, _| ok("whole"));
-            let ended = read(&mut caller).await.expect("one whole answer");
+            let up = held.release(|_, _| ok("whole"));
+            let ended = read_message(&mut caller).await.expect("one whole answer");
             assert!(begun.elapsed() > WINDOW, "the connection was to come up late");
             assert_eq!(
-                (ended.status() == 200, up.seen.borrow().len()),
+                (ended.status() == 200, up.received.borrow().len()),
                 (status == 200, (status == 200) as usize)
             );
-            until(|| b.board.open.borrow().is_empty()).await;
+            wait_until(|| b.board.open.borrow().is_empty()).await;
         });
     }
 }
@@ -77,7 +78,7 @@
                         Ok(bytes) => taken += bytes,
                     }
                 }
-                stream.write_all(&answer(200, "", "whole")).await.expect("it is read");
+                stream.write_all(&response(200, "", "whole")).await.expect("it is read");
                 taken
             });
             let client = Client::new(Duration::from_secs(1), Duration::from_secs(10), 8, BODY);
--- a/crates/fernroute-server/tests/rolling.rs
+++ b/crates/fernroute-server/tests/rolling.rs
@@ -5,7 +5,7 @@
 #[path = "common/process.rs"]
 mod process;
 
-use common::{ok, read, rpc, run, stand_in, until, Deed, StandIn};
+use common::{ok, read_message, rpc_head, run, start_stub, wait_until, Reply, StubServer};
 use process::{folder, Program};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -47,7 +47,7 @@
         }
         let (verb, path, more) =
             if n % 2 == 0 { ("GET", "/look", "") } else { ("POST", "/pay", "Content-Length: 0\r\n") };
-        let bytes = rpc(verb, path, more).replace("Ms: 4000", "Ms: 1000");
+        let bytes = rpc_head(verb, path, more).replace("Ms: 4000", "Ms: 1000");
         let again = kept.is_some();
         let stream = match kept.take() {
             Some(stream) => Some(stream),
@@ -65,13 +65,13 @@
             continue;
         };
         let answer = match stream.write_all(bytes.as_bytes()).await {
-            Ok(()) => timeout(Duration::from_millis(1900), read(&mut stream)).await.ok().flatten(),
+            Ok(()) => timeout(Duration::from_millis(1900), read_message(&mut stream)).await.ok().flatten(),
             Err(_) => None,
         };
         match answer {
             Some(answer) => {
                 *seen.by_status.borrow_mut().entry(answer.status()).or_default() += 1;
-                kept = (!answer.closes()).then_some(stream);
+                kept = (!answer.closes_connection()).then_some(stream);
             }
             None if again => seen.crossed.set(seen.crossed.get() + 1),
             None => seen.lost.borrow_mut().push(bytes),
@@ -80,7 +80,7 @@
     seen.running.set(seen.running.get() - 1);
 }
 
-fn page(upstreams: &[Rc<StandIn>], discovery: SocketAddr, hard: &str) -> String {
+fn page(upstreams: &[Rc<StubServer>], discovery: SocketAddr, hard: &str) -> String {
     let at: Vec<SocketAddr> = upstreams.iter().map(|up| up.address).collect();
     let hard = format!(r#""hard-deadline-s":{hard}"#);
     let changes = [
@@ -101,12 +101,12 @@
             let script = move |_: usize, message: &fernroute_test_support::http::Message| match n == 0
                 && hangs.get()
             {
-                true => Deed::Silence,
+                true => Reply::NoReply,
                 false => ok(message.header("req-id").unwrap_or("")),
             };
-            upstreams.push(stand_in(script).await);
+            upstreams.push(start_stub(script).await);
         }
-        let discovery = stand_in(|_, _| Deed::Silence).await;
+        let discovery = start_stub(|_, _| Reply::NoReply).await;
         let text = page(&upstreams, discovery.address, "1.0");
         let mut programs = Vec::new();
         for n in 0..BALANCERS {
@@ -122,19 +122,19 @@
         let answered = |seen: &Seen| seen.by_status.borrow().values().sum::<usize>();
         for (n, program) in programs.into_iter().enumerate() {
             let goal = answered(&seen) + 100;
-            until(|| answered(&seen) >= goal).await;
+            wait_until(|| answered(&seen) >= goal).await;
             hangs.set(true);
             if n == 1 {
                 // Shorter deadlines from now on, while longer ones are open.
                 program.reload(&page(&upstreams, discovery.address, "0.5"));
-                until(|| program.says("new settings")).await;
+                wait_until(|| program.log_contains("new settings")).await;
             }
             program.term();
             sleep(NOTICE).await;
             places.borrow_mut()[n] = None;
             // Twice told is told once.
             program.term();
-            if timeout(KILL - NOTICE, async { until(|| !program.is_running()).await }).await.is_err() {
+            if timeout(KILL - NOTICE, async { wait_until(|| !program.is_running()).await }).await.is_err() {
                 program.kill();
             }
             hangs.set(false);
@@ -143,13 +143,13 @@
             restarted.push(again);
         }
         let goal = answered(&seen) + 100;
-        until(|| answered(&seen) >= goal).await;
+        wait_until(|| answered(&seen) >= goal).await;
         seen.stop.set(true);
-        until(|| seen.running.get() == 0).await;
+        wait_until(|| seen.running.get() == 0).await;
         assert!(seen.lost.borrow().is_empty(), "{:?}", seen.lost.borrow());
         let mut ran: BTreeMap<String, usize> = BTreeMap::new();
         for up in &upstreams {
-            for message in up.seen.borrow().iter().filter(|m| m.target == "/pay") {
+            for message in up.received.borrow().iter().filter(|m| m.target == "/pay") {
                 *ran.entry(message.header("req-id").unwrap_or("").to_owned()).or_insert(0) += 1;
             }
         }
@@ -169,8 +169,8 @@
 #[test]
 fn told_to_end_in_the_midst_of_something_it_answers_and_ends_well() {
     run(async {
-        let up = stand_in(|_, _| Deed::Silence).await;
-        let discovery = stand_in(|_, _| Deed::Silence).await;
+        let up = start_stub(|_, _| Reply::NoReply).await;
+        let discovery = start_stub(|_, _| Reply::NoReply).await;
         let upstreams = [Rc::clone(&up)];
         let text = page(&upstreams, discovery.address, "0.5");
         let starts = folder("starts");
@@ -181,13 +181,13 @@
         let reading = Program::start(&reads, &text).await;
         // One RPC is open; it is answered though its upstream never does.
         let mut open =
-            common::send(reading.address, rpc("GET", "/look", "").replace("Ms: 4000", "Ms: 9000")).await;
-        until(|| up.seen.borrow().len() == 1).await;
+            common::send(reading.address, rpc_head("GET", "/look", "").replace("Ms: 4000", "Ms: 9000")).await;
+        wait_until(|| up.received.borrow().len() == 1).await;
         reading.reload(&page(&upstreams, discovery.address, "1.0"));
         reading.term();
         reading.reload("no page at all");
         reading.term();
-        assert_eq!(read(&mut open).await.expect("an answer").status(), 502);
+        assert_eq!(read_message(&mut open).await.expect("an answer").status(), 502);
         drop(open);
         reading.ends_well().await;
     });
--- a/crates/fernroute-server/tests/schedules.rs
+++ b/crates/fernroute-server/tests/schedules.rs
@@ -7,10 +7,10 @@
 
 mod common;
 
-use common::{balancer_at, connect, entry, id_of, list, request, rested, rpc, run, until};
+use common::{balancer_at, connect, id_of, list, list_entry, request, rested, rpc_head, run, wait_until};
 use fernroute_server::program::instance::InstanceConfig;
 use fernroute_server::program::serve::RunningInstance;
-use fernroute_test_support::http::{answer, Message, Peer};
+use fernroute_test_support::http::{response, Connection, Message};
 use proptest::collection::vec;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestCaseError, TestRng, TestRunner};
@@ -136,15 +136,15 @@
         let _ = arrival.tell.take().map(|tell| tell.send(kind));
     }
 
-    async fn serve(self: Rc<Self>, upstream: usize, mut peer: Peer) {
+    async fn serve(self: Rc<Self>, upstream: usize, mut peer: Connection) {
         while let Ok(Some(message)) = peer.read().await {
             let id = message.header("req-id").unwrap_or("").to_owned();
             // Who gives it up closes the connection: what is told then goes nowhere.
             let Ok(kind) = self.arrives(upstream, &id).await else { return };
             let bytes = match kind {
-                Kind::Whole | Kind::Twice => answer(200, "", &id),
-                Kind::Errored => answer(500, "", ""),
-                Kind::TurnedAway => answer(503, "Srv-Declined: 1\r\n", ""),
+                Kind::Whole | Kind::Twice => response(200, "", &id),
+                Kind::Errored => response(500, "", ""),
+                Kind::TurnedAway => response(503, "Srv-Declined: 1\r\n", ""),
                 Kind::Close => return,
             };
             let from = Instant::now();
@@ -155,7 +155,7 @@
                 tokio::time::sleep(Duration::from_millis(3)).await;
                 // Later than that it would be no crossing any more but an answer to nothing.
                 if from.elapsed() < Duration::from_millis(5) {
-                    let _ = peer.stream.try_write(&answer(200, "", "the one before's"));
+                    let _ = peer.stream.try_write(&response(200, "", "the one before's"));
                 }
             }
         }
@@ -192,7 +192,7 @@
             let ledger = Rc::clone(&ledger);
             spawn_local(async move {
                 while let Ok((stream, _)) = listener.accept().await {
-                    spawn_local(Rc::clone(&ledger).serve(n, Peer::new(stream)));
+                    spawn_local(Rc::clone(&ledger).serve(n, Connection::new(stream)));
                 }
             });
         }
@@ -203,7 +203,7 @@
     /// All that was written has come.
     async fn settle(&self) {
         let written = || self.b.board.figures().transmissions as usize;
-        until(|| written() <= self.ledger.arrivals.borrow().len()).await;
+        wait_until(|| written() <= self.ledger.arrivals.borrow().len()).await;
     }
 
     fn list(&mut self, upstream: usize, state: &str) {
@@ -211,7 +211,7 @@
         let list = list(
             self.version,
             false,
-            &[entry(&format!("s-{upstream}"), self.addresses[upstream], "z", state)],
+            &[list_entry(&format!("s-{upstream}"), self.addresses[upstream], "z", state)],
         );
         self.b.board.take_list(&list, true);
         self.ledger.drains[upstream].set(state != "SERVING");
@@ -225,7 +225,7 @@
             _ => "Content-Length: 0\r\n",
         };
         let time = if short { "60" } else { "1000" };
-        let bytes = rpc(verb, &format!("/{name}"), more)
+        let bytes = rpc_head(verb, &format!("/{name}"), more)
             .replace("Req-Deadline-Ms: 4000", &format!("Req-Deadline-Ms: {time}"));
         let id = id_of(&bytes).to_owned();
         self.ledger.methods.borrow_mut().insert(id.clone(), method);
@@ -239,7 +239,7 @@
         let answered = Answered::default();
         let (told, twice) = (Rc::clone(&answered), Rc::clone(&self.twice));
         let reading = spawn_local(async move {
-            let mut peer = Peer::new(stream);
+            let mut peer = Connection::new(stream);
             let message = peer.read().await.ok().flatten();
             told.borrow_mut().replace((Instant::now(), message));
             // Nothing may follow it.
@@ -264,7 +264,7 @@
     }
 
     async fn gone(&self, id: &str) {
-        until(|| self.b.board.open.borrow().get(id).is_none_or(|rpc| rpc.answer.is_none())).await;
+        wait_until(|| self.b.board.open.borrow().get(id).is_none_or(|rpc| rpc.answer.is_none())).await;
         self.settle().await;
         self.ledger.over.borrow_mut().insert(id.to_owned(), "sent on though its caller has left");
     }
@@ -389,7 +389,7 @@
                 && board.timers.count() == 0
                 && self.b.server.connections() == 0
         };
-        if tokio::time::timeout(Duration::from_secs(2), until(clear)).await.is_err() {
+        if tokio::time::timeout(Duration::from_secs(2), wait_until(clear)).await.is_err() {
             wrong.push(format!(
                 "left behind: {:?} open, {} timers, {} callers",
                 board.open.borrow().keys().collect::<Vec<_>>(),
--- a/crates/fernroute-server/tests/sizes.rs
+++ b/crates/fernroute-server/tests/sizes.rs
@@ -2,10 +2,10 @@
 
 mod common;
 
-use common::{balancer_at, entry, list, run, until};
+use common::{balancer_at, list, list_entry, run, wait_until};
 use fernroute_server::program::serve;
 use fernroute_server::protocol::handover::{decode, encode, Known, MOST_LINE};
-use fernroute_test_support::stand_in::Discovery;
+use fernroute_test_support::stub::StubDiscovery;
 use std::net::SocketAddr;
 
 const MANY: usize = 1_024;
@@ -14,7 +14,7 @@
 fn many(state: &str) -> Vec<String> {
     let at = |n: usize| SocketAddr::from(([127, 77, (n >> 8) as u8, n as u8], 9000));
     let id = |n: usize| format!("s-{n:062}");
-    (0..MANY).map(|n| entry(&id(n), at(n), "a-zone-of-some-region-3", state)).collect()
+    (0..MANY).map(|n| list_entry(&id(n), at(n), "a-zone-of-some-region-3", state)).collect()
 }
 
 /// Guards against a bound on the list's bytes, or on its entries, that a large service meets.
@@ -24,13 +24,13 @@
         let indented =
             many("SERVING").join(",").replace(",\"", ",\n            \"").replace('{', "{\n            ");
         let at = SocketAddr::from(([127, 0, 0, 1], 0));
-        let discovery = Discovery::start(at, indented).await.expect("a port");
+        let discovery = StubDiscovery::start(at, indented).await.expect("a port");
         let none: [SocketAddr; 0] = [];
         let b = serve::start(common::station(&none, discovery.address, &[])).await.expect("it starts");
-        until(|| b.board.standing().0 == MANY).await;
+        wait_until(|| b.board.standing().0 == MANY).await;
         assert_eq!(b.board.upstreams.borrow().len(), MANY);
-        discovery.tell(many("DRAINING").join(","));
-        until(|| b.board.upstreams.borrow().is_empty()).await;
+        discovery.publish(many("DRAINING").join(","));
+        wait_until(|| b.board.upstreams.borrow().is_empty()).await;
     });
 }
 
--- a/crates/fernroute-server/tests/told.rs
+++ b/crates/fernroute-server/tests/told.rs
@@ -4,10 +4,10 @@
 
 mod common;
 
-use common::{entry, run, station, until};
+use common::{list_entry, run, station, wait_until};
 use fernroute_server::program::serve::{self, RunningInstance};
-use fernroute_test_support::http::{answer, Message, Peer};
-use fernroute_test_support::stand_in::{Deed, Held};
+use fernroute_test_support::http::{response, Connection, Message};
+use fernroute_test_support::stub::{FullBacklog, Reply};
 use futures_util::future::join_all;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -64,7 +64,7 @@
                 let (agent, script) = (Rc::clone(&serving), Rc::clone(&script));
                 let number = agent.connections.replace(agent.connections.get() + 1);
                 spawn_local(async move {
-                    let mut peer = Peer::new(stream);
+                    let mut peer = Connection::new(stream);
                     while let Ok(Some(message)) = peer.read().await {
                         let n = agent.calls.borrow().len();
                         // Whoever has the change hears nothing more.
@@ -92,17 +92,17 @@
     }
 
     async fn until_called(&self, times: usize) -> Instant {
-        until(|| self.count() >= times).await;
+        wait_until(|| self.count() >= times).await;
         self.calls.borrow()[times - 1].0
     }
 }
 
 impl Does {
-    async fn on(self, peer: &mut Peer) -> std::io::Result<()> {
+    async fn on(self, peer: &mut Connection) -> std::io::Result<()> {
         match self {
-            Does::Say(list) => peer.write(&answer(200, "", &list)).await,
+            Does::Say(list) => peer.write(&response(200, "", &list)).await,
             Does::Trickle(list, over) => {
-                let bytes = answer(200, "", &list);
+                let bytes = response(200, "", &list);
                 // By the clock: a busy machine doesn't add to each piece.
                 let (begun, pieces) = (Instant::now(), bytes.chunks(5));
                 let step = over / pieces.len() as u32;
@@ -130,7 +130,7 @@
             }
             Does::Stall(begin) => peer.write(begin.as_bytes()).await,
             Does::Silence | Does::Die => Ok(()),
-            Does::Refuse => peer.write(&answer(503, "", "")).await,
+            Does::Refuse => peer.write(&response(503, "", "")).await,
         }
     }
 }
@@ -146,11 +146,11 @@
 /// What is known at first, and the change: in a list of its own it brings another upstream, and the first is
 /// gone.
 fn before() -> String {
-    whole(8, &entry("s-0", nobody(), "z", "SERVING"))
+    whole(8, &list_entry("s-0", nobody(), "z", "SERVING"))
 }
 
 fn change() -> String {
-    whole(9, &entry("s-9", nobody(), "z", "SERVING"))
+    whole(9, &list_entry("s-9", nobody(), "z", "SERVING"))
 }
 
 fn is_taken(b: &RunningInstance) -> bool {
@@ -173,7 +173,7 @@
 
 /// Waits until `what` is so, which has to be less than `within` after `from`.
 async fn acts(from: Instant, within: Duration, what: impl Fn() -> bool) {
-    until(&what).await;
+    wait_until(&what).await;
     println!("{:?} {:?}", std::thread::current().name().unwrap_or_default(), from.elapsed());
     assert!(from.elapsed() < within, "{:?}", from.elapsed());
 }
@@ -265,7 +265,7 @@
         let b = balancer(agent.address, None).await;
         agent.until_called(2).await;
         two.set(true);
-        until(|| b.board.since.get() == Some(8)).await;
+        wait_until(|| b.board.since.get() == Some(8)).await;
         taken.set(true);
         let from = agent.until_called(3).await;
         assert!(agent.dead.get() >= 2);
@@ -354,15 +354,17 @@
 fn beside_a_connection_that_does_not_come_up_another_is_made() {
     run(async {
         let one = || async {
-            let (full, old) =
-                (Held::new().await.expect("a queue that is full"), Agent::start(|_, _| Does::Silence).await);
+            let (full, old) = (
+                FullBacklog::new().await.expect("a queue that is full"),
+                Agent::start(|_, _| Does::Silence).await,
+            );
             let b = balancer(old.address, None).await;
             old.until_called(1).await;
             let from = Instant::now();
             b.set_discovery(full.address);
             sleep(Duration::from_millis(100)).await;
-            let there = full.let_go(|_, _| Deed::Say(answer(200, "", &change())));
-            until(|| is_taken(&b)).await;
+            let there = full.release(|_, _| Reply::Send(response(200, "", &change())));
+            wait_until(|| is_taken(&b)).await;
             assert!(there.connections.get() > 0);
             from.elapsed()
         };
--- a/crates/fernroute-server/tests/upgrade.rs
+++ b/crates/fernroute-server/tests/upgrade.rs
@@ -6,7 +6,8 @@
 mod process;
 
 use common::{
-    ask, entry, is_ready, ok, page, read, rpc, run, stand_in, told, until, until_ready, Deed, Load, StandIn,
+    is_ready, list_entry, ok, page, read_message, request_status, rpc_head, run, send_and_read, start_stub,
+    until_ready, wait_until, CallerLoad, Reply, StubServer,
 };
 use process::{folder, Program};
 use std::net::SocketAddr;
@@ -22,8 +23,8 @@
     folder.join("fernroute-n0-127.0.0.1_0.sock")
 }
 
-async fn upstream() -> Rc<StandIn> {
-    stand_in(|_, message| if message.head.contains("/silent") { Deed::Silence } else { ok("whole") }).await
+async fn upstream() -> Rc<StubServer> {
+    start_stub(|_, message| if message.head.contains("/silent") { Reply::NoReply } else { ok("whole") }).await
 }
 
 /// Guards against callers refused, reset or unanswered as one process takes over from another, twice in a row; the list
@@ -31,26 +32,26 @@
 #[test]
 fn callers_notice_nothing_of_an_upgrade() {
     run(async {
-        let (up, dead) = (upstream().await, stand_in(|_, _| Deed::Silence).await);
+        let (up, dead) = (upstream().await, start_stub(|_, _| Reply::NoReply).await);
         let folder = folder("upgrade");
         let mut old = Program::start(&folder, &page(&[up.address], dead.address, &[])).await;
-        let load = Load::start(16, old.address);
-        load.more(200).await;
+        let load = CallerLoad::start(16, old.address);
+        load.wait_for_answers(200).await;
         for _ in 0..2 {
             // Its file knows no upstream, and discovery says nothing.
             let new = Program::start(&folder, &page(&[], dead.address, &[])).await;
             assert_eq!(new.address, old.address);
             until_ready(new.door).await;
             old.term();
-            load.more(200).await;
+            load.wait_for_answers(200).await;
             old.ends_well().await;
             assert!(is_ready(new.address).await);
             old = new;
-            load.more(200).await;
+            load.wait_for_answers(200).await;
         }
-        load.end().await;
+        load.finish().await;
         // Of each caller's connection the one that was idle may be closed as it writes.
-        assert!(load.crossed.get() <= 2, "{}", load.crossed.get());
+        assert!(load.closed_on_write.get() <= 2, "{}", load.closed_on_write.get());
         old.term();
         old.ends_well().await;
         assert!(!meeting(&folder).exists());
@@ -66,17 +67,18 @@
         let folder = folder("early");
         let text = page(&[up.address], up.address, &[]);
         let old = Program::start(&folder, &text).await;
-        let mut open = common::send(old.address, rpc("GET", "/look/silent", "").replace("4000", "900")).await;
-        until(|| up.seen.borrow().iter().any(|m| m.head.contains("/silent"))).await;
+        let mut open =
+            common::send(old.address, rpc_head("GET", "/look/silent", "").replace("4000", "900")).await;
+        wait_until(|| up.received.borrow().iter().any(|m| m.head.contains("/silent"))).await;
         let new = Program::start(&folder, &text).await;
         until_ready(new.door).await;
-        until(|| old.says("a successor serves")).await;
-        assert!(!is_ready(old.door).await && told(old.door, "POST", "/-/resume").await == 409);
-        let last = read(&mut open).await.expect("an answer");
+        wait_until(|| old.log_contains("a successor serves")).await;
+        assert!(!is_ready(old.door).await && request_status(old.door, "POST", "/-/resume").await == 409);
+        let last = read_message(&mut open).await.expect("an answer");
         assert_eq!((last.status(), last.header("connection")), (503, Some("close")));
         // Nobody tells it to.
         old.ends_well().await;
-        until(|| new.says("the old process has ended")).await;
+        wait_until(|| new.log_contains("the old process has ended")).await;
         assert!(is_ready(new.address).await);
     });
 }
@@ -89,25 +91,25 @@
         let folder = folder("dies");
         let text = page(&[up.address], up.address, &[]);
         let old = Program::start(&folder, &text).await;
-        until(|| meeting(&folder).exists()).await;
-        let load = Load::start(4, old.address);
+        wait_until(|| meeting(&folder).exists()).await;
+        let load = CallerLoad::start(4, old.address);
         let mut early = UnixStream::connect(meeting(&folder)).await.expect("it is there");
         early.write_all(b"{\"take\":{\"version\":1}}\n").await.expect("it reads");
-        until(|| old.says("a successor comes")).await;
+        wait_until(|| old.log_contains("a successor comes")).await;
         drop(early);
-        until(|| old.says("the successor ended before it could serve")).await;
-        load.more(50).await;
+        wait_until(|| old.log_contains("the successor ended before it could serve")).await;
+        load.wait_for_answers(50).await;
         let new = Program::start(&folder, &text).await;
-        until(|| old.says("a successor serves")).await;
+        wait_until(|| old.log_contains("a successor serves")).await;
         new.kill();
-        assert_eq!(new.ends().await, None);
-        until(|| old.says("the successor has ended, serving again")).await;
+        assert_eq!(new.wait_for_exit().await, None);
+        wait_until(|| old.log_contains("the successor has ended, serving again")).await;
         // What the dead process had taken is lost, and its callers may hear of that later than the old process of its end; who
         // comes now is served.
-        load.settled().await;
-        load.failed.borrow_mut().clear();
-        load.more(50).await;
-        load.end().await;
+        load.wait_for_in_flight().await;
+        load.failures.borrow_mut().clear();
+        load.wait_for_answers(50).await;
+        load.finish().await;
         assert!(is_ready(old.address).await && is_ready(old.door).await);
         // And it may have another.
         let new = Program::start(&folder, &text).await;
@@ -125,7 +127,7 @@
         let folder = folder("two");
         let text = page(&[up.address], up.address, &[]);
         let old = Program::start(&folder, &text).await;
-        until(|| meeting(&folder).exists()).await;
+        wait_until(|| meeting(&folder).exists()).await;
         let mut first = UnixStream::connect(meeting(&folder)).await.expect("it is there");
         first.write_all(b"{\"take\":{\"version\":1}}\n").await.expect("it reads");
         let mut given = String::new();
@@ -136,14 +138,14 @@
         let mut second = Command::new(env!("CARGO_BIN_EXE_fernroute"));
         second.args(["serve", "--config"]).arg(&path).env("TMPDIR", &folder).env_remove("NODE_OPS");
         let mut second = second.stderr(Stdio::piped()).spawn().expect("it starts");
-        until(|| second.try_wait().expect("its state").is_some()).await;
+        wait_until(|| second.try_wait().expect("its state").is_some()).await;
         let out = second.wait_with_output().expect("it has ended");
         let text = String::from_utf8_lossy(&out.stderr).into_owned();
         assert_eq!((out.status.code(), text.lines().count()), (Some(2), 1), "{text}");
         assert!(text.contains("another process takes over already"), "{text}");
         // Strangers of another version, or who speak something else, get nothing.
         drop(first);
-        until(|| old.says("the successor ended before it could serve")).await;
+        wait_until(|| old.log_contains("the successor ended before it could serve")).await;
         for (word, answer) in [("{\"take\":{\"version\":9}}\n", "refused"), ("GET / HTTP/1.1\r\n\r\n", "")] {
             let mut stranger = UnixStream::connect(meeting(&folder)).await.expect("it is there");
             stranger.write_all(word.as_bytes()).await.expect("it reads");
@@ -164,15 +166,15 @@
         let text = page(&[up.address], up.address, &[]);
         let killed = folder("killed");
         let old = Program::start(&killed, &text).await;
-        until(|| meeting(&killed).exists()).await;
+        wait_until(|| meeting(&killed).exists()).await;
         old.kill();
-        assert_eq!(old.ends().await, None);
+        assert_eq!(old.wait_for_exit().await, None);
         assert!(meeting(&killed).exists());
         let new = Program::start(&killed, &text).await;
         until_ready(new.address).await;
-        assert!(new.says("left by a process that is no more"));
+        assert!(new.log_contains("left by a process that is no more"));
         // It is where the next one comes to.
-        until(|| std::os::unix::net::UnixStream::connect(meeting(&killed)).is_ok()).await;
+        wait_until(|| std::os::unix::net::UnixStream::connect(meeting(&killed)).is_ok()).await;
         let next = Program::start(&killed, &text).await;
         until_ready(next.door).await;
         assert_eq!(next.address, new.address);
@@ -181,20 +183,20 @@
         std::fs::write(meeting(&foreign), "somebody's").expect("a file");
         let alone = Program::start(&foreign, &text).await;
         until_ready(alone.address).await;
-        until(|| alone.says("no successor can be handed over to")).await;
+        wait_until(|| alone.log_contains("no successor can be handed over to")).await;
         assert_eq!(std::fs::read(meeting(&foreign)).expect("it is there"), b"somebody's");
 
         let dumb = folder("dumb");
         let silent = UnixListener::bind(meeting(&dumb)).expect("a place");
         let alone = Program::start(&dumb, &text).await;
         until_ready(alone.address).await;
-        assert!(alone.says("no process hands over, starting as if alone: no answer"));
+        assert!(alone.log_contains("no process hands over, starting as if alone: no answer"));
         assert!(silent.accept().await.is_ok() && meeting(&dumb).exists());
 
         let long = folder(&"long".repeat(30));
         let alone = Program::start(&long, &text).await;
         until_ready(alone.address).await;
-        assert!(alone.says("is too long a path"));
+        assert!(alone.log_contains("is too long a path"));
     });
 }
 
@@ -206,9 +208,10 @@
 }
 
 /// Discovery's script: the list with this upstream, once.
-fn lists(up: SocketAddr) -> impl Fn(usize, &common::Message) -> Deed {
-    let list = format!(r#"{{"version":9,"full":true,"servers":[{}]}}"#, entry("s-0", up, "z", "SERVING"));
-    move |n, _| if n == 0 { ok(&list) } else { Deed::Silence }
+fn lists(up: SocketAddr) -> impl Fn(usize, &common::Message) -> Reply {
+    let list =
+        format!(r#"{{"version":9,"full":true,"servers":[{}]}}"#, list_entry("s-0", up, "z", "SERVING"));
+    move |n, _| if n == 0 { ok(&list) } else { Reply::NoReply }
 }
 
 /// Where nothing can be handed over both listen at the address; the new process serves by a list that discovery told.
@@ -223,7 +226,7 @@
         let old = socket.listen(8).expect("it listens");
         let at = old.local_addr().expect("an address");
         let listen = format!("\"listen\":\"{at}\"");
-        let discovery = stand_in(lists(up.address)).await;
+        let discovery = start_stub(lists(up.address)).await;
         let text = page(&[], discovery.address, &[("\"listen\":\"127.0.0.1:0\"", listen.as_str())]);
         let file = format!("fernroute-n0-{}.sock", at.to_string().replace(':', "_"));
         std::fs::write(folder.join(file), "somebody's").expect("a file");
@@ -232,10 +235,10 @@
         until_ready(new.door).await;
         drop(old);
         // Another test may be starting a program this moment: what it forked off has the socket until it runs that.
-        until(|| listeners(at) == 1).await;
-        let load = Load::start(4, new.address);
-        load.more(50).await;
-        load.end().await;
+        wait_until(|| listeners(at) == 1).await;
+        let load = CallerLoad::start(4, new.address);
+        load.wait_for_answers(50).await;
+        load.finish().await;
     });
 }
 
@@ -248,28 +251,28 @@
         let folder = folder("drained");
         let text = page(&[up.address], up.address, &[]);
         let old = Program::start(&folder, &text).await;
-        until(|| meeting(&folder).exists()).await;
-        assert_eq!(told(old.door, "POST", "/-/drain").await, 200);
+        wait_until(|| meeting(&folder).exists()).await;
+        assert_eq!(request_status(old.door, "POST", "/-/drain").await, 200);
         assert!(!is_ready(old.address).await);
         let new = Program::start(&folder, &text).await;
         until_ready(new.door).await;
         old.reload(&text);
         new.reload(&text);
-        until(|| new.says("read again")).await;
+        wait_until(|| new.log_contains("read again")).await;
         assert!(is_ready(new.address).await);
         // Killed in the middle: its file is the new process's by now.
         old.kill();
-        old.ends().await;
-        until(|| new.says("the old process has ended")).await;
-        until(|| meeting(&folder).exists()).await;
-        let load = Load::start(4, new.address);
-        load.more(50).await;
+        old.wait_for_exit().await;
+        wait_until(|| new.log_contains("the old process has ended")).await;
+        wait_until(|| meeting(&folder).exists()).await;
+        let load = CallerLoad::start(4, new.address);
+        load.wait_for_answers(50).await;
         let last = Program::start(&folder, &text).await;
         until_ready(last.door).await;
         new.term();
-        load.more(50).await;
+        load.wait_for_answers(50).await;
         new.ends_well().await;
-        load.end().await;
+        load.finish().await;
         last.term();
         last.ends_well().await;
     });
@@ -290,17 +293,20 @@
         let listen = format!("\"listen\":\"{address}\"");
         let file = format!("fernroute-n0-{}.sock", address.to_string().replace(':', "_"));
         std::fs::write(folder.join(file), "somebody's").expect("a file");
-        let told = stand_in(lists(up.address)).await;
-        let silent = stand_in(|_, _| Deed::Silence).await;
+        let told = start_stub(lists(up.address)).await;
+        let silent = start_stub(|_, _| Reply::NoReply).await;
         let list_of =
             |discovery| page(&[up.address], discovery, &[("\"listen\":\"127.0.0.1:0\"", listen.as_str())]);
         let old = Program::start(&folder, &list_of(told.address)).await;
         let new = Program::launch(&folder, &list_of(silent.address), Some(&folder)).await;
         let (mut asked, mut wrong) = (0, Vec::new());
-        while !new.says("serving on ") {
-            assert!(listeners(address) == 1 || new.says("serving on "), "two queues, and one is served from");
-            let rpc = rpc("GET", "/look", "Connection: close\r\n").replace("4000", "500");
-            let answer = tokio::time::timeout(Duration::from_secs(1), ask(address, rpc)).await;
+        while !new.log_contains("serving on ") {
+            assert!(
+                listeners(address) == 1 || new.log_contains("serving on "),
+                "two queues, and one is served from"
+            );
+            let rpc = rpc_head("GET", "/look", "Connection: close\r\n").replace("4000", "500");
+            let answer = tokio::time::timeout(Duration::from_secs(1), send_and_read(address, rpc)).await;
             asked += 1;
             match answer {
                 Ok(answer) if answer.status() == 200 => {}
@@ -321,22 +327,22 @@
 #[test]
 fn processes_without_a_tmpdir_meet_all_the_same() {
     run(async {
-        let (up, silent) = (upstream().await, stand_in(|_, _| Deed::Silence).await);
+        let (up, silent) = (upstream().await, start_stub(|_, _| Reply::NoReply).await);
         let folder = folder("plain");
         let name = format!("\"name\":\"plain-{}\"", std::process::id());
         let text = page(&[up.address], silent.address, &[("\"name\":\"n0\"", name.as_str())]);
         let old = Program::launch(&folder, &text, None).await.serving().await;
-        let first = ask(old.address, rpc("GET", "/look", "").replace("4000", "500")).await;
+        let first = send_and_read(old.address, rpc_head("GET", "/look", "").replace("4000", "500")).await;
         assert_eq!(first.status(), 200, "{}", first.head);
-        assert!(!old.says("starting as if alone"));
-        let load = Load::start(8, old.address);
-        load.more(100).await;
+        assert!(!old.log_contains("starting as if alone"));
+        let load = CallerLoad::start(8, old.address);
+        load.wait_for_answers(100).await;
         let new = Program::launch(&folder, &text, None).await.serving().await;
-        assert!(new.says("taking over") && new.address == old.address);
-        load.more(100).await;
+        assert!(new.log_contains("taking over") && new.address == old.address);
+        load.wait_for_answers(100).await;
         old.ends_well().await;
-        load.more(100).await;
-        load.end().await;
+        load.wait_for_answers(100).await;
+        load.finish().await;
         new.term();
         new.ends_well().await;
     });
@@ -347,18 +353,18 @@
 #[test]
 fn a_socket_given_by_a_process_that_dies_at_once_is_served_from() {
     run(async {
-        let silent = stand_in(|_, _| Deed::Silence).await;
+        let silent = start_stub(|_, _| Reply::NoReply).await;
         let folder = folder("given");
         let text = page(&[], silent.address, &[]);
         let old = Program::start(&folder, &text).await;
-        until(|| meeting(&folder).exists()).await;
+        wait_until(|| meeting(&folder).exists()).await;
         let new = Program::launch(&folder, &text, Some(&folder)).await;
-        until(|| new.says("taking over")).await;
-        assert!(!new.says("serving on ") && !is_ready(new.door).await);
+        wait_until(|| new.log_contains("taking over")).await;
+        assert!(!new.log_contains("serving on ") && !is_ready(new.door).await);
         old.kill();
-        old.ends().await;
+        old.wait_for_exit().await;
         let new = new.serving().await;
         // No upstream is known: that is an answer too.
-        assert_eq!(ask(new.address, rpc("GET", "/look", "")).await.status(), 503);
+        assert_eq!(send_and_read(new.address, rpc_head("GET", "/look", "")).await.status(), 503);
     });
 }
--- a/crates/fernroute-server/tests/watches.rs
+++ b/crates/fernroute-server/tests/watches.rs
@@ -2,9 +2,9 @@
 
 mod common;
 
-use common::{ask, entry, ok, rpc, run, send, stand_in, station, until, Deed};
+use common::{list_entry, ok, rpc_head, run, send, send_and_read, start_stub, station, wait_until, Reply};
 use fernroute_server::program::serve::{self, RunningInstance};
-use fernroute_test_support::http::{answer, Peer};
+use fernroute_test_support::http::{response, Connection};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -17,36 +17,36 @@
 }
 
 async fn served(b: &RunningInstance) -> bool {
-    ask(b.address, rpc("GET", "/look", "")).await.status() == 200
+    send_and_read(b.address, rpc_head("GET", "/look", "")).await.status() == 200
 }
 
 /// Guards against a watch that begins anew too late: what changes meanwhile counts as told all the same.
 #[test]
 fn a_watch_that_is_reset_goes_on_within_its_gap() {
     run(async {
-        let up = stand_in(|_, _| ok("whole")).await;
+        let up = start_stub(|_, _| ok("whole")).await;
         let at = up.address;
         let calls = Rc::new(RefCell::new(Vec::new()));
         let noted = Rc::clone(&calls);
-        let discovery = stand_in(move |n, _| {
+        let discovery = start_stub(move |n, _| {
             noted.borrow_mut().push(Instant::now());
             match n {
-                0 => ok(&list(8, &entry("s-0", at, "z", "SERVING"))),
-                1..=5 => Deed::SayAndClose(Vec::new()),
+                0 => ok(&list(8, &list_entry("s-0", at, "z", "SERVING"))),
+                1..=5 => Reply::SendAndClose(Vec::new()),
                 // Asked for again, whole, since it names nobody that serves.
-                6..=7 => ok(&list(9, &entry("s-0", at, "z", "DRAINING"))),
-                _ => Deed::Silence,
+                6..=7 => ok(&list(9, &list_entry("s-0", at, "z", "DRAINING"))),
+                _ => Reply::NoReply,
             }
         })
         .await;
         let b = serve::start(station(&[at], discovery.address, &[])).await.expect("it starts");
-        until(|| discovery.seen.borrow().len() >= 7).await;
+        wait_until(|| discovery.received.borrow().len() >= 7).await;
         let calls = calls.borrow().clone();
         let gaps = calls[1..7].windows(2).map(|pair| pair[1] - pair[0]);
         // The shortest: a busy machine may stretch any one.
         assert!(gaps.min().expect("some") < Duration::from_millis(190));
-        until(|| !b.board.is_ready()).await;
-        assert!(!served(&b).await && up.seen.borrow().is_empty());
+        wait_until(|| !b.board.is_ready()).await;
+        assert!(!served(&b).await && up.received.borrow().is_empty());
     });
 }
 
@@ -54,23 +54,23 @@
 #[test]
 fn who_leaves_by_a_doubtful_list_gets_nothing_new() {
     run(async {
-        let (one, two) = (stand_in(|_, _| ok("one")).await, stand_in(|_, _| ok("two")).await);
+        let (one, two) = (start_stub(|_, _| ok("one")).await, start_stub(|_, _| ok("two")).await);
         let at = one.address;
-        let discovery = stand_in(move |n, _| match n {
+        let discovery = start_stub(move |n, _| match n {
             // Two are known; of one it says that it drains, the other it forgets.
-            0 => ok(&list(9, &entry("s-0", at, "z", "DRAINING"))),
-            _ => Deed::Silence,
+            0 => ok(&list(9, &list_entry("s-0", at, "z", "DRAINING"))),
+            _ => Reply::NoReply,
         })
         .await;
         let b = serve::start(station(&[one.address, two.address], discovery.address, &[]))
             .await
             .expect("it starts");
-        until(|| b.board.standing().1 == 1).await;
+        wait_until(|| b.board.standing().1 == 1).await;
         for _ in 0..20 {
             assert!(served(&b).await);
         }
         // What is forgotten stands until the doubt is answered.
-        assert_eq!((one.seen.borrow().len(), two.seen.borrow().len()), (0, 20));
+        assert_eq!((one.received.borrow().len(), two.received.borrow().len()), (0, 20));
     });
 }
 
@@ -85,10 +85,10 @@
         while let Ok((stream, _)) = listener.accept().await {
             let (noted, first) = (Rc::clone(&noted), Rc::clone(&first));
             tokio::task::spawn_local(async move {
-                let mut peer = Peer::new(stream);
+                let mut peer = Connection::new(stream);
                 while let Ok(Some(_)) = peer.read().await {
                     noted.borrow_mut().push(Instant::now());
-                    let bytes = first.take().map_or(say.to_vec(), |list| answer(200, "", &list));
+                    let bytes = first.take().map_or(say.to_vec(), |list| response(200, "", &list));
                     if peer.write(&bytes).await.is_err() {
                         return;
                     }
@@ -104,8 +104,8 @@
 #[test]
 fn a_watch_that_falls_silent_is_opened_anew_in_time_and_what_is_known_stands() {
     run(async {
-        let up = stand_in(|_, _| ok("whole")).await;
-        let whole = list(8, &entry("s-0", up.address, "z", "SERVING"));
+        let up = start_stub(|_, _| ok("whole")).await;
+        let whole = list(8, &list_entry("s-0", up.address, "z", "SERVING"));
         let points: [&'static [u8]; 3] = [
             b"",
             b"HTTP/1.1 200 OK\r\nContent-Len",
@@ -118,9 +118,9 @@
             all.push((b, calls));
         }
         for (b, calls) in &all {
-            until(|| b.board.is_ready()).await;
+            wait_until(|| b.board.is_ready()).await;
             // The first is answered; the second hangs; the third is the new watch.
-            until(|| calls.borrow().len() >= 3).await;
+            wait_until(|| calls.borrow().len() >= 3).await;
             let calls = calls.borrow().clone();
             let took = calls[2] - calls[1];
             assert!(took < Duration::from_millis(4500), "{took:?}");
@@ -133,31 +133,31 @@
 #[test]
 fn a_late_answer_of_the_discovery_before_is_not_taken() {
     run(async {
-        let up = stand_in(|_, _| ok("whole")).await;
+        let up = start_stub(|_, _| ok("whole")).await;
         let go = Rc::new(Notify::new());
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let old = listener.local_addr().expect("an address");
         let (asked, answered) = (Rc::new(Cell::new(false)), Rc::new(Cell::new(false)));
         let (went, noted, done) = (Rc::clone(&go), Rc::clone(&asked), Rc::clone(&answered));
-        let late = list(99, &entry("s-0", up.address, "z", "DRAINING"));
+        let late = list(99, &list_entry("s-0", up.address, "z", "DRAINING"));
         tokio::task::spawn_local(async move {
             let (stream, _) = listener.accept().await.expect("a call");
-            let mut peer = Peer::new(stream);
+            let mut peer = Connection::new(stream);
             peer.read().await.expect("a call");
             noted.set(true);
             went.notified().await;
-            let _ = peer.write(&answer(200, "", &late)).await;
+            let _ = peer.write(&response(200, "", &late)).await;
             done.set(true);
         });
         // At the new address there is a lower version, which is believed.
-        let text = list(3, &entry("s-0", up.address, "z", "SERVING"));
-        let new = stand_in(move |n, _| if n == 0 { ok(&text) } else { Deed::Silence }).await;
+        let text = list(3, &list_entry("s-0", up.address, "z", "SERVING"));
+        let new = start_stub(move |n, _| if n == 0 { ok(&text) } else { Reply::NoReply }).await;
         let b = serve::start(station(&[up.address], old, &[])).await.expect("it starts");
-        until(|| asked.get()).await;
+        wait_until(|| asked.get()).await;
         b.set_discovery(new.address);
         // In the same turn: the call is out, its answer comes now.
         go.notify_one();
-        until(|| answered.get() && new.seen.borrow().len() == 2).await;
+        wait_until(|| answered.get() && new.received.borrow().len() == 2).await;
         assert!(b.board.is_ready() && served(&b).await);
         assert_eq!(b.board.since.get(), Some(3));
     });
@@ -168,31 +168,34 @@
 #[test]
 fn what_discovery_tells_at_its_return_holds_at_once() {
     run(async {
-        let (one, two) = (stand_in(|_, _| ok("one")).await, stand_in(|_, _| ok("two")).await);
+        let (one, two) = (start_stub(|_, _| ok("one")).await, start_stub(|_, _| ok("two")).await);
         let back = Rc::new(Cell::new(false));
         let is_back = Rc::clone(&back);
         let text = list(
             9,
-            &[entry("s-0", one.address, "z", "DRAINING"), entry("s-1", two.address, "z", "SERVING")]
-                .join(","),
+            &[
+                list_entry("s-0", one.address, "z", "DRAINING"),
+                list_entry("s-1", two.address, "z", "SERVING"),
+            ]
+            .join(","),
         );
-        let discovery = stand_in(move |_, message| match is_back.get() {
-            false => Deed::SayAndClose(Vec::new()),
+        let discovery = start_stub(move |_, message| match is_back.get() {
+            false => Reply::SendAndClose(Vec::new()),
             // To whoever has it already there is nothing more to say.
-            true if message.head.contains("index=9&") => Deed::Silence,
+            true if message.head.contains("index=9&") => Reply::NoReply,
             true => ok(&text),
         })
         .await;
         let b = serve::start(station(&[one.address], discovery.address, &[])).await.expect("it starts");
-        until(|| discovery.seen.borrow().len() >= 3).await;
+        wait_until(|| discovery.received.borrow().len() >= 3).await;
         assert!(served(&b).await);
         let _open = send(b.address, "GET /lo").await;
         back.set(true);
-        until(|| b.board.since.get() == Some(9)).await;
-        let before = one.seen.borrow().len();
+        wait_until(|| b.board.since.get() == Some(9)).await;
+        let before = one.received.borrow().len();
         for _ in 0..20 {
             assert!(served(&b).await);
         }
-        assert_eq!((one.seen.borrow().len(), two.seen.borrow().len()), (before, 20));
+        assert_eq!((one.received.borrow().len(), two.received.borrow().len()), (before, 20));
     });
 }
--- a/crates/fernroute-test-support/src/caller.rs
+++ b/crates/fernroute-test-support/src/caller.rs
@@ -1,7 +1,7 @@
 //! Callers that write plain bytes, and a load of them.
 
-use crate::http::{read, Message};
-use crate::until;
+use crate::http::{read_message, Message};
+use crate::wait_until;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -12,7 +12,7 @@
 use tokio::task::spawn_local;
 
 /// The head of an RPC with a new id.
-pub fn rpc(verb: &str, path: &str, more: &str) -> String {
+pub fn rpc_head(verb: &str, path: &str, more: &str) -> String {
     static IDS: AtomicUsize = AtomicUsize::new(0);
     let id = IDS.fetch_add(1, Ordering::Relaxed);
     let method = path.trim_start_matches('/').split(['/', '?']).next().unwrap_or("");
@@ -34,17 +34,17 @@
 }
 
 /// The same, and reads the answer.
-pub async fn ask(address: SocketAddr, bytes: impl AsRef<[u8]>) -> Message {
-    read(&mut send(address, bytes).await).await.expect("an answer")
+pub async fn send_and_read(address: SocketAddr, bytes: impl AsRef<[u8]>) -> Message {
+    read_message(&mut send(address, bytes).await).await.expect("an answer")
 }
 
 /// The status of the answer to a call without a body, at an operators' door say.
-pub async fn told(at: SocketAddr, verb: &str, path: &str) -> u16 {
-    ask(at, format!("{verb} {path} HTTP/1.1\r\nHost: n0\r\n\r\n")).await.status()
+pub async fn request_status(at: SocketAddr, verb: &str, path: &str) -> u16 {
+    send_and_read(at, format!("{verb} {path} HTTP/1.1\r\nHost: n0\r\n\r\n")).await.status()
 }
 
 pub async fn is_ready(at: SocketAddr) -> bool {
-    told(at, "GET", "/-/ready").await == 200
+    request_status(at, "GET", "/-/ready").await == 200
 }
 
 pub async fn until_ready(at: SocketAddr) {
@@ -55,21 +55,21 @@
 
 /// Callers that ask one non-retriable RPC after another on kept connections, for as long as they are told to.
 #[derive(Default)]
-pub struct Load {
+pub struct CallerLoad {
     stop: Cell<bool>,
     pub answered: Cell<usize>,
     /// Connections that were closed as an RPC was written to them; it is sent once more, as callers do.
-    pub crossed: Cell<usize>,
-    pub failed: RefCell<Vec<String>>,
+    pub closed_on_write: Cell<usize>,
+    pub failures: RefCell<Vec<String>>,
     running: Cell<usize>,
     /// How many RPCs of each caller have ended, however.
     ended: RefCell<Vec<usize>>,
 }
 
-impl Load {
+impl CallerLoad {
     pub fn start(callers: usize, at: SocketAddr) -> Rc<Self> {
         let ended = RefCell::new(vec![0; callers]);
-        let load = Rc::new(Load { running: Cell::new(callers), ended, ..Load::default() });
+        let load = Rc::new(CallerLoad { running: Cell::new(callers), ended, ..CallerLoad::default() });
         for caller in 0..callers {
             let load = Rc::clone(&load);
             spawn_local(async move {
@@ -86,8 +86,8 @@
     }
 
     async fn one(&self, at: SocketAddr, kept: Option<TcpStream>) -> Option<TcpStream> {
-        let fail = |what: String| self.failed.borrow_mut().push(what);
-        let request = rpc("POST", "/pay", "Content-Length: 0\r\n");
+        let fail = |what: String| self.failures.borrow_mut().push(what);
+        let request = rpc_head("POST", "/pay", "Content-Length: 0\r\n");
         let again = kept.is_some();
         let mut stream = match kept {
             Some(stream) => stream,
@@ -100,20 +100,20 @@
             },
         };
         let answer = match stream.write_all(request.as_bytes()).await {
-            Ok(()) => read(&mut stream).await,
+            Ok(()) => read_message(&mut stream).await,
             Err(_) => None,
         };
         match answer {
             Some(answer) if answer.status() == 200 && answer.body == b"whole" => {
                 self.answered.set(self.answered.get() + 1);
-                (!answer.closes()).then_some(stream)
+                (!answer.closes_connection()).then_some(stream)
             }
             Some(answer) => {
                 fail(answer.head + &String::from_utf8_lossy(&answer.body));
                 None
             }
             None if again => {
-                self.crossed.set(self.crossed.get() + 1);
+                self.closed_on_write.set(self.closed_on_write.get() + 1);
                 None
             }
             None => {
@@ -124,20 +124,20 @@
     }
 
     /// Waits for so many more answers.
-    pub async fn more(&self, answers: usize) {
+    pub async fn wait_for_answers(&self, answers: usize) {
         let goal = self.answered.get() + answers;
-        until(|| self.answered.get() >= goal || !self.failed.borrow().is_empty()).await;
+        wait_until(|| self.answered.get() >= goal || !self.failures.borrow().is_empty()).await;
     }
 
     /// Waits until what is out now has ended, at each caller: what ends after that was begun after this call.
-    pub async fn settled(&self) {
+    pub async fn wait_for_in_flight(&self) {
         let before = self.ended.borrow().clone();
-        until(|| self.ended.borrow().iter().zip(&before).all(|(now, before)| now > before)).await;
+        wait_until(|| self.ended.borrow().iter().zip(&before).all(|(now, before)| now > before)).await;
     }
 
-    pub async fn end(&self) {
+    pub async fn finish(&self) {
         self.stop.set(true);
-        until(|| self.running.get() == 0).await;
-        assert!(self.failed.borrow().is_empty(), "{:?}", self.failed.borrow());
+        wait_until(|| self.running.get() == 0).await;
+        assert!(self.failures.borrow().is_empty(), "{:?}", self.failures.borrow());
     }
 }
