--- a/crates/fernroute-test-support/src/http.rs
+++ b/crates/fernroute-test-support/src/http.rs
@@ -20,7 +20,7 @@
         self.headers.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, value)| value.as_str())
     }
 
-    pub fn number<T: std::str::FromStr>(&self, name: &str) -> Option<T> {
+    pub fn header_number<T: std::str::FromStr>(&self, name: &str) -> Option<T> {
         self.header(name)?.parse().ok()
     }
 
@@ -30,20 +30,20 @@
     }
 
     /// Whether the connection ends with this message.
-    pub fn closes(&self) -> bool {
+    pub fn closes_connection(&self) -> bool {
         self.header("connection").is_some_and(|c| c.eq_ignore_ascii_case("close"))
     }
 
     /// The message as it goes over a connection.
-    pub fn bytes(&self) -> Vec<u8> {
+    pub fn to_bytes(&self) -> Vec<u8> {
         [self.head.as_bytes(), &self.body].concat()
     }
 
     /// The head that these bytes begin with, and its length; none while it is not whole.
     fn decode_head(bytes: &[u8]) -> io::Result<Option<(Message, usize)>> {
-        let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
+        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut message = Message::default();
-        let wrong = |e: httparse::Error| bad(&e.to_string());
+        let wrong = |e: httparse::Error| invalid_data(&e.to_string());
         let (length, headers) = if bytes.starts_with(b"HTTP/") {
             let mut parsed = httparse::Response::new(&mut headers);
             let length = parsed.parse(bytes).map_err(wrong)?;
@@ -64,29 +64,29 @@
     }
 
     fn length(&self) -> usize {
-        self.number("content-length").unwrap_or(0)
+        self.header_number("content-length").unwrap_or(0)
     }
 }
 
 /// A connection and what has come of the next message.
-pub struct Peer {
+pub struct Connection {
     pub stream: TcpStream,
-    heard: Vec<u8>,
+    buffer: Vec<u8>,
 }
 
-const MOST_HEADERS: usize = 32;
+const MAX_HEADERS: usize = 32;
 /// As much as the longest message between stewards.
-const MOST_BYTES: usize = 16 << 20;
+const MAX_MESSAGE_BYTES: usize = 16 << 20;
 
-fn bad(why: &str) -> io::Error {
+fn invalid_data(why: &str) -> io::Error {
     io::Error::new(io::ErrorKind::InvalidData, why.to_owned())
 }
 
-impl Peer {
+impl Connection {
     pub fn new(stream: TcpStream) -> Self {
         // Only makes it quicker.
         let _ = stream.set_nodelay(true);
-        Peer { stream, heard: Vec::new() }
+        Connection { stream, buffer: Vec::new() }
     }
 
     pub async fn write(&mut self, bytes: &[u8]) -> io::Result<()> {
@@ -96,12 +96,12 @@
     /// The next message; none where the connection ends between two.
     pub async fn read(&mut self) -> io::Result<Option<Message>> {
         loop {
-            if let Some((message, length)) = take(&self.heard)? {
-                self.heard.drain(..length);
+            if let Some((message, length)) = parse_message(&self.buffer)? {
+                self.buffer.drain(..length);
                 return Ok(Some(message));
             }
-            if self.stream.read_buf(&mut self.heard).await? == 0 {
-                return match self.heard.is_empty() {
+            if self.stream.read_buf(&mut self.buffer).await? == 0 {
+                return match self.buffer.is_empty() {
                     true => Ok(None),
                     false => Err(io::ErrorKind::UnexpectedEof.into()),
                 };
@@ -110,19 +110,19 @@
     }
 
     /// Waits for the other side to close; what it sends meanwhile is kept.
-    pub async fn closed(&mut self) {
-        while self.stream.read_buf(&mut self.heard).await.is_ok_and(|n| n > 0) {}
+    pub async fn wait_for_close(&mut self) {
+        while self.stream.read_buf(&mut self.buffer).await.is_ok_and(|n| n > 0) {}
     }
 }
 
 /// The whole message that these bytes begin with, and its length; none while it is not whole.
-pub fn take(bytes: &[u8]) -> io::Result<Option<(Message, usize)>> {
+pub fn parse_message(bytes: &[u8]) -> io::Result<Option<(Message, usize)>> {
     let Some((mut message, head)) = Message::decode_head(bytes)? else {
-        return if bytes.len() > MOST_BYTES { Err(bad("too long")) } else { Ok(None) };
+        return if bytes.len() > MAX_MESSAGE_BYTES { Err(invalid_data("too long")) } else { Ok(None) };
     };
     let length = message.length();
-    if length > MOST_BYTES {
-        return Err(bad("too long"));
+    if length > MAX_MESSAGE_BYTES {
+        return Err(invalid_data("too long"));
     }
     let Some(body) = bytes.get(head..head + length) else { return Ok(None) };
     message.body = body.to_vec();
@@ -130,7 +130,7 @@
 }
 
 /// Reads one message of any stated length and nothing after it; none where the connection ends or what comes is none.
-pub async fn read(stream: &mut TcpStream) -> Option<Message> {
+pub async fn read_message(stream: &mut TcpStream) -> Option<Message> {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
         head.push(stream.read_u8().await.ok()?);
@@ -142,6 +142,6 @@
 }
 
 /// An answer's bytes.
-pub fn answer(status: u16, headers: &str, body: &str) -> Vec<u8> {
+pub fn response(status: u16, headers: &str, body: &str) -> Vec<u8> {
     format!("HTTP/1.1 {status} .\r\nContent-Length: {}\r\n{headers}\r\n{body}", body.len()).into_bytes()
 }
--- a/crates/fernroute-test-support/src/link.rs
+++ b/crates/fernroute-test-support/src/link.rs
@@ -1,10 +1,10 @@
 //! A link between two processes that goes wrong: whoever is to meet trouble on the way connects to it instead.
 //!
 //! Messages are passed whole, as they come; what is in the way holds for open connections and for new ones. Nothing is
-//! dropped on the way but by [`Link::refuse`] and [`Way::ResetsInside`], as on a network: what waits comes late.
+//! dropped on the way but by [`Link::refuse_connections`] and [`LinkMode::ResetMidMessage`], as on a network: what waits comes late.
 
-use crate::http::{take, Message, Peer};
-use crate::Counted;
+use crate::http::{parse_message, Connection, Message};
+use crate::Traffic;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::io;
@@ -19,17 +19,17 @@
 
 /// What one direction does.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Way {
+pub enum LinkMode {
     #[default]
-    Passes,
+    Forward,
     /// Connections stay open and nothing comes through: a cut of this direction alone, where the other passes.
-    Silent,
+    Stall,
     /// Each message waits so long.
-    Delays(Duration),
+    Delay(Duration),
     /// So many bytes at a time, with this wait between them.
-    Trickles(usize, Duration),
+    Throttle(usize, Duration),
     /// Half of the next message, then both sides are reset.
-    ResetsInside,
+    ResetMidMessage,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -45,21 +45,21 @@
     /// Where to connect instead.
     pub address: SocketAddr,
     target: Cell<SocketAddr>,
-    there: Cell<Way>,
-    back: Cell<Way>,
+    there: Cell<LinkMode>,
+    back: Cell<LinkMode>,
     refuses: Cell<bool>,
     changed: Notify,
     /// Emptied as connections end, and when they are cut.
     open: RefCell<Vec<AbortHandle>>,
     /// The next request whose head holds this text is held back.
-    catches: RefCell<Option<String>>,
-    caught: RefCell<Option<Message>>,
+    hold_filter: RefCell<Option<String>>,
+    held: RefCell<Option<Message>>,
     passed: RefCell<VecDeque<Message>>,
-    counted: Cell<Counted>,
+    traffic: Cell<Traffic>,
 }
 
 impl Link {
-    pub async fn to(target: SocketAddr) -> io::Result<Rc<Self>> {
+    pub async fn start(target: SocketAddr) -> io::Result<Rc<Self>> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let link = Rc::new(Link {
             address: listener.local_addr()?,
@@ -69,10 +69,10 @@
             refuses: Cell::default(),
             changed: Notify::new(),
             open: RefCell::default(),
-            catches: RefCell::default(),
-            caught: RefCell::default(),
+            hold_filter: RefCell::default(),
+            held: RefCell::default(),
             passed: RefCell::default(),
-            counted: Cell::default(),
+            traffic: Cell::default(),
         });
         let serving = Rc::clone(&link);
         spawn_local(async move {
@@ -91,52 +91,52 @@
     }
 
     /// What came into the link since it was made, both ways together.
-    pub fn counted(&self) -> Counted {
-        self.counted.get()
+    pub fn traffic(&self) -> Traffic {
+        self.traffic.get()
     }
 
     /// The other side has started again elsewhere.
-    pub fn turn_to(&self, target: SocketAddr) {
+    pub fn set_target(&self, target: SocketAddr) {
         self.target.set(target);
     }
 
-    pub fn set(&self, there: Way, back: Way) {
+    pub fn set_modes(&self, there: LinkMode, back: LinkMode) {
         self.there.set(there);
         self.back.set(back);
         self.changed.notify_waiters();
     }
 
-    /// Open connections end and new ones are reset, until [`Link::mend`].
-    pub fn refuse(&self) {
+    /// Open connections end and new ones are reset, until [`Link::restore`].
+    pub fn refuse_connections(&self) {
         self.refuses.set(true);
         self.open.borrow_mut().drain(..).for_each(|task| task.abort());
     }
 
-    pub fn mend(&self) {
+    pub fn restore(&self) {
         self.refuses.set(false);
-        self.set(Way::Passes, Way::Passes);
+        self.set_modes(LinkMode::Forward, LinkMode::Forward);
     }
 
     /// Holds back the next request whose head holds this text: its caller hears nothing.
-    pub fn catch(&self, text: &str) {
-        self.catches.replace(Some(text.to_owned()));
+    pub fn hold_next(&self, text: &str) {
+        self.hold_filter.replace(Some(text.to_owned()));
     }
 
-    pub fn has_caught(&self) -> bool {
-        self.caught.borrow().is_some()
+    pub fn has_held(&self) -> bool {
+        self.held.borrow().is_some()
     }
 
     /// Delivers what was held back, late; its answer, if there is one.
-    pub async fn let_go(&self) -> io::Result<Option<Message>> {
-        let caught = self.caught.take();
-        match caught {
+    pub async fn release_held(&self) -> io::Result<Option<Message>> {
+        let held = self.held.take();
+        match held {
             Some(message) => self.deliver(&message).await,
             None => Ok(None),
         }
     }
 
     /// Delivers once more the request that passed so many before the last one with this text in its head.
-    pub async fn again(&self, text: &str, before: usize) -> io::Result<Option<Message>> {
+    pub async fn replay(&self, text: &str, before: usize) -> io::Result<Option<Message>> {
         let message =
             self.passed.borrow().iter().rev().filter(|m| m.head.contains(text)).nth(before).cloned();
         match message {
@@ -146,9 +146,9 @@
     }
 
     async fn deliver(&self, message: &Message) -> io::Result<Option<Message>> {
-        let mut peer = Peer::new(TcpStream::connect(self.target.get()).await?);
-        peer.write(&message.bytes()).await?;
-        peer.read().await
+        let mut connection = Connection::new(TcpStream::connect(self.target.get()).await?);
+        connection.write(&message.to_bytes()).await?;
+        connection.read().await
     }
 
     async fn join(self: Rc<Self>, near: TcpStream) {
@@ -173,12 +173,12 @@
     ) -> io::Result<()> {
         let mut heard = Vec::new();
         loop {
-            while let Some((message, length)) = take(&heard)? {
-                self.counted.set(self.counted.get() + Counted { bytes: 0, messages: 1 });
+            while let Some((message, length)) = parse_message(&heard)? {
+                self.traffic.set(self.traffic.get() + Traffic { bytes: 0, messages: 1 });
                 let bytes: Vec<u8> = heard.drain(..length).collect();
                 if direction == Direction::There {
-                    if self.is_to_be_caught(&message) {
-                        self.caught.replace(Some(message));
+                    if self.should_hold(&message) {
+                        self.held.replace(Some(message));
                         // Nothing more of this connection gets through, and nothing of it is answered.
                         return std::future::pending().await;
                     }
@@ -191,7 +191,7 @@
                 self.pass(direction, &bytes, &mut to).await?;
             }
             let came = from.read_buf(&mut heard).await?;
-            self.counted.set(self.counted.get() + Counted { bytes: came as u64, messages: 0 });
+            self.traffic.set(self.traffic.get() + Traffic { bytes: came as u64, messages: 0 });
             if came == 0 {
                 self.clear(direction).await;
                 to.write_all(&heard).await?;
@@ -200,12 +200,12 @@
         }
     }
 
-    fn is_to_be_caught(&self, message: &Message) -> bool {
-        let mut catches = self.catches.borrow_mut();
-        catches.take_if(|text| message.head.contains(text.as_str())).is_some()
+    fn should_hold(&self, message: &Message) -> bool {
+        let mut hold_filter = self.hold_filter.borrow_mut();
+        hold_filter.take_if(|text| message.head.contains(text.as_str())).is_some()
     }
 
-    fn way(&self, direction: Direction) -> Way {
+    fn way(&self, direction: Direction) -> LinkMode {
         match direction {
             Direction::There => self.there.get(),
             Direction::Back => self.back.get(),
@@ -216,7 +216,7 @@
     async fn clear(&self, direction: Direction) {
         loop {
             let changed = self.changed.notified();
-            if self.way(direction) != Way::Silent {
+            if self.way(direction) != LinkMode::Stall {
                 return;
             }
             changed.await;
@@ -226,14 +226,14 @@
     async fn pass(&self, direction: Direction, bytes: &[u8], to: &mut OwnedWriteHalf) -> io::Result<()> {
         self.clear(direction).await;
         match self.way(direction) {
-            Way::Passes | Way::Silent => to.write_all(bytes).await,
-            Way::Delays(time) => {
+            LinkMode::Forward | LinkMode::Stall => to.write_all(bytes).await,
+            LinkMode::Delay(time) => {
                 tokio::time::sleep(time).await;
                 // It may have been cut meanwhile.
                 self.clear(direction).await;
                 to.write_all(bytes).await
             }
-            Way::Trickles(most, pause) => {
+            LinkMode::Throttle(most, pause) => {
                 for piece in bytes.chunks(most.max(1)) {
                     self.clear(direction).await;
                     to.write_all(piece).await?;
@@ -241,12 +241,12 @@
                 }
                 Ok(())
             }
-            Way::ResetsInside => {
+            LinkMode::ResetMidMessage => {
                 to.write_all(&bytes[..bytes.len() / 2]).await?;
                 // Once only: whoever tries again gets through.
                 match direction {
-                    Direction::There => self.there.set(Way::Passes),
-                    Direction::Back => self.back.set(Way::Passes),
+                    Direction::There => self.there.set(LinkMode::Forward),
+                    Direction::Back => self.back.set(LinkMode::Forward),
                 }
                 let ends: Vec<AbortHandle> = self.open.borrow_mut().drain(..).collect();
                 ends.iter().for_each(AbortHandle::abort);
--- a/crates/fernroute-test-support/src/process.rs
+++ b/crates/fernroute-test-support/src/process.rs
@@ -1,6 +1,6 @@
 //! Real processes: started, stopped for a while, killed, started again with a disk of one's choice.
 
-use crate::until;
+use crate::wait_until;
 use rustix::process::{kill_process, prlimit, Pid, Resource, Rlimit, Signal};
 use std::cell::RefCell;
 use std::fs;
@@ -41,18 +41,18 @@
         self.log.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    pub fn says(&self, what: &str) -> bool {
-        self.times(what) > 0
+    pub fn log_contains(&self, what: &str) -> bool {
+        self.log_count(what) > 0
     }
 
     /// How many lines say this.
-    pub fn times(&self, what: &str) -> usize {
+    pub fn log_count(&self, what: &str) -> usize {
         let log = self.log.lock().unwrap_or_else(PoisonError::into_inner);
         log.iter().filter(|line| line.contains(what)).count()
     }
 
     /// The address that stands after these words in its log; an error is why it will never be there.
-    pub async fn address_after(&self, what: &str, within: Duration) -> Result<SocketAddr, String> {
+    pub async fn logged_address(&self, what: &str, within: Duration) -> Result<SocketAddr, String> {
         let of = |line: &String| line.split_once(what)?.1.split(',').next()?.parse().ok();
         let from = Instant::now();
         loop {
@@ -92,16 +92,16 @@
     }
 
     /// Stands still as on a machine that is paused; its connections stay open.
-    pub fn stop(&self) {
+    pub fn pause(&self) {
         self.signal(Signal::STOP);
     }
 
-    pub fn go_on(&self) {
+    pub fn resume(&self) {
         self.signal(Signal::CONT);
     }
 
     /// Milliseconds of a processor that it has used so far, to a hundredth of a second.
-    pub fn processor_ms(&self) -> u64 {
+    pub fn cpu_ms(&self) -> u64 {
         let stat = fs::read_to_string(format!("/proc/{}/stat", self.child.borrow().id())).unwrap_or_default();
         // After the name, which may hold anything: user's and system's time are the 12th and 13th, in hundredths.
         let fields = stat.rsplit(')').next().unwrap_or_default().split_whitespace().skip(11);
@@ -117,7 +117,7 @@
     }
 
     /// How many descriptors it holds.
-    pub fn descriptors(&self) -> usize {
+    pub fn open_descriptors(&self) -> usize {
         fs::read_dir(format!("/proc/{}/fd", self.child.borrow().id())).map_or(0, |all| all.count())
     }
 
@@ -129,7 +129,7 @@
     }
 
     /// From here on none of its writes to files succeeds, as on a disk that is full or read-only; it has to ignore the signal
-    /// that tells of it, as [`ignoring_limits`] has it.
+    /// that tells of it, as [`ignoring_file_size_signal`] has it.
     pub fn fill_disk(&self) -> io::Result<()> {
         let id = Pid::from_raw(self.child.borrow_mut().id() as i32);
         // Not none: what is at the very begin of a file no test relies on.
@@ -138,9 +138,9 @@
     }
 
     /// Its code, or none where a signal ended it.
-    pub async fn ends(&self) -> Option<i32> {
+    pub async fn wait_for_exit(&self) -> Option<i32> {
         let mut status = None;
-        until(|| {
+        wait_until(|| {
             status = self.child.borrow_mut().try_wait().ok().flatten();
             status.is_some()
         })
@@ -150,7 +150,7 @@
 }
 
 /// The same program, which is told of a limit on its files by errors alone.
-pub fn ignoring_limits(command: &Command) -> Command {
+pub fn ignoring_file_size_signal(command: &Command) -> Command {
     let mut other = Command::new("sh");
     other
         .args(["-c", "trap '' XFSZ; exec \"$0\" \"$@\""])
@@ -170,7 +170,7 @@
 }
 
 /// The same program, which may hold no more descriptors than so many.
-pub fn with_descriptors(command: &Command, most: usize) -> Command {
+pub fn with_descriptor_limit(command: &Command, most: usize) -> Command {
     let mut other = Command::new("sh");
     other
         .args(["-c", "ulimit -n \"$0\"; exec \"$@\""])
@@ -189,7 +189,7 @@
 
 /// Addresses for processes that have to be told of each other before they start, and come back where they were. Below the
 /// ports that the machine gives to whoever asks for any: one of those could be taken by a connection while nobody listens.
-pub fn addresses(count: usize) -> io::Result<Vec<SocketAddr>> {
+pub fn free_addresses(count: usize) -> io::Result<Vec<SocketAddr>> {
     const FIRST: usize = 12_000;
     const MANY: usize = 18_000;
     static NEXT: AtomicUsize = AtomicUsize::new(0);
@@ -230,12 +230,12 @@
     /// A copy as it is now, of a process that does not run or stands still.
     pub fn copy(&self, to: PathBuf) -> io::Result<Disk> {
         let copy = Disk::new(to)?;
-        copy.become_like(self)?;
+        copy.replace_with(self)?;
         Ok(copy)
     }
 
     /// What is here is replaced by what the other holds: an older copy, or another process's.
-    pub fn become_like(&self, other: &Disk) -> io::Result<()> {
+    pub fn replace_with(&self, other: &Disk) -> io::Result<()> {
         self.wipe()?;
         copy_all(&other.folder, &self.folder)
     }
--- a/crates/fernroute-test-support/src/stand_in.rs
+++ b/crates/fernroute-test-support/src/stub.rs
@@ -1,7 +1,7 @@
 //! Stand-ins that follow a script.
 
-use crate::http::{answer, read, Message, Peer};
-use crate::Counted;
+use crate::http::{read_message, response, Connection, Message};
+use crate::Traffic;
 use std::cell::{Cell, RefCell};
 use std::io;
 use std::net::SocketAddr;
@@ -14,31 +14,31 @@
 use tokio::time::timeout;
 
 /// What a stand-in does with one message.
-pub enum Deed {
-    Say(Vec<u8>),
-    SayAndClose(Vec<u8>),
+pub enum Reply {
+    Send(Vec<u8>),
+    SendAndClose(Vec<u8>),
     /// Nothing, and it notes when the other side has closed.
-    Silence,
+    NoReply,
 }
 
-pub fn ok(body: &str) -> Deed {
-    Deed::Say(answer(200, "", body))
+pub fn ok(body: &str) -> Reply {
+    Reply::Send(response(200, "", body))
 }
 
-pub fn say(status: &str) -> Deed {
-    Deed::Say(format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n").into_bytes())
+pub fn status_reply(status: &str) -> Reply {
+    Reply::Send(format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n").into_bytes())
 }
 
 /// A stand-in's address and what it saw.
-pub struct StandIn {
+pub struct StubServer {
     pub address: SocketAddr,
-    pub seen: RefCell<Vec<Message>>,
+    pub received: RefCell<Vec<Message>>,
     pub connections: Cell<usize>,
-    pub left: Cell<usize>,
+    pub closed: Cell<usize>,
 }
 
 /// Answers messages as the script says, which is told how many came before.
-pub async fn stand_in(script: impl Fn(usize, &Message) -> Deed + 'static) -> Rc<StandIn> {
+pub async fn start_stub(script: impl Fn(usize, &Message) -> Reply + 'static) -> Rc<StubServer> {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
     serve_on(listener, address, script)
@@ -47,10 +47,14 @@
 fn serve_on(
     listener: TcpListener,
     address: SocketAddr,
-    script: impl Fn(usize, &Message) -> Deed + 'static,
-) -> Rc<StandIn> {
-    let this =
-        Rc::new(StandIn { address, seen: RefCell::default(), connections: Cell::new(0), left: Cell::new(0) });
+    script: impl Fn(usize, &Message) -> Reply + 'static,
+) -> Rc<StubServer> {
+    let this = Rc::new(StubServer {
+        address,
+        received: RefCell::default(),
+        connections: Cell::new(0),
+        closed: Cell::new(0),
+    });
     let (stand, script) = (Rc::clone(&this), Rc::new(script));
     spawn_local(async move {
         while let Ok((stream, _)) = listener.accept().await {
@@ -58,12 +62,12 @@
             stand.connections.set(stand.connections.get() + 1);
             spawn_local(async move {
                 let answer = |message: Message| {
-                    let deed = script(stand.seen.borrow().len(), &message);
-                    stand.seen.borrow_mut().push(message);
+                    let deed = script(stand.received.borrow().len(), &message);
+                    stand.received.borrow_mut().push(message);
                     deed
                 };
                 answer_all(stream, answer).await;
-                stand.left.set(stand.left.get() + 1);
+                stand.closed.set(stand.closed.get() + 1);
             });
         }
     });
@@ -71,7 +75,10 @@
 }
 
 /// The same at an address, or at port 0 of one's own choice; nothing is kept of what came.
-pub async fn serve(at: SocketAddr, script: impl Fn(&Message) -> Deed + 'static) -> io::Result<SocketAddr> {
+pub async fn serve_stub(
+    at: SocketAddr,
+    script: impl Fn(&Message) -> Reply + 'static,
+) -> io::Result<SocketAddr> {
     let listener = TcpListener::bind(at).await?;
     let (address, script) = (listener.local_addr()?, Rc::new(script));
     spawn_local(async move {
@@ -83,58 +90,58 @@
     Ok(address)
 }
 
-async fn answer_all(mut stream: TcpStream, mut script: impl FnMut(Message) -> Deed) {
-    while let Some(message) = read(&mut stream).await {
+async fn answer_all(mut stream: TcpStream, mut script: impl FnMut(Message) -> Reply) {
+    while let Some(message) = read_message(&mut stream).await {
         match script(message) {
-            Deed::Say(bytes) => stream.write_all(&bytes).await.unwrap_or(()),
-            Deed::SayAndClose(bytes) => return stream.write_all(&bytes).await.unwrap_or(()),
-            Deed::Silence => {}
+            Reply::Send(bytes) => stream.write_all(&bytes).await.unwrap_or(()),
+            Reply::SendAndClose(bytes) => return stream.write_all(&bytes).await.unwrap_or(()),
+            Reply::NoReply => {}
         }
     }
 }
 
 /// One upstream of a list, as discovery tells it.
-pub fn entry(id: &str, at: SocketAddr, zone: &str, state: &str) -> String {
+pub fn list_entry(id: &str, at: SocketAddr, zone: &str, state: &str) -> String {
     format!(r#"{{"id":"{id}","addr":"{at}","zone":"{zone}","cell":0,"state":"{state}","started_ms":0}}"#)
 }
 
-/// Discovery that has one list, and says it; a watch waits for the next one.
-pub struct Discovery {
+/// StubDiscovery that has one list, and says it; a watch waits for the next one.
+pub struct StubDiscovery {
     pub address: SocketAddr,
     list: RefCell<(u64, String)>,
     changed: Notify,
-    counted: Cell<Counted>,
+    traffic: Cell<Traffic>,
 }
 
-impl Discovery {
+impl StubDiscovery {
     /// `entries` as in the list's own form, without its brackets.
     pub async fn start(at: SocketAddr, entries: String) -> io::Result<Rc<Self>> {
         let listener = TcpListener::bind(at).await?;
         let (address, list) = (listener.local_addr()?, RefCell::new((1, entries)));
-        let this = Rc::new(Discovery { address, list, changed: Notify::new(), counted: Cell::default() });
+        let this = Rc::new(StubDiscovery { address, list, changed: Notify::new(), traffic: Cell::default() });
         let serving = Rc::clone(&this);
         spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                spawn_local(Rc::clone(&serving).serve(Peer::new(stream)));
+                spawn_local(Rc::clone(&serving).serve(Connection::new(stream)));
             }
         });
         Ok(this)
     }
 
     /// What was asked and answered since the start.
-    pub fn counted(&self) -> Counted {
-        self.counted.get()
+    pub fn traffic(&self) -> Traffic {
+        self.traffic.get()
     }
 
     /// Tells all who wait.
-    pub fn tell(&self, entries: String) {
+    pub fn publish(&self, entries: String) {
         let version = self.list.borrow().0 + 1;
         self.list.replace((version, entries));
         self.changed.notify_waiters();
     }
 
-    async fn serve(self: Rc<Self>, mut peer: Peer) {
-        while let Ok(Some(message)) = peer.read().await {
+    async fn serve(self: Rc<Self>, mut connection: Connection) {
+        while let Ok(Some(message)) = connection.read().await {
             let query = |name: &str| {
                 let text = message.target.split_once('?')?.1;
                 text.split('&').find_map(|p| p.strip_prefix(name)?.strip_prefix('=')?.parse::<u64>().ok())
@@ -155,10 +162,10 @@
                 let entries = if news { entries } else { "" };
                 format!(r#"{{"version":{version},"full":{news},"servers":[{entries}]}}"#)
             };
-            let answer = answer(200, "", &list);
+            let answer = response(200, "", &list);
             let bytes = (message.head.len() + message.body.len() + answer.len()) as u64;
-            self.counted.set(self.counted.get() + Counted { bytes, messages: 2 });
-            if peer.write(&answer).await.is_err() {
+            self.traffic.set(self.traffic.get() + Traffic { bytes, messages: 2 });
+            if connection.write(&answer).await.is_err() {
                 return;
             }
         }
@@ -166,14 +173,14 @@
 }
 
 /// An address whose connections do not come up: its queue is full, and nobody is taken from it.
-pub struct Held {
+pub struct FullBacklog {
     pub address: SocketAddr,
     listener: TcpListener,
     /// What fills the queue.
     fill: Vec<TcpStream>,
 }
 
-impl Held {
+impl FullBacklog {
     pub async fn new() -> io::Result<Self> {
         /// A connection to this machine that the queue has room for comes up in far less.
         const FULL: Duration = Duration::from_millis(200);
@@ -185,12 +192,12 @@
         while let Ok(stream) = timeout(FULL, TcpStream::connect(address)).await {
             fill.push(stream?);
         }
-        Ok(Held { address, listener, fill })
+        Ok(FullBacklog { address, listener, fill })
     }
 
     /// Whoever still tries to connect comes up at its machine's next try, a second after its first, and is answered as the
     /// script says.
-    pub fn let_go(self, script: impl Fn(usize, &Message) -> Deed + 'static) -> Rc<StandIn> {
+    pub fn release(self, script: impl Fn(usize, &Message) -> Reply + 'static) -> Rc<StubServer> {
         drop(self.fill);
         serve_on(self.listener, self.address, script)
     }
--- a/crates/fernroute-testbed/src/beside.rs
+++ b/crates/fernroute-testbed/src/beside.rs
@@ -3,8 +3,8 @@
 
 use crate::processes::{Fleet, Shape};
 use fernroute_server::program::instance::InstanceConfig;
-use fernroute_test_support::http::answer;
-use fernroute_test_support::stand_in::{entry, serve, Deed, Discovery};
+use fernroute_test_support::http::response;
+use fernroute_test_support::stub::{list_entry, serve_stub, Reply, StubDiscovery};
 use std::path::Path;
 use std::process::Command;
 use std::time::Duration;
@@ -68,12 +68,12 @@
     for (upstream, at) in upstreams {
         let id = upstream.id.clone();
         let said =
-            move |_: &_| Deed::Say(answer(200, "Srv-Load: util=0.10\r\n", &format!("served by {id}\n")));
-        serve(at, said).await.map_err(|e| format!("a stand-in upstream at {at}: {e}"))?;
+            move |_: &_| Reply::Send(response(200, "Srv-Load: util=0.10\r\n", &format!("served by {id}\n")));
+        serve_stub(at, said).await.map_err(|e| format!("a stand-in upstream at {at}: {e}"))?;
         eprintln!("a stand-in upstream, {}, serves on {at}", upstream.id);
-        list.push(entry(&upstream.id, at, &upstream.zone, "SERVING"));
+        list.push(list_entry(&upstream.id, at, &upstream.zone, "SERVING"));
     }
-    let discovery = Discovery::start(station.discovery, list.join(",")).await;
+    let discovery = StubDiscovery::start(station.discovery, list.join(",")).await;
     discovery.map_err(|e| format!("a stand-in for discovery at {}: {e}", station.discovery))?;
     eprintln!("a stand-in for discovery serves on {}", station.discovery);
     // From here on neither ends this program: the balancer is to answer what it has taken.
--- a/crates/fernroute-testbed/src/live/balancers.rs
+++ b/crates/fernroute-testbed/src/live/balancers.rs
@@ -6,7 +6,7 @@
 use crate::player::Post;
 use crate::trace::{Event, Told};
 use crate::upstream::State;
-use fernroute_test_support::http::Peer;
+use fernroute_test_support::http::Connection;
 use fernroute_test_support::process::Process;
 use serde_json::{json, Value};
 use std::cell::{Cell, RefCell};
@@ -25,7 +25,7 @@
     pub(super) process: Process,
     pub(super) alive: Cell<bool>,
     /// Connections to it that stand idle.
-    pub(super) idle: RefCell<Vec<Peer>>,
+    pub(super) idle: RefCell<Vec<Connection>>,
 }
 
 impl Lab {
@@ -96,7 +96,7 @@
         command.env("TMPDIR", &self.folder);
         let process = Process::launch(command).map_err(|e| format!("{word}: {e}"))?;
         let address =
-            process.address_after("serving on ", START).await.map_err(|why| format!("{word}: {why}"))?;
+            process.logged_address("serving on ", START).await.map_err(|why| format!("{word}: {why}"))?;
         let (alive, idle) = (Cell::new(true), RefCell::default());
         self.nodes.borrow_mut().push(Rc::new(Node {
             name,
--- a/crates/fernroute-testbed/src/live/callers.rs
+++ b/crates/fernroute-testbed/src/live/callers.rs
@@ -6,7 +6,7 @@
 use crate::trace::{Event, Final};
 use fernroute::Time;
 use fernroute_server::routing::clock::{duration, tenths};
-use fernroute_test_support::http::Peer;
+use fernroute_test_support::http::Connection;
 use rand::RngExt as _;
 use std::rc::Rc;
 use std::time::Duration;
@@ -110,7 +110,7 @@
                     end.broke = true;
                     return None;
                 };
-                Peer::new(stream)
+                Connection::new(stream)
             }
         };
         self.open.borrow_mut().insert(Rc::clone(rpc), (number, 0));
@@ -138,8 +138,8 @@
             _ => Final::Errored,
         };
         end.last = Some(last);
-        let stay_away = message.number::<f64>("retry-after").filter(|s| s.is_finite() && *s >= 0.0);
-        if !message.closes() && node.alive.get() {
+        let stay_away = message.header_number::<f64>("retry-after").filter(|s| s.is_finite() && *s >= 0.0);
+        if !message.closes_connection() && node.alive.get() {
             node.idle.borrow_mut().push(peer);
         }
         Some((last, stay_away.map(Duration::from_secs_f64)))
--- a/crates/fernroute-testbed/src/live/discovery.rs
+++ b/crates/fernroute-testbed/src/live/discovery.rs
@@ -6,7 +6,7 @@
 use crate::trace::{Event, Told};
 use crate::upstream::State;
 use fernroute_server::routing::clock::duration;
-use fernroute_test_support::http::{answer, Peer};
+use fernroute_test_support::http::{response, Connection};
 use rand::RngExt as _;
 use serde_json::{json, Value};
 use std::cell::RefCell;
@@ -35,7 +35,7 @@
         let lab = Rc::clone(self);
         let serving = spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                spawn_local(Rc::clone(&lab).serve_list(node, Peer::new(stream)));
+                spawn_local(Rc::clone(&lab).serve_list(node, Connection::new(stream)));
             }
         });
         let (told, changed) = (RefCell::default(), Notify::new());
@@ -43,7 +43,7 @@
     }
 
     /// Answers one balancer's calls for the list.
-    pub(super) async fn serve_list(self: Rc<Self>, number: usize, mut peer: Peer) {
+    pub(super) async fn serve_list(self: Rc<Self>, number: usize, mut peer: Connection) {
         while let Ok(Some(message)) = peer.read().await {
             let query = |name: &str| {
                 let text = message.target.split_once('?')?.1;
@@ -96,7 +96,7 @@
             for (_, upstream, told, _) in news {
                 self.see(&Event::Heard { balancer: number, upstream, told });
             }
-            if peer.write(&answer(200, "", &list.to_string())).await.is_err() {
+            if peer.write(&response(200, "", &list.to_string())).await.is_err() {
                 return;
             }
         }
--- a/crates/fernroute-testbed/src/live/fleet.rs
+++ b/crates/fernroute-testbed/src/live/fleet.rs
@@ -5,7 +5,7 @@
 use crate::processes::status;
 use crate::scenario::{zone_name, Effect, Group, Scenario};
 use fernroute_test_support::link::Link;
-use fernroute_test_support::process::{addresses, Process};
+use fernroute_test_support::process::{free_addresses, Process};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -32,7 +32,7 @@
     /// Starts as many as the scenario has, and waits until one leads.
     pub(super) async fn start(scenario: &Scenario, words: &[String], folder: &Path) -> Result<Self, String> {
         let f = &scenario.fleet;
-        let all = addresses(f.stewards).map_err(|e| e.to_string())?;
+        let all = free_addresses(f.stewards).map_err(|e| e.to_string())?;
         let mut list = String::new();
         for (n, at) in all.iter().enumerate() {
             let _ = writeln!(list, "[[steward]]\nname = \"s{n}\"\naddress = \"{at}\"");
@@ -112,7 +112,7 @@
     pub(super) fn cut(&self, place: usize, cut: bool) {
         let links = self.links.borrow();
         let ways = links.get(&place).into_iter().flatten();
-        ways.for_each(|link| if cut { link.refuse() } else { link.mend() });
+        ways.for_each(|link| if cut { link.refuse_connections() } else { link.restore() });
     }
 
     /// What the balancer at this place is told. One that starts again is the same one.
@@ -126,7 +126,7 @@
     ) -> Result<String, String> {
         let mut ways = Vec::new();
         for at in &self.addresses {
-            ways.push(Link::to(*at).await.map_err(|e| e.to_string())?);
+            ways.push(Link::start(*at).await.map_err(|e| e.to_string())?);
         }
         let to: Vec<String> = ways.iter().map(|way| format!("\"{}\"", way.address)).collect();
         self.links.borrow_mut().insert(post.number, ways);
--- a/crates/fernroute-testbed/src/live/upstreams.rs
+++ b/crates/fernroute-testbed/src/live/upstreams.rs
@@ -6,7 +6,7 @@
 use crate::upstream::{State, Upstream};
 use fernroute::{Outcome, Time};
 use fernroute_server::routing::clock::duration;
-use fernroute_test_support::http::{answer, Message, Peer};
+use fernroute_test_support::http::{response, Connection, Message};
 use rand::RngExt as _;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -89,7 +89,7 @@
         let lab = Rc::clone(self);
         let accept = spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                let task = spawn_local(Rc::clone(&lab).connection(number, Peer::new(stream)));
+                let task = spawn_local(Rc::clone(&lab).connection(number, Connection::new(stream)));
                 let stand = lab.stand(number);
                 let mut tasks = stand.tasks.borrow_mut();
                 tasks.retain(|t| !t.is_finished());
@@ -104,7 +104,7 @@
         Ok(())
     }
 
-    pub(super) async fn connection(self: Rc<Self>, upstream: usize, mut peer: Peer) {
+    pub(super) async fn connection(self: Rc<Self>, upstream: usize, mut peer: Connection) {
         while let Ok(Some(message)) = peer.read().await {
             let gone = Rc::new(Cell::new(false));
             let handled = Rc::clone(&self).handle(upstream, message, Rc::clone(&gone));
@@ -118,16 +118,16 @@
             }
             let bytes = tokio::select! {
                 bytes = &mut task => bytes,
-                () = peer.closed() => {
+                () = peer.wait_for_close() => {
                     gone.set(true);
                     return;
                 }
             };
-            let Ok(bytes) = bytes else {
+            let Ok(to_bytes) = bytes else {
                 // The machine has vanished: nothing is heard of it, not even a close.
-                return peer.closed().await;
+                return peer.wait_for_close().await;
             };
-            if peer.write(&bytes).await.is_err() {
+            if peer.write(&to_bytes).await.is_err() {
                 return;
             }
         }
@@ -141,9 +141,9 @@
         gone: Rc<Cell<bool>>,
     ) -> Vec<u8> {
         let begun = self.now();
-        let Some(rpc) = message.header("req-id").map(Rc::<str>::from) else { return answer(404, "", "") };
-        let hard = begun + message.number::<Time>("req-deadline-ms").unwrap_or(0) * 10;
-        let work: Time = message.number("lab-work").unwrap_or(1);
+        let Some(rpc) = message.header("req-id").map(Rc::<str>::from) else { return response(404, "", "") };
+        let hard = begun + message.header_number::<Time>("req-deadline-ms").unwrap_or(0) * 10;
+        let work: Time = message.header_number("lab-work").unwrap_or(1);
         let calls = message.header("lab-calls").unwrap_or("").to_owned();
         let stand = self.stand(upstream);
         let tier = stand.model.borrow().tier;
@@ -162,7 +162,7 @@
         let ended = |outcome| self.see(&Event::Ended { rpc: Rc::clone(&rpc), attempt, outcome });
         let declined = |load: String| {
             ended(Outcome::Rejected);
-            answer(503, &format!("Srv-Declined: 1\r\n{load}"), "")
+            response(503, &format!("Srv-Declined: 1\r\n{load}"), "")
         };
         if stand.model.borrow().hangs() {
             self.see(&Event::Ran { rpc: Rc::clone(&rpc), attempt });
@@ -172,7 +172,7 @@
         if errors > 0.0 && self.chance.borrow_mut().random::<f64>() < errors {
             self.see(&Event::Ran { rpc: Rc::clone(&rpc), attempt });
             ended(Outcome::Failed);
-            return answer(500, &self.load(upstream), "");
+            return response(500, &self.load(upstream), "");
         }
         let places = Rc::clone(&stand.places.borrow());
         if places.available_permits() == 0 && stand.waiting.get() >= of.queue {
@@ -200,7 +200,7 @@
         stand.model.borrow_mut().held -= 1;
         ended(outcome);
         let status = if outcome == Outcome::Completed { 200 } else { 500 };
-        answer(status, &self.load(upstream), &rpc)
+        response(status, &self.load(upstream), &rpc)
     }
 
     pub(super) async fn work(&self, stand: &Rc<Stand>, tier: usize, work: f64) {
--- a/crates/fernroute-testbed/src/measure.rs
+++ b/crates/fernroute-testbed/src/measure.rs
@@ -11,7 +11,7 @@
 use fernroute_fleet::member::Member;
 use fernroute_fleet::message::{Envelope, HeartbeatError, HEARTBEAT_PATH, PROTOCOL_VERSION};
 use fernroute_fleet::{BudgetAmounts, MilliUnits};
-use fernroute_test_support::http::Peer;
+use fernroute_test_support::http::Connection;
 use std::cell::{Cell, RefCell};
 use std::path::Path;
 use std::rc::Rc;
@@ -93,7 +93,7 @@
 /// One that beats over a connection of its own.
 async fn beats(n: usize, to: Rc<Cell<std::net::SocketAddr>>, bytes: Rc<Cell<(u64, u64)>>) -> Option<()> {
     let mut member = Member::new(&format!("n{n}"), n as u64 + 1, 0);
-    let mut peer = Peer::new(TcpStream::connect(to.get()).await.ok()?);
+    let mut peer = Connection::new(TcpStream::connect(to.get()).await.ok()?);
     sleep(BEAT_EVERY.mul_f64(n as f64 / 300.0 % 1.0)).await;
     for turn in 0u64.. {
         // One in thirty asks for ten times what the others do, and which ones changes every four seconds.
@@ -107,7 +107,7 @@
         peer.write(format!("{head}{body}").as_bytes()).await.ok()?;
         let answer = peer.read().await.ok()??;
         let (sent, count) = bytes.get();
-        bytes.set((sent + (head.len() + body.len() + answer.bytes().len()) as u64, count + 1));
+        bytes.set((sent + (head.len() + body.len() + answer.to_bytes().len()) as u64, count + 1));
         let said: Result<fernroute_fleet::message::HeartbeatReply, HeartbeatError> =
             serde_json::from_slice(&answer.body).ok()?;
         if let Ok(answer) = said {
@@ -140,12 +140,11 @@
     }
     sleep(Duration::from_secs(5)).await;
     let epoch = |status: Option<fernroute_coordinator::replica::Status>| status.map_or(0, |s| s.epoch);
-    let (cpu, at, first) =
-        (fleet.stewards[leader].processor_ms(), bytes.get(), epoch(fleet.status(leader).await));
+    let (cpu, at, first) = (fleet.stewards[leader].cpu_ms(), bytes.get(), epoch(fleet.status(leader).await));
     let from = Instant::now();
     sleep(FOR).await;
     let (took, last) = (from.elapsed().as_secs_f64(), epoch(fleet.status(leader).await));
-    let spent = fleet.stewards[leader].processor_ms() - cpu;
+    let spent = fleet.stewards[leader].cpu_ms() - cpu;
     let now = bytes.get();
     println!(
         "a leading steward with {count} members: {:.0} beats a second, {:.0} bytes a second both ways, {:.1} steps a second, \
--- a/crates/fernroute-testbed/src/processes.rs
+++ b/crates/fernroute-testbed/src/processes.rs
@@ -5,12 +5,12 @@
 
 use fernroute::{RETRY_BUDGET, TRIAL_BUDGET};
 use fernroute_coordinator::replica::Status;
-use fernroute_test_support::caller::rpc;
-use fernroute_test_support::http::{answer, read};
+use fernroute_test_support::caller::rpc_head;
+use fernroute_test_support::http::{read_message, response};
 use fernroute_test_support::link::Link;
-use fernroute_test_support::process::{addresses, Process};
-use fernroute_test_support::stand_in::{entry, ok, serve, Deed, Discovery};
-use fernroute_test_support::until;
+use fernroute_test_support::process::{free_addresses, Process};
+use fernroute_test_support::stub::{list_entry, ok, serve_stub, Reply, StubDiscovery};
+use fernroute_test_support::wait_until;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -180,7 +180,7 @@
     pub wrong: Rc<RefCell<Vec<String>>>,
     /// RPCs that had no answer at all.
     pub unanswered: Rc<Cell<usize>>,
-    _discovery: Rc<Discovery>,
+    _discovery: Rc<StubDiscovery>,
 }
 
 impl Fleet {
@@ -190,7 +190,7 @@
         let trouble = |e: std::io::Error| e.to_string();
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         std::fs::create_dir_all(&folder).map_err(trouble)?;
-        let at = addresses(stewards).map_err(trouble)?;
+        let at = free_addresses(stewards).map_err(trouble)?;
         let (mut between, mut steward_pages) = (BTreeMap::new(), Vec::new());
         for n in 0..stewards {
             let mut list = String::new();
@@ -198,7 +198,7 @@
                 let at = if m == n {
                     *own
                 } else {
-                    let link = Link::to(*own).await.map_err(trouble)?;
+                    let link = Link::start(*own).await.map_err(trouble)?;
                     between.insert((n, m), Rc::clone(&link));
                     link.address
                 };
@@ -221,13 +221,13 @@
         let (mut upstreams, mut list) = (Vec::new(), Vec::new());
         for n in 0..shape.upstreams {
             let (ran, came, moods) = (Rc::clone(&ran), Rc::clone(&came), Rc::clone(&moods));
-            let upstream = serve(any, move |asked| {
+            let upstream = serve_stub(any, move |asked| {
                 let rpc = asked.header("req-id").unwrap_or_default().to_owned();
                 came.borrow_mut().push(Came { at: Instant::now(), upstream: n, rpc });
                 match moods[n].get() {
-                    Mood::Fails => return Deed::SayAndClose(Vec::new()),
+                    Mood::Fails => return Reply::SendAndClose(Vec::new()),
                     Mood::TurnsAwayHalf if came.borrow().len() % 2 == 0 => {
-                        return Deed::Say(answer(503, "Srv-Declined: 1\r\n", ""));
+                        return Reply::Send(response(503, "Srv-Declined: 1\r\n", ""));
                     }
                     Mood::Well | Mood::TurnsAwayHalf => {}
                 }
@@ -235,10 +235,10 @@
                 ok("whole")
             });
             let at = upstream.await.map_err(trouble)?;
-            list.push(entry(&format!("u{n}"), at, "a", "SERVING"));
+            list.push(list_entry(&format!("u{n}"), at, "a", "SERVING"));
             upstreams.push(format!("[[upstream]]\nid = \"u{n}\"\naddress = \"{at}\"\nzone = \"a\"\n"));
         }
-        let discovery = Discovery::start(any, list.join(",")).await.map_err(trouble)?;
+        let discovery = StubDiscovery::start(any, list.join(",")).await.map_err(trouble)?;
         let rates: Rc<Vec<Cell<u64>>> = Rc::new((0..balancers).map(|_| Cell::new(0)).collect());
         let mut fleet = Fleet {
             program: program.to_owned(),
@@ -250,7 +250,7 @@
             between,
             balancers: Vec::new(),
             addresses: Vec::new(),
-            doors: addresses(balancers).map_err(trouble)?,
+            doors: free_addresses(balancers).map_err(trouble)?,
             links: Vec::new(),
             pages: Vec::new(),
             ran,
@@ -264,7 +264,7 @@
         for n in 0..balancers {
             let mut own = Vec::new();
             for at in &fleet.steward_addresses {
-                own.push(Link::to(*at).await.map_err(trouble)?);
+                own.push(Link::start(*at).await.map_err(trouble)?);
             }
             let to: Vec<String> = own.iter().map(|link| format!("\"{}\"", link.address)).collect();
             let text = format!(
@@ -307,17 +307,17 @@
     /// A network that falls apart: these stewards and balancers reach each other, and so do all others.
     pub fn part(&self, stewards: &[usize], balancers: &[usize]) {
         let apart = |n: &usize, m: &usize| stewards.contains(n) != stewards.contains(m);
-        self.between.iter().filter(|((n, m), _)| apart(n, m)).for_each(|(_, link)| link.refuse());
+        self.between.iter().filter(|((n, m), _)| apart(n, m)).for_each(|(_, link)| link.refuse_connections());
         for (n, links) in self.links.iter().enumerate() {
             let apart =
                 links.iter().enumerate().filter(|(m, _)| balancers.contains(&n) != stewards.contains(m));
-            apart.for_each(|(_, link)| link.refuse());
+            apart.for_each(|(_, link)| link.refuse_connections());
         }
     }
 
     /// All reach all again.
     pub fn heal(&self) {
-        self.between.values().chain(self.links.iter().flatten()).for_each(|link| link.mend());
+        self.between.values().chain(self.links.iter().flatten()).for_each(|link| link.restore());
     }
 
     /// Another process under the name of this balancer, on another machine as far as it can tell.
@@ -325,7 +325,7 @@
         let folder = self.folder.join(format!("elsewhere{n}"));
         std::fs::create_dir_all(&folder).map_err(|e| e.to_string())?;
         let process = launch(&self.program, "balancer", &folder, &format!("b{n}"), &self.pages[n])?;
-        let at = process.address_after("serving on ", START).await?;
+        let at = process.logged_address("serving on ", START).await?;
         Ok((process, at))
     }
 
@@ -337,7 +337,7 @@
     /// Starts one, for the first time or again, with what is left on its disk.
     pub async fn start_balancer(&mut self, n: usize) -> Result<(), String> {
         let process = launch(&self.program, "balancer", &self.folder, &format!("b{n}"), &self.pages[n])?;
-        let at = process.address_after("serving on ", START).await?;
+        let at = process.logged_address("serving on ", START).await?;
         if n < self.balancers.len() {
             (self.balancers[n], self.addresses[n]) = (process, at);
         } else {
@@ -352,7 +352,7 @@
     pub async fn upgrade(&mut self, n: usize) -> Result<Process, String> {
         let name = format!("b{n}");
         let new = launch(&self.program, "balancer", &self.folder, &name, &self.pages[n])?;
-        new.address_after("serving on ", START).await?;
+        new.logged_address("serving on ", START).await?;
         Ok(std::mem::replace(&mut self.balancers[n], new))
     }
 
@@ -374,9 +374,9 @@
                 spawn_local(async move {
                     let none = || unanswered.set(unanswered.get() + 1);
                     let Ok(mut stream) = TcpStream::connect(at).await else { return none() };
-                    let asked = rpc("GET", "/look", "Req-Owner: acme\r\nConnection: close\r\n");
+                    let asked = rpc_head("GET", "/look", "Req-Owner: acme\r\nConnection: close\r\n");
                     let _ = stream.write_all(asked.as_bytes()).await;
-                    match timeout(Duration::from_secs(4), read(&mut stream)).await {
+                    match timeout(Duration::from_secs(4), read_message(&mut stream)).await {
                         Ok(Some(answer)) if matches!(answer.status(), 200 | 503) => {}
                         Ok(Some(answer)) => wrong.borrow_mut().push(answer.head),
                         // Its balancer was killed, or stands still: that is judged by who did it.
@@ -398,7 +398,7 @@
 
     /// Until so many have run within a second.
     pub async fn until_runs(&self, least: usize) {
-        until(|| self.ran.within(Duration::from_secs(1)) >= least).await;
+        wait_until(|| self.ran.within(Duration::from_secs(1)) >= least).await;
     }
 
     /// Which steward leads by its own word, once one does.
@@ -439,7 +439,7 @@
     let asked = "GET /-/status HTTP/1.1\r\nHost: s\r\nConnection: close\r\n\r\n";
     let mut stream = TcpStream::connect(at).await.ok()?;
     stream.write_all(asked.as_bytes()).await.ok()?;
-    let answer = timeout(START, read(&mut stream)).await.ok()??;
+    let answer = timeout(START, read_message(&mut stream)).await.ok()??;
     serde_json::from_slice(&answer.body).ok()
 }
 
--- a/crates/fernroute-testbed/src/processes/configuration.rs
+++ b/crates/fernroute-testbed/src/processes/configuration.rs
@@ -7,9 +7,9 @@
 use fernroute_fleet::configuration::rollout::MemberRollout;
 use fernroute_fleet::configuration::{content_hash, Scope, Version};
 use fernroute_fleet::message::{Envelope, PROTOCOL_VERSION};
-use fernroute_test_support::caller::rpc;
-use fernroute_test_support::http::read;
-use fernroute_test_support::process::{ignoring_limits, Process};
+use fernroute_test_support::caller::rpc_head;
+use fernroute_test_support::http::read_message;
+use fernroute_test_support::process::{ignoring_file_size_signal, Process};
 use rustix::process::Signal;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -37,7 +37,7 @@
         format!("POST {path} HTTP/1.1\r\nHost: s\r\nConnection: close\r\nContent-Length: {length}\r\n\r\n");
     let mut stream = TcpStream::connect(at).await.ok()?;
     stream.write_all((head + &body).as_bytes()).await.ok()?;
-    let answer = timeout(START, read(&mut stream)).await.ok()??;
+    let answer = timeout(START, read_message(&mut stream)).await.ok()??;
     serde_json::from_slice(&answer.body).ok()
 }
 
@@ -115,9 +115,9 @@
     /// The answer to an RPC of this method; none where its balancer gives none.
     pub async fn answers(&self, n: usize, method: &str) -> Option<u16> {
         let mut stream = TcpStream::connect(self.addresses[n]).await.ok()?;
-        let asked = rpc("GET", &format!("/{method}"), "Connection: close\r\n");
+        let asked = rpc_head("GET", &format!("/{method}"), "Connection: close\r\n");
         stream.write_all(asked.as_bytes()).await.ok()?;
-        Some(timeout(START, read(&mut stream)).await.ok()??.status())
+        Some(timeout(START, read_message(&mut stream)).await.ok()??.status())
     }
 
     /// The versions that this balancer's process says went into force, in the order in which they did.
@@ -152,8 +152,8 @@
         let page = self.folder.join(format!("b{n}.toml"));
         command.args(["balancer", "--config"]).arg(page).env("TMPDIR", &self.folder);
         command.env_remove("FERNROUTE_LOG").env_remove("NODE_OPS");
-        let process = Process::launch(ignoring_limits(&command)).map_err(|e| e.to_string())?;
-        self.addresses[n] = process.address_after("serving on ", START).await?;
+        let process = Process::launch(ignoring_file_size_signal(&command)).map_err(|e| e.to_string())?;
+        self.addresses[n] = process.logged_address("serving on ", START).await?;
         self.balancers[n] = process;
         Ok(())
     }
@@ -162,7 +162,7 @@
     pub async fn start_again(&mut self, n: usize) -> Result<(), String> {
         self.balancers[n].kill();
         let process = launch(&self.program, "balancer", &self.folder, &format!("b{n}"), &self.pages[n])?;
-        self.addresses[n] = process.address_after("serving on ", START).await?;
+        self.addresses[n] = process.logged_address("serving on ", START).await?;
         self.balancers[n] = process;
         Ok(())
     }
--- a/crates/fernroute-testbed/src/scale/faults.rs
+++ b/crates/fernroute-testbed/src/scale/faults.rs
@@ -7,7 +7,7 @@
 use super::load::Load;
 use crate::processes::status;
 use fernroute_test_support::process::Process;
-use fernroute_test_support::Counted;
+use fernroute_test_support::Traffic;
 use serde::Serialize;
 use std::cell::RefCell;
 use std::collections::{BTreeSet, VecDeque};
@@ -146,11 +146,11 @@
                 let number = fleet.real.borrow().len() - 1;
                 let at = fleet.real_serve().await?[number];
                 self.load.ends(number);
-                fleet.real.borrow()[&place].stop();
+                fleet.real.borrow()[&place].pause();
                 sleep(lasts).await;
                 // The others are answered all the while.
                 let others = self.settled(all - 1).await;
-                fleet.real.borrow()[&place].go_on();
+                fleet.real.borrow()[&place].resume();
                 let told = settled(self.settled(all).await);
                 self.load.begins(number, at);
                 Ok(Told { cut_settled_s: others, ..told })
@@ -176,7 +176,7 @@
         let stay = fleet.layout.members.iter().filter(|m| of(&m.zone) == larger).count();
         let outside: BTreeSet<usize> =
             (0..fleet.steward_addresses.len()).filter(|n| of_steward(*n) != larger).collect();
-        cut.iter().for_each(|link| link.refuse());
+        cut.iter().for_each(|link| link.refuse_connections());
         let from = Instant::now();
         let cut_settled_s = self.settled_from(from, stay, &outside).await;
         // Changes on both sides: one is entered, the other has no majority.
@@ -192,7 +192,7 @@
             }
         }
         sleep(lasts.saturating_sub(from.elapsed())).await;
-        cut.iter().for_each(|link| link.mend());
+        cut.iter().for_each(|link| link.restore());
         let healed = Instant::now();
         let settled_s = self.settled_from(healed, fleet.layout.members.len(), &BTreeSet::new()).await;
         let change_in_force_s = match version {
@@ -281,7 +281,7 @@
     async fn settled_from(&self, from: Instant, members: usize, outside: &BTreeSet<usize>) -> Option<f64> {
         const WINDOW: Duration = Duration::from_secs(1);
         let fleet = self.fleet;
-        let mut looks: VecDeque<(Instant, Vec<Counted>)> = VecDeque::new();
+        let mut looks: VecDeque<(Instant, Vec<Traffic>)> = VecDeque::new();
         // Since when one leads by its own word. Guards against calls that followers turn away: they are counted, too.
         let mut leads: Option<usize> = None;
         while from.elapsed() < SETTLED_WITHIN {
--- a/crates/fernroute-testbed/src/scale/figures.rs
+++ b/crates/fernroute-testbed/src/scale/figures.rs
@@ -1,6 +1,6 @@
 //! What each role costs, a line for each second: processor from `/proc`, bytes and messages from where connections end.
 
-use fernroute_test_support::Counted;
+use fernroute_test_support::Traffic;
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::fs;
@@ -10,7 +10,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Cost {
     pub processor_ns: u64,
-    pub counted: Counted,
+    pub counted: Traffic,
 }
 
 impl AddAssign for Cost {
--- a/crates/fernroute-testbed/src/scale/fleet.rs
+++ b/crates/fernroute-testbed/src/scale/fleet.rs
@@ -6,10 +6,10 @@
 use super::stand::{Asked, List, Page, Ran, READY};
 use crate::processes::status;
 use fernroute_coordinator::replica::Status;
-use fernroute_test_support::http::Peer;
+use fernroute_test_support::http::Connection;
 use fernroute_test_support::link::Link;
-use fernroute_test_support::process::{addresses, Process};
-use fernroute_test_support::Counted;
+use fernroute_test_support::process::{free_addresses, Process};
+use fernroute_test_support::Traffic;
 use serde::de::DeserializeOwned;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -55,7 +55,7 @@
     /// Where operators are answered, by members' names.
     pub doors: RefCell<BTreeMap<String, SocketAddr>>,
     /// What operators asked and were answered, by kind.
-    operators: Cell<[Counted; 2]>,
+    operators: Cell<[Traffic; 2]>,
 }
 
 fn trouble(at: &Path) -> impl Fn(std::io::Error) -> String + '_ {
@@ -79,7 +79,7 @@
     let at = folder.join(format!("{name}.json"));
     fs::write(&at, serde_json::to_string(page).map_err(|e| e.to_string())?).map_err(trouble(&at))?;
     let process = launch(program, "scale-stand", "--config", &at, folder)?;
-    let door = process.address_after(READY, START).await?;
+    let door = process.logged_address(READY, START).await?;
     let out = at.with_extension("out");
     let text = fs::read_to_string(&out).map_err(trouble(&out))?;
     Ok((process, door, serde_json::from_str(&text).map_err(|e| e.to_string())?))
@@ -88,7 +88,7 @@
 /// Asks one of the stand-ins.
 pub async fn ask<A: DeserializeOwned>(at: SocketAddr, path: &str) -> Result<A, String> {
     let said = async {
-        let mut peer = Peer::new(TcpStream::connect(at).await?);
+        let mut peer = Connection::new(TcpStream::connect(at).await?);
         peer.write(format!("GET {path} HTTP/1.1\r\nHost: s\r\nContent-Length: 0\r\n\r\n").as_bytes()).await?;
         peer.read().await
     };
@@ -124,11 +124,11 @@
         }
         let page = Page::Discovery { lists, places: places.clone() };
         let (discovery, discovery_door, lists) = stand(program, folder, "discovery", &page).await?;
-        let steward_addresses = addresses(layout.plan.stewards.len()).map_err(|e| e.to_string())?;
+        let steward_addresses = free_addresses(layout.plan.stewards.len()).map_err(|e| e.to_string())?;
         let mut between = BTreeMap::new();
         for n in 0..steward_addresses.len() {
             for (m, at) in steward_addresses.iter().enumerate().filter(|(m, _)| *m != n) {
-                between.insert((n, m), Link::to(*at).await.map_err(|e| e.to_string())?);
+                between.insert((n, m), Link::start(*at).await.map_err(|e| e.to_string())?);
             }
         }
         let mut ways = Ways::new();
@@ -139,7 +139,7 @@
             }
             let mut links = Vec::new();
             for at in &steward_addresses {
-                links.push(Link::to(*at).await.map_err(|e| e.to_string())?);
+                links.push(Link::start(*at).await.map_err(|e| e.to_string())?);
             }
             ways.insert(key, links);
         }
@@ -244,7 +244,7 @@
             loop {
                 let (serves, ended, log) = {
                     let process = &self.hollow.borrow()[*n];
-                    (process.says(ALL_SERVE), !process.is_running(), process.log())
+                    (process.log_contains(ALL_SERVE), !process.is_running(), process.log())
                 };
                 if serves {
                     let doors = log.iter().filter_map(|line| line.strip_prefix(DOOR)?.split_once(' '));
@@ -336,20 +336,20 @@
     }
 
     /// What went over the links to each steward so far, by members alone.
-    pub fn to_stewards(&self) -> Vec<Counted> {
-        let sum = |n: usize| self.ways.values().fold(Counted::default(), |sum, to| sum + to[n].counted());
+    pub fn to_stewards(&self) -> Vec<Traffic> {
+        let sum = |n: usize| self.ways.values().fold(Traffic::default(), |sum, to| sum + to[n].traffic());
         (0..self.steward_addresses.len()).map(sum).collect()
     }
 
-    fn of_kind(&self, real: bool) -> Counted {
+    fn of_kind(&self, real: bool) -> Traffic {
         let ways = self.ways.iter().filter(|((_, kind), _)| *kind == real);
         let asked = self.operators.get()[usize::from(real)];
-        ways.flat_map(|(_, links)| links).fold(asked, |sum, link| sum + link.counted())
+        ways.flat_map(|(_, links)| links).fold(asked, |sum, link| sum + link.traffic())
     }
 
-    fn of_steward(&self, n: usize) -> Counted {
+    fn of_steward(&self, n: usize) -> Traffic {
         let between = self.between.iter().filter(|((from, to), _)| *from == n || *to == n);
-        between.fold(self.to_stewards()[n], |sum, (_, link)| sum + link.counted())
+        between.fold(self.to_stewards()[n], |sum, (_, link)| sum + link.traffic())
     }
 
     /// Memory of all processes of a role together, in kB: hollow ones, real ones, a steward each, discovery's stand-in.
@@ -375,7 +375,7 @@
         let Some(at) = door else { continue };
         let asked = format!("GET /-/metrics HTTP/1.1\r\nHost: {}\r\n\r\n", m.name);
         let said = async {
-            let mut peer = Peer::new(TcpStream::connect(at).await?);
+            let mut peer = Connection::new(TcpStream::connect(at).await?);
             peer.write(asked.as_bytes()).await?;
             peer.read().await
         };
@@ -383,7 +383,7 @@
         let Ok(Ok(Some(said))) = timeout(SECOND, said).await else { continue };
         let mut all = fleet.operators.get();
         let bytes = (asked.len() + said.head.len() + said.body.len()) as u64;
-        all[usize::from(m.real)] += Counted { bytes, messages: 2 };
+        all[usize::from(m.real)] += Traffic { bytes, messages: 2 };
         fleet.operators.set(all);
     }
 }
@@ -391,14 +391,14 @@
 /// Looks once a second for as long as it runs; each second goes to `seconds`.
 pub async fn watch(fleet: Rc<Fleet>, seconds: Rc<RefCell<Vec<Second>>>) {
     let mut processor = Processor::default();
-    let mut before: Option<(Instant, Vec<Counted>)> = None;
+    let mut before: Option<(Instant, Vec<Traffic>)> = None;
     let mut next = Instant::now();
     loop {
         let asked: Asked = ask(fleet.discovery_door, "/").await.unwrap_or_default();
         let now = Instant::now();
         let listed = |kind: &str| {
             let (bytes, messages) = asked.get(kind).copied().unwrap_or_default();
-            Counted { bytes, messages }
+            Traffic { bytes, messages }
         };
         let (hollow, real) = (listed(kind(false)), listed(kind(true)));
         let mut counted = vec![fleet.of_kind(false) + hollow, fleet.of_kind(true) + real, hollow + real];
--- a/crates/fernroute-testbed/src/scale/load.rs
+++ b/crates/fernroute-testbed/src/scale/load.rs
@@ -2,7 +2,7 @@
 //! thread says when, another does it.
 
 use super::layout::TENANT;
-use fernroute_test_support::http::Peer;
+use fernroute_test_support::http::Connection;
 use hdrhistogram::Histogram;
 use std::cell::RefCell;
 use std::cmp::Reverse;
@@ -245,7 +245,7 @@
     direct: SocketAddr,
     streams: Vec<Stream>,
     /// Connections that stand idle, by where they go. Emptied as they end.
-    kept: RefCell<BTreeMap<SocketAddr, Vec<Peer>>>,
+    kept: RefCell<BTreeMap<SocketAddr, Vec<Connection>>>,
     /// Room for connections, by where they go: as many as there were balancers, and as often as these began.
     room: RefCell<BTreeMap<SocketAddr, Rc<Semaphore>>>,
 }
@@ -319,17 +319,17 @@
             }
             held(&self.shared.seen).crossed += 1;
         }
-        let peer = Peer::new(TcpStream::connect(at).await?);
+        let peer = Connection::new(TcpStream::connect(at).await?);
         self.exchange(at, peer, asked).await
     }
 
-    async fn exchange(&self, at: SocketAddr, mut peer: Peer, asked: &[u8]) -> std::io::Result<u16> {
+    async fn exchange(&self, at: SocketAddr, mut peer: Connection, asked: &[u8]) -> std::io::Result<u16> {
         let exchange = async {
             peer.write(asked).await?;
             peer.read().await
         };
         let answer = timeout(ANSWER, exchange).await??.ok_or(std::io::ErrorKind::UnexpectedEof)?;
-        if !answer.closes() {
+        if !answer.closes_connection() {
             self.kept.borrow_mut().entry(at).or_default().push(peer);
         }
         Ok(answer.status())
--- a/crates/fernroute-testbed/src/scale/mod.rs
+++ b/crates/fernroute-testbed/src/scale/mod.rs
@@ -127,7 +127,7 @@
             time += s.seconds;
         }
         // What stewards say to each other is some hundred messages a second at the most: taken off as counted.
-        let between: u64 = fleet.between.values().map(|link| link.counted().messages).sum();
+        let between: u64 = fleet.between.values().map(|link| link.traffic().messages).sum();
         let whole: f64 = seconds.iter().map(|s| s.seconds).sum::<f64>().max(1.0);
         let all = messages as f64 / time.max(1.0) - between as f64 / whole;
         all / fleet.layout.members.len() as f64
--- a/crates/fernroute-testbed/src/scale/stand.rs
+++ b/crates/fernroute-testbed/src/scale/stand.rs
@@ -2,9 +2,9 @@
 //! to do.
 
 use super::whole::Whole;
-use fernroute_test_support::http::{answer, Message, Peer};
-use fernroute_test_support::stand_in::{entry, serve, Deed, Discovery};
-use fernroute_test_support::Counted;
+use fernroute_test_support::http::{response, Connection, Message};
+use fernroute_test_support::stub::{list_entry, serve_stub, Reply, StubDiscovery};
+use fernroute_test_support::Traffic;
 use serde::{Deserialize, Serialize};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -73,16 +73,16 @@
 
 type Served = std::io::Result<(BTreeMap<String, SocketAddr>, SocketAddr)>;
 
-fn said(what: &impl Serialize) -> Deed {
+fn said(what: &impl Serialize) -> Reply {
     let text = serde_json::to_string(what);
-    Deed::Say(text.map_or_else(|e| answer(500, "", &e.to_string()), |text| answer(200, "", &text)))
+    Reply::Send(text.map_or_else(|e| response(500, "", &e.to_string()), |text| response(200, "", &text)))
 }
 
 /// A list, its upstreams as discovery tells them, and whether its last one drains.
 struct Told {
     entries: [String; 2],
     drains: bool,
-    by_kind: Vec<(String, Rc<Discovery>)>,
+    by_kind: Vec<(String, Rc<StubDiscovery>)>,
 }
 
 async fn discovery(
@@ -97,34 +97,34 @@
             let count = list.upstreams.len();
             let each = list.upstreams.iter().enumerate().map(|(n, (id, zone))| {
                 let state = if n + 1 == count { last } else { "SERVING" };
-                entry(id, places.get(id).copied().unwrap_or(nowhere), zone, state)
+                list_entry(id, places.get(id).copied().unwrap_or(nowhere), zone, state)
             });
             each.collect::<Vec<String>>().join(",")
         };
         let entries = [entries("SERVING"), entries("DRAINING")];
         let mut by_kind = Vec::new();
         for kind in list.kinds {
-            let one = Discovery::start(any, entries[0].clone()).await?;
+            let one = StubDiscovery::start(any, entries[0].clone()).await?;
             out.insert(format!("{name} {kind}"), one.address);
             by_kind.push((kind, one));
         }
         all.insert(name, RefCell::new(Told { entries, drains: false, by_kind }));
     }
-    let door = serve(any, move |asked: &Message| {
+    let door = serve_stub(any, move |asked: &Message| {
         if let Some(name) = asked.target.strip_prefix("/tell/") {
             // Its last upstream drains, or serves again: all who watch it get the list anew.
-            let Some(told) = all.get(name) else { return Deed::Say(answer(404, "", "")) };
+            let Some(told) = all.get(name) else { return Reply::Send(response(404, "", "")) };
             let told = &mut *told.borrow_mut();
             told.drains = !told.drains;
             let entries = &told.entries[usize::from(told.drains)];
-            told.by_kind.iter().for_each(|(_, one)| one.tell(entries.clone()));
-            return Deed::Say(answer(200, "", ""));
+            told.by_kind.iter().for_each(|(_, one)| one.publish(entries.clone()));
+            return Reply::Send(response(200, "", ""));
         }
         let mut asked = Asked::new();
         for told in all.values() {
             for (kind, one) in &told.borrow().by_kind {
-                let (sum, Counted { bytes, messages }) =
-                    (asked.entry(kind.clone()).or_default(), one.counted());
+                let (sum, Traffic { bytes, messages }) =
+                    (asked.entry(kind.clone()).or_default(), one.traffic());
                 *sum = (sum.0 + bytes, sum.1 + messages);
             }
         }
@@ -154,8 +154,8 @@
             while let Ok((stream, _)) = listener.accept().await {
                 let ran = Rc::clone(&ran);
                 spawn_local(async move {
-                    let mut peer = Peer::new(stream);
-                    let said = answer(200, "Srv-Load: util=0.10\r\n", "whole");
+                    let mut peer = Connection::new(stream);
+                    let said = response(200, "Srv-Load: util=0.10\r\n", "whole");
                     while let Ok(Some(asked)) = peer.read().await {
                         note(&mut ran.borrow_mut(), &asked, from.elapsed());
                         if peer.write(&said).await.is_err() {
@@ -166,7 +166,7 @@
             }
         });
     }
-    let door = serve(any, move |_: &Message| {
+    let door = serve_stub(any, move |_: &Message| {
         let (count, whole) = &*ran.borrow();
         said(&Ran { beyond: whole.beyond(), ..count.clone() })
     });
--- a/crates/fernroute-testbed/tests/configuration.rs
+++ b/crates/fernroute-testbed/tests/configuration.rs
@@ -1,9 +1,9 @@
 //! Configuration of a fleet of real balancers and real stewards on loopback: what reaches whom, through all that goes wrong.
 
 use fernroute_fleet::configuration::rollout::RolloutState;
-use fernroute_test_support::link::Way;
+use fernroute_test_support::link::LinkMode;
 use fernroute_test_support::process::Process;
-use fernroute_test_support::until;
+use fernroute_test_support::wait_until;
 use fernroute_testbed::processes::{Fleet, Shape};
 use std::future::Future;
 use std::path::Path;
@@ -89,12 +89,12 @@
         let fleet = start("stopped", 3).await;
         let first = fleet.put(SHOP, &methods(&["first"])).await;
         fleet.until_in_force(first, &ALL).await;
-        fleet.balancers[0].stop();
+        fleet.balancers[0].pause();
         let second = fleet.put(SHOP, &methods(&["second"])).await;
         fleet.until_in_force(second, &[1, 2]).await;
         let third = fleet.put(SHOP, &methods(&["third"])).await;
         fleet.until_in_force(third, &[1, 2]).await;
-        fleet.balancers[0].go_on();
+        fleet.balancers[0].resume();
         fleet.until_in_force(third, &ALL).await;
         let answers = (fleet.answers(0, "second").await, fleet.answers(0, "third").await);
         assert_eq!(answers, (Some(404), Some(200)));
@@ -113,7 +113,7 @@
         for n in [0, 2] {
             fleet.edit(n, "[rules]", "[list]\nask_within_s = 2\n[rules]");
             fleet.reload(n);
-            until(|| fleet.balancers[n].says("read again")).await;
+            wait_until(|| fleet.balancers[n].log_contains("read again")).await;
         }
         let first = fleet.put(SHOP, &methods(&["first"])).await;
         fleet.until_in_force(first, &ALL).await;
@@ -129,7 +129,7 @@
         let third = fleet.put(SHOP, &methods(&["third"])).await;
         fleet.until_in_force(third, &ALL).await;
         assert_eq!(fleet.answers(1, "third").await, Some(200));
-        assert_eq!(fleet.balancers[1].times("is refused"), 1);
+        assert_eq!(fleet.balancers[1].log_count("is refused"), 1);
         end(&fleet);
     });
 }
@@ -140,16 +140,16 @@
     run(async {
         let fleet = start("cut", 3).await;
         fleet.rates(&[20, 20, 20]);
-        let ways = [(Way::Passes, Way::Silent), (Way::Silent, Way::Passes)];
+        let ways = [(LinkMode::Forward, LinkMode::Stall), (LinkMode::Stall, LinkMode::Forward)];
         for (n, (there, back)) in ways.into_iter().enumerate() {
-            fleet.links[0].iter().for_each(|link| link.set(there, back));
+            fleet.links[0].iter().for_each(|link| link.set_modes(there, back));
             let name = format!("m{n}");
             let version = fleet.put(SHOP, &methods(&[&name])).await;
             fleet.until_in_force(version, &[1, 2]).await;
             // It serves on by what it has.
             assert_eq!(fleet.answers(0, &name).await, Some(404));
             assert_eq!(fleet.answers(1, &name).await, Some(200));
-            fleet.links[0].iter().for_each(|link| link.mend());
+            fleet.links[0].iter().for_each(|link| link.restore());
             fleet.until_in_force(version, &ALL).await;
             assert_eq!(fleet.answers(0, &name).await, Some(200));
         }
@@ -165,11 +165,11 @@
         for n in 0..3 {
             let leader = fleet.leader().await;
             // No balancer hears of it from this leader.
-            fleet.links.iter().for_each(|links| links[leader].refuse());
+            fleet.links.iter().for_each(|links| links[leader].refuse_connections());
             let name = format!("m{n}");
             let version = fleet.put(SHOP, &methods(&[&name])).await;
             fleet.stewards[leader].kill();
-            fleet.links.iter().for_each(|links| links[leader].mend());
+            fleet.links.iter().for_each(|links| links[leader].restore());
             fleet.until_in_force(version, &ALL).await;
             for n in ALL {
                 assert_eq!(fleet.answers(n, &name).await, Some(200));
@@ -199,13 +199,17 @@
             assert_eq!(fleet.answers(n, method).await.map(|status| status == 404), Some(false));
         }
         assert_eq!(fleet.answers(1, "kept").await, Some(404));
-        assert!(fleet.balancers[1].says("passed over: it is damaged"), "{:?}", fleet.balancers[1].log());
+        assert!(
+            fleet.balancers[1].log_contains("passed over: it is damaged"),
+            "{:?}",
+            fleet.balancers[1].log()
+        );
         for n in ALL {
             fleet.start_steward(n).expect("it starts");
         }
         fleet.until_in_force(version, &ALL).await;
         until_answers(&fleet, 1, "kept", 200).await;
-        assert_eq!(fleet.balancers[0].times(&format!("configuration {version} is in force")), 1);
+        assert_eq!(fleet.balancers[0].log_count(&format!("configuration {version} is in force")), 1);
     });
 }
 
@@ -225,7 +229,12 @@
             fleet.until_in_force(last, &ALL).await;
             assert_eq!(fleet.answers(0, name).await, Some(200));
         }
-        assert_eq!(fleet.balancers[0].times("in force and not kept"), 1, "{:?}", fleet.balancers[0].log());
+        assert_eq!(
+            fleet.balancers[0].log_count("in force and not kept"),
+            1,
+            "{:?}",
+            fleet.balancers[0].log()
+        );
         assert_eq!(std::fs::read(fleet.copy(0)).expect("it is kept"), before);
         // With room again it is told what it missed, before it serves.
         fleet.start_again(0).await.expect("it serves");
@@ -257,7 +266,7 @@
         let zone = (1..=n).rev().find(|n| n % 3 == 2).expect("one");
         for balancer in ALL {
             assert_eq!(fleet.answers(balancer, &format!("m{zone}")).await, Some(200));
-            assert!(!fleet.balancers[balancer].says("all stays as it was"));
+            assert!(!fleet.balancers[balancer].log_contains("all stays as it was"));
         }
         // As many as are asked still run, each one served; the last ones' answers are on their way for a moment.
         fleet.until_runs(60).await;
--- a/crates/fernroute-testbed/tests/duties.rs
+++ b/crates/fernroute-testbed/tests/duties.rs
@@ -4,9 +4,9 @@
 use fernroute_coordinator::configuration::RequestError;
 use fernroute_coordinator::duties::{DutiesStatus, NOTE_PATH, STATUS_PATH};
 use fernroute_coordinator::peers::Peers;
-use fernroute_test_support::caller::told;
-use fernroute_test_support::http::read;
-use fernroute_test_support::link::Way;
+use fernroute_test_support::caller::request_status;
+use fernroute_test_support::http::read_message;
+use fernroute_test_support::link::LinkMode;
 use fernroute_testbed::processes::{Fleet, Shape};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -135,7 +135,7 @@
 async fn terms(door: SocketAddr) -> Option<BTreeMap<String, u64>> {
     let mut stream = TcpStream::connect(door).await.ok()?;
     stream.write_all(b"GET /-/metrics HTTP/1.1\r\nHost: b\r\n\r\n").await.ok()?;
-    let answer = read(&mut stream).await?;
+    let answer = read_message(&mut stream).await?;
     let figures: serde_json::Value = serde_json::from_slice(&answer.body).ok()?;
     let duties = figures["fleet"]["duties"].as_object()?;
     duties.iter().map(|(duty, held)| Some((duty.clone(), held["term"].as_u64()?))).collect()
@@ -193,7 +193,7 @@
         assert!(without <= LEASE * 3 / 2, "{without:?} without a holder after a death");
         fleet.start_balancer(first.balancer).await.expect("it serves");
         let drained = Instant::now();
-        assert_eq!(told(fleet.doors[second.balancer], "POST", "/-/drain").await, 200);
+        assert_eq!(request_status(fleet.doors[second.balancer], "POST", "/-/drain").await, 200);
         let third = observer.next_holder("d0", drained, second.balancer).await;
         let without = third.heard - drained;
         assert!(without <= LEASE / 2, "{without:?} without a holder after a drain");
@@ -217,14 +217,14 @@
         let first = observer.holder("d0").await;
         assert_eq!(note(&fleet, "d0", first.term).await, Ok(()));
         let stopped = Instant::now();
-        fleet.balancers[first.balancer].stop();
+        fleet.balancers[first.balancer].pause();
         let second = observer.next_holder("d0", stopped, first.balancer).await;
         // For longer than two leases; whoever followed is stopped, too.
         sleep((LEASE * 2).saturating_sub(stopped.elapsed())).await;
-        fleet.balancers[second.balancer].stop();
+        fleet.balancers[second.balancer].pause();
         let third = observer.next_holder("d0", Instant::now(), second.balancer).await;
-        fleet.balancers[first.balancer].go_on();
-        fleet.balancers[second.balancer].go_on();
+        fleet.balancers[first.balancer].resume();
+        fleet.balancers[second.balancer].resume();
         let refused = note(&fleet, "d0", first.term).await;
         assert!(matches!(refused, Err(RequestError::Rejected(_))), "{refused:?}");
         assert!(matches!(note(&fleet, "d0", second.term).await, Err(RequestError::Rejected(_))));
@@ -240,19 +240,19 @@
 #[test]
 fn a_holder_that_is_cut_off_one_way_stops_and_another_follows() {
     for (name, there, back) in
-        [("unheard", Way::Silent, Way::Passes), ("unanswered", Way::Passes, Way::Silent)]
+        [("unheard", LinkMode::Stall, LinkMode::Forward), ("unanswered", LinkMode::Forward, LinkMode::Stall)]
     {
         run(async move {
             let (fleet, observer) = start(name, 3, 3, 1).await;
             let first = observer.holder("d0").await;
             let cut = Instant::now();
-            fleet.links[first.balancer].iter().for_each(|link| link.set(there, back));
+            fleet.links[first.balancer].iter().for_each(|link| link.set_modes(there, back));
             let second = observer.next_holder("d0", cut, first.balancer).await;
             let without = second.heard - cut;
             println!("{name}: {without:?} until another one holds it");
             // One that is heard of is told of its duty for half a lease more.
             assert!(without <= LEASE * 7 / 4, "{name}: {without:?}");
-            fleet.links[first.balancer].iter().for_each(|link| link.mend());
+            fleet.links[first.balancer].iter().for_each(|link| link.restore());
             observer.holder("d0").await;
             assert_eq!(observer.broken(), None);
         });
@@ -341,7 +341,7 @@
         }
         fleet.heal();
         for n in 0..BALANCERS {
-            assert_eq!(told(fleet.doors[n], "POST", "/-/resume").await, 200);
+            assert_eq!(request_status(fleet.doors[n], "POST", "/-/resume").await, 200);
         }
         for duty in names(DUTIES) {
             observer.holder(&duty).await;
@@ -364,19 +364,21 @@
             fleet.start_balancer(n).await.expect("it serves");
         }
         1 => {
-            fleet.balancers[n].stop();
+            fleet.balancers[n].pause();
             sleep(lasts).await;
-            fleet.balancers[n].go_on();
+            fleet.balancers[n].resume();
         }
         2 => {
-            fleet.links[n].iter().for_each(|link| link.set(Way::Silent, Way::Passes));
+            fleet.links[n].iter().for_each(|link| link.set_modes(LinkMode::Stall, LinkMode::Forward));
             sleep(lasts).await;
-            fleet.links[n].iter().for_each(|link| link.mend());
+            fleet.links[n].iter().for_each(|link| link.restore());
         }
         3 => {
-            fleet.links[n].iter().for_each(|link| link.set(Way::Passes, Way::Delays(lasts / 4)));
+            fleet.links[n]
+                .iter()
+                .for_each(|link| link.set_modes(LinkMode::Forward, LinkMode::Delay(lasts / 4)));
             sleep(lasts).await;
-            fleet.links[n].iter().for_each(|link| link.mend());
+            fleet.links[n].iter().for_each(|link| link.restore());
         }
         4 => {
             let leader = fleet.leader().await;
@@ -385,9 +387,9 @@
             fleet.start_steward(leader).expect("it starts");
         }
         _ => {
-            told(fleet.doors[n], "POST", "/-/drain").await;
+            request_status(fleet.doors[n], "POST", "/-/drain").await;
             sleep(lasts / 2).await;
-            told(fleet.doors[n], "POST", "/-/resume").await;
+            request_status(fleet.doors[n], "POST", "/-/resume").await;
         }
     }
 }
--- a/crates/fernroute-testbed/tests/fleet.rs
+++ b/crates/fernroute-testbed/tests/fleet.rs
@@ -1,10 +1,10 @@
 //! Real balancers and real stewards on loopback, a load that one tenant's budget divides, and faults between them.
 
-use fernroute_test_support::caller::{rpc, send};
-use fernroute_test_support::http::read;
-use fernroute_test_support::link::Way;
+use fernroute_test_support::caller::{rpc_head, send};
+use fernroute_test_support::http::read_message;
+use fernroute_test_support::link::LinkMode;
 use fernroute_test_support::process::Process;
-use fernroute_test_support::until;
+use fernroute_test_support::wait_until;
 use fernroute_testbed::processes::{beyond, Fleet, Mood, Shape};
 use std::future::Future;
 use std::path::Path;
@@ -67,17 +67,17 @@
         let fleet = start("stopped", 1).await;
         fleet.rates(&[150, 2, 2]);
         fleet.until_used().await;
-        fleet.balancers[0].stop();
+        fleet.balancers[0].pause();
         fleet.rates(&[20, 150, 2]);
         sleep(Duration::from_millis(500)).await;
         fleet.until_used().await;
         // It goes on and hears nothing: were its share still its own, ten seconds would be far beyond the whole.
-        fleet.links[0].iter().for_each(|link| link.refuse());
-        fleet.balancers[0].go_on();
+        fleet.links[0].iter().for_each(|link| link.refuse_connections());
+        fleet.balancers[0].resume();
         fleet.rates(&[150, 150, 2]);
         sleep(LONG).await;
         assert_eq!(fleet.broken(), None);
-        fleet.links[0].iter().for_each(|link| link.mend());
+        fleet.links[0].iter().for_each(|link| link.restore());
         fleet.rates(&[2, 150, 2]);
         fleet.until_used().await;
         end(&fleet);
@@ -101,15 +101,15 @@
             assert!(fleet.ran.within(Duration::from_secs(1)) * 10 >= WHOLE * 4, "it lapsed");
         }
         // Heard, and hearing nothing.
-        fleet.links[0].iter().for_each(|link| link.set(Way::Passes, Way::Silent));
+        fleet.links[0].iter().for_each(|link| link.set_modes(LinkMode::Forward, LinkMode::Stall));
         fleet.rates(&[150, 150, 2]);
-        until(|| fleet.balancers[0].says("nothing is granted by the fleet")).await;
+        wait_until(|| fleet.balancers[0].log_contains("nothing is granted by the fleet")).await;
         sleep(LONG).await;
         fleet.rates(&[0, 150, 2]);
         // Its part is kept for it while it is heard; once it is cut off both ways the others have it.
-        fleet.links[0].iter().for_each(|link| link.refuse());
+        fleet.links[0].iter().for_each(|link| link.refuse_connections());
         fleet.until_used().await;
-        fleet.links[0].iter().for_each(|link| link.mend());
+        fleet.links[0].iter().for_each(|link| link.restore());
         fleet.rates(&[150, 0, 2]);
         fleet.until_used().await;
         end(&fleet);
@@ -132,15 +132,15 @@
                 let ran = fleet.ran.within(Duration::from_secs(1));
                 assert!(ran * 10 >= WHOLE * 2, "{ran}: {:?}", fleet.balancers[0].log());
             }
-            until(|| !old.is_running()).await;
+            wait_until(|| !old.is_running()).await;
             fleet.until_used().await;
         }
         // The next one dies as it comes, while the old one still has a caller: the old one has all again.
-        let mut kept = send(fleet.addresses[0], rpc("GET", "/look", "")).await;
-        assert!(read(&mut kept).await.is_some());
+        let mut kept = send(fleet.addresses[0], rpc_head("GET", "/look", "")).await;
+        assert!(read_message(&mut kept).await.is_some());
         let old = fleet.upgrade(0).await.expect("it serves");
         fleet.balancers[0].kill();
-        until(|| old.says("serving again")).await;
+        wait_until(|| old.log_contains("serving again")).await;
         fleet.until_used().await;
         end(&fleet);
     });
@@ -156,7 +156,7 @@
         let leader = fleet.leader().await;
         fleet.part(&[leader], &[0, 1]);
         // The others have a leader of their own, and in time all that the two held but their floors.
-        until(|| fleet.balancers[0].says("nothing is granted by the fleet")).await;
+        wait_until(|| fleet.balancers[0].log_contains("nothing is granted by the fleet")).await;
         fleet.rates(&[20, 20, 100, 100]);
         fleet.until_used().await;
         // Both halves ask for far more than the whole.
@@ -220,16 +220,16 @@
         fleet.rates(&[150, 2, 2]);
         fleet.until_used().await;
         let (stranger, at) = fleet.stranger(0).await.expect("it serves");
-        until(|| stranger.says("NameTaken")).await;
+        wait_until(|| stranger.log_contains("NameTaken")).await;
         for _ in 0..20 {
-            let asked = rpc("GET", "/look", "Req-Owner: acme\r\nConnection: close\r\n");
-            let answer = read(&mut send(at, asked).await).await.expect("an answer");
+            let asked = rpc_head("GET", "/look", "Req-Owner: acme\r\nConnection: close\r\n");
+            let answer = read_message(&mut send(at, asked).await).await.expect("an answer");
             assert_eq!(answer.status(), 503);
         }
         fleet.until_used().await;
         // Once the other one has ended, and what it held has lapsed, the name is free.
         fleet.balancers[0].kill();
-        until(|| stranger.says("of the fleet c")).await;
+        wait_until(|| stranger.log_contains("of the fleet c")).await;
         end(&fleet);
     });
 }
@@ -244,7 +244,7 @@
         fleet.stewards.iter().for_each(Process::kill);
         // The floors are a tenth of the whole, a third of that each.
         let floors = WHOLE / 10;
-        until(|| fleet.ran.within(Duration::from_secs(1)) <= 2 * floors).await;
+        wait_until(|| fleet.ran.within(Duration::from_secs(1)) <= 2 * floors).await;
         sleep(Duration::from_secs(2)).await;
         let ran = fleet.ran.within(Duration::from_secs(1));
         assert!((floors / 2..=2 * floors).contains(&ran), "{ran}");
@@ -269,10 +269,10 @@
         // All turn every second away: there would be nearly as many further transmissions as RPCs.
         fleet.moods.iter().for_each(|mood| mood.set(Mood::TurnsAwayHalf));
         let lately = || fleet.further().iter().filter(|at| at.elapsed() < Duration::from_secs(1)).count();
-        until(|| lately() as f64 >= FURTHER * 0.7).await;
+        wait_until(|| lately() as f64 >= FURTHER * 0.7).await;
         fleet.rates(&[2, 2, 100]);
         sleep(Duration::from_secs(2)).await;
-        until(|| lately() as f64 >= FURTHER * 0.7).await;
+        wait_until(|| lately() as f64 >= FURTHER * 0.7).await;
         fleet.rates(&[100, 100, 100]);
         sleep(LONG).await;
         assert_eq!(beyond(&fleet.further(), FURTHER, BALANCERS), None);
@@ -284,8 +284,8 @@
         sleep(Duration::from_secs(1)).await;
         let (before, came) = (fleet.further().len(), fleet.came.borrow().len());
         for _ in 0..20 {
-            let asked = rpc("GET", "/look", "Connection: close\r\n");
-            read(&mut send(fleet.addresses[0], asked).await).await.expect("an answer");
+            let asked = rpc_head("GET", "/look", "Connection: close\r\n");
+            read_message(&mut send(fleet.addresses[0], asked).await).await.expect("an answer");
         }
         assert!(fleet.came.borrow().len() > came + 5, "they are sent once");
         assert_eq!(fleet.further().len(), before);
@@ -303,7 +303,7 @@
         fleet.rates(&[30, 30, 30]);
         fleet.until_runs(80).await;
         fleet.moods[3].set(Mood::Fails);
-        until(|| fleet.balancers.iter().all(|b| b.says("-> Open"))).await;
+        wait_until(|| fleet.balancers.iter().all(|b| b.log_contains("-> Open"))).await;
         sleep(Duration::from_millis(200)).await;
         // It is well again, and nobody may find out: each balancer alone would try it within seven seconds.
         fleet.moods[3].set(Mood::Well);
@@ -316,7 +316,7 @@
         fleet.stewards[0].kill();
         fleet.shape.trials = Some(9.0);
         fleet.start_steward(0).expect("it starts");
-        until(|| fleet.balancers.iter().all(|b| b.says("HalfOpen -> Closed"))).await;
+        wait_until(|| fleet.balancers.iter().all(|b| b.log_contains("HalfOpen -> Closed"))).await;
         end(&fleet);
     });
 }
