--- a/crates/fernroute-testbed/src/beside.rs
+++ b/crates/fernroute-testbed/src/beside.rs
@@ -22,7 +22,7 @@
 
 /// Three stewards, four balancers, a load that moves from one to the next every five seconds, and the ledger's word of it
 /// all every two; until Ctrl-C.
-pub fn fleet(program: &Path) -> Result<(), String> {
+pub fn run_fleet(program: &Path) -> Result<(), String> {
     const WHOLE: usize = 200;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
--- a/crates/fernroute-testbed/src/charts.rs
+++ b/crates/fernroute-testbed/src/charts.rs
@@ -1,7 +1,7 @@
 //! Results as pictures.
 
 use crate::experiment::{Experiment, Row, Summary};
-use crate::player::Variant;
+use crate::policy::Variant;
 use plotters::coord::ranged1d::Ranged;
 use plotters::prelude::*;
 use std::path::Path;
@@ -40,7 +40,7 @@
 
 /// Service by the second, over three seconds and all seeds, with the faults' times shaded.
 fn course(experiment: &Experiment, rows: &[&Row], faults: &[(f64, f64)], path: &Path) -> Drawn {
-    let length = rows.iter().map(|r| r.course.len()).max().unwrap_or(1);
+    let length = rows.iter().map(|r| r.service_by_second.len()).max().unwrap_or(1);
     let root = SVGBackend::new(path, SIZE).into_drawing_area();
     root.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&root)
@@ -57,7 +57,7 @@
     lines(experiment, rows, &mut chart, |these| {
         let at = |second: usize| {
             let near = second.saturating_sub(1)..(second + 2).min(length);
-            let part = these.iter().flat_map(|r| &r.course[near.clone()]);
+            let part = these.iter().flat_map(|r| &r.service_by_second[near.clone()]);
             let (served, offered) =
                 part.fold((0.0, 0.0), |(s, o), (served, offered)| (s + served, o + offered));
             (second as f64 + 0.5, if offered > 0.0 { served / offered } else { 1.0 })
@@ -71,7 +71,7 @@
 
 /// How long answers took, by the share of them, over all seeds.
 fn times(experiment: &Experiment, rows: &[&Row], path: &Path) -> Drawn {
-    let most = rows.iter().flat_map(|r| &r.times).map(|(_, ms)| *ms).fold(1.0, f64::max);
+    let most = rows.iter().flat_map(|r| &r.latency_percentiles).map(|(_, ms)| *ms).fold(1.0, f64::max);
     let root = SVGBackend::new(path, SIZE).into_drawing_area();
     root.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&root)
@@ -82,10 +82,10 @@
         .build_cartesian_2d(0.0..100.0, (1.0..most * 1.05).log_scale())?;
     chart.configure_mesh().light_line_style(TRANSPARENT).x_desc("percentile").y_desc("ms").draw()?;
     lines(experiment, rows, &mut chart, |these| {
-        let points = these.first().map_or(0, |r| r.times.len());
+        let points = these.first().map_or(0, |r| r.latency_percentiles.len());
         let mean = |n: usize| {
-            let sum: f64 = these.iter().map(|r| r.times[n].1).sum();
-            (these[0].times[n].0, (sum / these.len() as f64).max(1.0))
+            let sum: f64 = these.iter().map(|r| r.latency_percentiles[n].1).sum();
+            (these[0].latency_percentiles[n].0, (sum / these.len() as f64).max(1.0))
         };
         (0..points).map(mean).collect()
     })?;
@@ -127,7 +127,7 @@
             .filter(|s| s.variant == *variant)
             .filter_map(|s| {
                 let place = names.iter().position(|name| *name == s.scenario)? as f64;
-                let half = if s.service.half.is_finite() { s.service.half } else { 0.0 };
+                let half = if s.service.half_width.is_finite() { s.service.half_width } else { 0.0 };
                 Some((place + 0.1 + 0.8 * n as f64 / count, s.service.mean, half))
             })
             .collect();
--- a/crates/fernroute-testbed/src/demand.rs
+++ b/crates/fernroute-testbed/src/demand.rs
@@ -1,6 +1,6 @@
 //! What callers want, drawn by chance: the same for the simulator and for real processes, and whoever decides.
 
-use crate::scenario::{millis, seconds, Fault, Kind, Scenario, Spread};
+use crate::scenario::{millis, seconds, Fault, FaultKind, Scenario, Spread};
 use fernroute::Time;
 use rand::seq::SliceRandom as _;
 use rand::{RngExt as _, SeedableRng as _};
@@ -8,19 +8,19 @@
 use rand_distr::{Distribution as _, Exp1, StandardNormal};
 use std::rc::Rc;
 
-/// Where the streams of chance come apart; that of request `n` is `REQUESTS + n`.
-pub const ARRIVALS: u64 = 1;
-pub const CHANCE: u64 = 2;
-const REQUESTS: u64 = 1 << 32;
+/// Where the streams of chance come apart; that of request `n` is `FIRST_REQUEST_STREAM + n`.
+pub const ARRIVAL_STREAM: u64 = 1;
+pub const SIMULATION_STREAM: u64 = 2;
+const FIRST_REQUEST_STREAM: u64 = 1 << 32;
 
-pub fn stream(seed: u64, part: u64) -> ChaCha8Rng {
+pub fn rng_stream(seed: u64, part: u64) -> ChaCha8Rng {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     rng.set_stream(part);
     rng
 }
 
 /// A drained upstream ends when it has been told for so long, in seconds: longer than most RPCs take.
-pub const LINGER: f64 = 6.0;
+pub const DRAINED_EXIT_DELAY_S: f64 = 6.0;
 
 /// What a run's balancer starts its own chance from.
 pub fn balancer_seed(seed: u64, node: usize) -> u64 {
@@ -28,11 +28,11 @@
 }
 
 /// Whom fault `i` hits, of these upstreams and their zones. It does not depend on who decides.
-pub fn victims(fault: &Fault, i: usize, seed: u64, mut up: Vec<(usize, usize)>) -> Vec<usize> {
-    if fault.kind == Kind::ZoneLoss {
+pub fn fault_targets(fault: &Fault, i: usize, seed: u64, mut up: Vec<(usize, usize)>) -> Vec<usize> {
+    if fault.kind == FaultKind::ZoneLoss {
         up.retain(|(_, zone)| *zone == fault.size as usize);
     } else {
-        up.shuffle(&mut stream(seed, (i as u64 + 1) << 16));
+        up.shuffle(&mut rng_stream(seed, (i as u64 + 1) << 16));
         up.truncate((up.len() as f64 * fault.part).round() as usize);
     }
     up.into_iter().map(|(n, _)| n).collect()
@@ -40,23 +40,23 @@
 
 /// One request of a caller, over all its tries.
 #[derive(Clone, Debug)]
-pub struct Want {
+pub struct RequestSpec {
     pub method: usize,
     /// Work of one core over all tiers, and calls on each tier for one of the tier above.
     pub work: Time,
     pub calls: Rc<[u32]>,
     /// After which share of its time the caller leaves, if it does.
-    pub leaves: Option<f64>,
+    pub leaves_after: Option<f64>,
     /// Which balancer of the first tier it comes to, of as many as there are.
     pub balancer: usize,
     /// Whom it is for, where there are tenants.
     pub tenant: Option<usize>,
 }
 
-impl Want {
+impl RequestSpec {
     /// All that chance has to say of a request comes from a stream of its own.
-    pub fn of(scenario: &Scenario, seed: u64, number: u64) -> Self {
-        let mut rng = stream(seed, REQUESTS + number);
+    pub fn generate(scenario: &Scenario, seed: u64, number: u64) -> Self {
+        let mut rng = rng_stream(seed, FIRST_REQUEST_STREAM + number);
         let methods = &scenario.method;
         let mut at = rng.random::<f64>() * methods.iter().map(|m| m.share).sum::<f64>();
         let method = methods.iter().position(|m| {
@@ -97,7 +97,14 @@
             let here = rng.random::<f64>() * (balancers as f64) < of.busiest;
             balancer = if here { busy } else { (busy + others) % balancers };
         }
-        Want { method, work: millis(m.work_ms * factor).max(1), calls, leaves, balancer, tenant }
+        RequestSpec {
+            method,
+            work: millis(m.work_ms * factor).max(1),
+            calls,
+            leaves_after: leaves,
+            balancer,
+            tenant,
+        }
     }
 }
 
@@ -110,12 +117,12 @@
 
 impl Arrivals {
     pub fn new(scenario: &Scenario, seed: u64) -> Self {
-        Arrivals { rng: stream(seed, ARRIVALS), now: 0, end: seconds(scenario.seconds) }
+        Arrivals { rng: rng_stream(seed, ARRIVAL_STREAM), now: 0, end: seconds(scenario.seconds) }
     }
 
     pub fn next(&mut self, scenario: &Scenario) -> Option<Time> {
         let on = |f: &&Fault| {
-            f.kind == Kind::Surge && (seconds(f.at_s)..seconds(f.at_s + f.for_s)).contains(&self.now)
+            f.kind == FaultKind::Surge && (seconds(f.at_s)..seconds(f.at_s + f.for_s)).contains(&self.now)
         };
         let surge: f64 = scenario.fault.iter().filter(on).map(|f| f.size).product();
         // Where a surge takes all load away, it is looked for again at some time.
--- a/crates/fernroute-testbed/src/experiment.rs
+++ b/crates/fernroute-testbed/src/experiment.rs
@@ -4,9 +4,9 @@
 pub mod depth;
 pub mod figures;
 
-use crate::player::Variant;
+use crate::policy::Variant;
 use crate::referee::Rule;
-use crate::run::{self, Result as Run};
+use crate::run::{self, RunResult};
 use crate::scenario::Scenario;
 use rayon::prelude::*;
 use serde::{Deserialize, Serialize};
@@ -18,7 +18,7 @@
 /// A file as it is written; scenarios by their path from there.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Page {
+pub struct ExperimentFile {
     pub name: String,
     pub scenarios: Vec<PathBuf>,
     /// The first is the one that the others are held against.
@@ -37,7 +37,7 @@
     pub fn read(path: &Path) -> Result<Self, String> {
         let place = |why: String| format!("{}: {}", path.display(), why.replace('\n', " "));
         let text = std::fs::read_to_string(path).map_err(|e| place(e.to_string()))?;
-        let page: Page = toml::from_str(&text).map_err(|e| place(e.message().to_owned()))?;
+        let page: ExperimentFile = toml::from_str(&text).map_err(|e| place(e.message().to_owned()))?;
         if page.scenarios.is_empty() || page.variants.is_empty() || page.seeds.is_empty() {
             return Err(place(
                 "scenarios, variants and seeds: there must be one of each at the least".to_owned(),
@@ -47,7 +47,7 @@
             return Err(place("seeds: one is there twice".to_owned()));
         }
         let variants: Result<Vec<Variant>, String> =
-            page.variants.iter().map(|v| Variant::named(v)).collect();
+            page.variants.iter().map(|v| Variant::from_name(v)).collect();
         let folder = path.parent().unwrap_or(Path::new(""));
         let mut scenarios: Vec<(Scenario, String)> = Vec::new();
         for file in &page.scenarios {
@@ -62,7 +62,7 @@
     }
 
     /// All runs, side by side; their order does not depend on which ends first.
-    pub fn play(&self) -> Vec<Row> {
+    pub fn run(&self) -> Vec<Row> {
         let all: Vec<(usize, Variant, u64)> = (0..self.scenarios.len())
             .flat_map(|s| self.variants.iter().map(move |v| (s, *v)))
             .flat_map(|(s, v)| self.seeds.iter().map(move |seed| (s, v, *seed)))
@@ -84,9 +84,9 @@
     pub service: f64,
     pub worst_ten: f64,
     /// Of what could be used of tenants' wholes, where there are tenants.
-    pub used: Option<f64>,
+    pub utilization: Option<f64>,
     pub requests: u64,
-    pub transmissions: u64,
+    pub attempts: u64,
     pub exhausted: u64,
     pub errored: u64,
     pub late: u64,
@@ -98,43 +98,44 @@
     pub p50: f64,
     pub p99: f64,
     /// Percentiles of 1 to 99 and 99.9, for the chart.
-    pub times: Vec<(f64, f64)>,
+    pub latency_percentiles: Vec<(f64, f64)>,
     /// Served and offered gain by the second.
-    pub course: Vec<(f64, f64)>,
-    pub breaches: BTreeMap<Rule, usize>,
+    pub service_by_second: Vec<(f64, f64)>,
+    pub violations: BTreeMap<Rule, usize>,
 }
 
 impl Row {
-    fn of(scenario: &Scenario, variant: Variant, seed: u64, run: &Run) -> Self {
-        let books = &run.books;
-        let at = |q: f64| books.times.value_at_quantile(q) as f64 / 10.0;
-        let mut breaches = BTreeMap::new();
-        for breach in &run.breaches {
-            *breaches.entry(breach.rule).or_insert(0) += 1;
+    fn of(scenario: &Scenario, variant: Variant, seed: u64, run: &RunResult) -> Self {
+        let metrics = &run.metrics;
+        let at = |q: f64| metrics.latencies.value_at_quantile(q) as f64 / 10.0;
+        let mut violations = BTreeMap::new();
+        for breach in &run.violations {
+            *violations.entry(breach.rule).or_insert(0) += 1;
         }
-        let sum = |what: fn(&crate::books::Second) -> u64| books.seconds.iter().map(what).sum();
-        let share =
-            |m: &crate::books::ByMethod| (m.name.clone(), m.served as f64 / (m.offered as f64).max(1.0));
+        let sum = |what: fn(&crate::metrics::SecondMetrics) -> u64| metrics.seconds.iter().map(what).sum();
+        let share = |m: &crate::metrics::MethodMetrics| {
+            (m.name.clone(), m.served as f64 / (m.offered as f64).max(1.0))
+        };
         Row {
             scenario: scenario.name.clone(),
             variant,
             seed,
-            service: books.service(),
-            worst_ten: books.worst_ten(),
-            used: books.used(),
-            requests: books.methods.iter().map(|m| m.offered).sum(),
-            transmissions: books.transmissions,
+            service: metrics.service(),
+            worst_ten: metrics.worst_ten(),
+            utilization: metrics.utilization(),
+            requests: metrics.methods.iter().map(|m| m.offered).sum(),
+            attempts: metrics.attempts,
             exhausted: sum(|s| s.exhausted),
             errored: sum(|s| s.errored),
             late: sum(|s| s.late),
-            lost: books.ends.lost,
-            never_answered: books.ends.open,
-            methods: books.methods.iter().map(share).collect(),
+            lost: metrics.ends.lost,
+            never_answered: metrics.ends.open,
+            methods: metrics.methods.iter().map(share).collect(),
             p50: at(0.5),
             p99: at(0.99),
-            times: (1..=99).map(f64::from).chain([99.9]).map(|p| (p, at(p / 100.0))).collect(),
-            course: books.seconds.iter().map(|s| (s.served, s.offered)).collect(),
-            breaches,
+            latency_percentiles: (1..=99).map(f64::from).chain([99.9]).map(|p| (p, at(p / 100.0))).collect(),
+            service_by_second: metrics.seconds.iter().map(|s| (s.served, s.offered)).collect(),
+            violations,
         }
     }
 }
@@ -144,7 +145,7 @@
 pub struct Estimate {
     pub mean: f64,
     /// Half the interval; no number where there is but one value.
-    pub half: f64,
+    pub half_width: f64,
 }
 
 impl Estimate {
@@ -154,12 +155,12 @@
         let var = values.iter().map(|v| (v - mean).powi(2)).sum::<f64>() / (n - 1.0);
         let half =
             StudentsT::new(0.0, 1.0, n - 1.0).map_or(f64::NAN, |t| t.inverse_cdf(0.975) * (var / n).sqrt());
-        Estimate { mean, half: if values.len() < 2 { f64::NAN } else { half } }
+        Estimate { mean, half_width: if values.len() < 2 { f64::NAN } else { half } }
     }
 
     /// Whether the interval leaves out zero.
-    pub fn shows_a_difference(self) -> bool {
-        self.half.is_finite() && self.mean.abs() > self.half
+    pub fn is_significant(self) -> bool {
+        self.half_width.is_finite() && self.mean.abs() > self.half_width
     }
 }
 
@@ -170,13 +171,13 @@
     pub variant: Variant,
     pub service: Estimate,
     pub worst_ten: Estimate,
-    pub used: Option<Estimate>,
+    pub utilization: Option<Estimate>,
     /// The first variant's use of tenants' wholes less this one's, paired by seed.
-    pub used_ahead: Option<Estimate>,
+    pub utilization_lead: Option<Estimate>,
     /// The first variant's service less this one's, paired by seed; none for the first.
-    pub ahead: Option<Estimate>,
+    pub service_lead: Option<Estimate>,
     pub p99: f64,
-    pub breaches: BTreeMap<Rule, usize>,
+    pub violations: BTreeMap<Rule, usize>,
 }
 
 pub fn summarise(rows: &[Row]) -> Vec<Summary> {
@@ -200,19 +201,19 @@
             let differences: Option<Vec<f64>> = pairs.map(|(b, r)| Some(what(b)? - what(r)?)).collect();
             Some(Estimate::of(&differences?))
         };
-        let used: Option<Vec<f64>> = these.iter().map(|r| r.used).collect();
-        let mut breaches = BTreeMap::new();
-        for rule in these.iter().flat_map(|r| r.breaches.keys()) {
-            *breaches.entry(*rule).or_insert(0) += 1;
+        let used: Option<Vec<f64>> = these.iter().map(|r| r.utilization).collect();
+        let mut violations = BTreeMap::new();
+        for rule in these.iter().flat_map(|r| r.violations.keys()) {
+            *violations.entry(*rule).or_insert(0) += 1;
         }
         Summary {
             service: Estimate::of(&values(|r| r.service)),
             worst_ten: Estimate::of(&values(|r| r.worst_ten)),
             p99: Estimate::of(&values(|r| r.p99)).mean,
-            ahead: paired(|r| Some(r.service)),
-            used: used.map(|used| Estimate::of(&used)),
-            used_ahead: paired(|r| r.used),
-            breaches,
+            service_lead: paired(|r| Some(r.service)),
+            utilization: used.map(|utilization| Estimate::of(&utilization)),
+            utilization_lead: paired(|r| r.utilization),
+            violations,
             scenario,
             variant,
         }
@@ -224,7 +225,7 @@
 pub fn table(summaries: &[Summary], seeds: usize) -> String {
     let first = summaries.first().map_or("", |s| s.variant.name());
     // Where a scenario has tenants, how much of their wholes was used.
-    let tenants = summaries.iter().any(|s| s.used.is_some());
+    let tenants = summaries.iter().any(|s| s.utilization.is_some());
     let (head, line) = match tenants {
         true => ("| of tenants' wholes in use | ahead in that by ", " --- | --- |"),
         false => ("", ""),
@@ -233,23 +234,25 @@
         "| scenario | variant | service | worst 10 s | 99 in 100 answered within, ms | {first} is ahead by {head}| rules broken, \
          runs of {seeds} |\n| --- | --- | --- | --- | --- | --- |{line} --- |\n"
     );
-    let number = |e: Estimate| match e.half.is_finite() {
-        true => format!("{:.3} ± {:.3}", e.mean, e.half),
+    let number = |e: Estimate| match e.half_width.is_finite() {
+        true => format!("{:.3} ± {:.3}", e.mean, e.half_width),
         false => format!("{:.3}", e.mean),
     };
     for s in summaries {
         let ahead = |of: Option<Estimate>| match of {
             None => String::new(),
-            Some(a) if !a.half.is_finite() => format!("{:+.3}, one seed", a.mean),
-            Some(a) if a.shows_a_difference() => format!("{:+.3} ± {:.3}", a.mean, a.half),
-            Some(a) => format!("no difference shown ({:+.3} ± {:.3})", a.mean, a.half),
+            Some(a) if !a.half_width.is_finite() => format!("{:+.3}, one seed", a.mean),
+            Some(a) if a.is_significant() => format!("{:+.3} ± {:.3}", a.mean, a.half_width),
+            Some(a) => format!("no difference shown ({:+.3} ± {:.3})", a.mean, a.half_width),
         };
         let used = match tenants {
-            true => format!("{} | {} | ", s.used.map_or(String::new(), number), ahead(s.used_ahead)),
+            true => {
+                format!("{} | {} | ", s.utilization.map_or(String::new(), number), ahead(s.utilization_lead))
+            }
             false => String::new(),
         };
-        let ahead = ahead(s.ahead);
-        let broken: Vec<String> = s.breaches.iter().map(|(rule, n)| format!("{rule:?} {n}")).collect();
+        let ahead = ahead(s.service_lead);
+        let broken: Vec<String> = s.violations.iter().map(|(rule, n)| format!("{rule:?} {n}")).collect();
         let (service, worst) = (number(s.service), number(s.worst_ten));
         let broken = if broken.is_empty() { "none".to_owned() } else { broken.join(", ") };
         // Writing to a text does not fail.
@@ -278,7 +281,7 @@
 /// Writes all results to a folder that holds nothing yet.
 pub fn write(experiment: &Experiment, rows: &[Row], folder: &Path, command: &str) -> Result<(), String> {
     let trouble = |e: std::io::Error| format!("{}: {e}", folder.display());
-    claim(folder)?;
+    create_empty_folder(folder)?;
     let put = |name: &str, text: &str| std::fs::write(folder.join(name), text).map_err(trouble);
     let mut csv = csv::Writer::from_writer(Vec::new());
     let wrong = |e: csv::Error| e.to_string();
@@ -286,15 +289,15 @@
                 never_answered,p50_ms,p99_ms,rules_broken,methods,used";
     csv.write_record(head.split(',')).map_err(wrong)?;
     for r in rows {
-        let broken: Vec<String> = r.breaches.iter().map(|(rule, n)| format!("{rule:?}={n}")).collect();
+        let broken: Vec<String> = r.violations.iter().map(|(rule, n)| format!("{rule:?}={n}")).collect();
         let methods: Vec<String> =
             r.methods.iter().map(|(name, share)| format!("{name}={share:.4}")).collect();
-        let numbers = [r.requests, r.transmissions, r.exhausted, r.errored, r.late, r.lost, r.never_answered];
+        let numbers = [r.requests, r.attempts, r.exhausted, r.errored, r.late, r.lost, r.never_answered];
         let mut line = vec![r.scenario.clone(), r.variant.name().to_owned(), r.seed.to_string()];
         line.extend([format!("{:.6}", r.service), format!("{:.6}", r.worst_ten)]);
         line.extend(numbers.map(|n| n.to_string()));
         line.extend([format!("{:.1}", r.p50), format!("{:.1}", r.p99), broken.join(" "), methods.join(" ")]);
-        line.push(r.used.map_or(String::new(), |used| format!("{used:.6}")));
+        line.push(r.utilization.map_or(String::new(), |used| format!("{used:.6}")));
         csv.write_record(line).map_err(wrong)?;
     }
     let csv = csv.into_inner().map_err(|e| e.to_string())?;
@@ -326,7 +329,7 @@
 }
 
 /// Makes the folder; results that are there already are not overwritten.
-pub fn claim(folder: &Path) -> Result<(), String> {
+pub fn create_empty_folder(folder: &Path) -> Result<(), String> {
     let trouble = |e: std::io::Error| format!("{}: {e}", folder.display());
     std::fs::create_dir_all(folder).map_err(trouble)?;
     match std::fs::read_dir(folder).map_err(trouble)?.next() {
--- a/crates/fernroute-testbed/src/experiment/cold.rs
+++ b/crates/fernroute-testbed/src/experiment/cold.rs
@@ -1,8 +1,8 @@
 //! How near cold upstreams come to their fall: fleets of several sizes, even traffic and uneven, many seeds. The load
 //! and what an upstream can do stay the same, so that more balancers means less for each.
 
-use crate::player::Variant;
-use crate::referee::cold::{bound, Worst};
+use crate::policy::Variant;
+use crate::referee::cold::{fall_threshold, ColdWindow};
 use crate::run;
 use crate::scenario::{Scenario, Tenant};
 use rayon::prelude::*;
@@ -13,7 +13,7 @@
 /// A file as it is written; scenarios by their path from there.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Page {
+struct ExperimentFile {
     #[serde(rename = "name")]
     _name: String,
     scenarios: Vec<PathBuf>,
@@ -38,14 +38,14 @@
     pub starts: usize,
     /// Those that fell, and those of them that break the rule.
     pub fell: usize,
-    pub broken: usize,
+    pub violating: usize,
     /// Those that fell with more RPCs than are allowed: the others met a heavy RPC or two, which nobody can foretell.
-    pub many: usize,
+    pub fell_by_count: usize,
     /// Other rules broken, over all runs.
-    pub others: usize,
+    pub other_violations: usize,
     /// Of the bound, what one in a hundred cold starts came to or more.
-    pub high: f64,
-    pub worst: Worst,
+    pub p99_load_ratio: f64,
+    pub worst: ColdWindow,
     pub service: f64,
 }
 
@@ -53,7 +53,7 @@
     pub fn read(path: &Path) -> Result<Self, String> {
         let place = |why: String| format!("{}: {}", path.display(), why.replace('\n', " "));
         let text = std::fs::read_to_string(path).map_err(|e| place(e.to_string()))?;
-        let page: Page = toml::from_str(&text).map_err(|e| place(e.message().to_owned()))?;
+        let page: ExperimentFile = toml::from_str(&text).map_err(|e| place(e.message().to_owned()))?;
         let folder = path.parent().unwrap_or(Path::new(""));
         let scenarios = page.scenarios.iter().map(|file| Scenario::read(&folder.join(file)));
         let scenarios = scenarios.collect::<Result<Vec<Scenario>, String>>()?;
@@ -70,16 +70,16 @@
     }
 
     /// All runs, side by side; their order does not depend on which ends first.
-    pub fn play(&self) -> Vec<Row> {
+    pub fn run(&self) -> Vec<Row> {
         let fleets =
-            |s: &Scenario| self.fleets.iter().map(|of| with_fleet(s, *of)).collect::<Vec<Scenario>>();
+            |s: &Scenario| self.fleets.iter().map(|of| with_balancers(s, *of)).collect::<Vec<Scenario>>();
         let scenarios: Vec<Scenario> = self.scenarios.iter().flat_map(fleets).collect();
-        scenarios.iter().map(|scenario| row(scenario, self.seeds)).collect()
+        scenarios.iter().map(|scenario| run_scenario(scenario, self.seeds)).collect()
     }
 }
 
 /// The scenario with so many balancers, one of which gets so many times the mean.
-pub fn with_fleet(scenario: &Scenario, (balancers, busiest): (usize, f64)) -> Scenario {
+pub fn with_balancers(scenario: &Scenario, (balancers, busiest): (usize, f64)) -> Scenario {
     /// A budget that nobody reaches.
     const ENDLESS: f64 = 1e6;
     let mut scenario = scenario.clone();
@@ -91,13 +91,13 @@
     scenario
 }
 
-pub fn row(scenario: &Scenario, seeds: u64) -> Row {
+pub fn run_scenario(scenario: &Scenario, seeds: u64) -> Row {
     let runs = (1..=seeds).into_par_iter().map(|seed| run::run(scenario, Variant::Fernroute, seed));
-    let runs: Vec<run::Result> = runs.collect();
-    let mut starts: Vec<Worst> = runs.iter().flat_map(|r| r.cold_starts.iter().copied()).collect();
-    starts.sort_by(|a, b| a.share().total_cmp(&b.share()));
+    let runs: Vec<run::RunResult> = runs.collect();
+    let mut starts: Vec<ColdWindow> = runs.iter().flat_map(|r| r.cold_starts.iter().copied()).collect();
+    starts.sort_by(|a, b| a.load_ratio().total_cmp(&b.load_ratio()));
     let at = |q: f64| starts.get((starts.len() as f64 * q) as usize).copied().unwrap_or_default();
-    let broken = starts.iter().filter(|w| w.breaks()).count();
+    let broken = starts.iter().filter(|w| w.is_violation()).count();
     Row {
         scenario: scenario.name.clone(),
         balancers: scenario.tier[0].balancers,
@@ -105,12 +105,12 @@
         seeds,
         starts: starts.len(),
         fell: starts.iter().filter(|w| w.fell()).count(),
-        broken,
-        many: starts.iter().filter(|w| w.fell() && w.rpcs as f64 > w.allowed).count(),
-        others: runs.iter().map(|r| r.breaches.len()).sum::<usize>() - broken,
-        high: at(0.99).share(),
+        violating: broken,
+        fell_by_count: starts.iter().filter(|w| w.fell() && w.rpcs as f64 > w.allowed).count(),
+        other_violations: runs.iter().map(|r| r.violations.len()).sum::<usize>() - broken,
+        p99_load_ratio: at(0.99).load_ratio(),
         worst: starts.last().copied().unwrap_or_default(),
-        service: runs.iter().map(|r| r.books.service()).sum::<f64>() / runs.len() as f64,
+        service: runs.iter().map(|r| r.metrics.service()).sum::<f64>() / runs.len() as f64,
     }
 }
 
@@ -131,12 +131,12 @@
             r.balancers,
             r.starts,
             r.fell,
-            r.many,
-            r.broken,
-            r.others,
-            r.high,
+            r.fell_by_count,
+            r.violating,
+            r.other_violations,
+            r.p99_load_ratio,
             w.work,
-            bound(w.allowed),
+            fall_threshold(w.allowed),
             w.allowed,
             w.rpcs,
             r.service
--- a/crates/fernroute-testbed/src/experiment/depth.rs
+++ b/crates/fernroute-testbed/src/experiment/depth.rs
@@ -1,10 +1,10 @@
 //! What many tiers one below another add to an RPC, where some of the last one's answers are errors.
 
 use super::Estimate;
-use crate::books::Books;
-use crate::player::Variant;
+use crate::metrics::RunMetrics;
+use crate::policy::Variant;
 use crate::run;
-use crate::scenario::{Kind, Scenario};
+use crate::scenario::{FaultKind, Scenario};
 use rayon::prelude::*;
 use std::fmt::Write as _;
 
@@ -17,7 +17,7 @@
     let last = scenario.tier.len() - 1;
     let errors: Vec<usize> = (0..scenario.fault.len())
         .filter(|i| {
-            scenario.fault[*i].kind == Kind::FastErrors && scenario.tier_of(&scenario.fault[*i]) == last
+            scenario.fault[*i].kind == FaultKind::FastErrors && scenario.tier_of(&scenario.fault[*i]) == last
         })
         .collect();
     errors.into_iter().for_each(|i| scenario.fault[i].size = share);
@@ -30,14 +30,14 @@
 }
 
 /// Transmissions of one tier for each try of a caller.
-pub fn transmissions(books: &Books, tier: usize) -> f64 {
-    books.tiers[tier].transmissions as f64 / (books.tiers[0].rpcs as f64).max(1.0)
+pub fn attempts_per_rpc(metrics: &RunMetrics, tier: usize) -> f64 {
+    metrics.tiers[tier].attempts as f64 / (metrics.tiers[0].rpcs as f64).max(1.0)
 }
 
-fn number(of: &[Books], value: impl Fn(&Books) -> f64) -> String {
+fn number(of: &[RunMetrics], value: impl Fn(&RunMetrics) -> f64) -> String {
     let e = Estimate::of(&of.iter().map(value).collect::<Vec<f64>>());
-    if e.half.is_finite() {
-        format!("{:.3} ± {:.3}", e.mean, e.half)
+    if e.half_width.is_finite() {
+        format!("{:.3} ± {:.3}", e.mean, e.half_width)
     } else {
         format!("{:.3}", e.mean)
     }
@@ -55,27 +55,27 @@
          left, ms |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n",
         last + 1
     );
-    let mut worst: Vec<Books> = Vec::new();
+    let mut worst: Vec<RunMetrics> = Vec::new();
     for share in ERRORS {
         let of = with_errors(scenario, share);
-        let books = (1..=seeds).into_par_iter().map(|seed| run::run(&of, Variant::Fernroute, seed).books);
-        let books: Vec<Books> = books.collect();
-        let took = |b: &Books| mean_ms(b.tiers[0].spent, b.tiers[0].completed);
+        let metrics = (1..=seeds).into_par_iter().map(|seed| run::run(&of, Variant::Fernroute, seed).metrics);
+        let metrics: Vec<RunMetrics> = metrics.collect();
+        let took = |b: &RunMetrics| mean_ms(b.tiers[0].total_latency, b.tiers[0].completed);
         // Writing to a text does not fail.
         let _ = writeln!(
             out,
             "| {:.0}% | {} | {} | {} | {} | {} | {} | {} | {} |",
             share * 100.0,
-            number(&books, |b| transmissions(b, last)),
-            number(&books, |b| b.tiers[last].completed as f64 / (b.tiers[last].rpcs as f64).max(1.0)),
-            number(&books, Books::service),
-            number(&books, took),
-            number(&books, |b| took(b) - all_work),
-            number(&books, |b| (took(b) - all_work) / (last + 1) as f64),
-            number(&books, |b| mean_ms(b.tiers[last].left, b.tiers[last].rpcs)),
-            number(&books, |b| b.tiers[last].least_left.unwrap_or(0) as f64 / 10.0),
+            number(&metrics, |b| attempts_per_rpc(b, last)),
+            number(&metrics, |b| b.tiers[last].completed as f64 / (b.tiers[last].rpcs as f64).max(1.0)),
+            number(&metrics, RunMetrics::service),
+            number(&metrics, took),
+            number(&metrics, |b| took(b) - all_work),
+            number(&metrics, |b| (took(b) - all_work) / (last + 1) as f64),
+            number(&metrics, |b| mean_ms(b.tiers[last].total_time_left, b.tiers[last].rpcs)),
+            number(&metrics, |b| b.tiers[last].min_time_left.unwrap_or(0) as f64 / 10.0),
         );
-        worst = books;
+        worst = metrics;
     }
     let most = ERRORS[ERRORS.len() - 1] * 100.0;
     let _ = write!(
@@ -84,15 +84,15 @@
          answered after, ms | of the deadline left, ms |\n| --- | --- | --- | --- | --- |\n"
     );
     for tier in 0..=last {
-        let of = |b: &Books| b.tiers[tier];
+        let of = |b: &RunMetrics| b.tiers[tier];
         let _ = writeln!(
             out,
             "| {} | {} | {} | {} | {} |",
             scenario.tier[tier].name,
-            number(&worst, |b| transmissions(b, tier)),
-            number(&worst, |b| of(b).transmissions as f64 / (of(b).rpcs as f64).max(1.0)),
-            number(&worst, |b| mean_ms(of(b).spent, of(b).completed)),
-            number(&worst, |b| mean_ms(of(b).left, of(b).rpcs)),
+            number(&worst, |b| attempts_per_rpc(b, tier)),
+            number(&worst, |b| of(b).attempts as f64 / (of(b).rpcs as f64).max(1.0)),
+            number(&worst, |b| mean_ms(of(b).total_latency, of(b).completed)),
+            number(&worst, |b| mean_ms(of(b).total_time_left, of(b).rpcs)),
         );
     }
     out
--- a/crates/fernroute-testbed/src/experiment/figures.rs
+++ b/crates/fernroute-testbed/src/experiment/figures.rs
@@ -1,7 +1,7 @@
 //! The figures of scenarios in virtual time, as lines of text that are held against a file: they depend on the decisions and
 //! the simulator alone, so a change that is to leave behaviour as it is leaves every line as it is.
 
-use crate::player::Variant;
+use crate::policy::Variant;
 use crate::run::run;
 use crate::scenario::Scenario;
 use rayon::prelude::*;
@@ -19,7 +19,7 @@
 }
 
 /// The figures of all scenarios of a folder, a line for each play, ordered by file, variant and seed.
-pub fn of_folder(folder: &Path) -> Result<Vec<String>, String> {
+pub fn figures_of_folder(folder: &Path) -> Result<Vec<String>, String> {
     let mut plays = Vec::new();
     for path in scenario_files(folder)? {
         plays.extend(plays_of(&path)?);
@@ -66,20 +66,21 @@
 fn line(play: &Play) -> String {
     let Play { file, scenario, variant, seed } = play;
     let result = run(scenario, *variant, *seed);
-    let (books, ends) = (&result.books, &result.books.ends);
+    let (metrics, ends) = (&result.metrics, &result.metrics.ends);
     let methods: Vec<String> =
-        books.methods.iter().map(|m| format!("{}:{}/{}", m.name, m.served, m.offered)).collect();
-    let tenants: Vec<String> = books.tenants.iter().map(|t| format!("{}:{:?}", t.name, t.used())).collect();
+        metrics.methods.iter().map(|m| format!("{}:{}/{}", m.name, m.served, m.offered)).collect();
+    let tenants: Vec<String> =
+        metrics.tenants.iter().map(|t| format!("{}:{:?}", t.name, t.utilization())).collect();
     format!(
         "{file} {} seed={seed} service={:?} worst_ten={:?} methods={} tenants={} median={} p99={} arrived={} completed={} \
          rejected={} failed={} abandoned={} lost={} open={} attempts={} time_in_system={} violations={}",
         variant.name(),
-        books.service(),
-        books.worst_ten(),
+        metrics.service(),
+        metrics.worst_ten(),
         methods.join(","),
         tenants.join(","),
-        books.times.value_at_quantile(0.5),
-        books.times.value_at_quantile(0.99),
+        metrics.latencies.value_at_quantile(0.5),
+        metrics.latencies.value_at_quantile(0.99),
         ends.arrived,
         ends.completed,
         ends.exhausted,
@@ -87,8 +88,8 @@
         ends.abandoned,
         ends.lost,
         ends.open,
-        books.transmissions,
-        books.in_system,
-        result.breaches.len(),
+        metrics.attempts,
+        metrics.time_in_system,
+        result.violations.len(),
     )
 }
--- a/crates/fernroute-testbed/src/lib.rs
+++ b/crates/fernroute-testbed/src/lib.rs
@@ -2,19 +2,19 @@
 //! happened, plain rules to compare with, and experiments over scenarios, variants and seeds.
 
 pub mod beside;
-pub mod books;
 pub mod charts;
 pub mod demand;
 pub mod experiment;
 mod fleet;
 pub mod live;
 pub mod measure;
-pub mod player;
+pub mod metrics;
+pub mod policy;
 pub mod processes;
 pub mod referee;
 pub mod run;
 pub mod scale;
 pub mod scenario;
+pub mod simulation;
 pub mod trace;
 mod upstream;
-pub mod world;
--- a/crates/fernroute-testbed/src/live/balancers.rs
+++ b/crates/fernroute-testbed/src/live/balancers.rs
@@ -3,8 +3,8 @@
 use super::discovery::Agent;
 use super::Lab;
 use crate::demand::balancer_seed;
-use crate::player::Post;
-use crate::trace::{Event, Told};
+use crate::policy::BalancerPosition;
+use crate::trace::{EndpointState, Event};
 use crate::upstream::State;
 use fernroute_test_support::http::Connection;
 use fernroute_test_support::process::Process;
@@ -60,10 +60,10 @@
             model.tier == tier && model.state == State::Up
         };
         let known: Vec<usize> = (0..self.stands.borrow().len()).filter(up).collect();
-        known
-            .iter()
-            .for_each(|n| self.see(&Event::Heard { balancer: node, upstream: *n, told: Told::Ready }));
-        let post = Post { tier, number, instances: self.scenario.instances(tier), zone };
+        known.iter().for_each(|n| {
+            self.observe(&Event::Heard { balancer: node, upstream: *n, told: EndpointState::Ready })
+        });
+        let post = BalancerPosition { tier, number, instances: self.scenario.balancer_count(tier), zone };
         let seed = balancer_seed(self.seed, node);
         let name = format!("b{node}");
         let stewards = self.stewards.borrow().clone().filter(|_| tier == 0);
@@ -79,7 +79,8 @@
                 (self.folder.join(format!("{name}.toml")), page)
             }
             None => {
-                let known: Vec<Value> = known.into_iter().map(|n| self.entry(n, Told::Ready)).collect();
+                let known: Vec<Value> =
+                    known.into_iter().map(|n| self.entry(n, EndpointState::Ready)).collect();
                 let page = json!({
                     "name": name, "listen": "127.0.0.1:0", "discovery": agent.address, "seed": format!("{seed:016x}"),
                     "limits": {"sockets": 1024}, "known": {"version": 0, "full": true, "servers": known},
@@ -114,7 +115,7 @@
     pub(super) fn balancer_dies(&self, number: usize) {
         let node = self.node(number);
         node.alive.set(false);
-        self.see(&Event::BalancerDied { balancer: number });
+        self.observe(&Event::BalancerDied { balancer: number });
         node.agent.serving.abort();
         node.process.kill();
         node.idle.borrow_mut().clear();
--- a/crates/fernroute-testbed/src/live/callers.rs
+++ b/crates/fernroute-testbed/src/live/callers.rs
@@ -1,9 +1,9 @@
 //! Callers: requests, their tries, and how each ended.
 
 use super::Lab;
-use crate::demand::Want;
+use crate::demand::RequestSpec;
 use crate::scenario::{millis, Effect};
-use crate::trace::{Event, Final};
+use crate::trace::{Event, FinalAnswer};
 use fernroute::Time;
 use fernroute_server::routing::clock::{duration, tenths};
 use fernroute_test_support::http::Connection;
@@ -15,9 +15,15 @@
 
 impl Lab {
     /// One request of a caller, over its tries. `asked` is in the scenario's time.
-    pub(super) async fn request(self: Rc<Self>, number: u64, want: Want, intended: Instant, asked: Time) {
+    pub(super) async fn request(
+        self: Rc<Self>,
+        number: u64,
+        want: RequestSpec,
+        intended: Instant,
+        asked: Time,
+    ) {
         let m = &self.scenario.method[want.method];
-        self.books.borrow_mut().offered(asked, want.method, m.gain);
+        self.metrics.borrow_mut().record_offered(asked, want.method, m.gain);
         let from = tenths(intended - self.start);
         let hard = from + millis(m.hard_ms);
         let calls = want.calls.iter().map(u32::to_string).collect::<Vec<_>>().join(",");
@@ -39,7 +45,7 @@
                 break;
             }
             let asking = self.ask(node, &rpc, want.method, want.tenant, hard, want.work, &calls);
-            let last = match want.leaves {
+            let last = match want.leaves_after {
                 None => asking.await,
                 Some(share) => {
                     let stays = duration((millis(m.hard_ms) as f64 * share) as Time);
@@ -49,9 +55,9 @@
             };
             let now = asked + self.now().saturating_sub(from);
             match last {
-                Some((Final::Completed, _)) => {
-                    self.books.borrow_mut().tenant(asked, want.tenant, true);
-                    return self.books.borrow_mut().completed(
+                Some((FinalAnswer::Completed, _)) => {
+                    self.metrics.borrow_mut().record_tenant(asked, want.tenant, true);
+                    return self.metrics.borrow_mut().record_completed(
                         asked,
                         now,
                         want.method,
@@ -59,19 +65,19 @@
                         millis(m.soft_ms),
                     );
                 }
-                Some((Final::Exhausted, stay_away)) if n < self.scenario.load.retries => {
+                Some((FinalAnswer::Exhausted, stay_away)) if n < self.scenario.load.retries => {
                     let backoff = Duration::from_secs_f64(self.scenario.load.backoff_ms / 1000.0);
                     sleep(stay_away.unwrap_or(backoff)).await;
                 }
-                Some((Final::Exhausted, _)) => {
-                    self.books.borrow_mut().tenant(asked, want.tenant, false);
-                    return self.books.borrow_mut().exhausted(asked);
+                Some((FinalAnswer::Exhausted, _)) => {
+                    self.metrics.borrow_mut().record_tenant(asked, want.tenant, false);
+                    return self.metrics.borrow_mut().record_exhausted(asked);
                 }
                 _ => break,
             }
         }
-        self.books.borrow_mut().tenant(asked, want.tenant, false);
-        self.books.borrow_mut().errored(asked);
+        self.metrics.borrow_mut().record_tenant(asked, want.tenant, false);
+        self.metrics.borrow_mut().record_errored(asked);
     }
 
     /// Puts an RPC before a balancer; none where its connection ended without an answer.
@@ -85,7 +91,7 @@
         hard: Time,
         work: Time,
         calls: &str,
-    ) -> Option<(Final, Option<Duration>)> {
+    ) -> Option<(FinalAnswer, Option<Duration>)> {
         let (node, m) = (self.node(number), &self.scenario.method[method]);
         let ms = hard.saturating_sub(self.now()) / 10;
         let (verb, key) = match m.effect {
@@ -100,7 +106,7 @@
             "{verb} /{name} HTTP/1.1\r\nHost: app.svc\r\nReq-Id: {rpc}\r\nReq-Kind: {name}\r\nReq-Deadline-Ms: {ms}\r\n\
              Lab-Work: {work}\r\nLab-Calls: {calls}\r\n{whom}{key}\r\n"
         );
-        self.books.borrow_mut().ends.arrived += 1;
+        self.metrics.borrow_mut().ends.arrived += 1;
         let mut end = Ending { lab: self, rpc, last: None, broke: false };
         let kept = node.idle.borrow_mut().pop();
         let mut peer = match kept {
@@ -114,7 +120,7 @@
             }
         };
         self.open.borrow_mut().insert(Rc::clone(rpc), (number, 0));
-        self.see(&Event::Arrived {
+        self.observe(&Event::Arrived {
             rpc: Rc::clone(rpc),
             balancer: number,
             method,
@@ -133,9 +139,9 @@
         };
         let last = match message.status() {
             // Served with what no upstream made is not served.
-            200 if message.body == rpc.as_bytes() => Final::Completed,
-            429 | 503 => Final::Exhausted,
-            _ => Final::Errored,
+            200 if message.body == rpc.as_bytes() => FinalAnswer::Completed,
+            429 | 503 => FinalAnswer::Exhausted,
+            _ => FinalAnswer::Errored,
         };
         end.last = Some(last);
         let stay_away = message.header_number::<f64>("retry-after").filter(|s| s.is_finite() && *s >= 0.0);
@@ -150,7 +156,7 @@
 struct Ending<'a> {
     lab: &'a Lab,
     rpc: &'a Rc<str>,
-    last: Option<Final>,
+    last: Option<FinalAnswer>,
     /// The connection ended without an answer.
     broke: bool,
 }
@@ -158,23 +164,23 @@
 impl Drop for Ending<'_> {
     fn drop(&mut self) {
         let open = self.lab.open.borrow_mut().remove(self.rpc);
-        let ends = &mut self.lab.books.borrow_mut().ends;
+        let ends = &mut self.lab.metrics.borrow_mut().ends;
         let rpc = Rc::clone(self.rpc);
         match self.last {
             Some(last) => {
                 match last {
-                    Final::Completed => ends.completed += 1,
-                    Final::Exhausted => ends.exhausted += 1,
-                    Final::Errored => ends.errored += 1,
+                    FinalAnswer::Completed => ends.completed += 1,
+                    FinalAnswer::Exhausted => ends.exhausted += 1,
+                    FinalAnswer::Errored => ends.errored += 1,
                 }
-                self.lab.see(&Event::Answered { rpc, last });
+                self.lab.observe(&Event::Answered { rpc, last });
             }
             // The referee finds it unanswered, unless its balancer has died.
             None if self.broke => ends.lost += 1,
             None => {
                 ends.abandoned += 1;
                 if open.is_some() {
-                    self.lab.see(&Event::CallerLeft { rpc });
+                    self.lab.observe(&Event::CallerLeft { rpc });
                 }
             }
         }
--- a/crates/fernroute-testbed/src/live/discovery.rs
+++ b/crates/fernroute-testbed/src/live/discovery.rs
@@ -3,7 +3,7 @@
 use super::balancers::Node;
 use super::Lab;
 use crate::scenario::zone_name;
-use crate::trace::{Event, Told};
+use crate::trace::{EndpointState, Event};
 use crate::upstream::State;
 use fernroute_server::routing::clock::duration;
 use fernroute_test_support::http::{response, Connection};
@@ -23,7 +23,7 @@
 pub(super) struct Agent {
     pub(super) address: SocketAddr,
     /// Each change with its version; the whole list is the last word on each.
-    pub(super) told: RefCell<Vec<(u64, usize, Told, Value)>>,
+    pub(super) told: RefCell<Vec<(u64, usize, EndpointState, Value)>>,
     pub(super) changed: Notify,
     pub(super) serving: AbortHandle,
 }
@@ -71,7 +71,7 @@
             while self.now() < self.list_down_until.get() {
                 sleep(duration(self.list_down_until.get() - self.now())).await;
             }
-            let news: Vec<(u64, usize, Told, Value)> = agent
+            let news: Vec<(u64, usize, EndpointState, Value)> = agent
                 .told
                 .borrow()
                 .iter()
@@ -83,8 +83,12 @@
                 let stands = self.stands.borrow();
                 for (n, stand) in stands.iter().enumerate() {
                     if stand.model.borrow().tier == node.tier && stand.model.borrow().state == State::Up {
-                        self.see(&Event::Heard { balancer: number, upstream: n, told: Told::Ready });
-                        entries.insert(n, self.entry(n, Told::Ready));
+                        self.observe(&Event::Heard {
+                            balancer: number,
+                            upstream: n,
+                            told: EndpointState::Ready,
+                        });
+                        entries.insert(n, self.entry(n, EndpointState::Ready));
                     }
                 }
             }
@@ -94,7 +98,7 @@
             let list = json!({"version": version(), "full": after.is_none(),
                 "servers": entries.into_values().collect::<Vec<_>>()});
             for (_, upstream, told, _) in news {
-                self.see(&Event::Heard { balancer: number, upstream, told });
+                self.observe(&Event::Heard { balancer: number, upstream, told });
             }
             if peer.write(&response(200, "", &list.to_string())).await.is_err() {
                 return;
@@ -102,24 +106,24 @@
         }
     }
 
-    pub(super) fn entry(&self, upstream: usize, told: Told) -> Value {
+    pub(super) fn entry(&self, upstream: usize, told: EndpointState) -> Value {
         let stand = self.stand(upstream);
         let model = stand.model.borrow();
         let state = match told {
-            Told::Ready => "SERVING",
-            Told::Drains => "DRAINING",
-            Told::Gone => "DELETED",
+            EndpointState::Ready => "SERVING",
+            EndpointState::Drains => "DRAINING",
+            EndpointState::Gone => "DELETED",
         };
         let started = if model.cold { self.unix_ms + model.started / 10 } else { 0 };
         json!({"id": &*model.name, "addr": stand.address.get(), "zone": zone_name(model.zone),
             "cell": model.cell.to_string(), "state": state, "started_ms": started})
     }
 
-    pub(super) fn announce(self: &Rc<Self>, upstream: usize, told: Told, late_ms: f64) {
+    pub(super) fn announce(self: &Rc<Self>, upstream: usize, told: EndpointState, late_ms: f64) {
         let (tier, life) = {
             let stand = self.stand(upstream);
             let model = stand.model.borrow();
-            (model.tier, model.life)
+            (model.tier, model.incarnation)
         };
         let nodes: Vec<Rc<Node>> = self.nodes.borrow().iter().filter(|n| n.tier == tier).cloned().collect();
         for node in nodes.into_iter().filter(|n| n.alive.get()) {
@@ -128,7 +132,7 @@
             spawn_local(async move {
                 sleep(Duration::from_secs_f64((late_ms + spread) / 1000.0)).await;
                 // What is overtaken by a later start or end is not told any more.
-                if lab.stand(upstream).model.borrow().life == life {
+                if lab.stand(upstream).model.borrow().incarnation == life {
                     let entry = lab.entry(upstream, told);
                     let mut all = node.agent.told.borrow_mut();
                     let version = all.last().map_or(0, |(version, ..)| *version) + 1;
--- a/crates/fernroute-testbed/src/live/faults.rs
+++ b/crates/fernroute-testbed/src/live/faults.rs
@@ -1,10 +1,10 @@
 //! The faults of a scenario, as they come due.
 
 use super::Lab;
-use crate::demand::{victims, LINGER};
-use crate::scenario::{seconds, Fault, Kind};
-use crate::trace::Told;
-use crate::upstream::{Affliction, State};
+use crate::demand::{fault_targets, DRAINED_EXIT_DELAY_S};
+use crate::scenario::{seconds, Fault, FaultKind};
+use crate::trace::EndpointState;
+use crate::upstream::{FaultEffect, State};
 use fernroute::Time;
 use fernroute_server::routing::clock::duration;
 use std::rc::Rc;
@@ -25,51 +25,51 @@
         };
         let all = (0..self.stands.borrow().len()).filter(up);
         let all = all.map(|n| (n, self.stand(n).model.borrow().zone)).collect();
-        let all = victims(fault, i, self.seed, all);
+        let all = fault_targets(fault, i, self.seed, all);
         for n in &all {
             let afflict = |a| {
-                self.stand(*n).model.borrow_mut().afflicted.insert(i, a);
+                self.stand(*n).model.borrow_mut().fault_effects.insert(i, a);
             };
             match fault.kind {
-                Kind::Crash => {
+                FaultKind::Crash => {
                     self.die(*n, State::Dead);
-                    self.announce(*n, Told::Gone, d.late_ms);
+                    self.announce(*n, EndpointState::Gone, d.late_ms);
                 }
-                Kind::Vanish | Kind::ZoneLoss => {
+                FaultKind::Vanish | FaultKind::ZoneLoss => {
                     self.die(*n, State::Silent);
-                    self.announce(*n, Told::Gone, d.gone_late_ms);
+                    self.announce(*n, EndpointState::Gone, d.gone_late_ms);
                 }
-                Kind::Drain => {
+                FaultKind::Drain => {
                     self.stand(*n).model.borrow_mut().state = State::Draining;
-                    self.announce(*n, Told::Drains, d.late_ms);
+                    self.announce(*n, EndpointState::Drains, d.late_ms);
                 }
-                Kind::Slow => afflict(Affliction::Slow(fault.size)),
-                Kind::FastErrors => afflict(Affliction::Errors(fault.size)),
-                Kind::Hang => afflict(Affliction::Hang),
+                FaultKind::Slow => afflict(FaultEffect::Slow(fault.size)),
+                FaultKind::FastErrors => afflict(FaultEffect::Errors(fault.size)),
+                FaultKind::Hang => afflict(FaultEffect::Hang),
                 _ => {}
             }
         }
         let (mut lost, mut cut, mut down) = (Vec::new(), Vec::new(), Vec::new());
         let stewards = self.stewards.borrow().clone();
         match fault.kind {
-            Kind::StewardsDown => down = (0..self.scenario.fleet.stewards).collect(),
-            Kind::LeaderLoss => {
+            FaultKind::StewardsDown => down = (0..self.scenario.fleet.stewards).collect(),
+            FaultKind::LeaderLoss => {
                 if let Some(stewards) = &stewards {
                     down.extend(stewards.leader().await);
                 }
             }
-            Kind::FleetCut => {
+            FaultKind::FleetCut => {
                 let all = (0..self.first.borrow().len()).map(|n| (n, 0)).collect();
-                cut = victims(fault, i, self.seed, all);
+                cut = fault_targets(fault, i, self.seed, all);
             }
-            Kind::BalancerLoss => {
+            FaultKind::BalancerLoss => {
                 let alive = |n: &usize| self.node(self.first.borrow()[*n]).alive.get();
                 let all = (0..self.first.borrow().len()).filter(alive).map(|n| (n, 0)).collect();
-                lost = victims(fault, i, self.seed, all);
+                lost = fault_targets(fault, i, self.seed, all);
                 lost.iter().for_each(|n| self.balancer_dies(self.first.borrow()[*n]));
             }
-            Kind::ReportsLate => drop(self.reports_late.borrow_mut().insert(i, seconds(fault.size))),
-            Kind::ListDown => {
+            FaultKind::ReportsLate => drop(self.reports_late.borrow_mut().insert(i, seconds(fault.size))),
+            FaultKind::ListDown => {
                 let until = from + seconds(fault.at_s + fault.for_s);
                 self.list_down_until.set(self.list_down_until.get().max(until));
             }
@@ -81,7 +81,7 @@
         }
         let end = fault.at_s + fault.for_s;
         match fault.kind {
-            Kind::Replace => {
+            FaultKind::Replace => {
                 let apart = fault.for_s / all.len().max(1) as f64;
                 for (n, old) in all.iter().enumerate() {
                     sleep_until(at(fault.at_s + apart * n as f64)).await;
@@ -94,45 +94,45 @@
                         continue;
                     }
                     self.stand(*old).model.borrow_mut().state = State::Draining;
-                    self.announce(*old, Told::Drains, d.late_ms);
+                    self.announce(*old, EndpointState::Drains, d.late_ms);
                     let (lab, old, late) = (Rc::clone(&self), *old, d.late_ms);
                     spawn_local(async move {
-                        sleep(Duration::from_secs_f64(late / 1000.0 + LINGER)).await;
+                        sleep(Duration::from_secs_f64(late / 1000.0 + DRAINED_EXIT_DELAY_S)).await;
                         lab.die(old, State::Dead);
-                        lab.announce(old, Told::Gone, late);
+                        lab.announce(old, EndpointState::Gone, late);
                     });
                     let new = match self.new_stand(tier, zone, cell).await {
                         Ok(new) => self.new_balancer_of(new).await.map(|()| new),
                         Err(why) => Err(why),
                     };
                     match new {
-                        Ok(new) => self.announce(new, Told::Ready, d.late_ms),
+                        Ok(new) => self.announce(new, EndpointState::Ready, d.late_ms),
                         Err(why) => drop(self.trouble.replace(Some(why))),
                     }
                 }
             }
-            Kind::Flap => {
+            FaultKind::Flap => {
                 for n in 0..(fault.for_s / fault.every_s).ceil() as usize {
                     sleep_until(at(fault.at_s + fault.every_s * n as f64)).await;
                     for u in &all {
                         let state = self.stand(*u).model.borrow().state;
                         if n.is_multiple_of(2) && state.serves() {
                             self.die(*u, State::Dead);
-                            self.announce(*u, Told::Gone, d.late_ms);
+                            self.announce(*u, EndpointState::Gone, d.late_ms);
                         } else if !n.is_multiple_of(2) && state == State::Dead {
                             self.revive(*u).await;
                         }
                     }
                 }
             }
-            Kind::Pauses => {
+            FaultKind::Pauses => {
                 for n in 0..(fault.for_s / fault.every_s).ceil() as usize {
                     sleep_until(at(fault.at_s + fault.every_s * n as f64)).await;
                     let until = self.now() + seconds(fault.size);
                     all.iter().for_each(|u| self.stand(*u).model.borrow_mut().paused_until = until);
                 }
             }
-            Kind::BalancerRestart => {
+            FaultKind::BalancerRestart => {
                 let count = self.first.borrow().len();
                 for n in 0..count {
                     sleep_until(at(fault.at_s + fault.for_s * n as f64 / count as f64)).await;
@@ -162,15 +162,17 @@
             }
         }
         for n in all {
-            self.stand(n).model.borrow_mut().afflicted.remove(&i);
+            self.stand(n).model.borrow_mut().fault_effects.remove(&i);
             let state = self.stand(n).model.borrow().state;
             match fault.kind {
-                Kind::Crash | Kind::Vanish | Kind::ZoneLoss | Kind::Flap if !state.serves() => {
+                FaultKind::Crash | FaultKind::Vanish | FaultKind::ZoneLoss | FaultKind::Flap
+                    if !state.serves() =>
+                {
                     self.revive(n).await;
                 }
-                Kind::Drain if state == State::Draining => {
+                FaultKind::Drain if state == State::Draining => {
                     self.stand(n).model.borrow_mut().state = State::Up;
-                    self.announce(n, Told::Ready, d.late_ms);
+                    self.announce(n, EndpointState::Ready, d.late_ms);
                 }
                 _ => {}
             }
--- a/crates/fernroute-testbed/src/live/fleet.rs
+++ b/crates/fernroute-testbed/src/live/fleet.rs
@@ -1,7 +1,7 @@
 //! The stewards of a real run, the links that its balancers reach them by, and what a balancer of a fleet is told: a file of
 //! this project's own form, since the platform's names no fleet.
 
-use crate::player::Post;
+use crate::policy::BalancerPosition;
 use crate::processes::status;
 use crate::scenario::{zone_name, Effect, Group, Scenario};
 use fernroute_test_support::link::Link;
@@ -119,7 +119,7 @@
     pub(super) async fn page(
         &self,
         scenario: &Scenario,
-        post: Post,
+        post: BalancerPosition,
         discovery: SocketAddr,
         seed: u64,
         known: &[(String, SocketAddr, usize, usize)],
--- a/crates/fernroute-testbed/src/live/mod.rs
+++ b/crates/fernroute-testbed/src/live/mod.rs
@@ -9,12 +9,12 @@
 mod fleet;
 mod upstreams;
 
-use crate::books::Books;
-use crate::demand::{stream, Arrivals, Want, CHANCE};
-use crate::referee::cold::Worst;
-use crate::referee::{Breach, Referee};
-use crate::scenario::{seconds, Kind, Scenario};
-use crate::trace::{Event, Witness as _};
+use crate::demand::{rng_stream, Arrivals, RequestSpec, SIMULATION_STREAM};
+use crate::metrics::RunMetrics;
+use crate::referee::cold::ColdWindow;
+use crate::referee::{Referee, Violation};
+use crate::scenario::{seconds, FaultKind, Scenario};
+use crate::trace::{Event, Observer as _};
 use balancers::Node;
 use fernroute::Time;
 use fernroute_server::routing::clock::{duration, tenths};
@@ -31,10 +31,10 @@
 
 /// What a real run brought.
 pub struct Report {
-    pub books: Books,
-    pub breaches: Vec<Breach>,
+    pub metrics: RunMetrics,
+    pub violations: Vec<Violation>,
     /// Of each cold start that was sent anything, the window that came nearest to its fall.
-    pub cold_starts: Vec<Worst>,
+    pub cold_starts: Vec<ColdWindow>,
     pub requests: u64,
     /// Requests that were sent later than they should have been, and by how much the latest.
     pub sent_late: u64,
@@ -71,7 +71,7 @@
     stewards: RefCell<Option<Rc<Stewards>>>,
     steward: Vec<String>,
     referee: RefCell<Referee>,
-    books: RefCell<Books>,
+    metrics: RefCell<RunMetrics>,
     nodes: RefCell<Vec<Rc<Node>>>,
     first: RefCell<Vec<usize>>,
     stands: RefCell<Vec<Rc<Stand>>>,
@@ -121,11 +121,11 @@
             stewards: RefCell::default(),
             steward: steward.to_vec(),
             referee: RefCell::new(Referee::new(&judged)),
-            books: RefCell::new(Books::new(scenario)),
+            metrics: RefCell::new(RunMetrics::new(scenario)),
             nodes: RefCell::default(),
             first: RefCell::default(),
             stands: RefCell::default(),
-            chance: RefCell::new(stream(seed, CHANCE)),
+            chance: RefCell::new(rng_stream(seed, SIMULATION_STREAM)),
             open: RefCell::default(),
             calls: Cell::new(0),
             reports_late: RefCell::default(),
@@ -152,7 +152,8 @@
     }
 
     async fn played(self: Rc<Self>) -> Result<Report, String> {
-        let fleet = |kind| matches!(kind, Kind::StewardsDown | Kind::LeaderLoss | Kind::FleetCut);
+        let fleet =
+            |kind| matches!(kind, FaultKind::StewardsDown | FaultKind::LeaderLoss | FaultKind::FleetCut);
         if self.scenario.fleet.stewards > 0 {
             let stewards = Stewards::start(&self.scenario, &self.steward, &self.folder).await?;
             self.stewards.replace(Some(Rc::new(stewards)));
@@ -191,7 +192,7 @@
             let late = intended.elapsed();
             self.latest.set(self.latest.get().max(late));
             self.sent_late.set(self.sent_late.get() + u64::from(late > LATE));
-            let want = Want::of(&self.scenario, self.seed, number);
+            let want = RequestSpec::generate(&self.scenario, self.seed, number);
             callers.spawn_local(Rc::clone(&self).request(number, want, intended, at));
             number += 1;
             while callers.try_join_next().is_some() {}
@@ -201,25 +202,25 @@
         }
         while callers.join_next().await.is_some() {}
         // Calls of upstreams whose callers were answered otherwise are open for as long as their deadlines, at most.
-        let last = self.now() + self.scenario.longest() + seconds(1.5);
+        let last = self.now() + self.scenario.longest_hard_deadline() + seconds(1.5);
         while !self.open.borrow().is_empty() && self.now() < last {
             sleep(Duration::from_millis(20)).await;
         }
-        let books = self.books.replace(Books::new(&self.scenario));
+        let metrics = self.metrics.replace(RunMetrics::new(&self.scenario));
         let mut referee = self.referee.replace(Referee::new(&self.scenario));
-        referee.end(self.now());
-        let (mut breaches, cold_starts) = (referee.breaches, referee.cold_starts);
+        referee.finish(self.now());
+        let (mut violations, cold_starts) = (referee.violations, referee.cold_starts);
         // In the scenario's time, as everything else.
-        breaches.iter_mut().for_each(|b| b.at = b.at.saturating_sub(from));
+        violations.iter_mut().for_each(|b| b.at = b.at.saturating_sub(from));
         let (sent_late, latest) = (self.sent_late.get(), self.latest.get());
-        Ok(Report { books, breaches, cold_starts, requests: number, sent_late, latest })
+        Ok(Report { metrics, violations, cold_starts, requests: number, sent_late, latest })
     }
 
     fn now(&self) -> Time {
         tenths(self.start.elapsed())
     }
 
-    fn see(&self, event: &Event) {
-        self.referee.borrow_mut().see(self.now(), event);
+    fn observe(&self, event: &Event) {
+        self.referee.borrow_mut().observe(self.now(), event);
     }
 }
--- a/crates/fernroute-testbed/src/live/upstreams.rs
+++ b/crates/fernroute-testbed/src/live/upstreams.rs
@@ -2,7 +2,7 @@
 
 use super::Lab;
 use crate::scenario::{millis, seconds};
-use crate::trace::{Event, Final, Told};
+use crate::trace::{EndpointState, Event, FinalAnswer};
 use crate::upstream::{State, Upstream};
 use fernroute::{Outcome, Time};
 use fernroute_server::routing::clock::duration;
@@ -99,8 +99,8 @@
         stand.tasks.borrow_mut().push(accept.abort_handle());
         let model = stand.model.borrow();
         let (zone, cell, cold) = (model.zone, model.cell, model.cold);
-        let rate = self.scenario.rate(tier, model.speed);
-        self.see(&Event::Started { upstream: number, zone, cell, rate, cold });
+        let rate = self.scenario.warm_rate(tier, model.speed);
+        self.observe(&Event::Started { upstream: number, zone, cell, rate, cold });
         Ok(())
     }
 
@@ -156,21 +156,21 @@
             (*node, *made - 1)
         });
         let (balancer, attempt) = place.unwrap_or((usize::MAX, 0));
-        self.books.borrow_mut().transmissions += 1;
-        let means = self.scenario.in_means(work);
-        self.see(&Event::Sent { rpc: Rc::clone(&rpc), attempt, balancer, upstream, work: means });
-        let ended = |outcome| self.see(&Event::Ended { rpc: Rc::clone(&rpc), attempt, outcome });
+        self.metrics.borrow_mut().attempts += 1;
+        let means = self.scenario.in_mean_rpcs(work);
+        self.observe(&Event::Sent { rpc: Rc::clone(&rpc), attempt, balancer, upstream, work: means });
+        let ended = |outcome| self.observe(&Event::Ended { rpc: Rc::clone(&rpc), attempt, outcome });
         let declined = |load: String| {
             ended(Outcome::Rejected);
             response(503, &format!("Srv-Declined: 1\r\n{load}"), "")
         };
-        if stand.model.borrow().hangs() {
-            self.see(&Event::Ran { rpc: Rc::clone(&rpc), attempt });
+        if stand.model.borrow().is_hanging() {
+            self.observe(&Event::Ran { rpc: Rc::clone(&rpc), attempt });
             return std::future::pending().await;
         }
-        let errors = stand.model.borrow().errors();
+        let errors = stand.model.borrow().error_share();
         if errors > 0.0 && self.chance.borrow_mut().random::<f64>() < errors {
-            self.see(&Event::Ran { rpc: Rc::clone(&rpc), attempt });
+            self.observe(&Event::Ran { rpc: Rc::clone(&rpc), attempt });
             ended(Outcome::Failed);
             return response(500, &self.load(upstream), "");
         }
@@ -184,8 +184,8 @@
         if held.is_err() || of.drops && (gone.get() || self.now() >= hard) {
             return declined(self.load(upstream));
         }
-        stand.model.borrow_mut().held += 1;
-        self.see(&Event::Ran { rpc: Rc::clone(&rpc), attempt });
+        stand.model.borrow_mut().occupied_slots += 1;
+        self.observe(&Event::Ran { rpc: Rc::clone(&rpc), attempt });
         self.work(&stand, tier, work as f64 * of.work).await;
         let mut outcome = Outcome::Completed;
         let count: u32 = calls.split(',').nth(tier + 1).and_then(|n| n.parse().ok()).unwrap_or(0);
@@ -197,7 +197,7 @@
                 break;
             }
         }
-        stand.model.borrow_mut().held -= 1;
+        stand.model.borrow_mut().occupied_slots -= 1;
         ended(outcome);
         let status = if outcome == Outcome::Completed { 200 } else { 500 };
         response(status, &self.load(upstream), &rpc)
@@ -214,7 +214,7 @@
             model.account(self.now());
             model.busy += 1;
             let warmth = model.warmth(self.now(), rules.cold_from, seconds(rules.warm_within_s));
-            model.takes(work, warmth, self.scenario.tier[tier].choke.as_ref())
+            model.service_time(work, warmth, self.scenario.tier[tier].choke.as_ref())
         };
         sleep(duration(takes)).await;
         sleep(duration(pause())).await;
@@ -236,7 +236,7 @@
         self.calls.set(self.calls.get() + 1);
         let rpc: Rc<str> = Rc::from(format!("c{}", self.calls.get()));
         let last = self.ask(node, &rpc, method, None, hard, work, calls).await;
-        matches!(last, Some((Final::Completed, _)))
+        matches!(last, Some((FinalAnswer::Completed, _)))
     }
 
     pub(super) fn load(&self, upstream: usize) -> String {
@@ -257,7 +257,7 @@
         let stand = self.stand(upstream);
         {
             let mut model = stand.model.borrow_mut();
-            model.end(self.now());
+            model.terminate(self.now());
             model.state = state;
         }
         stand.jobs.borrow_mut().drain(..).for_each(|job| job.abort());
@@ -278,7 +278,7 @@
             Err(why) => Err(why),
         };
         match opened {
-            Ok(()) => self.announce(upstream, Told::Ready, self.scenario.discovery.late_ms),
+            Ok(()) => self.announce(upstream, EndpointState::Ready, self.scenario.discovery.late_ms),
             Err(why) => drop(self.trouble.replace(Some(why))),
         }
     }
--- a/crates/fernroute-testbed/src/main.rs
+++ b/crates/fernroute-testbed/src/main.rs
@@ -3,12 +3,12 @@
 use argh::FromArgs;
 use fernroute_server::program::commands;
 use fernroute_testbed::beside;
-use fernroute_testbed::books::Books;
 use fernroute_testbed::experiment::{self, Experiment};
 use fernroute_testbed::live;
 use fernroute_testbed::measure;
-use fernroute_testbed::player::Variant;
-use fernroute_testbed::referee::Breach;
+use fernroute_testbed::metrics::RunMetrics;
+use fernroute_testbed::policy::Variant;
+use fernroute_testbed::referee::Violation;
 use fernroute_testbed::run;
 use fernroute_testbed::scale;
 use fernroute_testbed::scenario::Scenario;
@@ -277,8 +277,8 @@
             let command = format!("{NAME} {}", arguments[1..].join(" "));
             Experiment::read(&compare.experiment).and_then(|experiment| {
                 // Before the work, not after it.
-                experiment::claim(&compare.out)?;
-                let rows = experiment.play();
+                experiment::create_empty_folder(&compare.out)?;
+                let rows = experiment.run();
                 experiment::write(&experiment, &rows, &compare.out, &command)?;
                 print!("{}", experiment::table(&experiment::summarise(&rows), experiment.seeds.len()));
                 Ok(())
@@ -286,9 +286,9 @@
         }
         Command::Cold(count) => match experiment::cold::Experiment::read(&count.experiment) {
             Ok(experiment) => {
-                let rows = experiment.play();
+                let rows = experiment.run();
                 print!("{}", experiment::cold::table(&rows));
-                return ExitCode::from(u8::from(rows.iter().any(|row| row.broken > 0)));
+                return ExitCode::from(u8::from(rows.iter().any(|row| row.violating > 0)));
             }
             Err(why) => Err(why),
         },
@@ -318,9 +318,9 @@
                 &["fernroute-coordinator", "status", &ask.at].map(str::to_owned),
             );
         }
-        Command::Fleet(RunFleet {}) => own_program().and_then(|program| beside::fleet(&program)),
+        Command::Fleet(RunFleet {}) => own_program().and_then(|program| beside::run_fleet(&program)),
         Command::MeasureFleet(MeasureFleet { leader: true }) => {
-            measure::leader();
+            measure::measure_leader();
             Ok(())
         }
         Command::MeasureFleet(_) => own_program().and_then(|program| measure::run(&program)),
@@ -347,7 +347,7 @@
 }
 
 fn compare_figures(of: &CompareFigures) -> Result<ExitCode, String> {
-    let found = experiment::figures::of_folder(&of.scenarios)?;
+    let found = experiment::figures::figures_of_folder(&of.scenarios)?;
     let unusable = |error: std::io::Error| format!("{}: {error}", of.file.display());
     if of.write {
         std::fs::write(&of.file, found.join("\n") + "\n").map_err(unusable)?;
@@ -365,14 +365,14 @@
 
 /// Tells whether all rules were kept.
 fn play(one: &RunOne) -> Result<bool, String> {
-    let (scenario, variant) = (Scenario::read(&one.scenario)?, Variant::named(&one.variant)?);
-    let make = |s: &Scenario, post, desk, now, seed| variant.player(s, post, desk, now, seed);
+    let (scenario, variant) = (Scenario::read(&one.scenario)?, Variant::from_name(&one.variant)?);
+    let make = |s: &Scenario, post, desk, now, seed| variant.policy(s, post, desk, now, seed);
     let result = match &one.trace {
         None => run::run(&scenario, variant, one.seed),
         Some(path) => {
             let mut lines: Vec<(u64, String)> = Vec::new();
             let fleet = variant == Variant::Fleet;
-            let result = run::run_as(&scenario, one.seed, &make, fleet, &mut lines);
+            let result = run::run_with_options(&scenario, one.seed, &make, fleet, &mut lines);
             let text: String = lines
                 .iter()
                 .map(|(at, line)| format!("{}.{:04} {line}\n", at / 10_000, at % 10_000))
@@ -382,26 +382,26 @@
         }
     };
     println!("{} ({}, seed {})", scenario.name, variant.name(), one.seed);
-    print(&result.books, &result.breaches);
-    Ok(result.breaches.is_empty())
+    print(&result.metrics, &result.violations);
+    Ok(result.violations.is_empty())
 }
 
-fn print(books: &Books, breaches: &[Breach]) {
-    println!("service {:.4}, worst ten seconds {:.4}", books.service(), books.worst_ten());
-    for m in &books.methods {
+fn print(metrics: &RunMetrics, violations: &[Violation]) {
+    println!("service {:.4}, worst ten seconds {:.4}", metrics.service(), metrics.worst_ten());
+    for m in &metrics.methods {
         println!("  {}: {} of {} served in time", m.name, m.served, m.offered);
     }
-    for t in &books.tenants {
-        println!("  {}: {:.4} of what could be used of its whole", t.name, t.used());
+    for t in &metrics.tenants {
+        println!("  {}: {:.4} of what could be used of its whole", t.name, t.utilization());
     }
-    let (at, ends) = (|q: f64| books.times.value_at_quantile(q) as f64 / 10.0, books.ends);
+    let (at, ends) = (|q: f64| metrics.latencies.value_at_quantile(q) as f64 / 10.0, metrics.ends);
     println!("answered within {:.1} ms (half), {:.1} ms (99 in 100)", at(0.5), at(0.99));
     println!(
         "RPCs {}: completed {}, exhausted {}, errored {}, abandoned {}, lost with their balancer {}; transmissions {}",
-        ends.arrived, ends.completed, ends.exhausted, ends.errored, ends.abandoned, ends.lost, books.transmissions
+        ends.arrived, ends.completed, ends.exhausted, ends.errored, ends.abandoned, ends.lost, metrics.attempts
     );
-    for b in breaches {
-        println!("BROKEN at {}.{:04} s: {:?}: {}", b.at / 10_000, b.at % 10_000, b.rule, b.what);
+    for b in violations {
+        println!("BROKEN at {}.{:04} s: {:?}: {}", b.at / 10_000, b.at % 10_000, b.rule, b.description);
     }
 }
 
@@ -421,7 +421,7 @@
         .keep
         .clone()
         .unwrap_or_else(|| std::env::temp_dir().join(format!("fernroute-testbed-{}", std::process::id())));
-    experiment::claim(&folder)?;
+    experiment::create_empty_folder(&folder)?;
     let steward = match &one.steward {
         Some(words) => words.split_whitespace().map(str::to_owned).collect(),
         None => vec![own_program()?.display().to_string(), "steward".to_owned()],
@@ -433,7 +433,7 @@
     }
     let report = report?;
     println!("{} (real processes, seed {})", scenario.name, one.seed);
-    print(&report.books, &report.breaches);
+    print(&report.metrics, &report.violations);
     println!(
         "requests sent late {} of {}, by up to {} ms",
         report.sent_late,
@@ -445,7 +445,7 @@
             println!("INVALID: {why}");
             3
         }
-        None => u8::from(!report.breaches.is_empty()),
+        None => u8::from(!report.violations.is_empty()),
     })
 }
 
@@ -454,7 +454,7 @@
     let layout = scale::prepare(&one.file, one.factor)?;
     // Short: sockets' paths are made of it.
     let folder = std::env::temp_dir().join(format!("fernroute-scale-{}", std::process::id()));
-    experiment::claim(&folder)?;
+    experiment::create_empty_folder(&folder)?;
     let report = scale::run(layout, one.factor, &own_program()?, &folder);
     // What is left of it does no harm.
     let _ = std::fs::remove_dir_all(&folder);
--- a/crates/fernroute-testbed/src/measure.rs
+++ b/crates/fernroute-testbed/src/measure.rs
@@ -31,7 +31,7 @@
     LocalSet::new().block_on(&runtime, async {
         losses(program).await?;
         members(program, 300).await?;
-        leader();
+        measure_leader();
         Ok(())
     })
 }
@@ -161,7 +161,7 @@
 
 /// In virtual time, one process: the decisions of the leader alone, and what messages weigh, for a fleet of the size that is
 /// coming: as many budgets as it has services, of which each member names one; and, where it names all, what that is apart from.
-pub fn leader() {
+pub fn measure_leader() {
     const MEMBERS: u64 = 1_200;
     for budgets in [1, 10, 50, 190] {
         decisions(MEMBERS, budgets, false, 60);
--- a/crates/fernroute-testbed/src/books.rs
+++ b/crates/fernroute-testbed/src/metrics.rs
@@ -5,7 +5,7 @@
 use hdrhistogram::Histogram;
 
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Second {
+pub struct SecondMetrics {
     pub offered: f64,
     pub served: f64,
     pub exhausted: u64,
@@ -15,7 +15,7 @@
 
 /// RPCs of callers and calls between tiers alike: each arrival has exactly one end.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Ends {
+pub struct EndCounts {
     pub arrived: u64,
     pub completed: u64,
     pub exhausted: u64,
@@ -26,7 +26,7 @@
     pub open: u64,
 }
 
-impl Ends {
+impl EndCounts {
     pub fn sum(&self) -> u64 {
         self.completed + self.exhausted + self.errored + self.abandoned + self.lost + self.open
     }
@@ -34,7 +34,7 @@
 
 /// One method's requests, by their first tries.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct ByMethod {
+pub struct MethodMetrics {
     pub name: String,
     pub offered: u64,
     pub served: u64,
@@ -42,15 +42,15 @@
 
 /// One tenant's requests by the second of their first try: asked, and answered whole.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct ByTenant {
+pub struct TenantMetrics {
     pub name: String,
     pub rate: f64,
     pub seconds: Vec<(u64, u64)>,
 }
 
-impl ByTenant {
+impl TenantMetrics {
     /// Of what could have been used of the whole, second by second, what was.
-    pub fn used(&self) -> f64 {
+    pub fn utilization(&self) -> f64 {
         let could: f64 = self.seconds.iter().map(|(asked, _)| (*asked as f64).min(self.rate)).sum();
         let used: f64 = self.seconds.iter().map(|(_, served)| *served as f64).sum();
         used / could.max(1.0)
@@ -59,81 +59,82 @@
 
 /// What went through one tier, by its balancers: callers' tries in the first, calls in those below.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct ByTier {
+pub struct TierMetrics {
     pub rpcs: u64,
-    pub transmissions: u64,
+    pub attempts: u64,
     pub completed: u64,
     /// From arrival to the whole answer, summed over those.
-    pub spent: u128,
+    pub total_latency: u128,
     /// What RPCs had left of their callers' time when they came, summed; and the least.
-    pub left: u128,
-    pub least_left: Option<Time>,
+    pub total_time_left: u128,
+    pub min_time_left: Option<Time>,
 }
 
-impl ByTier {
-    pub fn came(&mut self, left: Time) {
+impl TierMetrics {
+    pub fn record_arrival(&mut self, left: Time) {
         self.rpcs += 1;
-        self.left += u128::from(left);
-        self.least_left = Some(self.least_left.map_or(left, |least| least.min(left)));
+        self.total_time_left += u128::from(left);
+        self.min_time_left = Some(self.min_time_left.map_or(left, |least| least.min(left)));
     }
 
-    pub fn done(&mut self, spent: Time) {
+    pub fn record_completion(&mut self, total_latency: Time) {
         self.completed += 1;
-        self.spent += u128::from(spent);
+        self.total_latency += u128::from(total_latency);
     }
 }
 
-pub struct Books {
+pub struct RunMetrics {
     /// Each hop of an RPC's way, where tiers call on tiers.
-    pub tiers: Vec<ByTier>,
-    pub tenants: Vec<ByTenant>,
-    pub seconds: Vec<Second>,
-    pub methods: Vec<ByMethod>,
+    pub tiers: Vec<TierMetrics>,
+    pub tenants: Vec<TenantMetrics>,
+    pub seconds: Vec<SecondMetrics>,
+    pub methods: Vec<MethodMetrics>,
     /// From the first try's arrival to the whole answer, in tenths of a millisecond.
-    pub times: Histogram<u64>,
-    pub ends: Ends,
-    pub transmissions: u64,
+    pub latencies: Histogram<u64>,
+    pub ends: EndCounts,
+    pub attempts: u64,
     /// Time that RPCs of callers spent in the first tier, summed.
-    pub in_system: u128,
+    pub time_in_system: u128,
 }
 
-impl Books {
+impl RunMetrics {
     pub fn new(scenario: &Scenario) -> Self {
         /// Three digits: a tenth of a percent, in some tens of kilobytes.
         const DIGITS: u8 = 3;
-        let name = |m: &crate::scenario::Method| ByMethod { name: m.name.clone(), ..ByMethod::default() };
+        let name =
+            |m: &crate::scenario::Method| MethodMetrics { name: m.name.clone(), ..MethodMetrics::default() };
         let longest = scenario.method.iter().map(|m| m.hard_ms).fold(1000.0, f64::max);
         let most = (seconds(longest / 1000.0) * 2).max(1000);
         let times = Histogram::new_with_bounds(1, most, DIGITS);
         let tenant = |t: &crate::scenario::Tenant| {
             let seconds = vec![(0, 0); scenario.seconds.ceil() as usize];
-            ByTenant { name: t.name.clone(), rate: t.rate, seconds }
+            TenantMetrics { name: t.name.clone(), rate: t.rate, seconds }
         };
-        Books {
-            tiers: vec![ByTier::default(); scenario.tier.len()],
+        RunMetrics {
+            tiers: vec![TierMetrics::default(); scenario.tier.len()],
             tenants: scenario.tenant.iter().map(tenant).collect(),
-            seconds: vec![Second::default(); scenario.seconds.ceil() as usize],
+            seconds: vec![SecondMetrics::default(); scenario.seconds.ceil() as usize],
             methods: scenario.method.iter().map(name).collect(),
-            times: times.unwrap_or_else(|why| unreachable!("the bounds are in order: {why}")),
-            ends: Ends::default(),
-            transmissions: 0,
-            in_system: 0,
+            latencies: times.unwrap_or_else(|why| unreachable!("the bounds are in order: {why}")),
+            ends: EndCounts::default(),
+            attempts: 0,
+            time_in_system: 0,
         }
     }
 
-    fn second(&mut self, at: Time) -> &mut Second {
+    fn second(&mut self, at: Time) -> &mut SecondMetrics {
         let last = self.seconds.len() - 1;
         &mut self.seconds[((at / seconds(1.0)) as usize).min(last)]
     }
 
-    pub fn offered(&mut self, at: Time, method: usize, gain: f64) {
+    pub fn record_offered(&mut self, at: Time, method: usize, gain: f64) {
         self.second(at).offered += gain;
         self.methods[method].offered += 1;
     }
 
     /// A request answered whole; it counts in the second in which it was first asked.
-    pub fn completed(&mut self, asked: Time, now: Time, method: usize, gain: f64, soft: Time) {
-        self.times.saturating_record((now - asked).max(1));
+    pub fn record_completed(&mut self, asked: Time, now: Time, method: usize, gain: f64, soft: Time) {
+        self.latencies.saturating_record((now - asked).max(1));
         if now <= asked + soft {
             self.second(asked).served += gain;
             self.methods[method].served += 1;
@@ -143,7 +144,7 @@
     }
 
     /// What a request for a tenant came to, once it has ended.
-    pub fn tenant(&mut self, asked: Time, tenant: Option<usize>, served: bool) {
+    pub fn record_tenant(&mut self, asked: Time, tenant: Option<usize>, served: bool) {
         let Some(of) = tenant.and_then(|tenant| self.tenants.get_mut(tenant)) else { return };
         let last = of.seconds.len() - 1;
         let second = &mut of.seconds[((asked / seconds(1.0)) as usize).min(last)];
@@ -151,16 +152,16 @@
     }
 
     /// The mean over tenants of what is used of what could be; none where there are none.
-    pub fn used(&self) -> Option<f64> {
-        let sum: f64 = self.tenants.iter().map(ByTenant::used).sum();
+    pub fn utilization(&self) -> Option<f64> {
+        let sum: f64 = self.tenants.iter().map(TenantMetrics::utilization).sum();
         (!self.tenants.is_empty()).then(|| sum / self.tenants.len() as f64)
     }
 
-    pub fn exhausted(&mut self, asked: Time) {
+    pub fn record_exhausted(&mut self, asked: Time) {
         self.second(asked).exhausted += 1;
     }
 
-    pub fn errored(&mut self, asked: Time) {
+    pub fn record_errored(&mut self, asked: Time) {
         self.second(asked).errored += 1;
     }
 
@@ -177,7 +178,7 @@
 
     /// The same over the worst ten seconds, or all of a shorter run.
     pub fn worst_ten(&self) -> f64 {
-        let part = |w: &[Second]| {
+        let part = |w: &[SecondMetrics]| {
             let offered: f64 = w.iter().map(|s| s.offered).sum();
             if offered > 0.0 {
                 w.iter().map(|s| s.served).sum::<f64>() / offered
--- a/crates/fernroute-testbed/src/player.rs
+++ b/crates/fernroute-testbed/src/policy.rs
@@ -1,7 +1,7 @@
 //! Whoever decides in a run: the real balancer, or a plain rule to compare it with. Baselines never enter the program.
 
 use crate::scenario::{seconds, zone_name, Effect, Group, Scenario};
-use crate::trace::Told;
+use crate::trace::EndpointState;
 use fernroute::action_queue::ActionQueue;
 use fernroute::{Balancer, Host as _, Outcome, Time, Timer};
 use fernroute_server::protocol::terms;
@@ -12,16 +12,16 @@
 
 /// One line of a list.
 #[derive(Clone, Debug)]
-pub struct Entry {
+pub struct EndpointUpdate {
     pub name: Rc<str>,
     pub zone: usize,
     pub cell: usize,
     pub started: Time,
-    pub told: Told,
+    pub told: EndpointState,
 }
 
-pub trait Player {
-    fn list(&mut self, now: Time, full: bool, entries: &[Entry]);
+pub trait Policy {
+    fn update_endpoints(&mut self, now: Time, full: bool, entries: &[EndpointUpdate]);
     fn rpc_arrived(&mut self, now: Time, rpc: &str, method: &str, tenant: &str, time_left: Time);
     #[allow(clippy::too_many_arguments)]
     fn attempt_ended(
@@ -40,16 +40,16 @@
     fn set_budget_rates(&mut self, _: Time, _: &[(&str, [(f64, Time); 2])]) {}
 }
 
-impl Player for Balancer<ActionQueue> {
-    fn list(&mut self, now: Time, full: bool, entries: &[Entry]) {
+impl Policy for Balancer<ActionQueue> {
+    fn update_endpoints(&mut self, now: Time, full: bool, entries: &[EndpointUpdate]) {
         self.snapshot_started(now, full);
         for e in entries {
             match e.told {
-                Told::Ready => {
+                EndpointState::Ready => {
                     self.upstream_ready(&e.name, &zone_name(e.zone), &e.cell.to_string(), "", e.started)
                 }
-                Told::Drains => self.upstream_draining(&e.name),
-                Told::Gone => self.upstream_removed(&e.name),
+                EndpointState::Drains => self.upstream_draining(&e.name),
+                EndpointState::Gone => self.upstream_removed(&e.name),
             }
         }
         self.snapshot_completed(true);
@@ -115,7 +115,7 @@
         }
     }
 
-    pub fn named(name: &str) -> Result<Self, String> {
+    pub fn from_name(name: &str) -> Result<Self, String> {
         let known = || Variant::ALL.map(Variant::name).join(", ");
         let found = Variant::ALL.into_iter().find(|v| v.name() == name);
         found.ok_or_else(|| format!("there is no variant {name}; there are {}", known()))
@@ -124,7 +124,7 @@
 
 /// Where a balancer of a run stands.
 #[derive(Clone, Copy, Debug)]
-pub struct Post {
+pub struct BalancerPosition {
     pub tier: usize,
     pub number: usize,
     pub instances: usize,
@@ -132,17 +132,18 @@
 }
 
 /// Makes the balancers of a run.
-pub type Maker<'a> = dyn Fn(&Scenario, Post, ActionQueue, Time, u64) -> Box<dyn Player> + 'a;
+pub type PolicyFactory<'a> =
+    dyn Fn(&Scenario, BalancerPosition, ActionQueue, Time, u64) -> Box<dyn Policy> + 'a;
 
 impl Variant {
-    pub fn player(
+    pub fn policy(
         self,
         scenario: &Scenario,
-        post: Post,
+        post: BalancerPosition,
         desk: ActionQueue,
         now: Time,
         seed: u64,
-    ) -> Box<dyn Player> {
+    ) -> Box<dyn Policy> {
         if !matches!(self, Variant::Fernroute | Variant::Fleet) {
             return Box::new(Baseline::new(scenario, self, desk, seed));
         }
@@ -155,7 +156,7 @@
 }
 
 struct Known {
-    entry: Entry,
+    entry: EndpointUpdate,
     out: usize,
 }
 
@@ -199,7 +200,7 @@
         let (_, effect, group, window) = &self.methods[rpc.method];
         let first = rpc.txs.iter().find(|(_, _, end)| !end.is_some_and(Outcome::never_ran));
         let first = first.map(|(name, sent, _)| (self.upstreams.get(name).map(|k| k.entry.clone()), *sent));
-        let fits = |e: &Entry| match (&first, effect) {
+        let fits = |e: &EndpointUpdate| match (&first, effect) {
             (None, _) | (_, Effect::Retriable) => true,
             (_, Effect::NonRetriable) => false,
             (Some((before, sent)), Effect::Deduped) => {
@@ -211,7 +212,7 @@
                 same && now < sent + window
             }
         };
-        let usable = |k: &&Known| k.entry.told == Told::Ready && fits(&k.entry);
+        let usable = |k: &&Known| k.entry.told == EndpointState::Ready && fits(&k.entry);
         let all: Vec<&Known> = self.upstreams.values().filter(usable).collect();
         if all.is_empty() {
             return None;
@@ -263,13 +264,13 @@
     }
 }
 
-impl Player for Baseline {
-    fn list(&mut self, _: Time, full: bool, entries: &[Entry]) {
+impl Policy for Baseline {
+    fn update_endpoints(&mut self, _: Time, full: bool, entries: &[EndpointUpdate]) {
         if full {
             self.upstreams.retain(|name, _| entries.iter().any(|e| e.name == *name));
         }
         for entry in entries {
-            if entry.told == Told::Gone {
+            if entry.told == EndpointState::Gone {
                 self.upstreams.remove(&entry.name);
                 continue;
             }
--- a/crates/fernroute-testbed/src/referee.rs
+++ b/crates/fernroute-testbed/src/referee.rs
@@ -3,18 +3,18 @@
 pub mod cold;
 
 use crate::scenario::{millis, seconds, Effect, Group, Scenario};
-use crate::trace::{Event, Final, Told, Witness};
-use cold::{Cold, ColdRule, Worst};
+use crate::trace::{EndpointState, Event, FinalAnswer, Observer};
+use cold::{ColdRule, ColdStart, ColdWindow};
 use fernroute::{Outcome, Time};
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
 /// A rule that was broken, and when.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Breach {
+pub struct Violation {
     pub at: Time,
     pub rule: Rule,
-    pub what: String,
+    pub description: String,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -51,7 +51,7 @@
 struct Upstream {
     zone: usize,
     cell: usize,
-    cold: Cold,
+    cold: ColdStart,
 }
 
 /// What was sent on of one tenant's RPCs in the last seconds; time empties it.
@@ -81,13 +81,13 @@
     upstreams: BTreeMap<usize, Upstream>,
     /// What a balancer was told last of an upstream that leaves, and when; emptied with the balancer.
     leaving: BTreeMap<(usize, usize), Time>,
-    pub breaches: Vec<Breach>,
+    pub violations: Vec<Violation>,
     /// Of each cold start that was sent anything, the worst window; whole at the end.
-    pub cold_starts: Vec<Worst>,
+    pub cold_starts: Vec<ColdWindow>,
 }
 
 /// More say no more; a balancer that breaks a rule with each RPC fills no memory.
-const MOST_BREACHES: usize = 100;
+const MAX_VIOLATIONS: usize = 100;
 
 impl Referee {
     pub fn new(scenario: &Scenario) -> Self {
@@ -107,19 +107,19 @@
             rpcs: BTreeMap::new(),
             upstreams: BTreeMap::new(),
             leaving: BTreeMap::new(),
-            breaches: Vec::new(),
+            violations: Vec::new(),
             cold_starts: Vec::new(),
         }
     }
 
     fn broken(&mut self, at: Time, rule: Rule, what: String) {
-        if self.breaches.len() < MOST_BREACHES {
-            self.breaches.push(Breach { at, rule, what });
+        if self.violations.len() < MAX_VIOLATIONS {
+            self.violations.push(Violation { at, rule, description: what });
         }
     }
 
     /// At the end of the run: what has no answer yet never gets one.
-    pub fn end(&mut self, at: Time) {
+    pub fn finish(&mut self, at: Time) {
         for (id, rpc) in std::mem::take(&mut self.rpcs) {
             if !rpc.answered && !rpc.left {
                 self.broken(at, Rule::OneAnswer, format!("RPC {id} was never answered"));
@@ -206,7 +206,9 @@
     /// those that knew of its start.
     fn count_cold(&mut self, at: Time, balancer: usize, upstream: usize, work: f64) {
         let Some(u) = self.upstreams.get_mut(&upstream) else { return };
-        let Some(fall) = u.cold.sent(&self.cold, at, upstream, balancer, work).filter(Worst::breaks) else {
+        let Some(fall) =
+            u.cold.sent(&self.cold, at, upstream, balancer, work).filter(ColdWindow::is_violation)
+        else {
             return;
         };
         let what = format!(
@@ -214,12 +216,12 @@
             fall.rpcs,
             fall.work,
             fall.allowed,
-            cold::bound(fall.allowed)
+            cold::fall_threshold(fall.allowed)
         );
         self.broken(at, Rule::ColdSpared, what);
     }
 
-    fn answered(&mut self, at: Time, id: &Rc<str>, last: Final) {
+    fn answered(&mut self, at: Time, id: &Rc<str>, last: FinalAnswer) {
         let Some(rpc) = self.rpcs.get_mut(id) else {
             return self.broken(at, Rule::OneAnswer, format!("RPC {id} was answered, which is not open"));
         };
@@ -237,7 +239,7 @@
         if late {
             self.broken(at, Rule::OneAnswer, format!("RPC {id} was answered after its hard deadline"));
         }
-        if last == Final::Exhausted && !harmless {
+        if last == FinalAnswer::Exhausted && !harmless {
             self.broken(at, Rule::NoSecondEffect, format!("RPC {id} was exhausted and may have run"));
         }
         self.forget(id);
@@ -251,8 +253,8 @@
     }
 }
 
-impl Witness for Referee {
-    fn see(&mut self, at: Time, event: &Event) {
+impl Observer for Referee {
+    fn observe(&mut self, at: Time, event: &Event) {
         match event {
             Event::Arrived { rpc, balancer, method, hard, tenant } => {
                 let (balancer, method, hard, tenant) = (*balancer, *method, *hard, *tenant);
@@ -277,15 +279,15 @@
                 self.rpcs.get_mut(rpc).into_iter().for_each(|r| r.left = true);
                 self.forget(rpc);
             }
-            Event::Heard { balancer, upstream, told: Told::Ready } => {
+            Event::Heard { balancer, upstream, told: EndpointState::Ready } => {
                 self.leaving.remove(&(*balancer, *upstream));
-                self.upstreams.get_mut(upstream).into_iter().for_each(|u| u.cold.hear(*balancer));
+                self.upstreams.get_mut(upstream).into_iter().for_each(|u| u.cold.endpoint_ready(*balancer));
             }
             Event::Heard { balancer, upstream, .. } => {
                 self.leaving.entry((*balancer, *upstream)).or_insert(at);
             }
             Event::Started { upstream, zone, cell, rate, cold } => {
-                let new = Upstream { zone: *zone, cell: *cell, cold: Cold::new(at, *rate, *cold) };
+                let new = Upstream { zone: *zone, cell: *cell, cold: ColdStart::new(at, *rate, *cold) };
                 let old = self.upstreams.insert(*upstream, new);
                 self.cold_starts.extend(old.and_then(|u| u.cold.worst));
             }
--- a/crates/fernroute-testbed/src/referee/cold.rs
+++ b/crates/fernroute-testbed/src/referee/cold.rs
@@ -28,13 +28,13 @@
 }
 
 /// More than this falls: what is allowed, and what the operators put down to chance.
-pub fn bound(allowed: f64) -> f64 {
+pub fn fall_threshold(allowed: f64) -> f64 {
     allowed + 2.0 * allowed.sqrt() + 2.0
 }
 
 /// The window in which a cold upstream came nearest to its fall, or fell.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Worst {
+pub struct ColdWindow {
     pub upstream: usize,
     pub at: Time,
     /// RPCs of mean work that the settings allow in that window.
@@ -43,24 +43,24 @@
     pub work: f64,
     pub rpcs: usize,
     /// The part of the work that came from balancers which had been told of the start.
-    pub told: f64,
+    pub informed_share: f64,
     /// By how many RPCs, whatever their work, any window up to now came beyond what is allowed in it; none is 0.
-    pub beyond: f64,
+    pub excess: f64,
 }
 
-impl Worst {
+impl ColdWindow {
     /// One is the bound; more is a fall.
-    pub fn share(&self) -> f64 {
-        self.work / bound(self.allowed)
+    pub fn load_ratio(&self) -> f64 {
+        self.work / fall_threshold(self.allowed)
     }
 
     pub fn fell(&self) -> bool {
-        self.share() > 1.0
+        self.load_ratio() > 1.0
     }
 
     /// Whether the fall counts against the balancers: over two thirds came from those that knew.
-    pub fn breaks(&self) -> bool {
-        self.fell() && self.told > 2.0 / 3.0
+    pub fn is_violation(&self) -> bool {
+        self.fell() && self.informed_share > 2.0 / 3.0
     }
 }
 
@@ -71,7 +71,7 @@
 }
 
 /// One upstream since its last start.
-pub struct Cold {
+pub struct ColdStart {
     started: Time,
     /// What it can do when warm, RPCs of mean work a second.
     rate: f64,
@@ -80,15 +80,15 @@
     sends: VecDeque<Sent>,
     /// Which balancers have been told of this start.
     told: BTreeSet<usize>,
-    pub worst: Option<Worst>,
+    pub worst: Option<ColdWindow>,
 }
 
-impl Cold {
+impl ColdStart {
     pub fn new(started: Time, rate: f64, cold: bool) -> Self {
-        Cold { started, rate, cold, sends: VecDeque::new(), told: BTreeSet::new(), worst: None }
+        ColdStart { started, rate, cold, sends: VecDeque::new(), told: BTreeSet::new(), worst: None }
     }
 
-    pub fn hear(&mut self, balancer: usize) {
+    pub fn endpoint_ready(&mut self, balancer: usize) {
         if self.cold {
             self.told.insert(balancer);
         }
@@ -102,7 +102,7 @@
         upstream: usize,
         balancer: usize,
         work: f64,
-    ) -> Option<Worst> {
+    ) -> Option<ColdWindow> {
         if !self.cold || self.worst.is_some_and(|worst| worst.fell()) {
             return None;
         }
@@ -119,21 +119,21 @@
         let work: f64 = self.sends.iter().map(|sent| sent.work).sum();
         let told: f64 = self.sends.iter().filter(|sent| sent.told).map(|sent| sent.work).sum();
         let allowed = rule.multiple * self.rate * middle * rule.window as f64 / seconds(1.0) as f64;
-        let before = self.worst.map_or(0.0, |worst| worst.beyond);
+        let before = self.worst.map_or(0.0, |worst| worst.excess);
         let beyond = before.max(self.sends.len() as f64 - allowed);
-        let now = Worst {
+        let now = ColdWindow {
             upstream,
             at,
             allowed,
             work,
             rpcs: self.sends.len(),
-            told: told / work.max(f64::MIN_POSITIVE),
-            beyond,
+            informed_share: told / work.max(f64::MIN_POSITIVE),
+            excess: beyond,
         };
-        self.worst.iter_mut().for_each(|worst| worst.beyond = beyond);
-        if self.worst.is_none_or(|worst| now.share() > worst.share()) {
+        self.worst.iter_mut().for_each(|worst| worst.excess = beyond);
+        if self.worst.is_none_or(|worst| now.load_ratio() > worst.load_ratio()) {
             self.worst = Some(now);
         }
-        Some(now).filter(Worst::fell)
+        Some(now).filter(ColdWindow::fell)
     }
 }
--- a/crates/fernroute-testbed/src/scenario.rs
+++ b/crates/fernroute-testbed/src/scenario.rs
@@ -1,6 +1,6 @@
 //! What a scenario file says, checked whole before anything runs: the fleet, the load, the methods, the faults.
 
-use crate::player::Post;
+use crate::policy::BalancerPosition;
 use fernroute::Time;
 use serde::Deserialize;
 use serde_json::{json, Value};
@@ -284,7 +284,7 @@
 
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
-pub enum Kind {
+pub enum FaultKind {
     /// Processes die, and come back cold when the fault ends.
     Crash,
     /// Machines vanish: nothing is heard of them, and they come back cold.
@@ -326,7 +326,7 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    pub kind: Kind,
+    pub kind: FaultKind,
     pub at_s: f64,
     pub for_s: f64,
     /// The name of a tier; the first where none is named.
@@ -476,12 +476,14 @@
             within(&at("part"), f.part, 0.0, 1.0)?;
             within(&at("every_s"), f.every_s, 0.01, DAY)?;
             let (least, most) = match f.kind {
-                Kind::Slow => (1.0, 1000.0),
-                Kind::Surge => (0.0, 1000.0),
-                Kind::FastErrors => (0.0, 1.0),
-                Kind::Pauses => (0.001, f.every_s),
-                Kind::ReportsLate => (0.0, DAY),
-                Kind::ZoneLoss => (0.0, self.tier.iter().map(|t| t.zones).max().unwrap_or(1) as f64 - 1.0),
+                FaultKind::Slow => (1.0, 1000.0),
+                FaultKind::Surge => (0.0, 1000.0),
+                FaultKind::FastErrors => (0.0, 1.0),
+                FaultKind::Pauses => (0.001, f.every_s),
+                FaultKind::ReportsLate => (0.0, DAY),
+                FaultKind::ZoneLoss => {
+                    (0.0, self.tier.iter().map(|t| t.zones).max().unwrap_or(1) as f64 - 1.0)
+                }
                 _ => (0.0, 0.0),
             };
             within(&at("size"), f.size, least, most)?;
@@ -500,7 +502,7 @@
     }
 
     /// How many balancers call on a tier.
-    pub fn instances(&self, tier: usize) -> usize {
+    pub fn balancer_count(&self, tier: usize) -> usize {
         match tier {
             0 => self.tier[0].balancers,
             below => self.tier[below - 1].upstreams,
@@ -508,7 +510,7 @@
     }
 
     /// What a warm upstream of this tier and speed can do, RPCs a second.
-    pub fn rate(&self, tier: usize, speed: f64) -> f64 {
+    pub fn warm_rate(&self, tier: usize, speed: f64) -> f64 {
         let of = &self.tier[tier];
         of.cores as f64 * speed / (self.mean_work_ms() * of.work) * 1000.0
     }
@@ -520,17 +522,17 @@
     }
 
     /// So much work over all tiers, in RPCs of mean work.
-    pub fn in_means(&self, work: Time) -> f64 {
+    pub fn in_mean_rpcs(&self, work: Time) -> f64 {
         work as f64 / 10.0 / self.mean_work_ms()
     }
 
     /// The longest that any RPC may take.
-    pub fn longest(&self) -> Time {
+    pub fn longest_hard_deadline(&self) -> Time {
         self.method.iter().map(|m| millis(m.hard_ms)).max().unwrap_or(0)
     }
 
     /// The platform's settings of a balancer, with its names and units.
-    pub fn settings(&self, post: Post) -> Value {
+    pub fn settings(&self, post: BalancerPosition) -> Value {
         let r = &self.rules;
         let methods: Vec<Value> = self
             .method
--- a/crates/fernroute-testbed/src/world.rs
+++ b/crates/fernroute-testbed/src/simulation.rs
@@ -1,12 +1,14 @@
 //! A fleet in virtual time. Events that fall on one instant happen in the order in which they were set down.
 
-use crate::books::Books;
-use crate::demand::{balancer_seed, stream, victims, Arrivals, Want, CHANCE, LINGER};
+use crate::demand::{
+    balancer_seed, fault_targets, rng_stream, Arrivals, RequestSpec, DRAINED_EXIT_DELAY_S, SIMULATION_STREAM,
+};
 use crate::fleet::Fleet;
-use crate::player::{Entry, Maker, Player, Post};
-use crate::scenario::{millis, seconds, Fault, Kind, Scenario};
-use crate::trace::{Event, Final, Told, Witness};
-use crate::upstream::{Affliction, Job, State, Upstream, KEEP};
+use crate::metrics::RunMetrics;
+use crate::policy::{BalancerPosition, EndpointUpdate, Policy, PolicyFactory};
+use crate::scenario::{millis, seconds, Fault, FaultKind, Scenario};
+use crate::trace::{EndpointState, Event, FinalAnswer, Observer};
+use crate::upstream::{FaultEffect, Job, State, Upstream, REPORT_RETENTION_S};
 use fernroute::action_queue::{Action, ActionQueue};
 use fernroute::{Outcome, Time, Timer};
 use fernroute_fleet::message::{Heartbeat, HeartbeatReply};
@@ -31,7 +33,7 @@
     BeatThere { node: usize, beat: Box<Heartbeat> },
     BeatBack { node: usize, answer: Box<HeartbeatReply> },
     Enter,
-    Tell { node: usize, upstream: usize, life: u32, told: Told },
+    Tell { node: usize, upstream: usize, life: u32, told: EndpointState },
     Report { upstream: usize },
     Wake { upstream: usize, life: u32 },
     FaultBegins(usize),
@@ -67,7 +69,7 @@
     tier: usize,
     zone: usize,
     alive: bool,
-    player: Box<dyn Player>,
+    player: Box<dyn Policy>,
     desk: ActionQueue,
     /// Emptied by final answers and the ends of transmissions.
     open: BTreeMap<Rc<str>, Open>,
@@ -75,15 +77,15 @@
 
 /// What a caller wants, and how far it has come.
 struct Request {
-    want: Want,
+    want: RequestSpec,
     asked: Time,
     tries: u32,
 }
 
-pub struct World<'a> {
+pub struct Simulation<'a> {
     scenario: &'a Scenario,
-    make: &'a Maker<'a>,
-    witness: &'a mut dyn Witness,
+    make: &'a PolicyFactory<'a>,
+    witness: &'a mut dyn Observer,
     seed: u64,
     now: Time,
     queue: BinaryHeap<Reverse<(Time, u64)>>,
@@ -113,20 +115,20 @@
     fleet: Option<Fleet>,
     /// Places of the first tier that reach no steward, by fault; emptied by its end.
     cut_off: BTreeMap<usize, Vec<usize>>,
-    pub books: Books,
+    pub metrics: RunMetrics,
     /// The most events, jobs and requests that were held at a time.
-    pub most_held: usize,
+    pub max_held: usize,
 }
 
-impl<'a> World<'a> {
+impl<'a> Simulation<'a> {
     pub fn new(
         scenario: &'a Scenario,
         seed: u64,
-        make: &'a Maker<'a>,
+        make: &'a PolicyFactory<'a>,
         fleet: bool,
-        witness: &'a mut dyn Witness,
+        witness: &'a mut dyn Observer,
     ) -> Self {
-        let mut world = World {
+        let mut world = Simulation {
             scenario,
             make,
             witness,
@@ -145,15 +147,15 @@
             requests_made: 0,
             calls_made: 0,
             arrivals: Arrivals::new(scenario, seed),
-            chance: stream(seed, CHANCE),
+            chance: rng_stream(seed, SIMULATION_STREAM),
             reports_late: BTreeMap::new(),
             list_down_until: 0,
             victims: BTreeMap::new(),
             end: seconds(scenario.seconds),
             fleet: fleet.then(|| Fleet::new(scenario)),
             cut_off: BTreeMap::new(),
-            books: Books::new(scenario),
-            most_held: 0,
+            metrics: RunMetrics::new(scenario),
+            max_held: 0,
         };
         for (tier, of) in scenario.tier.iter().enumerate() {
             for place in 0..of.upstreams {
@@ -183,12 +185,12 @@
     }
 
     fn tell(&mut self, event: &Event) {
-        self.witness.see(self.now, event);
+        self.witness.observe(self.now, event);
     }
 
     /// Plays to the end of the last RPC that may still be answered.
-    pub fn play(mut self) -> (Books, usize) {
-        let longest = self.scenario.longest();
+    pub fn run(mut self) -> (RunMetrics, usize) {
+        let longest = self.scenario.longest_hard_deadline();
         let tries = u64::from(self.scenario.load.retries) + 1;
         let last = self.end + tries * (longest + millis(self.scenario.rules.max_stay_away_ms)) + seconds(1.0);
         while let Some(Reverse((at, place))) = self.queue.pop() {
@@ -197,14 +199,14 @@
             }
             self.now = at;
             let held = self.due.len() + self.jobs.len() + self.requests.len();
-            self.most_held = self.most_held.max(held);
+            self.max_held = self.max_held.max(held);
             if let Some(due) = self.due.remove(&place) {
                 self.happen(due);
             }
         }
         let open: usize = self.nodes.iter().map(|n| n.open.values().filter(|o| !o.answered).count()).sum();
-        self.books.ends.open = open as u64;
-        (self.books, self.most_held)
+        self.metrics.ends.open = open as u64;
+        (self.metrics, self.max_held)
     }
 
     fn happen(&mut self, due: Due) {
@@ -229,14 +231,16 @@
             Due::Enter => self.enter(),
             Due::Tell { node, upstream, life, told } => self.hear(node, upstream, life, told),
             Due::Report { upstream } => self.report(upstream),
-            Due::Wake { upstream, life } if self.upstreams[upstream].life == life => self.work(upstream),
+            Due::Wake { upstream, life } if self.upstreams[upstream].incarnation == life => {
+                self.work(upstream)
+            }
             Due::Wake { .. } => {}
             Due::FaultBegins(i) => self.fault_begins(i),
             Due::FaultStep(i, n) => self.fault_step(i, n),
             Due::FaultEnds(i) => self.fault_ends(i),
-            Due::Retire { upstream, life } if self.upstreams[upstream].life == life => {
+            Due::Retire { upstream, life } if self.upstreams[upstream].incarnation == life => {
                 self.die(upstream, State::Dead);
-                self.announce(upstream, Told::Gone, millis(self.scenario.discovery.late_ms));
+                self.announce(upstream, EndpointState::Gone, millis(self.scenario.discovery.late_ms));
             }
             Due::Retire { .. } => {}
         }
@@ -260,7 +264,7 @@
 
     fn started(&mut self, number: usize) {
         let u = &self.upstreams[number];
-        let rate = self.scenario.rate(u.tier, u.speed);
+        let rate = self.scenario.warm_rate(u.tier, u.speed);
         let (zone, cell, cold) = (u.zone, u.cell, u.cold);
         self.tell(&Event::Started { upstream: number, zone, cell, rate, cold });
     }
@@ -275,20 +279,21 @@
     }
 
     fn new_node(&mut self, tier: usize, number: usize, zone: usize) -> usize {
-        let (desk, instances) = (ActionQueue::default(), self.scenario.instances(tier));
-        let post = Post { tier, number, instances, zone };
+        let (desk, instances) = (ActionQueue::default(), self.scenario.balancer_count(tier));
+        let post = BalancerPosition { tier, number, instances, zone };
         let seed = balancer_seed(self.seed, self.nodes.len());
         let player = (self.make)(self.scenario, post, desk.clone(), self.now, seed);
         let node = self.nodes.len();
         self.nodes.push(Node { tier, zone, alive: true, player, desk, open: BTreeMap::new() });
         let known = (0..self.upstreams.len()).filter(|n| self.upstreams[*n].tier == tier);
         let known: Vec<usize> = known.filter(|n| self.upstreams[*n].state == State::Up).collect();
-        known
-            .iter()
-            .for_each(|n| self.tell(&Event::Heard { balancer: node, upstream: *n, told: Told::Ready }));
-        let entries: Vec<Entry> = known.iter().map(|n| self.entry(*n, Told::Ready)).collect();
+        known.iter().for_each(|n| {
+            self.tell(&Event::Heard { balancer: node, upstream: *n, told: EndpointState::Ready })
+        });
+        let entries: Vec<EndpointUpdate> =
+            known.iter().map(|n| self.entry(*n, EndpointState::Ready)).collect();
         let now = self.now;
-        self.decide(node, |p| p.list(now, true, &entries));
+        self.decide(node, |p| p.update_endpoints(now, true, &entries));
         if let Some(fleet) = self.fleet.as_mut().filter(|_| tier == 0) {
             fleet.join(node, number, now);
             // Nothing is its own before it is granted; beats of a fleet are not in step.
@@ -308,7 +313,7 @@
         if !self.is_cut_off(node) {
             self.set(self.now + delay, Due::BeatThere { node, beat: Box::new(beat) });
         }
-        if self.now < self.end + seconds(KEEP) {
+        if self.now < self.end + seconds(REPORT_RETENTION_S) {
             self.set(self.now + millis(self.scenario.fleet.beat_ms), Due::Beat { node });
         }
     }
@@ -344,15 +349,15 @@
         self.fleet.iter_mut().for_each(|fleet| fleet.enter(now));
     }
 
-    fn entry(&self, upstream: usize, told: Told) -> Entry {
+    fn entry(&self, upstream: usize, told: EndpointState) -> EndpointUpdate {
         let u = &self.upstreams[upstream];
         let started = if u.cold { u.started } else { 0 };
-        Entry { name: Rc::clone(&u.name), zone: u.zone, cell: u.cell, started, told }
+        EndpointUpdate { name: Rc::clone(&u.name), zone: u.zone, cell: u.cell, started, told }
     }
 
     /// Discovery tells each balancer of the tier, late and not all at once; after an outage, all that it held back.
-    fn announce(&mut self, upstream: usize, told: Told, late: Time) {
-        let (tier, life) = (self.upstreams[upstream].tier, self.upstreams[upstream].life);
+    fn announce(&mut self, upstream: usize, told: EndpointState, late: Time) {
+        let (tier, life) = (self.upstreams[upstream].tier, self.upstreams[upstream].incarnation);
         let spread = millis(self.scenario.discovery.spread_ms);
         let from = (self.now + late).max(self.list_down_until);
         for node in 0..self.nodes.len() {
@@ -363,9 +368,9 @@
         }
     }
 
-    fn hear(&mut self, node: usize, upstream: usize, life: u32, told: Told) {
+    fn hear(&mut self, node: usize, upstream: usize, life: u32, told: EndpointState) {
         // What is overtaken by a later start or end is not told any more.
-        if !self.nodes[node].alive || self.upstreams[upstream].life != life {
+        if !self.nodes[node].alive || self.upstreams[upstream].incarnation != life {
             return;
         }
         if self.now < self.list_down_until {
@@ -374,7 +379,7 @@
         }
         self.tell(&Event::Heard { balancer: node, upstream, told });
         let (now, entry) = (self.now, [self.entry(upstream, told)]);
-        self.decide(node, |p| p.list(now, false, &entry));
+        self.decide(node, |p| p.update_endpoints(now, false, &entry));
     }
 
     fn report(&mut self, upstream: usize) {
@@ -382,7 +387,7 @@
         let period = millis(of.report_ms);
         let u = &mut self.upstreams[upstream];
         u.report(self.now, period, of.choke.as_ref());
-        if self.now < self.end + seconds(KEEP) {
+        if self.now < self.end + seconds(REPORT_RETENTION_S) {
             self.set(self.now + period, Due::Report { upstream });
         }
     }
@@ -411,10 +416,10 @@
     fn arrive(&mut self) {
         let number = self.requests_made;
         self.requests_made += 1;
-        let want = Want::of(self.scenario, self.seed, number);
+        let want = RequestSpec::generate(self.scenario, self.seed, number);
         let (method, balancer) = (want.method, want.balancer);
         self.requests.insert(number, Request { want, asked: self.now, tries: 0 });
-        self.books.offered(self.now, method, self.scenario.method[method].gain);
+        self.metrics.record_offered(self.now, method, self.scenario.method[method].gain);
         self.ask(number, Some(balancer));
     }
 
@@ -429,7 +434,7 @@
         let rpc: Rc<str> = Rc::from(format!("r{number}.{}", request.tries));
         request.tries += 1;
         let want = request.want.clone();
-        let leaves = want.leaves.map(|share| (millis(m.hard_ms) as f64 * share) as Time);
+        let leaves = want.leaves_after.map(|share| (millis(m.hard_ms) as f64 * share) as Time);
         let mut node = self.first[balancer.unwrap_or(any)];
         if !self.nodes[node].alive {
             // Its front deals it to another, after a refused connection.
@@ -462,9 +467,9 @@
         work: Time,
         calls: Rc<[u32]>,
     ) {
-        self.books.ends.arrived += 1;
+        self.metrics.ends.arrived += 1;
         let tier = self.nodes[node].tier;
-        self.books.tiers[tier].came(hard - self.now);
+        self.metrics.tiers[tier].record_arrival(hard - self.now);
         let (arrived, out) = (self.now, BTreeMap::new());
         let open = Open { origin, method, hard, arrived, work, calls, answered: false, made: 0, out };
         self.nodes[node].open.insert(Rc::clone(&rpc), open);
@@ -477,7 +482,7 @@
     // -------------------------------------------------------------------------------------------- balancers
 
     /// Calls a balancer, then does what it asked for.
-    fn decide(&mut self, node: usize, call: impl FnOnce(&mut dyn Player)) {
+    fn decide(&mut self, node: usize, call: impl FnOnce(&mut dyn Policy)) {
         if !self.nodes[node].alive {
             return;
         }
@@ -491,8 +496,10 @@
                     let outcome = Outcome::Cancelled;
                     self.set(self.now, Due::Stopped { node, rpc, attempt, outcome });
                 }
-                Action::Reject { rpc, retry_after } => self.answer(node, &rpc, Final::Exhausted, retry_after),
-                Action::Fail { rpc } => self.answer(node, &rpc, Final::Errored, 0),
+                Action::Reject { rpc, retry_after } => {
+                    self.answer(node, &rpc, FinalAnswer::Exhausted, retry_after)
+                }
+                Action::Fail { rpc } => self.answer(node, &rpc, FinalAnswer::Errored, 0),
                 Action::SetTimer { after, timer } => self.set(self.now + after, Due::Timer { node, timer }),
                 // All are told unasked.
                 Action::WatchEndpoints | Action::Log(_) => {}
@@ -515,12 +522,12 @@
                 work: 1.0,
             });
         };
-        self.books.transmissions += 1;
-        self.books.tiers[self.nodes[node].tier].transmissions += 1;
-        let work = self.nodes[node].open.get(rpc).map_or(1.0, |open| self.scenario.in_means(open.work));
+        self.metrics.attempts += 1;
+        self.metrics.tiers[self.nodes[node].tier].attempts += 1;
+        let work = self.nodes[node].open.get(rpc).map_or(1.0, |open| self.scenario.in_mean_rpcs(open.work));
         self.tell(&Event::Sent { rpc: Rc::clone(rpc), attempt, balancer: node, upstream, work });
         let delay = self.delay(self.nodes[node].zone, self.upstreams[upstream].zone);
-        let (now, life) = (self.now, self.upstreams[upstream].life);
+        let (now, life) = (self.now, self.upstreams[upstream].incarnation);
         let tier = self.upstreams[upstream].tier;
         let Some(open) = self.nodes[node].open.get_mut(rpc) else { return };
         open.out.insert(attempt, Out { upstream, sent: now });
@@ -533,8 +540,8 @@
             work: open.work,
             calls: Rc::clone(&open.calls),
             hard: open.hard,
-            left,
-            void: false,
+            calls_left: left,
+            cancelled: false,
         };
         self.set(now + delay, Due::Reach { node, upstream, life, job: Box::new(job) });
         let outcome = Outcome::TimedOut;
@@ -548,7 +555,7 @@
         let void =
             |job: &&mut (usize, Job)| job.0 == upstream && job.1.attempt == attempt && job.1.rpc == *rpc;
         if let Some((_, job)) = self.jobs.values_mut().find(void) {
-            job.void = true;
+            job.cancelled = true;
         }
         self.ended(node, rpc, attempt, outcome, f64::NAN);
     }
@@ -560,7 +567,7 @@
         self.tell(&Event::Ended { rpc: Rc::clone(rpc), attempt, outcome });
         // Whose caller has left has nobody to answer to.
         if outcome == Outcome::Completed && !answered {
-            self.answer(node, rpc, Final::Completed, 0);
+            self.answer(node, rpc, FinalAnswer::Completed, 0);
         }
         let over = self.nodes[node].open.get(rpc).is_none_or(|open| open.answered);
         let now = self.now;
@@ -575,24 +582,24 @@
         }
     }
 
-    fn answer(&mut self, node: usize, rpc: &Rc<str>, last: Final, stay_away: Time) {
+    fn answer(&mut self, node: usize, rpc: &Rc<str>, last: FinalAnswer, stay_away: Time) {
         self.tell(&Event::Answered { rpc: Rc::clone(rpc), last });
         let tier = self.nodes[node].tier;
         let Some(open) = self.nodes[node].open.get_mut(rpc).filter(|open| !open.answered) else { return };
         open.answered = true;
         let arrived = open.arrived;
-        let ends = &mut self.books.ends;
+        let ends = &mut self.metrics.ends;
         match last {
-            Final::Completed => {
+            FinalAnswer::Completed => {
                 ends.completed += 1;
-                self.books.tiers[tier].done(self.now - arrived);
+                self.metrics.tiers[tier].record_completion(self.now - arrived);
             }
-            Final::Exhausted => ends.exhausted += 1,
-            Final::Errored => ends.errored += 1,
+            FinalAnswer::Exhausted => ends.exhausted += 1,
+            FinalAnswer::Errored => ends.errored += 1,
         }
         match open.origin {
             Origin::Caller { request } => {
-                self.books.in_system += u128::from(self.now - arrived);
+                self.metrics.time_in_system += u128::from(self.now - arrived);
                 self.told_caller(request, last, stay_away);
             }
             Origin::Call { upstream, life, job } => self.call_done(upstream, life, job, last),
@@ -600,33 +607,33 @@
         self.forget(node, rpc);
     }
 
-    fn told_caller(&mut self, number: u64, last: Final, stay_away: Time) {
+    fn told_caller(&mut self, number: u64, last: FinalAnswer, stay_away: Time) {
         let Some(request) = self.requests.get(&number) else { return };
         let (asked, method, tenant) = (request.asked, request.want.method, request.want.tenant);
         let m = &self.scenario.method[method];
         match last {
-            Final::Completed => {
+            FinalAnswer::Completed => {
                 self.requests.remove(&number);
-                self.books.tenant(asked, tenant, true);
-                self.books.completed(asked, self.now, method, m.gain, millis(m.soft_ms));
+                self.metrics.record_tenant(asked, tenant, true);
+                self.metrics.record_completed(asked, self.now, method, m.gain, millis(m.soft_ms));
             }
-            Final::Exhausted if request.tries <= self.scenario.load.retries => {
+            FinalAnswer::Exhausted if request.tries <= self.scenario.load.retries => {
                 let wait = if stay_away > 0 { stay_away } else { millis(self.scenario.load.backoff_ms) };
                 self.set(self.now + wait.max(1), Due::Try { request: number });
             }
-            Final::Exhausted => {
+            FinalAnswer::Exhausted => {
                 self.requests.remove(&number);
-                self.books.tenant(asked, tenant, false);
-                self.books.exhausted(asked);
+                self.metrics.record_tenant(asked, tenant, false);
+                self.metrics.record_exhausted(asked);
             }
-            Final::Errored => self.fail(number),
+            FinalAnswer::Errored => self.fail(number),
         }
     }
 
     fn fail(&mut self, number: u64) {
         if let Some(request) = self.requests.remove(&number) {
-            self.books.tenant(request.asked, request.want.tenant, false);
-            self.books.errored(request.asked);
+            self.metrics.record_tenant(request.asked, request.want.tenant, false);
+            self.metrics.record_errored(request.asked);
         }
     }
 
@@ -636,7 +643,7 @@
         if let Origin::Caller { request } = open.origin {
             self.fail(request);
         }
-        self.books.ends.abandoned += 1;
+        self.metrics.ends.abandoned += 1;
         self.tell(&Event::CallerLeft { rpc: Rc::clone(rpc) });
         let now = self.now;
         self.decide(node, |p| p.rpc_abandoned(now, rpc));
@@ -649,7 +656,7 @@
         self.nodes[node].alive = false;
         for (_, open) in std::mem::take(&mut self.nodes[node].open) {
             if !open.answered {
-                self.books.ends.lost += 1;
+                self.metrics.ends.lost += 1;
                 if let Origin::Caller { request } = open.origin {
                     self.fail(request);
                 }
@@ -669,19 +676,19 @@
         if u.state == State::Silent {
             return;
         }
-        if u.state == State::Dead || u.life != life {
+        if u.state == State::Dead || u.incarnation != life {
             // The process that it was sent to is gone, or one that has just started in its place: refused.
             return self.set(at, say(Outcome::ConnectFailed, f64::NAN));
         }
-        if u.hangs() {
+        if u.is_hanging() {
             return self.tell(&Event::Ran { rpc: job.rpc, attempt });
         }
-        let errors = u.errors();
+        let errors = u.error_share();
         if errors > 0.0 && self.chance.random::<f64>() < errors {
             self.tell(&Event::Ran { rpc: job.rpc, attempt });
             return self.set(at, say(Outcome::Failed, load));
         }
-        if u.held >= u.slots && u.waiting.len() >= u.queue {
+        if u.occupied_slots >= u.slots && u.waiting.len() >= u.queue {
             return self.set(at, say(Outcome::Rejected, load));
         }
         self.tell(&Event::Ran { rpc: Rc::clone(&job.rpc), attempt });
@@ -689,8 +696,8 @@
         self.jobs_made += 1;
         self.jobs.insert(number, (upstream, job));
         let u = &mut self.upstreams[upstream];
-        if u.held < u.slots {
-            u.held += 1;
+        if u.occupied_slots < u.slots {
+            u.occupied_slots += 1;
             u.ready.push_back(number);
             self.work(upstream);
         } else {
@@ -708,7 +715,7 @@
                 return;
             }
             if self.now < u.paused_until {
-                let (at, life) = (u.paused_until, u.life);
+                let (at, life) = (u.paused_until, u.incarnation);
                 return self.set(at, Due::Wake { upstream, life });
             }
             let Some(job) = u.ready.pop_front() else { return };
@@ -716,14 +723,14 @@
             u.account(self.now);
             u.busy += 1;
             let warmth = u.warmth(self.now, rules.cold_from, seconds(rules.warm_within_s));
-            let (at, life) = (self.now + u.takes(work, warmth, of.choke.as_ref()), u.life);
+            let (at, life) = (self.now + u.service_time(work, warmth, of.choke.as_ref()), u.incarnation);
             self.set(at, Due::CoreDone { upstream, life, job });
         }
     }
 
     fn core_done(&mut self, upstream: usize, life: u32, job: u64) {
         let u = &mut self.upstreams[upstream];
-        if u.life != life {
+        if u.incarnation != life {
             return;
         }
         if self.now < u.paused_until {
@@ -740,26 +747,26 @@
     fn next_call(&mut self, upstream: usize, number: u64) {
         let Some((_, job)) = self.jobs.get_mut(&number) else { return };
         let node = self.upstreams[upstream].balancer;
-        let Some(node) = node.filter(|_| job.left > 0 && self.now < job.hard && !job.void) else {
-            let outcome = if job.left > 0 { Outcome::Failed } else { Outcome::Completed };
+        let Some(node) = node.filter(|_| job.calls_left > 0 && self.now < job.hard && !job.cancelled) else {
+            let outcome = if job.calls_left > 0 { Outcome::Failed } else { Outcome::Completed };
             return self.done(upstream, number, outcome);
         };
-        job.left -= 1;
+        job.calls_left -= 1;
         let (method, hard, work, calls) = (job.method, job.hard, job.work, Rc::clone(&job.calls));
         self.calls_made += 1;
         let rpc = Rc::from(format!("c{}", self.calls_made));
-        let origin = Origin::Call { upstream, life: self.upstreams[upstream].life, job: number };
+        let origin = Origin::Call { upstream, life: self.upstreams[upstream].incarnation, job: number };
         self.put(node, rpc, origin, method, None, hard, work, calls);
     }
 
-    fn call_done(&mut self, upstream: usize, life: u32, job: u64, last: Final) {
-        if self.upstreams[upstream].life != life {
+    fn call_done(&mut self, upstream: usize, life: u32, job: u64, last: FinalAnswer) {
+        if self.upstreams[upstream].incarnation != life {
             return;
         }
         match last {
-            Final::Completed => self.next_call(upstream, job),
+            FinalAnswer::Completed => self.next_call(upstream, job),
             // It fails if a call does.
-            Final::Exhausted | Final::Errored => self.done(upstream, job, Outcome::Failed),
+            FinalAnswer::Exhausted | FinalAnswer::Errored => self.done(upstream, job, Outcome::Failed),
         }
     }
 
@@ -771,15 +778,15 @@
         let (node, rpc, attempt) = (job.node, job.rpc, job.attempt);
         self.set(self.now + back, Due::Back { node, rpc, attempt, outcome, load });
         let u = &mut self.upstreams[upstream];
-        u.held -= 1;
-        while u.held < u.slots {
+        u.occupied_slots -= 1;
+        while u.occupied_slots < u.slots {
             let Some(next) = u.waiting.pop_front() else { break };
-            let over = |j: &Job| of.drops && (j.void || j.hard <= self.now);
+            let over = |j: &Job| of.drops && (j.cancelled || j.hard <= self.now);
             if self.jobs.get(&next).is_none_or(|(_, j)| over(j)) {
                 self.jobs.remove(&next);
                 continue;
             }
-            u.held += 1;
+            u.occupied_slots += 1;
             u.ready.push_back(next);
         }
         self.work(upstream);
@@ -798,7 +805,7 @@
             }
         }
         let u = &mut self.upstreams[upstream];
-        u.end(self.now);
+        u.terminate(self.now);
         u.state = state;
         if let Some(node) = u.balancer.take() {
             self.balancer_dies(node);
@@ -809,7 +816,7 @@
         self.upstreams[upstream].restart(self.now);
         self.started(upstream);
         self.new_balancer_of(upstream);
-        self.announce(upstream, Told::Ready, millis(self.scenario.discovery.late_ms));
+        self.announce(upstream, EndpointState::Ready, millis(self.scenario.discovery.late_ms));
     }
 
     // ----------------------------------------------------------------------------------------------- faults
@@ -819,15 +826,15 @@
         let tier = self.scenario.tier_of(fault);
         let up = |n: &usize| self.upstreams[*n].tier == tier && self.upstreams[*n].state == State::Up;
         let all = (0..self.upstreams.len()).filter(up).map(|n| (n, self.upstreams[n].zone)).collect();
-        let all = victims(fault, i, self.seed, all);
+        let all = fault_targets(fault, i, self.seed, all);
         let steps = match fault.kind {
-            Kind::Replace => all.len(),
-            Kind::BalancerRestart => self.first.len(),
-            Kind::Flap | Kind::Pauses => (fault.for_s / fault.every_s).ceil() as usize,
+            FaultKind::Replace => all.len(),
+            FaultKind::BalancerRestart => self.first.len(),
+            FaultKind::Flap | FaultKind::Pauses => (fault.for_s / fault.every_s).ceil() as usize,
             _ => 0,
         };
         let apart = match fault.kind {
-            Kind::Flap | Kind::Pauses => fault.every_s,
+            FaultKind::Flap | FaultKind::Pauses => fault.every_s,
             _ => fault.for_s / steps.max(1) as f64,
         };
         for n in 0..steps {
@@ -838,25 +845,25 @@
             self.afflict(i, fault, *n);
         }
         match fault.kind {
-            Kind::ReportsLate => {
+            FaultKind::ReportsLate => {
                 self.reports_late.insert(i, seconds(fault.size));
             }
-            Kind::ListDown => {
+            FaultKind::ListDown => {
                 self.list_down_until = self.list_down_until.max(self.now + seconds(fault.for_s))
             }
-            Kind::StewardsDown => self.fleet.iter_mut().for_each(Fleet::down),
-            Kind::LeaderLoss => {
+            FaultKind::StewardsDown => self.fleet.iter_mut().for_each(Fleet::down),
+            FaultKind::LeaderLoss => {
                 let now = self.now;
                 self.fleet.iter_mut().for_each(|fleet| fleet.up(now));
             }
-            Kind::FleetCut => {
+            FaultKind::FleetCut => {
                 let places = (0..self.first.len()).map(|n| (n, 0)).collect();
-                self.cut_off.insert(i, victims(fault, i, self.seed, places));
+                self.cut_off.insert(i, fault_targets(fault, i, self.seed, places));
                 return;
             }
-            Kind::BalancerLoss => {
+            FaultKind::BalancerLoss => {
                 let living = (0..self.first.len()).filter(|n| self.nodes[self.first[*n]].alive);
-                let hit = victims(fault, i, self.seed, living.map(|n| (n, 0)).collect());
+                let hit = fault_targets(fault, i, self.seed, living.map(|n| (n, 0)).collect());
                 hit.iter().for_each(|n| self.balancer_dies(self.first[*n]));
                 self.victims.insert(i, hit);
                 return;
@@ -869,26 +876,26 @@
     fn afflict(&mut self, i: usize, fault: &Fault, upstream: usize) {
         let d = &self.scenario.discovery;
         match fault.kind {
-            Kind::Crash => {
+            FaultKind::Crash => {
                 self.die(upstream, State::Dead);
-                self.announce(upstream, Told::Gone, millis(d.late_ms));
+                self.announce(upstream, EndpointState::Gone, millis(d.late_ms));
             }
-            Kind::Vanish | Kind::ZoneLoss => {
+            FaultKind::Vanish | FaultKind::ZoneLoss => {
                 self.die(upstream, State::Silent);
-                self.announce(upstream, Told::Gone, millis(d.gone_late_ms));
+                self.announce(upstream, EndpointState::Gone, millis(d.gone_late_ms));
             }
-            Kind::Drain => {
+            FaultKind::Drain => {
                 self.upstreams[upstream].state = State::Draining;
-                self.announce(upstream, Told::Drains, millis(d.late_ms));
+                self.announce(upstream, EndpointState::Drains, millis(d.late_ms));
             }
-            Kind::Slow => {
-                self.upstreams[upstream].afflicted.insert(i, Affliction::Slow(fault.size));
+            FaultKind::Slow => {
+                self.upstreams[upstream].fault_effects.insert(i, FaultEffect::Slow(fault.size));
             }
-            Kind::FastErrors => {
-                self.upstreams[upstream].afflicted.insert(i, Affliction::Errors(fault.size));
+            FaultKind::FastErrors => {
+                self.upstreams[upstream].fault_effects.insert(i, FaultEffect::Errors(fault.size));
             }
-            Kind::Hang => {
-                self.upstreams[upstream].afflicted.insert(i, Affliction::Hang);
+            FaultKind::Hang => {
+                self.upstreams[upstream].fault_effects.insert(i, FaultEffect::Hang);
             }
             _ => {}
         }
@@ -899,15 +906,18 @@
         let d = &self.scenario.discovery;
         let hit = self.victims.get(&i).cloned().unwrap_or_default();
         match fault.kind {
-            Kind::Replace => {
+            FaultKind::Replace => {
                 let old = hit[n];
                 if self.upstreams[old].state != State::Up {
                     return;
                 }
                 self.upstreams[old].state = State::Draining;
-                self.announce(old, Told::Drains, millis(d.late_ms));
-                let life = self.upstreams[old].life;
-                self.set(self.now + millis(d.late_ms) + seconds(LINGER), Due::Retire { upstream: old, life });
+                self.announce(old, EndpointState::Drains, millis(d.late_ms));
+                let life = self.upstreams[old].incarnation;
+                self.set(
+                    self.now + millis(d.late_ms) + seconds(DRAINED_EXIT_DELAY_S),
+                    Due::Retire { upstream: old, life },
+                );
                 // In the place of the old one.
                 let (tier, zone, cell) = {
                     let u = &self.upstreams[old];
@@ -915,25 +925,25 @@
                 };
                 let new = self.new_upstream(tier, zone, cell);
                 self.new_balancer_of(new);
-                self.announce(new, Told::Ready, millis(d.late_ms));
+                self.announce(new, EndpointState::Ready, millis(d.late_ms));
             }
-            Kind::Flap => {
+            FaultKind::Flap => {
                 for u in hit {
                     if n.is_multiple_of(2) && self.upstreams[u].state.serves() {
                         self.die(u, State::Dead);
-                        self.announce(u, Told::Gone, millis(d.late_ms));
+                        self.announce(u, EndpointState::Gone, millis(d.late_ms));
                     } else if !n.is_multiple_of(2) && self.upstreams[u].state == State::Dead {
                         self.revive(u);
                     }
                 }
             }
-            Kind::Pauses => {
+            FaultKind::Pauses => {
                 let until = self.now + seconds(fault.size);
                 for u in hit {
                     self.upstreams[u].paused_until = self.upstreams[u].paused_until.max(until);
                 }
             }
-            Kind::BalancerRestart => {
+            FaultKind::BalancerRestart => {
                 let old = self.first[n];
                 self.balancer_dies(old);
                 let node = self.new_node(0, n, self.nodes[old].zone);
@@ -949,8 +959,8 @@
         self.cut_off.remove(&i);
         let now = self.now;
         match fault.kind {
-            Kind::StewardsDown => self.fleet.iter_mut().for_each(|fleet| fleet.up(now)),
-            Kind::BalancerLoss => {
+            FaultKind::StewardsDown => self.fleet.iter_mut().for_each(|fleet| fleet.up(now)),
+            FaultKind::BalancerLoss => {
                 for n in self.victims.remove(&i).unwrap_or_default() {
                     self.first[n] = self.new_node(0, n, n % self.scenario.tier[0].zones);
                 }
@@ -958,16 +968,16 @@
             _ => {}
         }
         for n in self.victims.remove(&i).unwrap_or_default() {
-            self.upstreams[n].afflicted.remove(&i);
+            self.upstreams[n].fault_effects.remove(&i);
             match fault.kind {
-                Kind::Crash | Kind::Vanish | Kind::ZoneLoss | Kind::Flap
+                FaultKind::Crash | FaultKind::Vanish | FaultKind::ZoneLoss | FaultKind::Flap
                     if !self.upstreams[n].state.serves() =>
                 {
                     self.revive(n);
                 }
-                Kind::Drain if self.upstreams[n].state == State::Draining => {
+                FaultKind::Drain if self.upstreams[n].state == State::Draining => {
                     self.upstreams[n].state = State::Up;
-                    self.announce(n, Told::Ready, millis(self.scenario.discovery.late_ms));
+                    self.announce(n, EndpointState::Ready, millis(self.scenario.discovery.late_ms));
                 }
                 _ => {}
             }
--- a/crates/fernroute-testbed/src/trace.rs
+++ b/crates/fernroute-testbed/src/trace.rs
@@ -5,7 +5,7 @@
 
 /// How an RPC ended for its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Final {
+pub enum FinalAnswer {
     Completed,
     Exhausted,
     Errored,
@@ -13,7 +13,7 @@
 
 /// What a balancer was told of an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum EndpointState {
     Ready,
     Drains,
     Gone,
@@ -50,7 +50,7 @@
     },
     Answered {
         rpc: Rc<str>,
-        last: Final,
+        last: FinalAnswer,
     },
     CallerLeft {
         rpc: Rc<str>,
@@ -58,7 +58,7 @@
     Heard {
         balancer: usize,
         upstream: usize,
-        told: Told,
+        told: EndpointState,
     },
     /// `rate` is what it can do when warm, RPCs a second.
     Started {
@@ -74,12 +74,12 @@
 }
 
 /// Takes in the events in the order in which they happen.
-pub trait Witness {
-    fn see(&mut self, at: Time, event: &Event);
+pub trait Observer {
+    fn observe(&mut self, at: Time, event: &Event);
 }
 
-impl Witness for Vec<(Time, String)> {
-    fn see(&mut self, at: Time, event: &Event) {
+impl Observer for Vec<(Time, String)> {
+    fn observe(&mut self, at: Time, event: &Event) {
         self.push((at, format!("{event:?}")));
     }
 }
--- a/crates/fernroute-testbed/src/upstream.rs
+++ b/crates/fernroute-testbed/src/upstream.rs
@@ -23,7 +23,7 @@
 }
 
 /// Reports are kept for as long as the latest fault may delay them.
-pub const KEEP: f64 = 60.0;
+pub const REPORT_RETENTION_S: f64 = 60.0;
 
 /// One transmission, as the upstream has it.
 #[derive(Clone, Debug)]
@@ -38,14 +38,14 @@
     pub calls: Rc<[u32]>,
     pub hard: Time,
     /// Calls on the tier below that are still to be made.
-    pub left: u32,
+    pub calls_left: u32,
     /// Its caller has given up.
-    pub void: bool,
+    pub cancelled: bool,
 }
 
 /// What befalls an upstream, by the number of the fault; taken off by its end.
 #[derive(Clone, Copy, Debug)]
-pub enum Affliction {
+pub enum FaultEffect {
     Slow(f64),
     Errors(f64),
     Hang,
@@ -64,13 +64,13 @@
     pub started: Time,
     pub cold: bool,
     /// Counts lives: what was going on in an earlier one comes to nothing.
-    pub life: u32,
+    pub incarnation: u32,
     /// Its own balancer for the tier below.
     pub balancer: Option<usize>,
-    pub afflicted: BTreeMap<usize, Affliction>,
+    pub fault_effects: BTreeMap<usize, FaultEffect>,
     pub paused_until: Time,
     /// In a place, waiting for one, waiting for a core.
-    pub held: usize,
+    pub occupied_slots: usize,
     pub waiting: VecDeque<u64>,
     pub ready: VecDeque<u64>,
     pub busy: usize,
@@ -106,11 +106,11 @@
             state: State::Up,
             started: now,
             cold: now > 0,
-            life: 0,
+            incarnation: 0,
             balancer: None,
-            afflicted: BTreeMap::new(),
+            fault_effects: BTreeMap::new(),
             paused_until: 0,
-            held: 0,
+            occupied_slots: 0,
             waiting: VecDeque::new(),
             ready: VecDeque::new(),
             busy: 0,
@@ -126,16 +126,16 @@
 
     /// Starts again from nothing, cold.
     pub fn restart(&mut self, now: Time) {
-        let afflicted = std::mem::take(&mut self.afflicted);
-        self.end(now);
-        (self.afflicted, self.state, self.started, self.cold) = (afflicted, State::Up, now, true);
+        let fault_effects = std::mem::take(&mut self.fault_effects);
+        self.terminate(now);
+        (self.fault_effects, self.state, self.started, self.cold) = (fault_effects, State::Up, now, true);
     }
 
     /// All that it had is gone.
-    pub fn end(&mut self, now: Time) {
+    pub fn terminate(&mut self, now: Time) {
         self.account(now);
-        self.life += 1;
-        (self.held, self.busy, self.choked, self.over_for, self.rest_for) = (0, 0, false, 0, 0);
+        self.incarnation += 1;
+        (self.occupied_slots, self.busy, self.choked, self.over_for, self.rest_for) = (0, 0, false, 0, 0);
         self.waiting.clear();
         self.ready.clear();
         self.reports.clear();
@@ -146,13 +146,13 @@
         self.as_of = now;
     }
 
-    pub fn hangs(&self) -> bool {
-        self.afflicted.values().any(|a| matches!(a, Affliction::Hang))
+    pub fn is_hanging(&self) -> bool {
+        self.fault_effects.values().any(|a| matches!(a, FaultEffect::Hang))
     }
 
-    pub fn errors(&self) -> f64 {
-        let of = |a: &Affliction| if let Affliction::Errors(share) = a { *share } else { 0.0 };
-        self.afflicted.values().map(of).fold(0.0, f64::max)
+    pub fn error_share(&self) -> f64 {
+        let of = |a: &FaultEffect| if let FaultEffect::Errors(share) = a { *share } else { 0.0 };
+        self.fault_effects.values().map(of).fold(0.0, f64::max)
     }
 
     pub fn warmth(&self, now: Time, from: f64, within: Time) -> f64 {
@@ -163,9 +163,9 @@
     }
 
     /// How long a core takes for this much work, if it begins now.
-    pub fn takes(&self, work: f64, warmth: f64, choke: Option<&Choke>) -> Time {
-        let slow = |a: &Affliction| if let Affliction::Slow(times) = a { *times } else { 1.0 };
-        let slower: f64 = self.afflicted.values().map(slow).product();
+    pub fn service_time(&self, work: f64, warmth: f64, choke: Option<&Choke>) -> Time {
+        let slow = |a: &FaultEffect| if let FaultEffect::Slow(times) = a { *times } else { 1.0 };
+        let slower: f64 = self.fault_effects.values().map(slow).product();
         let choked = if self.choked { choke.map_or(1.0, |c| c.slower) } else { 1.0 };
         (work * slower * choked / (self.speed * warmth)).round().max(1.0) as Time
     }
@@ -176,11 +176,11 @@
         let used = (self.used - self.used_at_report) as f64 / (period as f64 * self.cores as f64);
         self.used_at_report = self.used;
         self.reports.push_back((now, used.min(1.0)));
-        while self.reports.len() > 1 && self.reports[1].0 + seconds(KEEP) < now {
+        while self.reports.len() > 1 && self.reports[1].0 + seconds(REPORT_RETENTION_S) < now {
             self.reports.pop_front();
         }
         let Some(c) = choke else { return };
-        let hands = (self.held + self.waiting.len()) as f64;
+        let hands = (self.occupied_slots + self.waiting.len()) as f64;
         self.over_for = if hands > c.at * self.cores as f64 { self.over_for + period } else { 0 };
         self.rest_for = if used < c.below { self.rest_for + period } else { 0 };
         if self.over_for > seconds(c.over_s) {
--- a/crates/fernroute-testbed/tests/cold.rs
+++ b/crates/fernroute-testbed/tests/cold.rs
@@ -4,12 +4,12 @@
 
 use common::{folder, Folder};
 use fernroute::Time;
-use fernroute_testbed::experiment::cold::{row, with_fleet};
+use fernroute_testbed::experiment::cold::{run_scenario, with_balancers};
 use fernroute_testbed::live;
-use fernroute_testbed::referee::cold::{bound, Worst};
+use fernroute_testbed::referee::cold::{fall_threshold, ColdWindow};
 use fernroute_testbed::referee::{Referee, Rule};
 use fernroute_testbed::scenario::{seconds, Scenario};
-use fernroute_testbed::trace::{Event, Told, Witness as _};
+use fernroute_testbed::trace::{EndpointState, Event, Observer as _};
 use std::rc::Rc;
 
 fn scenario(name: &str) -> Scenario {
@@ -18,24 +18,24 @@
 
 /// Upstream 7 starts cold at 10 s; so many RPCs of this work come half a second later, some of them from balancer 1, which
 /// has been told. What the referee says, and whether it counts a fall.
-fn judged(rpcs: usize, told: usize, work: f64) -> (Vec<Rule>, Option<Worst>) {
+fn judged(rpcs: usize, told: usize, work: f64) -> (Vec<Rule>, Option<ColdWindow>) {
     let scenario = scenario("cold-join-short");
     let (mut referee, began) = (Referee::new(&scenario), seconds(10.0));
     let start = Event::Started { upstream: 7, zone: 0, cell: 0, rate: 5.0, cold: true };
-    referee.see(began, &start);
-    referee.see(began, &Event::Heard { balancer: 1, upstream: 7, told: Told::Ready });
+    referee.observe(began, &start);
+    referee.observe(began, &Event::Heard { balancer: 1, upstream: 7, told: EndpointState::Ready });
     for n in 0..rpcs {
         let (at, balancer): (Time, usize) = (began + seconds(0.5), if n < told { 1 } else { 2 });
         let rpc: Rc<str> = Rc::from(format!("r{n}"));
-        referee.see(
+        referee.observe(
             at,
             &Event::Arrived { rpc: Rc::clone(&rpc), balancer, method: 0, hard: at + 1, tenant: None },
         );
-        referee.see(at, &Event::Sent { rpc: Rc::clone(&rpc), attempt: 0, balancer, upstream: 7, work });
-        referee.see(at, &Event::CallerLeft { rpc });
+        referee.observe(at, &Event::Sent { rpc: Rc::clone(&rpc), attempt: 0, balancer, upstream: 7, work });
+        referee.observe(at, &Event::CallerLeft { rpc });
     }
-    let rules = referee.breaches.iter().map(|b| b.rule).collect();
-    referee.end(began + seconds(1.0));
+    let rules = referee.violations.iter().map(|b| b.rule).collect();
+    referee.finish(began + seconds(1.0));
     (rules, referee.cold_starts.first().copied())
 }
 
@@ -44,7 +44,7 @@
 fn a_cold_upstream_falls_beyond_what_is_allowed_and_two_roots_and_two() {
     // At the window's middle it has 13% and a quarter of a second of 87% in 24 s: N is 2.78, and 8.1 are borne.
     let allowed = 4.0 * 5.0 * (0.13 + 0.87 * 0.25 / 24.0);
-    assert!((8.0..9.0).contains(&bound(allowed)), "{}", bound(allowed));
+    assert!((8.0..9.0).contains(&fall_threshold(allowed)), "{}", fall_threshold(allowed));
     let (rules, worst) = judged(8, 8, 1.0);
     assert_eq!(rules, []);
     let worst = worst.expect("it was sent something");
@@ -66,11 +66,11 @@
 fn no_cold_upstream_falls_under_four_twenty_or_thirty_balancers() {
     for name in ["cold-join-short", "cold-return-short", "cold-last-short", "cold-last-long"] {
         for fleet in [(4, 1.0), (20, 1.0), (20, 5.0), (30, 1.0), (30, 5.0)] {
-            let mut scenario = with_fleet(&scenario(name), fleet);
+            let mut scenario = with_balancers(&scenario(name), fleet);
             // Of even work: what one heavy RPC does, no balancer can foretell.
             scenario.method.iter_mut().for_each(|m| m.cv = 0.0);
-            let row = row(&scenario, 2);
-            assert!(row.starts >= 16 && row.others == 0, "{name} {fleet:?}");
+            let row = run_scenario(&scenario, 2);
+            assert!(row.starts >= 16 && row.other_violations == 0, "{name} {fleet:?}");
             assert_eq!(row.fell, 0, "{name} {fleet:?}: {:?}", row.worst);
         }
     }
@@ -96,7 +96,7 @@
          [[fault]]\nkind = \"fast_errors\"\nat_s = 2\nfor_s = 4\npart = 0.1\nsize = 0.7\n",
     );
     let report = live::run(&scenario, 1, &program, &steward, &files.0).expect("it plays");
-    assert_eq!(report.breaches, []);
+    assert_eq!(report.violations, []);
     let starts = &report.cold_starts;
     for w in starts {
         println!(
@@ -104,7 +104,7 @@
             w.upstream,
             w.rpcs,
             w.allowed,
-            bound(w.allowed)
+            fall_threshold(w.allowed)
         );
     }
     // All came back, and all were used.
--- a/crates/fernroute-testbed/tests/live.rs
+++ b/crates/fernroute-testbed/tests/live.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{decode, Folder};
-use fernroute_testbed::books::Books;
 use fernroute_testbed::live::{run, Report};
+use fernroute_testbed::metrics::RunMetrics;
 use fernroute_testbed::scenario::Scenario;
 use std::time::Duration;
 
@@ -31,17 +31,17 @@
     let program = [env!("CARGO_BIN_EXE_fernroute-testbed").to_owned(), "balancer".to_owned()];
     let steward = [env!("CARGO_BIN_EXE_fernroute-testbed").to_owned(), "steward".to_owned()];
     let report = run(&scenario_with(faults), 1, &program, &steward, &folder.0).expect("it plays");
-    let ends = report.books.ends;
+    let ends = report.metrics.ends;
     assert!(ends.arrived == ends.sum() && ends.completed > 200, "{ends:?}");
-    assert_eq!(report.breaches, [], "{name}");
+    assert_eq!(report.violations, [], "{name}");
     report
 }
 
 #[test]
 fn a_calm_run_serves_all_that_is_asked() {
     let report = played("calm", "");
-    assert!(report.books.service() > 0.97, "{}", report.books.service());
-    assert_eq!(report.books.ends.lost, 0);
+    assert!(report.metrics.service() > 0.97, "{}", report.metrics.service());
+    assert_eq!(report.metrics.ends.lost, 0);
 }
 
 #[test]
@@ -53,7 +53,7 @@
         [[fault]]\nkind = \"balancer_restart\"\nat_s = 2.5\nfor_s = 0.5\n";
     let report = played("troubled", faults);
     // Most is served all the same, and something was in the way.
-    assert!((0.5..0.9999).contains(&report.books.service()), "{}", report.books.service());
+    assert!((0.5..0.9999).contains(&report.metrics.service()), "{}", report.metrics.service());
 }
 
 #[test]
@@ -62,7 +62,7 @@
         "vanish",
         "[[fault]]\nkind = \"vanish\"\nat_s = 1\nfor_s = 1.5\ntier = \"core\"\npart = 0.34\n",
     );
-    assert!(report.books.service() > 0.5, "{}", report.books.service());
+    assert!(report.metrics.service() > 0.5, "{}", report.metrics.service());
 }
 
 #[test]
@@ -79,8 +79,8 @@
 #[test]
 fn a_load_that_was_not_kept_makes_the_result_invalid() {
     let report = |sent_late| Report {
-        books: Books::new(&scenario_with("")),
-        breaches: Vec::new(),
+        metrics: RunMetrics::new(&scenario_with("")),
+        violations: Vec::new(),
         cold_starts: Vec::new(),
         requests: 1000,
         sent_late,
@@ -111,8 +111,8 @@
          [[fault]]\nkind = \"balancer_loss\"\nat_s = 7\nfor_s = 3\npart = 0.25\n",
     );
     let report = run(&scenario, 1, &program, &steward, &folder.0).expect("it plays");
-    assert_eq!(report.breaches, []);
-    let ends = report.books.ends;
+    assert_eq!(report.violations, []);
+    let ends = report.metrics.ends;
     // Of some 1,560 that come a part is beyond the budgets; with even parts lost for good it would be far less.
     assert!(ends.completed > 700, "{ends:?}");
     // Without stewards there is nothing for such a fault to act on.
--- a/crates/fernroute-testbed/tests/referee.rs
+++ b/crates/fernroute-testbed/tests/referee.rs
@@ -5,11 +5,11 @@
 use common::small;
 use fernroute::action_queue::ActionQueue;
 use fernroute::{Host as _, Outcome, Time, Timer};
-use fernroute_testbed::player::{Entry, Player, Variant};
-use fernroute_testbed::referee::{Breach, Rule};
-use fernroute_testbed::run::{run, run_with, Nobody};
+use fernroute_testbed::policy::{EndpointUpdate, Policy, Variant};
+use fernroute_testbed::referee::{Rule, Violation};
+use fernroute_testbed::run::{run, run_with_policy, NoObserver};
 use fernroute_testbed::scenario::{seconds, Scenario};
-use fernroute_testbed::trace::Told;
+use fernroute_testbed::trace::EndpointState;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
@@ -31,7 +31,7 @@
 struct Plain {
     how: Rogue,
     host: ActionQueue,
-    upstreams: BTreeMap<Rc<str>, Entry>,
+    upstreams: BTreeMap<Rc<str>, EndpointUpdate>,
     /// Method, hard deadline, upstreams so far.
     rpcs: BTreeMap<String, (String, Time, Vec<Rc<str>>)>,
     turn: usize,
@@ -41,8 +41,9 @@
     fn next(&mut self, not: &[Rc<str>]) -> Option<Rc<str>> {
         self.turn += 1;
         let drains = self.how == Rogue::SendsIntoDrains;
-        let usable = |e: &&Entry| e.told == Told::Ready || drains && e.told == Told::Drains;
-        let all: Vec<&Entry> =
+        let usable =
+            |e: &&EndpointUpdate| e.told == EndpointState::Ready || drains && e.told == EndpointState::Drains;
+        let all: Vec<&EndpointUpdate> =
             self.upstreams.values().filter(usable).filter(|e| !not.contains(&e.name)).collect();
         let cold = all.iter().find(|e| self.how == Rogue::FloodsTheCold && e.started > 0);
         let next = cold.or_else(|| all.get(self.turn % all.len().max(1)));
@@ -59,12 +60,12 @@
     }
 }
 
-impl Player for Plain {
-    fn list(&mut self, _: Time, _: bool, entries: &[Entry]) {
+impl Policy for Plain {
+    fn update_endpoints(&mut self, _: Time, _: bool, entries: &[EndpointUpdate]) {
         for e in entries {
             self.upstreams.insert(Rc::clone(&e.name), e.clone());
         }
-        self.upstreams.retain(|_, e| e.told != Told::Gone);
+        self.upstreams.retain(|_, e| e.told != EndpointState::Gone);
     }
     fn rpc_arrived(&mut self, now: Time, rpc: &str, method: &str, _: &str, time_left: Time) {
         self.rpcs.insert(rpc.to_owned(), (method.to_owned(), now + time_left, Vec::new()));
@@ -107,11 +108,11 @@
     fn timer_fired(&mut self, _: Time, _: &Timer) {}
 }
 
-fn judged(scenario: &Scenario, how: Rogue) -> Vec<Breach> {
-    let make = |_: &Scenario, _, host: ActionQueue, _, _| -> Box<dyn Player> {
+fn judged(scenario: &Scenario, how: Rogue) -> Vec<Violation> {
+    let make = |_: &Scenario, _, host: ActionQueue, _, _| -> Box<dyn Policy> {
         Box::new(Plain { how, host, upstreams: BTreeMap::new(), rpcs: BTreeMap::new(), turn: 0 })
     };
-    run_with(scenario, 1, &make, &mut Nobody).breaches
+    run_with_policy(scenario, 1, &make, &mut NoObserver).violations
 }
 
 const ERRORS: &str = "[[fault]]\nkind = \"fast_errors\"\nat_s = 4\nfor_s = 3\npart = 1\nsize = 0.5\n";
@@ -142,7 +143,7 @@
         assert!((seconds(from)..=seconds(to)).contains(&first.at), "{how:?}: {first:?}");
         // The same day, and nothing to blame: neither the plain one without its fault nor the balancer.
         assert_eq!(judged(&small(faults), Rogue::Honest), [], "{how:?}");
-        assert_eq!(run(&scenario, Variant::Fernroute, 1).breaches, [], "{how:?}");
+        assert_eq!(run(&scenario, Variant::Fernroute, 1).violations, [], "{how:?}");
     }
 }
 
@@ -151,7 +152,7 @@
     let found = judged(&small(ERRORS), Rogue::NeverAnswers);
     assert!(found.len() > 20);
     assert!(
-        found.iter().all(|b| b.rule == Rule::OneAnswer && b.what.ends_with("was never answered")),
+        found.iter().all(|b| b.rule == Rule::OneAnswer && b.description.ends_with("was never answered")),
         "{found:?}"
     );
 }
--- a/crates/fernroute-testbed/tests/simulator.rs
+++ b/crates/fernroute-testbed/tests/simulator.rs
@@ -5,12 +5,12 @@
 use common::{queue, shipped, small};
 use fernroute::Time;
 use fernroute_testbed::experiment::Estimate;
-use fernroute_testbed::player::Variant;
-use fernroute_testbed::referee::cold::Worst;
+use fernroute_testbed::policy::Variant;
+use fernroute_testbed::referee::cold::ColdWindow;
 use fernroute_testbed::referee::Rule;
-use fernroute_testbed::run::{run, run_with};
+use fernroute_testbed::run::{run, run_with_policy};
 use fernroute_testbed::scenario::Scenario;
-use fernroute_testbed::trace::{Event, Witness};
+use fernroute_testbed::trace::{Event, Observer};
 
 /// Erlang's formula: the mean time in an M/M/c system, by the arrivals and the work of one.
 fn time_in_system(rate: f64, work: f64, cores: usize) -> f64 {
@@ -39,18 +39,18 @@
     {
         let scenario = queue(rate, work_ms, cores, long);
         let mean = |seed: u64| {
-            let books = run(&scenario, Variant::Random, seed).books;
-            books.in_system as f64 / books.ends.completed as f64 / 10.0
+            let metrics = run(&scenario, Variant::Random, seed).metrics;
+            metrics.time_in_system as f64 / metrics.ends.completed as f64 / 10.0
         };
         let seen = Estimate::of(&(1..=12).map(mean).collect::<Vec<f64>>());
         let known = time_in_system(rate, work_ms / 1000.0, cores) * 1000.0;
         // The interval must also be narrow enough to say something.
-        assert!(seen.half < 0.08 * known, "{cores} cores: {} ± {} ms", seen.mean, seen.half);
+        assert!(seen.half_width < 0.08 * known, "{cores} cores: {} ± {} ms", seen.mean, seen.half_width);
         assert!(
-            (seen.mean - known).abs() <= seen.half,
+            (seen.mean - known).abs() <= seen.half_width,
             "{cores}: {} ± {}, not {known}",
             seen.mean,
-            seen.half
+            seen.half_width
         );
     }
 }
@@ -64,8 +64,8 @@
     arrived: u64,
 }
 
-impl Witness for InSystem {
-    fn see(&mut self, at: Time, event: &Event) {
+impl Observer for InSystem {
+    fn observe(&mut self, at: Time, event: &Event) {
         self.area += u128::from(self.now) * u128::from(at - self.last);
         self.last = at;
         match event {
@@ -79,13 +79,13 @@
 #[test]
 fn littles_law_holds_between_what_was_counted_apart() {
     let scenario = queue(32.0, 50.0, 2, 600.0);
-    let make = |s: &Scenario, post, desk, now, seed| Variant::Random.player(s, post, desk, now, seed);
+    let make = |s: &Scenario, post, desk, now, seed| Variant::Random.policy(s, post, desk, now, seed);
     let mut seen = InSystem::default();
-    let books = run_with(&scenario, 3, &make, &mut seen).books;
+    let metrics = run_with_policy(&scenario, 3, &make, &mut seen).metrics;
     let long = seen.last as f64;
     let (mean_number, rate) = (seen.area as f64 / long, seen.arrived as f64 / long);
     // The histogram keeps three digits.
-    let mean_time = books.times.mean();
+    let mean_time = metrics.latencies.mean();
     assert!((mean_number / (rate * mean_time) - 1.0).abs() < 0.002, "{mean_number}, {rate} × {mean_time}");
 }
 
@@ -95,7 +95,7 @@
     assert!(all.len() >= 8);
     for scenario in &all {
         for variant in [Variant::Fernroute, Variant::Random] {
-            let ends = run(scenario, variant, 5).books.ends;
+            let ends = run(scenario, variant, 5).metrics.ends;
             assert_eq!(ends.arrived, ends.sum(), "{} {}", scenario.name, variant.name());
             assert_eq!(ends.open, 0, "{} {}", scenario.name, variant.name());
         }
@@ -107,9 +107,9 @@
     for scenario in &shipped() {
         for seed in [1, 2] {
             let result = run(scenario, Variant::Fernroute, seed);
-            assert_eq!(result.breaches, [], "{} seed {seed}", scenario.name);
+            assert_eq!(result.violations, [], "{} seed {seed}", scenario.name);
             // Where N is not as small as can be, nothing need be put down to chance but one RPC.
-            let few = |w: &&Worst| scenario.name.starts_with("cold-") || w.beyond <= 1.0;
+            let few = |w: &&ColdWindow| scenario.name.starts_with("cold-") || w.excess <= 1.0;
             assert!(
                 result.cold_starts.iter().all(|w| few(&w)),
                 "{}: {:?}",
@@ -121,9 +121,9 @@
 }
 
 fn trace(scenario: &Scenario, variant: Variant, seed: u64) -> Vec<(Time, String)> {
-    let make = |s: &Scenario, post, desk, now, seed| variant.player(s, post, desk, now, seed);
+    let make = |s: &Scenario, post, desk, now, seed| variant.policy(s, post, desk, now, seed);
     let mut lines: Vec<(Time, String)> = Vec::new();
-    run_with(scenario, seed, &make, &mut lines);
+    run_with_policy(scenario, seed, &make, &mut lines);
     lines
 }
 
@@ -159,8 +159,8 @@
 fn callers_ask_the_same_of_every_variant() {
     #[derive(Default)]
     struct Asked(Vec<(Time, usize)>);
-    impl Witness for Asked {
-        fn see(&mut self, at: Time, event: &Event) {
+    impl Observer for Asked {
+        fn observe(&mut self, at: Time, event: &Event) {
             if let Event::Arrived { rpc, method, .. } = event {
                 if rpc.ends_with(".0") {
                     self.0.push((at, *method));
@@ -170,9 +170,9 @@
     }
     let scenario = small(TROUBLES);
     let asked = Variant::ALL.map(|variant| {
-        let make = |s: &Scenario, post, desk, now, seed| variant.player(s, post, desk, now, seed);
+        let make = |s: &Scenario, post, desk, now, seed| variant.policy(s, post, desk, now, seed);
         let mut seen = Asked::default();
-        run_with(&scenario, 4, &make, &mut seen);
+        run_with_policy(&scenario, 4, &make, &mut seen);
         seen.0
     });
     assert!(asked[0].len() > 1000 && asked.iter().all(|a| *a == asked[0]));
@@ -186,7 +186,7 @@
     quick.method[0].hard_ms = 1000.0;
     let mut longer = quick.clone();
     longer.seconds = 200.0;
-    let held = |s: &Scenario| run(s, Variant::Fernroute, 1).most_held as f64;
+    let held = |s: &Scenario| run(s, Variant::Fernroute, 1).max_held as f64;
     assert!(held(&longer) < 1.5 * held(&quick), "{} after {}", held(&longer), held(&quick));
 }
 
@@ -198,13 +198,13 @@
     scenario.load.retries = 2;
     for variant in Variant::ALL {
         let run = run(&scenario, variant, 2);
-        let ends = run.books.ends;
+        let ends = run.metrics.ends;
         assert_eq!((ends.arrived, ends.open), (ends.sum(), 0), "{}", variant.name());
         assert!(ends.abandoned > 0 && ends.exhausted + ends.errored > 0, "{}: {ends:?}", variant.name());
         // Also where an answer and the caller's leaving fall on one instant.
-        let wrong: Vec<_> = run.breaches.iter().filter(|b| b.rule == Rule::OneAnswer).collect();
+        let wrong: Vec<_> = run.violations.iter().filter(|b| b.rule == Rule::OneAnswer).collect();
         assert!(wrong.is_empty(), "{}: {wrong:?}", variant.name());
-        let offered: u64 = run.books.methods.iter().map(|m| m.offered).sum();
+        let offered: u64 = run.metrics.methods.iter().map(|m| m.offered).sum();
         assert!(offered > 20_000, "{offered}");
     }
 }
@@ -213,6 +213,6 @@
 fn a_balancer_that_restarts_loses_what_it_held_and_nothing_else() {
     let ends =
         run(&small("[[fault]]\nkind = \"balancer_restart\"\nat_s = 5\nfor_s = 2\n"), Variant::Fernroute, 1);
-    assert_eq!(ends.breaches, []);
-    assert!((1..=20).contains(&ends.books.ends.lost), "{:?}", ends.books.ends);
+    assert_eq!(ends.violations, []);
+    assert!((1..=20).contains(&ends.metrics.ends.lost), "{:?}", ends.metrics.ends);
 }
