--- a/crates/fernroute-server/src/program/commands.rs
+++ b/crates/fernroute-server/src/program/commands.rs
@@ -10,8 +10,8 @@
 
 const PROGRAM: &str = "fernroute";
 
-/// The exit code for bad use and bad files.
-const EXIT_REFUSED: u8 = 2;
+/// The exit code for invalid arguments and invalid files.
+const EXIT_INVALID: u8 = 2;
 
 /// A load balancer for services that call services.
 #[derive(FromArgs)]
@@ -28,20 +28,20 @@
     Version(Version),
 }
 
-/// Serve until told to stop (SIGTERM or SIGINT); SIGHUP has the file read again.
+/// Serve until SIGTERM or SIGINT; SIGHUP reloads the configuration file.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "serve")]
 struct Serve {
-    /// file that tells the balancer its place and terms (default: $NODE_CONFIG)
+    /// configuration file of the balancer (default: $NODE_CONFIG)
     #[argh(option)]
     config: Option<PathBuf>,
 }
 
-/// Read the file that serve would read, and say whether it will do.
+/// Validate the configuration file.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "check")]
 struct Check {
-    /// file that tells the balancer its place and terms (default: $NODE_CONFIG)
+    /// configuration file of the balancer (default: $NODE_CONFIG)
     #[argh(option)]
     config: Option<PathBuf>,
 }
@@ -54,7 +54,7 @@
 /// Why a command failed.
 #[derive(Debug, Error)]
 enum CommandError {
-    #[error("neither --config nor $NODE_CONFIG names a file")]
+    #[error("no configuration file: neither --config nor $NODE_CONFIG is set")]
     NoFile,
     #[error(transparent)]
     Config(#[from] InstanceConfigError),
@@ -64,7 +64,7 @@
     Start(#[from] StartError),
 }
 
-/// Runs one command. Bad use and bad files are one line on standard error and exit with 2.
+/// Runs one command. Invalid arguments and invalid files are reported as one line on standard error, with exit code 2.
 pub fn run(arguments: Vec<String>) -> ExitCode {
     let line: CommandLine = match parse_arguments(PROGRAM, &arguments) {
         Ok(line) => line,
@@ -105,10 +105,10 @@
     path.ok_or(CommandError::NoFile)
 }
 
-/// Parses the arguments after a program's name. The error is the exit code, after help or the error has been printed.
+/// Parses the arguments after a program's name. Prints the help or the error if there is one.
 ///
 /// # Errors
-/// With success after help was asked for, else with 2.
+/// The exit code: success after the help was printed, else 2.
 pub fn parse_arguments<L: FromArgs>(program: &str, arguments: &[String]) -> Result<L, ExitCode> {
     let words: Vec<&str> = arguments.iter().skip(1).map(String::as_str).collect();
     L::from_args(&[program], &words).map_err(|early_exit| {
@@ -120,8 +120,8 @@
     })
 }
 
-/// Prints the error as one line on standard error; returns the exit code 2.
+/// Prints the error as one line on standard error and returns the exit code 2.
 pub fn exit_with_error(program: &str, error: &str) -> ExitCode {
     eprintln!("{program}: {}", error.split_whitespace().collect::<Vec<_>>().join(" "));
-    ExitCode::from(EXIT_REFUSED)
+    ExitCode::from(EXIT_INVALID)
 }
--- a/crates/fernroute-server/src/program/configuration.rs
+++ b/crates/fernroute-server/src/program/configuration.rs
@@ -1,9 +1,9 @@
-//! The fleet's configuration, where a balancer follows it: replies to heartbeats name the newest version, any coordinator
-//! serves it, and it is applied over the balancer's own file on the same path as a reload.
+//! Follows the fleet's configuration: replies to heartbeats contain the newest version, any coordinator serves it, and it is
+//! applied over the balancer's own file in the same way as a reload.
 //!
-//! A version passes these states: *notified*, *fetched*, *active* or *rejected*, *cached*, *reported*. After a crash before
-//! a version is cached, the next start uses the version before it and reports that one. A version that the disk does not
-//! take is active all the same, with one warning: the coordinators still have it.
+//! A version passes through these states: *notified*, *fetched*, *active* or *rejected*, *cached*, *reported*. After a crash
+//! before a version is cached, the next start uses and reports the version before it. A version that can't be written to the
+//! disk is still active, with one warning, since the coordinators have it.
 
 use super::configuration_cache::{CacheReadError, CacheWriteError, ConfigurationCache};
 use super::coordinators::{CoordinatorClient, CoordinatorError, RequestLimits};
@@ -27,43 +27,43 @@
 use thiserror::Error;
 use tokio::sync::Notify;
 
-/// After this time the next coordinator is tried. The size has room for four entries of the longest content, with JSON's
-/// escapes for quotes and line ends.
+/// The next coordinator is tried after this time-out. The maximum size allows four entries of the longest content, with
+/// JSON's escapes for quotes and line ends.
 const FETCH_LIMITS: RequestLimits =
     RequestLimits { timeout: Duration::from_secs(1), max_reply_bytes: 1 << 20 };
 
-/// How often a backoff and the first notification are waited for.
+/// The polling interval while waiting for the end of a backoff or for the first notification.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// After this time a slow disk is not waited for any more.
-const CACHE_WRITE_LIMIT: Duration = Duration::from_secs(2);
+/// How long to wait for a write to a slow disk.
+const CACHE_WRITE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The cache of this balancer has no place on the disk.
+/// There is no valid path for this balancer's cache.
 #[derive(Debug, Error)]
 #[error("{0}")]
 pub struct CachePathError(String);
 
 /// Follows the fleet's configuration for one balancer.
 pub struct ConfigurationTask {
-    /// Written by notifications, fetches and their outcome.
+    /// Written by notifications, fetches and their results.
     follower: RefCell<ConfigurationFollower>,
     target: Target,
     fleet: FleetConfig,
     cache: ConfigurationCache,
-    /// A leader has replied to this process. Written by [`ConfigurationTask::on_heartbeat_reply`] alone.
+    /// Whether a leader has replied to this process. Written only by [`ConfigurationTask::on_heartbeat_reply`].
     notified: Cell<bool>,
-    /// Wakes the task: there may be something to fetch.
+    /// Wakes the task when there may be a version to fetch.
     fetch_wanted: Notify,
-    /// Whether the disk has the active version. Written after each write to the cache.
+    /// Whether the active version is on the disk. Written after each write to the cache.
     is_cached: Cell<bool>,
     started_at: Instant,
 }
 
-/// At a start: applies the cached snapshot over the file, if it is intact and loads; else the file alone counts. Returns
-/// `None` where the file names no service to follow. `apply` has layers take effect, all or none.
+/// Called at a start: applies the cached snapshot over the file if it is valid; otherwise only the file is used. Returns
+/// `None` where the file names no service to follow. `apply` makes all layers take effect, or none.
 ///
 /// # Errors
-/// When there is no path for the cache.
+/// When there is no valid path for the cache.
 pub fn restore<E: Display>(
     instance: &InstanceConfig,
     apply: impl FnOnce(Vec<Layer>) -> Result<(), E>,
@@ -74,11 +74,11 @@
     let target = Target { name: instance.name.clone(), service, zone };
     let cache = ConfigurationCache::new(cache_path(instance, fleet)?);
     let cached = apply_cached(&cache, &target, apply).unwrap_or_else(|error| {
-        tracing::warn!("{}: passed over: {}", cache.path().display(), one_line(&error));
+        tracing::warn!("{}: cached configuration ignored: {}", cache.path().display(), one_line(&error));
         None
     });
     if let Some(cached) = &cached {
-        tracing::info!("configuration {} is in force, as it was kept", cached.version);
+        tracing::info!("configuration {} is in force, from the cache", cached.version);
     }
     Ok(Some(Rc::new(ConfigurationTask {
         follower: RefCell::new(ConfigurationFollower::new(target.clone(), cached)),
@@ -115,17 +115,17 @@
     error.to_string().split_whitespace().collect::<Vec<_>>().join(" ")
 }
 
-/// In the folder that the file names, else beside the identity file.
+/// The path of the cache: in the directory that the file names, else next to the identity file.
 fn cache_path(instance: &InstanceConfig, fleet: &FleetConfig) -> Result<PathBuf, CachePathError> {
     let socket_path = handover::socket_path(&instance.name, instance.listen).map_err(CachePathError)?;
     let default_path = socket_path.with_extension("configuration");
     Ok(match (&fleet.cache_dir, default_path.file_name()) {
-        (Some(folder), Some(file_name)) => folder.join(file_name),
+        (Some(directory), Some(file_name)) => directory.join(file_name),
         _ => default_path,
     })
 }
 
-/// The layers of the snapshot; an entry that was emptied is none.
+/// The layers of the snapshot, without entries whose content is empty.
 fn layers(snapshot: &ConfigurationSnapshot) -> Vec<Layer> {
     let entries = snapshot.entries().filter(|entry| !entry.content.is_empty());
     let layer = |entry: &ScopeEntry| Layer { scope: entry.scope.to_string(), text: entry.content.clone() };
@@ -133,13 +133,13 @@
 }
 
 impl ConfigurationTask {
-    /// The content of the next heartbeat.
+    /// The report for the next heartbeat.
     pub fn report(&self) -> ConfigurationReport {
         self.follower.borrow().report()
     }
 
-    /// A leader replied to a heartbeat. `version` is the newest one for this balancer; `None` from a coordinator of an
-    /// older release, and where there is nothing newer to name.
+    /// Handles a leader's reply to a heartbeat. `version` is the newest one for this balancer; `None` from a coordinator of
+    /// an older release, and where there is no newer version.
     pub fn on_heartbeat_reply(&self, version: Option<Version>) {
         if let Some(version) = version {
             self.follower.borrow_mut().on_notification(version);
@@ -148,20 +148,20 @@
         self.notified.set(true);
     }
 
-    /// Tries a rejected version again: the balancer's own file has changed.
+    /// Tries a rejected version again, since the balancer's own file has changed.
     pub fn retry_rejected(&self) {
         self.follower.borrow_mut().retry_rejected();
         self.fetch_wanted.notify_one();
     }
 
-    /// At a start: waits until the newest version is active or rejected, for at most the configured time.
+    /// Called at a start: waits until the newest version is active or rejected, for at most the configured time.
     pub async fn wait_until_current(&self) {
         while !self.is_current() && self.started_at.elapsed() < duration(self.fleet.startup_wait) {
             actix_rt::time::sleep(POLL_INTERVAL).await;
         }
         if !self.is_current() {
             let active = self.report().active;
-            tracing::warn!("no word of the stewards in time: configuration {active} stays in force");
+            tracing::warn!("no current configuration from the coordinators in time: configuration {active} stays in force");
         }
     }
 
@@ -170,8 +170,8 @@
         self.notified.get() && follower.decided_version() >= follower.notified_version()
     }
 
-    /// The task: fetches and applies each version it is notified of, for as long as the program runs. `apply` has layers
-    /// take effect, all or none.
+    /// The task: fetches and applies each version it is notified of, until the program ends. `apply` makes all layers take
+    /// effect, or none.
     pub async fn run<E: Display>(
         self: Rc<Self>,
         board: Rc<Switchboard>,
@@ -184,7 +184,7 @@
             let request = self.follower.borrow_mut().next_fetch(board.clock.now());
             let Some(request) = request else {
                 if last_fetch_failed {
-                    // In the backoff: it ends by the clock.
+                    // In the backoff, which has no wake-up signal.
                     actix_rt::time::sleep(POLL_INTERVAL).await;
                 } else {
                     self.publish(&board);
@@ -204,7 +204,7 @@
         }
     }
 
-    /// Tries the coordinators in turn, from a random one on, so that the leader does not serve all balancers.
+    /// Tries the coordinators in turn, beginning with a random one, so that the leader does not serve all balancers.
     async fn fetch(
         &self,
         coordinators: &CoordinatorClient,
@@ -237,7 +237,7 @@
         self.follower.borrow_mut().on_reply(reply).map_err(SnapshotError::Unusable)
     }
 
-    /// Applies the snapshot, then writes it to the cache; or rejects it, and what was active stays so.
+    /// Applies the snapshot and writes it to the cache; or rejects it, and the active version stays.
     async fn activate<E: Display>(
         &self,
         snapshot: ConfigurationSnapshot,
@@ -247,32 +247,32 @@
         if let Err(error) = apply(layers(&snapshot)) {
             let error = one_line(&error);
             let active = self.report().active;
-            tracing::warn!("configuration {version} is refused, {active} stays in force: {error}");
+            tracing::warn!("configuration {version} was rejected, {active} stays in force: {error}");
             self.follower.borrow_mut().reject(version, &error);
             return;
         }
         tracing::info!("configuration {version} is in force");
-        let written = self.cache.write(&self.target, &snapshot, CACHE_WRITE_LIMIT).await;
+        let written = self.cache.write(&self.target, &snapshot, CACHE_WRITE_TIMEOUT).await;
         self.record_cache_write(version, written);
         self.follower.borrow_mut().activate(snapshot);
     }
 
-    /// Logs a change between working and failing writes, not each failure: a full disk fails for every version.
+    /// Logs only changes between successful and failed writes, since a full disk fails for every version.
     fn record_cache_write(&self, version: Version, written: Result<(), CacheWriteError>) {
         let was_cached = self.is_cached.replace(written.is_ok());
         match written {
             Ok(()) if !was_cached => {
-                tracing::info!("configuration {version} is kept, as those after it will be");
+                tracing::info!("configuration {version} is cached, writes to the cache work again");
             }
             Err(error) if was_cached => {
                 let path = self.cache.path().display();
-                tracing::warn!("{path}: {error}: configuration {version} is in force and not kept");
+                tracing::warn!("{path}: {error}: configuration {version} is in force but not cached");
             }
             _ => {}
         }
     }
 
-    /// Writes the state to the operators' metrics.
+    /// Publishes the state in the operators' metrics.
     fn publish(&self, board: &Switchboard) {
         let ConfigurationReport { active, rejected, .. } = self.report();
         let state = ops::Followed {
@@ -285,7 +285,7 @@
     }
 }
 
-/// Why a coordinator gave no usable snapshot.
+/// Why no usable snapshot was received from a coordinator.
 #[derive(Debug, Error)]
 enum SnapshotError {
     #[error("{0}")]
--- a/crates/fernroute-server/src/program/coordinators.rs
+++ b/crates/fernroute-server/src/program/coordinators.rs
@@ -1,4 +1,4 @@
-//! HTTP client of a fleet's coordinators. Counts the bytes of requests and replies for the operators' metrics.
+//! HTTP client for a fleet's coordinators. Counts the bytes of requests and replies for the operators' metrics.
 
 use crate::routing::switchboard::Switchboard;
 use awc::error::{PayloadError, SendRequestError};
@@ -16,24 +16,24 @@
 /// Why a coordinator's reply could not be used.
 #[derive(Debug, Error)]
 pub enum CoordinatorError {
-    /// The message has no JSON form.
+    /// The message can't be encoded as JSON.
     #[error("{0}")]
     Encode(#[source] serde_json::Error),
-    /// No connection, or it broke before the head of the reply.
+    /// There was no connection, or it broke before the head of the reply.
     #[error("{0}")]
     Send(#[source] SendRequestError),
-    /// The body of the reply broke off, or is longer than allowed.
+    /// The body of the reply is incomplete, or longer than allowed.
     #[error("{0}")]
     Body(#[source] PayloadError),
     /// The reply was not complete within the time-out.
-    #[error("no answer in time")]
+    #[error("no reply in time")]
     TimedOut,
     /// The coordinator rejected the message.
     #[error("{status}: {body}")]
     Status {
-        /// The status of the reply.
+        /// The HTTP status of the reply.
         status: StatusCode,
-        /// The text of the reply.
+        /// The body of the reply.
         body: String,
     },
     /// The reply is not the expected JSON.
@@ -44,9 +44,9 @@
 /// Limits of one request to a coordinator.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestLimits {
-    /// Covers connecting, sending and the whole reply.
+    /// The time for connecting, sending and receiving the whole reply.
     pub timeout: Duration,
-    /// A longer reply is an error.
+    /// The maximum size of the reply's body.
     pub max_reply_bytes: usize,
 }
 
@@ -61,7 +61,7 @@
 }
 
 impl CoordinatorClient {
-    /// A client of the fleet's coordinators; traffic is counted on `board`.
+    /// Creates a client for the coordinators of `fleet`; traffic is counted in the metrics of `board`.
     pub fn new(fleet: &FleetConfig, board: Rc<Switchboard>) -> Self {
         let client = Client::builder().disable_redirects().finish();
         CoordinatorClient {
@@ -75,7 +75,7 @@
     /// Sends one message to one coordinator and decodes its reply.
     ///
     /// # Errors
-    /// When no complete, successful and well-formed reply arrives within the limits.
+    /// When no complete, successful and valid reply arrives within the limits.
     pub async fn request<Reply: DeserializeOwned>(
         &self,
         coordinator: SocketAddr,
@@ -94,7 +94,7 @@
             let body = reply.body().limit(limits.max_reply_bytes).await.map_err(CoordinatorError::Body)?;
             Ok((reply.status(), body))
         };
-        // The client's own time-out ends with the head of the reply; its body may never arrive.
+        // The client's own time-out covers only the head of the reply, while its body may never arrive.
         let exchange = actix_rt::time::timeout(limits.timeout, exchange).await;
         let (status, body) = exchange.map_err(|_| CoordinatorError::TimedOut)??;
         self.board.note(|control| control.received_bytes += body.len() as u64);
--- a/crates/fernroute-server/src/program/descriptor_quota.rs
+++ b/crates/fernroute-server/src/program/descriptor_quota.rs
@@ -1,5 +1,5 @@
-//! How many file descriptors a process may have open, alone or beside another process of the same balancer during an
-//! upgrade: together they have no more than one may. No I/O.
+//! How many file descriptors a process may have open, alone or together with another process of the same balancer during an
+//! upgrade: both together may not exceed the limit of a single process. No I/O.
 
 use crate::transport::ops_server;
 
@@ -10,20 +10,20 @@
 /// Descriptors for the operators' listener and its connections.
 const OPS_DESCRIPTORS: usize = ops_server::MAX_CONNECTIONS + 1;
 
-/// A process with hardly more than its reserved descriptors still serves a few connections.
+/// The minimum for a process with few descriptors beyond the reserved ones.
 const MIN_CONNECTIONS: usize = 10;
 
-/// Descriptors that a process keeps beyond those in use as a successor starts.
+/// Descriptors that a process keeps in addition to those in use when a successor starts.
 const SPARE_DESCRIPTORS: usize = 16;
 
-/// The quota of one process.
+/// The descriptor quota of one process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DescriptorQuota {
-    /// What the balancer may have open, over all its processes.
+    /// How many descriptors all processes of the balancer may have open together.
     pub total: usize,
-    /// What this process may have open of it.
+    /// How many of them this process may have open.
     pub assigned: usize,
-    /// A successor serves: this process keeps what it has open until that ends, and opens no more.
+    /// A successor serves: this process opens no more descriptors, and keeps the open ones until they are closed.
     pub handed_over: bool,
     reserved: usize,
 }
@@ -38,43 +38,43 @@
 }
 
 impl DescriptorQuota {
-    /// The quota of a balancer's only process. `has_ops` says whether operators have a listener.
+    /// The quota of a balancer's only process. `has_ops` tells whether there is a listener for operators.
     pub fn new(total: usize, has_ops: bool) -> Self {
         let reserved = RESERVED_DESCRIPTORS + if has_ops { OPS_DESCRIPTORS } else { 0 };
         DescriptorQuota { total, assigned: total, handed_over: false, reserved }
     }
 
-    /// The connection limits. A request has one connection on each side, and callers keep theirs between requests:
-    /// they get the larger part.
+    /// The connection limits. Callers get the larger part: a request needs one connection on each side, and callers keep
+    /// theirs open between requests.
     pub fn connection_limits(&self) -> ConnectionLimits {
         let connections = self.assigned.saturating_sub(self.reserved).max(MIN_CONNECTIONS);
         ConnectionLimits { callers: connections * 3 / 5, upstreams: connections * 2 / 5 }
     }
 
-    /// This process's part of the balancer's memory, in proportion to its descriptors.
+    /// This process's part of the balancer's memory, in bytes and in proportion to its descriptors.
     pub fn memory(&self, total_bytes: usize) -> usize {
         (total_bytes as u64 * self.assigned as u64 / self.total.max(1) as u64) as usize
     }
 
-    /// Shrinks the quota as a successor starts while this process has `connections` open. They stay, with a few to
-    /// spare, within a quarter and a half of the total; idle ones are closed beyond that.
+    /// Shrinks the quota when a successor starts while this process has `connections` open. The quota covers these and a few
+    /// more, and is between a quarter and a half of the total; idle connections beyond it are closed.
     pub fn shrink_for_successor(&mut self, connections: usize) {
         self.assigned = (self.in_use(connections) + SPARE_DESCRIPTORS).clamp(self.total / 4, self.total / 2);
     }
 
-    /// What the successor may have open: busy connections are not cut to make room for it.
+    /// How many descriptors the successor may have open. Busy connections are not closed to make room for it.
     pub fn available_to_successor(&self, connections: usize) -> usize {
         let kept = if self.handed_over { 0 } else { self.assigned };
         self.total.saturating_sub(kept.max(self.in_use(connections)))
     }
 
-    /// The other process has ended: everything belongs to this one.
+    /// The other process has ended: this process gets the whole quota.
     pub fn reclaim(&mut self) {
         self.assigned = self.total;
         self.handed_over = false;
     }
 
-    /// How many descriptors a process with so many connections uses.
+    /// How many descriptors a process with this many connections uses.
     pub fn in_use(&self, connections: usize) -> usize {
         self.reserved + connections
     }
--- a/crates/fernroute-server/src/program/duties.rs
+++ b/crates/fernroute-server/src/program/duties.rs
@@ -1,5 +1,5 @@
-//! The duties of which this balancer is the lease holder. It acquires them while it serves, and releases them as soon as
-//! it drains, ends, or a successor process takes its place.
+//! The duties for which this balancer holds the lease. It acquires them while it serves, and releases them as soon as it
+//! drains, ends, or is replaced by a successor process.
 
 use crate::protocol::ops::{Control, HeldDuty};
 use crate::routing::switchboard::Switchboard;
@@ -9,29 +9,29 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-/// The duties of this balancer, with their effects: log lines and the operators' metrics.
+/// The duties of this balancer. Changes are logged and published in the operators' metrics.
 pub struct HeldDuties {
     board: Rc<Switchboard>,
     /// Changed by heartbeats, their replies and the handover to a successor.
     duties: RefCell<MemberDuties>,
-    /// Another process of this balancer serves in its place. Written by [`HeldDuties::set_replaced`] alone.
+    /// Whether another process of this balancer serves in place of this one. Written only by [`HeldDuties::set_replaced`].
     replaced: Cell<bool>,
 }
 
 impl HeldDuties {
-    /// Without any duty. `incarnation` is drawn at random by this process.
+    /// Begins without duties. `incarnation` is a random number of this process.
     pub fn new(board: Rc<Switchboard>, incarnation: u64) -> Self {
         HeldDuties { board, duties: RefCell::new(MemberDuties::new(incarnation)), replaced: Cell::new(false) }
     }
 
-    /// The term to act under now; `None` where this balancer does not hold the duty. To be read before each act, and sent
-    /// with it.
+    /// The current term of a duty; `None` where this balancer does not hold it. Callers must read it before each action under
+    /// the duty, and send it with that action.
     pub fn term(&self, duty: &str) -> Option<Term> {
         self.duties.borrow().term(self.board.clock.now(), duty)
     }
 
-    /// The content of the heartbeat with this number, which is sent now. A balancer that does not serve releases its duties
-    /// first.
+    /// The report for the heartbeat with this number, which is about to be sent. A balancer that does not serve releases
+    /// its duties first.
     pub fn report(&self, heartbeat_number: u64) -> DutyReport {
         self.release_unless_serving();
         self.duties.borrow_mut().report(self.board.clock.now(), heartbeat_number)
@@ -44,13 +44,13 @@
         self.publish(&events);
     }
 
-    /// Drops duties whose lease has expired, also while heartbeats get no reply.
+    /// Drops duties whose lease has expired; needed while heartbeats get no reply.
     pub fn expire(&self) {
         let events = self.duties.borrow_mut().expire(self.board.clock.now());
         self.publish(&events);
     }
 
-    /// Another process continues under this balancer's identity (`true`), or that process has ended (`false`).
+    /// Sets whether another process serves in place of this one: `true` when it takes over, `false` when it has ended.
     pub fn set_replaced(&self, replaced: bool) {
         self.replaced.set(replaced);
         self.release_unless_serving();
@@ -64,13 +64,13 @@
         self.publish(&events);
     }
 
-    /// Writes the events to the log and the held duties to the operators' metrics.
+    /// Logs the events and publishes the held duties in the operators' metrics.
     fn publish(&self, events: &[Event]) {
         for event in events {
             match event {
-                Event::Acquired { duty, term } => tracing::info!("holds the duty {duty}, term {term}"),
+                Event::Acquired { duty, term } => tracing::info!("acquired duty {duty}, term {term}"),
                 Event::Lost { duty, term, reason } => {
-                    tracing::info!("holds the duty {duty} no more, term {term}: {}", describe(reason));
+                    tracing::info!("lost duty {duty}, term {term}: {}", describe(reason));
                 }
             }
         }
@@ -85,6 +85,6 @@
     match reason {
         StopReason::LeaseExpired => "lease expired without a reply",
         StopReason::Revoked => "revoked by the coordinators",
-        StopReason::Released => "released, this balancer does not serve",
+        StopReason::Released => "released because this balancer does not serve",
     }
 }
--- a/crates/fernroute-server/src/program/fleet.rs
+++ b/crates/fernroute-server/src/program/fleet.rs
@@ -1,11 +1,11 @@
-//! The balancer's membership of a fleet: a task beside the requests that sends heartbeats with the demand for each shared
-//! budget, and applies the grants in the replies. Requests never wait for it. It runs only where a fleet is configured.
+//! The balancer's membership of a fleet: a background task that sends heartbeats with the demand for each shared budget and
+//! applies the grants in the replies. Requests never wait for it. It runs only where a fleet is configured.
 //!
-//! A member's states, and what moves it between them:
+//! The states of a member and their transitions:
 //! - *unidentified*: no identity in the ledger yet, no heartbeats, no shared budget. Ends once the identity file is locked.
-//! - *sharing*: it took over from a predecessor process, has half of that one's grant and sends the heartbeats. Ends with
-//!   the predecessor ([`FleetMember::predecessor_ended`]).
-//! - *sole*: it has its whole grant and sends heartbeats.
+//! - *sharing*: it took over from a predecessor process, has half of the predecessor's grant and sends the heartbeats. Ends
+//!   when the predecessor ends ([`FleetMember::predecessor_ended`]).
+//! - *sole*: it has its whole grant and sends the heartbeats.
 //! - *handed over*: a successor has half of the grant and sends the heartbeats ([`FleetMember::hand_over`]). Back to *sole*
 //!   if the successor ends first ([`FleetMember::resume_after_failed_upgrade`]).
 
@@ -33,40 +33,41 @@
 
 pub use super::identity::{lock_identity, LockedIdentity};
 
-/// Room for the guarantees and quotas of 1,024 budgets with the longest names, and as many duties.
+/// Large enough for the guarantees and quotas of 1,024 budgets with the longest names, and as many duties.
 const MAX_REPLY_BYTES: usize = 512 << 10;
 
-/// A quota that is valid for fewer heartbeat intervals than this is logged as too short.
+/// The minimum validity of a quota in heartbeat intervals; a shorter one is logged.
 const MIN_HEARTBEATS_PER_QUOTA: Time = 3;
 
-/// Demand for trials while any upstream is ejected, in thousandths a second: a breaker closes after three of them.
+/// The demand for trials while any upstream is ejected, in thousandths per second: a circuit breaker closes after three
+/// trials.
 const TRIAL_DEMAND: u64 = 3_000;
 
-/// What a predecessor process handed over of its membership.
+/// The membership as handed over by a predecessor process.
 pub struct ReceivedHandover {
     /// Its identity and its half of the grant.
     pub handover: MemberHandover,
-    /// When this process asked for it. The grant's validity counts from here.
+    /// When this process requested the handover. The validity of the grant is counted from here.
     pub requested_at: Instant,
 }
 
-/// What a membership begins with.
+/// The options of a new membership.
 pub struct MembershipOptions<'a> {
     /// The balancer's name in the ledger.
     pub name: &'a str,
     /// The file that keeps the balancer's identity in the ledger over restarts.
     pub identity_path: PathBuf,
-    /// The fleet as the balancer's file describes it.
+    /// The fleet as configured in the balancer's file.
     pub fleet: &'a FleetConfig,
-    /// Names the tenants whose budgets are shared.
+    /// The settings, which list the tenants whose budgets are shared.
     pub settings: &'a Settings,
-    /// From a predecessor process, where there is one.
+    /// The membership of a predecessor process, where there is one.
     pub received: Option<ReceivedHandover>,
     /// The follower of the fleet's configuration, where this balancer has one.
     pub configuration: Option<Rc<ConfigurationTask>>,
 }
 
-/// Starts the task. Until the first grant arrives the member has nothing of any shared budget except what a predecessor
+/// Starts the task. Until the first grant arrives, the member has only those parts of the shared budgets that a predecessor
 /// handed over.
 pub fn join(board: Rc<Switchboard>, membership: MembershipOptions<'_>) -> Rc<FleetMember> {
     let MembershipOptions { name, identity_path, fleet, settings, received, configuration } = membership;
@@ -93,15 +94,15 @@
     fleet_member
 }
 
-/// Derived from the clock, so that no earlier process under the same identity has used the numbers that follow.
+/// Derived from the clock, so that the numbers from here on were not used by an earlier process with the same identity.
 fn first_heartbeat_number() -> u64 {
     Clock::start().now() << 8
 }
 
-/// Demand for the fleet's retry budget.
+/// The demand for the fleet's retry budget.
 struct RetryDemand {
     meter: DemandMeter,
-    /// How many of the retries that the decisions wanted are in the meter already.
+    /// How many of the retries that the decisions wanted have been counted by the meter.
     counted: u64,
 }
 
@@ -116,18 +117,18 @@
     name: String,
     /// `None` while unidentified. Set once by the task, then changed by replies and upgrades.
     member: RefCell<Option<Member>>,
-    /// A successor sends the heartbeats in place of this process. Written by `hand_over` and
+    /// Whether a successor sends the heartbeats in place of this process. Written by `hand_over` and
     /// `resume_after_failed_upgrade`.
     handed_over: Cell<bool>,
-    /// The budgets that are shared in addition to the tenants' ones.
+    /// The budgets that are shared in addition to those of the tenants.
     shared_budgets: Vec<&'static str>,
-    /// Written as each heartbeat is made.
+    /// Updated for each heartbeat.
     retry_demand: RefCell<RetryDemand>,
 }
 
 impl FleetMember {
-    /// Meters the demand of each tenant in these settings from now on. Guards against a new tenant that has the even
-    /// part of an ungranted budget, and against one that was removed and has the whole grant rejected.
+    /// Meters the demand of the tenants in these settings from now on. This keeps a new tenant from using an even part of a
+    /// budget that was not granted, and a removed tenant from having the whole grant rejected.
     pub fn set_tenants(&self, settings: &Settings) {
         let now = self.board.clock.now();
         let count = settings.get("tenants.count").and_then(|count| count.parse().ok()).unwrap_or(0);
@@ -142,7 +143,7 @@
         self.apply_grant();
     }
 
-    /// Gives a successor process half of the grant; `None` where there is nothing to give, or a predecessor still shares it.
+    /// Gives half of the grant to a successor process; `None` where there is no grant, or a predecessor still shares it.
     pub fn hand_over(&self) -> Option<MemberHandover> {
         self.duties.set_replaced(true);
         let now = self.board.clock.now();
@@ -172,9 +173,9 @@
         self.apply_grant();
     }
 
-    /// The task: sends heartbeats and applies their replies for as long as the program runs.
+    /// The task: sends heartbeats and applies their replies until the program ends.
     async fn run(self: Rc<Self>, identity_path: PathBuf) {
-        // Held until this process ends: a process that gets the lock knows that the one before it has ended.
+        // Locked until this process ends: a process that gets the lock knows that its predecessor has ended.
         let mut identity_file = self.establish_identity(&identity_path).await;
         let mut coordinator_index = 0;
         let mut logged_status = String::new();
@@ -192,14 +193,14 @@
                 tracing::info!("{status}");
                 logged_status = status;
             }
-            // A balancer that starts to drain reports it at once, so that another one takes over its duties.
+            // A balancer that begins to drain reports it at once, so that another one takes over its duties.
             let phase_changed = self.board.phase_changed.notified();
             let _ = actix_rt::time::timeout(self.heartbeat_interval, phase_changed).await;
         }
     }
 
     /// Leaves the *unidentified* state. Returns the locked identity file; `None` where the identity came from a predecessor
-    /// that still has the lock, or where there can't be such a file.
+    /// that still holds the lock, or where the file can't be used.
     async fn establish_identity(&self, path: &Path) -> Option<File> {
         if self.member.borrow().is_some() {
             return None;
@@ -215,10 +216,10 @@
         file
     }
 
-    /// The heartbeat to send now; `None` while a successor sends them.
+    /// The next heartbeat; `None` while a successor sends the heartbeats.
     fn next_heartbeat(&self) -> Option<Heartbeat> {
         let now = self.board.clock.now();
-        // Also while handed over, so that the meters go on.
+        // Also measured while handed over, so that the meters stay up to date.
         let demand = self.measure_demand(now);
         if self.handed_over.get() {
             return None;
@@ -241,12 +242,12 @@
         }
     }
 
-    /// Applies the grant in the reply. Returns the status for the log; `None` where the reply is too old to tell any.
+    /// Applies the grant in the reply. Returns the status to log; `None` where the reply is out of date.
     fn apply_reply(&self, result: Result<HeartbeatReply, HeartbeatFailure>) -> Option<String> {
         let cluster = &self.coordinators.cluster;
         let reply = match result {
             Ok(reply) => reply,
-            Err(error) => return Some(format!("nothing is granted by the fleet {cluster}: {error}")),
+            Err(error) => return Some(format!("no grant from the fleet {cluster}: {error}")),
         };
         let now = self.board.clock.now();
         let status = self
@@ -260,12 +261,15 @@
         }
         self.apply_grant();
         if reply.quotas_valid_for < MIN_HEARTBEATS_PER_QUOTA * tenths(self.heartbeat_interval) {
-            return Some("shares end before three beats: lengthen them, or beat more often".to_owned());
+            return Some(
+                "quotas expire within three heartbeats: lengthen them, or send heartbeats more often"
+                    .to_owned(),
+            );
         }
-        Some(format!("of the fleet {cluster}"))
+        Some(format!("member of the fleet {cluster}"))
     }
 
-    /// The demand for each shared budget, in thousandths a second.
+    /// The demand for each shared budget, in thousandths per second.
     fn measure_demand(&self, now: Time) -> BudgetAmounts {
         let mut tenants = self.board.asked.borrow_mut();
         let mut demand: BudgetAmounts =
@@ -296,8 +300,8 @@
         meter.demand(now)
     }
 
-    /// Passes the grant on to the decisions. Guards against an unlimited budget while unidentified: each shared budget is
-    /// always named, with nothing of it where there is no grant.
+    /// Passes the grant on to the decisions. All shared budgets are always included, with an amount of 0 where there is no
+    /// grant, so that none of them is unlimited while the member is unidentified.
     fn apply_grant(&self) {
         let member = self.member.borrow();
         let rates = |name| member.as_ref().map(|member| member.rates(name)).unwrap_or_default();
@@ -306,12 +310,12 @@
         let names = tenant_names.chain(self.shared_budgets.iter().copied());
         let budgets: Vec<(&str, [(f64, Time); 2])> = names.map(|name| (name, rates(name))).collect();
         if let Err(error) = self.board.new_shares(&budgets) {
-            tracing::warn!("not taken over, all stays as it was: {error}");
+            tracing::warn!("grant rejected, nothing has changed: {error}");
         }
     }
 
-    /// Sends to the coordinator that replied last or that is known to lead, then to the others. `index` is its place in the
-    /// list, kept from one heartbeat to the next.
+    /// Sends the heartbeat to the coordinator that replied last or that is known as the leader, then to the others. `index` is
+    /// its position in the list, kept from one heartbeat to the next.
     async fn send(
         &self,
         heartbeat: &Heartbeat,
@@ -345,14 +349,14 @@
     }
 }
 
-/// Why a heartbeat got no grant.
+/// Why no grant was received for a heartbeat.
 #[derive(Debug, Error)]
 enum HeartbeatFailure {
     #[error("no coordinator is configured")]
     NoCoordinator,
     #[error("{coordinator}: {reason:?}")]
     Rejected { coordinator: SocketAddr, reason: RejectReason },
-    #[error("{coordinator}: another one leads, or none")]
+    #[error("{coordinator}: not the leader")]
     NotLeader { coordinator: SocketAddr },
     #[error("{coordinator}: {source}")]
     Request { coordinator: SocketAddr, source: CoordinatorError },
--- a/crates/fernroute-server/src/program/identity.rs
+++ b/crates/fernroute-server/src/program/identity.rs
@@ -1,5 +1,5 @@
-//! The file that keeps a balancer's identity in its fleet's ledger over restarts. Its lock tells whether another process of
-//! the balancer runs.
+//! The file that preserves a balancer's identity in its fleet's ledger across restarts. Its lock shows whether another process
+//! of the balancer is running.
 
 use super::random::random_identity;
 use std::fs::{File, TryLockError};
@@ -7,18 +7,18 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// How often the identity file is tried while a predecessor process has it locked.
+/// The interval between attempts to lock the identity file while a predecessor process holds the lock.
 const IDENTITY_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A balancer's identity in the ledger, with the lock that no other process has at the same time.
+/// A balancer's identity in the ledger, with its exclusive lock.
 pub struct LockedIdentity {
-    /// The same over all processes of the balancer.
+    /// The identity, which is the same for all processes of the balancer.
     pub identity: u64,
-    /// The lock ends when this is dropped.
+    /// The locked file; dropping it releases the lock.
     pub file: File,
 }
 
-/// Waits until no other process has the identity file locked, then locks it.
+/// Waits until no other process holds the lock of the identity file, then locks it.
 ///
 /// # Errors
 /// As [`lock_identity`].
@@ -31,7 +31,7 @@
     }
 }
 
-/// Locks the identity file and reads it, or writes a new identity to it; `None` while another process has the lock.
+/// Locks the identity file and reads the identity, or writes a new one; `None` while another process holds the lock.
 ///
 /// # Errors
 /// When the file can't be opened, locked, read or written.
--- a/crates/fernroute-server/src/program/instance.rs
+++ b/crates/fernroute-server/src/program/instance.rs
@@ -1,5 +1,5 @@
-//! What a balancer is started with: its name and addresses, its limits, its settings, the endpoint list it had last. Read
-//! from the platform's JSON file or from an operator's TOML file.
+//! The configuration of a balancer process: its name, addresses, limits, settings and last endpoint list. Read from the
+//! platform's JSON file or from an operator's TOML file.
 
 use crate::protocol::list::{self, Entry, List, State};
 use crate::protocol::terms;
@@ -19,13 +19,13 @@
 /// One layer of the fleet's configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Layer {
-    /// The name of the scope that it belongs to, for error messages.
+    /// The name of the layer's scope, for error messages.
     pub scope: String,
-    /// Settings in the syntax of an operator's file.
+    /// TOML in the format of an operator's file.
     pub text: String,
 }
 
-/// A balancer's file can't be used.
+/// Why a balancer's file can't be used.
 #[derive(Debug, Error)]
 pub enum InstanceConfigError {
     /// The file can't be read.
@@ -33,100 +33,100 @@
     Read {
         /// The file.
         path: PathBuf,
-        /// What the system reports.
+        /// The system's error.
         source: io::Error,
     },
-    /// The file's text can't be used.
+    /// The text of the file is invalid.
     #[error("{}: {source}", .path.display())]
     Decode {
         /// The file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// Why the text is invalid.
         source: DecodeError,
     },
-    /// The operators' address in the environment is none.
+    /// `$NODE_OPS` is no valid address.
     #[error("$NODE_OPS: {value}: {source}")]
     OpsVariable {
-        /// The variable's value.
+        /// The value of the variable.
         value: String,
-        /// Why it is no address.
+        /// Why it is no valid address.
         source: AddrParseError,
     },
-    /// Operators and callers can't share an address.
-    #[error("ops and listen are both {0}")]
+    /// Operators and callers have the same address.
+    #[error("ops and listen have the same address: {0}")]
     SameAddress(SocketAddr),
 }
 
-/// A balancer's file does not have the expected content.
+/// Why the text of a balancer's file is invalid.
 #[derive(Debug, Error)]
 pub enum DecodeError {
     /// The platform's file is not the expected JSON.
     #[error("{0}")]
     Json(#[from] serde_json::Error),
-    /// All faults of an operator's file.
+    /// All errors in an operator's file.
     #[error("{}", .0.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "))]
-    Faults(Vec<ConfigError>),
-    /// Fewer descriptors than a process needs.
-    #[error("limits.sockets is under {MIN_DESCRIPTORS}")]
+    Toml(Vec<ConfigError>),
+    /// There are fewer descriptors than a process needs.
+    #[error("limits.sockets is less than {MIN_DESCRIPTORS}")]
     Descriptors,
-    /// Memory out of range.
+    /// The memory is out of range.
     #[error("limits.memory_mb is not between 1 and {MAX_MEMORY_MB}")]
     Memory,
-    /// The endpoint list of before can't be read.
-    #[error("known is not a list of upstreams")]
+    /// The last endpoint list can't be read.
+    #[error("known is not a valid list of upstreams")]
     EndpointList,
-    /// The seed is no hexadecimal number.
+    /// The seed is no valid hexadecimal number.
     #[error("seed: {0}")]
     Seed(#[source] ParseIntError),
 }
 
-/// A setting that the decisions reject, by its path in the file.
+/// A setting that the decisions reject; the message has its path in the platform's file.
 #[derive(Debug, Error)]
 #[error("settings: {} {}", .0.reason, fernroute_settings::path_for_setting(&.0.setting))]
 pub struct SettingError(#[source] pub InvalidSetting);
 
-/// For programs that report their errors as text.
+/// For programs that report errors as text.
 impl From<InstanceConfigError> for String {
     fn from(error: InstanceConfigError) -> Self {
         error.to_string()
     }
 }
 
-/// For programs that report their errors as text.
+/// For programs that report errors as text.
 impl From<SettingError> for String {
     fn from(error: SettingError) -> Self {
         error.to_string()
     }
 }
 
-/// What a balancer is started with.
+/// The configuration of a balancer process.
 #[derive(Clone, Debug)]
 pub struct InstanceConfig {
-    /// The name of the balancer, in logs and in its fleet.
+    /// The balancer's name in logs and in its fleet.
     pub name: String,
-    /// Where callers connect.
+    /// The address for callers.
     pub listen: SocketAddr,
-    /// Where discovery serves the endpoint list.
+    /// The address of discovery, which serves the endpoint list.
     pub discovery: SocketAddr,
-    /// Where operators connect, if anywhere.
+    /// The address for operators, if there is one.
     pub ops: Option<SocketAddr>,
     /// The seed of the decisions' random numbers.
     pub seed: u64,
     /// How many file descriptors the balancer may have open.
     pub descriptors: usize,
-    /// How much memory it may use, in bytes.
+    /// How much memory the balancer may use, in bytes.
     pub memory_bytes: usize,
-    /// The endpoint list that this balancer had last, if it ever had one.
+    /// The last endpoint list of this balancer, if there is one.
     pub endpoint_list: Option<List>,
-    /// Discovery's version of that list, after which changes are enough; `None` asks for the whole list.
+    /// Discovery's version of that list, from which only changes are requested; `None` requests the whole list.
     pub list_version: Option<u64>,
-    /// The fleet whose ledger divides the shared budgets. The platform's files name none.
+    /// The fleet that the balancer is a member of. The platform's files contain none.
     pub fleet: Option<FleetConfig>,
     /// The settings of the decisions.
     pub settings: Settings,
 }
 
-/// The platform's file as it is written.
+/// The platform's JSON file.
 #[derive(Deserialize)]
 struct RawJsonConfig {
     name: String,
@@ -169,15 +169,15 @@
 }
 
 impl InstanceConfig {
-    /// Reads a balancer's file; one that ends in `.toml` is an operator's.
+    /// Reads a balancer's file: an operator's TOML file if its name ends in `.toml`, else the platform's JSON file.
     ///
     /// # Errors
-    /// When the file can't be read, or not be used.
+    /// When the file can't be read or is invalid.
     pub fn read(path: &Path) -> Result<Self, InstanceConfigError> {
         InstanceConfig::from_text(path, &InstanceConfig::read_text(path)?, &[])
     }
 
-    /// The text of a balancer's file.
+    /// Reads the text of a balancer's file.
     ///
     /// # Errors
     /// When the file can't be read.
@@ -186,10 +186,10 @@
             .map_err(|source| InstanceConfigError::Read { path: path.to_owned(), source })
     }
 
-    /// Decodes the text of a balancer's file, with the layers of the fleet's configuration applied over it.
+    /// Decodes the text of a balancer's file, with the layers of the fleet's configuration merged over it.
     ///
     /// # Errors
-    /// When the text, a layer or the environment can't be used.
+    /// When the text, a layer or `$NODE_OPS` is invalid.
     pub fn from_text(path: &Path, text: &str, layers: &[Layer]) -> Result<Self, InstanceConfigError> {
         let is_toml = path.extension().is_some_and(|extension| extension == "toml");
         let decoded = if is_toml {
@@ -202,7 +202,7 @@
         instance.with_ops_variable(std::env::var("NODE_OPS").ok().as_deref())
     }
 
-    /// An operators' address from the environment overrides the file's: a tool sets it for one start.
+    /// Overrides the file's address for operators by that of `$NODE_OPS`, which tools set for a single start.
     fn with_ops_variable(mut self, value: Option<&str>) -> Result<Self, InstanceConfigError> {
         if let Some(value) = value.filter(|value| !value.is_empty()) {
             let address = value.parse();
@@ -221,15 +221,16 @@
     /// Decodes the text of an operator's file.
     ///
     /// # Errors
-    /// With all faults of the text.
+    /// All errors in the text.
     pub fn decode_toml(text: &str) -> Result<Self, DecodeError> {
         InstanceConfig::decode_toml_with_layers(text, &[])
     }
 
-    /// Decodes the text of an operator's file with the layers of the fleet's configuration over it, the widest scope first.
+    /// Decodes the text of an operator's file with the layers of the fleet's configuration merged over it, the widest scope
+    /// first.
     ///
     /// # Errors
-    /// With all faults of the text and the layers.
+    /// All errors in the text and the layers.
     pub fn decode_toml_with_layers(text: &str, layers: &[Layer]) -> Result<Self, DecodeError> {
         let config = if layers.is_empty() {
             fernroute_config::decode(text)
@@ -238,7 +239,7 @@
                 layers.iter().map(|layer| (&*layer.scope, &*layer.text)).collect();
             fernroute_config::layers::load(text, &layers)
         };
-        Ok(InstanceConfig::from_balancer_config(config.map_err(DecodeError::Faults)?))
+        Ok(InstanceConfig::from_balancer_config(config.map_err(DecodeError::Toml)?))
     }
 
     fn from_balancer_config(config: BalancerConfig) -> Self {
@@ -262,7 +263,7 @@
     /// Decodes the text of the platform's file.
     ///
     /// # Errors
-    /// With the first fault of the text.
+    /// The first error in the text.
     pub fn decode_json(text: &str) -> Result<Self, DecodeError> {
         let raw: RawJsonConfig = serde_json::from_str(text)?;
         raw.limits.check()?;
@@ -285,8 +286,8 @@
         })
     }
 
-    /// The names of the values in `new` that differ and that a running balancer can't adopt. The seed counts at a start
-    /// alone, and the list in a file is older than the one that a running balancer has.
+    /// The names of the values that differ in `new` and that a running balancer can't adopt. The seed is only used at a start,
+    /// and the endpoint list in a file is older than the one that a running balancer has.
     pub fn changes_needing_restart(&self, new: &InstanceConfig) -> Vec<String> {
         let values = [
             (self.name != new.name, "name"),
@@ -298,7 +299,7 @@
         ];
         let changed = values.into_iter().filter(|(differs, _)| *differs);
         let mut names: Vec<String> = changed.map(|(_, name)| name.to_owned()).collect();
-        // An upstream's connections are made with these when it is first listed.
+        // These are fixed for an upstream's connections when it is first listed.
         for setting in ["limits.connect_time_out", "limits.keep_alive"] {
             if self.settings.get(setting) != new.settings.get(setting) {
                 names.push(format!("settings.{}", fernroute_settings::path_for_setting(setting)));
@@ -310,7 +311,7 @@
     /// Checks that a balancer can start with these settings.
     ///
     /// # Errors
-    /// With the first setting that the decisions reject.
+    /// The first setting that the decisions reject.
     pub fn check(&self) -> Result<(), SettingError> {
         let balancer = Balancer::new(ActionQueue::default(), 0, self.seed, &self.settings);
         balancer.map(drop).map_err(SettingError)
@@ -329,7 +330,7 @@
     }
 }
 
-/// Another one with each start.
+/// A different seed for each start.
 fn seed_from_clock() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_nanos() as u64
 }
--- a/crates/fernroute-server/src/program/log.rs
+++ b/crates/fernroute-server/src/program/log.rs
@@ -1,4 +1,4 @@
-//! The program's log on standard error: lines with the balancer's name, or JSON.
+//! The program's log on standard error, as lines with the balancer's name or as JSON.
 
 use std::fmt;
 use tracing::{Event, Subscriber};
@@ -35,14 +35,14 @@
     }
 }
 
-/// Starts the log of this process, at the level that `FERNROUTE_LOG` names, else at info. It is JSON with times where
-/// `FERNROUTE_LOG_JSON` is 1. The libraries' events about single connections appear from debug on.
+/// Starts the log of this process with the level in `FERNROUTE_LOG`, by default info. The format is JSON with timestamps
+/// where `FERNROUTE_LOG_JSON` is 1. Events of libraries, which concern single connections, are logged from debug on.
 pub fn start(name: &str) {
     let level = std::env::var(LEVEL_VARIABLE).ok().and_then(|level| level.parse().ok());
     let level = level.unwrap_or(LevelFilter::INFO);
     let library_level = if level >= LevelFilter::DEBUG { level } else { LevelFilter::OFF };
     let targets = Targets::new().with_default(library_level).with_target("fernroute", level);
-    // Standard error may be closed: the program goes on without a log.
+    // Standard error may be closed; the program then runs without a log.
     let lines = layer().with_ansi(false).with_writer(std::io::stderr).log_internal_errors(false);
     let is_json = std::env::var(JSON_VARIABLE).is_ok_and(|value| value == "1");
     let started = if is_json {
@@ -51,6 +51,6 @@
         let lines = lines.event_format(LineFormat { name: name.to_owned() });
         tracing_subscriber::registry().with(lines.with_filter(targets)).try_init()
     };
-    // A process with several balancers keeps the log of the first one.
+    // Fails in a process with several balancers, which keeps the log of the first one.
     let _ = started;
 }
--- a/crates/fernroute-server/src/program/main.rs
+++ b/crates/fernroute-server/src/program/main.rs
@@ -1,4 +1,4 @@
-//! The program `fernroute`.
+//! The `fernroute` program.
 
 use fernroute_server::program::commands;
 use std::process::ExitCode;
--- a/crates/fernroute-server/src/program/mod.rs
+++ b/crates/fernroute-server/src/program/mod.rs
@@ -1,4 +1,4 @@
-//! The program: its command line, and how a process of the balancer starts, reloads, upgrades and stops.
+//! The `fernroute` program: its command line, and the start, reload, upgrade and shutdown of a balancer process.
 
 pub mod commands;
 pub mod configuration;
--- a/crates/fernroute-server/src/program/ops.rs
+++ b/crates/fernroute-server/src/program/ops.rs
@@ -11,10 +11,10 @@
 use std::rc::Rc;
 use tokio::net::TcpListener;
 
-/// Listens for operators; returns the address, with its port.
+/// Listens for operators and returns the address with the actual port.
 ///
 /// # Errors
-/// When the address can't be listened on.
+/// When listening on the address fails.
 pub async fn open(
     address: SocketAddr,
     board: &Rc<Switchboard>,
@@ -40,16 +40,16 @@
 
 fn drain(board: &Switchboard) -> Reply {
     if board.phase_change(|phase, now| phase.drain(now)) {
-        tracing::info!("told to drain");
+        tracing::info!("draining on an operator's request");
     }
     Reply::plain(StatusCode::OK, "draining")
 }
 
-/// Ends a drain. Neither a shutdown nor an upgrade is undone.
+/// Ends a drain, but not one for a shutdown or an upgrade.
 fn resume(board: &Switchboard, server: &Server) -> Reply {
     if board.phase_change(|phase, _| phase.resume()) {
-        tracing::info!("told to resume");
-        // Not at the next sweep: a caller may connect before it.
+        tracing::info!("drain ended on an operator's request");
+        // Swept now, since a caller may connect before the next sweep.
         server.sweep(board.closing() >= Closing::Idle);
     }
     let phase = board.phase.get();
--- a/crates/fernroute-server/src/program/predecessor.rs
+++ b/crates/fernroute-server/src/program/predecessor.rs
@@ -1,4 +1,4 @@
-//! Finds the process that serves at this balancer's address, if there is one, and asks it to hand over.
+//! Finds a process that serves at this balancer's address and requests a handover from it.
 
 use super::fleet::ReceivedHandover;
 use super::start_error::StartError;
@@ -13,23 +13,23 @@
 use tokio::net::TcpListener;
 use tokio::time::timeout;
 
-/// A message of the other process arrives within this time, or none is waited for: a new process has to be ready within
-/// six seconds, whatever the old one does.
+/// The time-out for messages of the other process: a new process must be ready within six seconds, whatever the old one
+/// does.
 pub(super) const REPLY_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A predecessor that was told to stop has ended after this time and has freed the operators' address.
-const MAX_ENDING_TIME: Duration = Duration::from_secs(5);
+/// How long to wait for a predecessor that is shutting down, which then has ended and released the operators' address.
+const MAX_PREDECESSOR_SHUTDOWN: Duration = Duration::from_secs(5);
 
-/// How often a predecessor that is ending is asked again.
-const ENDING_POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// The interval between requests to a predecessor that is shutting down.
+const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The process that was there before this one.
+/// The process of this balancer before this one.
 pub enum Predecessor {
-    /// Nobody serves at the address.
+    /// There is no such process.
     Absent,
-    /// It hands over.
+    /// It serves and hands over.
     Serving(Box<ServingPredecessor>),
-    /// A process may be there, and does not hand over.
+    /// There may be a process, but it does not hand over.
     Unresponsive,
 }
 
@@ -42,7 +42,7 @@
         }
     }
 
-    /// The same, to take from it what it handed over.
+    /// Mutable access, for taking what was handed over.
     pub fn serving_mut(&mut self) -> Option<&mut ServingPredecessor> {
         match self {
             Predecessor::Serving(serving) => Some(serving),
@@ -51,25 +51,25 @@
     }
 }
 
-/// A process that hands over, with what it gave.
+/// A process that hands over, with what it handed over.
 pub struct ServingPredecessor {
     /// The connection to it.
     pub(super) link: HandoverConnection,
-    /// The callers' socket; taken as this process starts.
+    /// The listening socket for callers; taken when this process starts.
     pub listener: Option<TcpListener>,
     /// Its endpoint list.
     pub list: Known,
-    /// How many descriptors this process may have open for a start.
+    /// How many descriptors this process may have open at the start.
     pub descriptors: usize,
-    /// Its half of a fleet's budgets, if it gave one; taken as this process starts.
+    /// Half of its part of the fleet's budgets, if handed over; taken when this process starts.
     pub member: Option<ReceivedHandover>,
 }
 
-/// Asks the process that serves at this address, if there is one, to hand over, and waits for one that is ending. Guards
-/// against a restart that fails because its predecessor still answers the last callers.
+/// Requests a handover from a process that serves at this address. Waits for a process that is shutting down, so that a
+/// restart does not fail because its predecessor still answers the last callers.
 ///
 /// # Errors
-/// When that process rejects the takeover.
+/// When that process rejects the handover.
 pub async fn find(name: &str, listen: SocketAddr) -> Result<Predecessor, StartError> {
     let started_at = Instant::now();
     loop {
@@ -79,47 +79,47 @@
             Ok(HandoverReply::Rejected { reason }) => {
                 return Err(StartError::HandoverRejected { address: listen, reason });
             }
-            Ok(HandoverReply::Ending) => {}
+            Ok(HandoverReply::ShuttingDown) => {}
             Err(error) => {
-                tracing::warn!("no process hands over, starting as if alone: {error}");
+                tracing::warn!("no handover, starting without a predecessor: {error}");
                 return Ok(Predecessor::Unresponsive);
             }
         }
-        if started_at.elapsed() >= MAX_ENDING_TIME {
-            tracing::warn!("the process before is still ending, starting all the same");
+        if started_at.elapsed() >= MAX_PREDECESSOR_SHUTDOWN {
+            tracing::warn!("the predecessor is still shutting down, starting anyway");
             return Ok(Predecessor::Absent);
         }
-        actix_rt::time::sleep(ENDING_POLL_INTERVAL).await;
+        actix_rt::time::sleep(SHUTDOWN_POLL_INTERVAL).await;
     }
 }
 
-/// The outcome of one request to hand over.
+/// The result of one handover request.
 enum HandoverReply {
     Absent,
     Given(Box<ServingPredecessor>),
     Rejected {
         reason: String,
     },
-    /// The process has been told to stop and serves no more.
-    Ending,
+    /// The process is shutting down and does not serve any more.
+    ShuttingDown,
 }
 
-/// Why it is unknown whether there is a process that serves.
+/// Why it is unknown whether a process serves at the address.
 #[derive(Debug, Error)]
 enum HandoverError {
     #[error("{0}")]
     Path(String),
     #[error("{}: {source}", .path.display())]
     Connect { path: PathBuf, source: io::Error },
-    #[error("no answer")]
+    #[error("no reply")]
     TimedOut,
     #[error("{0}")]
     Io(#[from] io::Error),
-    #[error("{0:?} without the socket")]
+    #[error("unexpected message, or the socket is missing: {0:?}")]
     UnexpectedMessage(Box<FromOld>),
-    #[error("it ended")]
+    #[error("the connection was closed")]
     Closed,
-    #[error("its socket is another")]
+    #[error("the received socket can't be used for the address")]
     OtherSocket,
 }
 
@@ -128,9 +128,9 @@
     let link = match HandoverConnection::connect(&path).await {
         Ok(Some(link)) => link,
         Ok(None) => return Ok(HandoverReply::Absent),
-        // Its process was killed, and the file is still there.
+        // The process was killed and could not remove the socket file.
         Err(error) if error.kind() == ErrorKind::ConnectionRefused => {
-            tracing::warn!("{}: left by a process that is no more", path.display());
+            tracing::warn!("{}: left by a process that has ended", path.display());
             return Ok(HandoverReply::Absent);
         }
         Err(source) => return Err(HandoverError::Connect { path, source }),
@@ -149,7 +149,7 @@
         (FromOld::Given { list, descriptors, member, .. }, Some(socket)) => {
             (list, descriptors, member, socket)
         }
-        (FromOld::Refused { ending: true, .. }, _) => return Ok(HandoverReply::Ending),
+        (FromOld::Refused { ending: true, .. }, _) => return Ok(HandoverReply::ShuttingDown),
         (FromOld::Refused { why, .. }, _) => return Ok(HandoverReply::Rejected { reason: why }),
         (other, _) => return Err(HandoverError::UnexpectedMessage(Box::new(other))),
     };
@@ -158,7 +158,7 @@
     Ok(HandoverReply::Given(Box::new(ServingPredecessor { link, listener, list, descriptors, member })))
 }
 
-/// Checks that the socket listens at this address.
+/// Converts the socket into a listener, after checking that it has this address.
 fn into_listener(socket: OwnedFd, listen: SocketAddr) -> Result<TcpListener, HandoverError> {
     let listener = std::net::TcpListener::from(socket);
     let is_same = listener.local_addr().is_ok_and(|address| address == listen || listen.port() == 0);
--- a/crates/fernroute-server/src/program/reload.rs
+++ b/crates/fernroute-server/src/program/reload.rs
@@ -1,7 +1,7 @@
-//! New settings while the program runs. The balancer's own file is read again on SIGHUP, and the coordinators of a fleet
-//! hand out layers that are applied over it. Both take the same path, completely or not at all: a file that is half
-//! written, for example, changes nothing. Of signals that arrive together the last file counts. Reloads go on in a drain
-//! and beside a successor, and end once the program is told to stop.
+//! Changes settings while the program runs. The balancer's own file is reloaded on SIGHUP, and the coordinators of a fleet
+//! provide layers that are applied over it. Both are applied by the same code, completely or not at all: a partially written
+//! file, for example, changes nothing. If several signals arrive together, the last content of the file is used. Reloads
+//! continue during a drain and next to a successor, and end with the shutdown of the program.
 
 use super::instance::{InstanceConfig, InstanceConfigError, Layer, SettingError};
 use super::running::RunningInstance;
@@ -14,7 +14,7 @@
 /// Why new settings or layers were rejected.
 #[derive(Debug, Error)]
 pub enum ReloadError {
-    /// The file, by itself or with the layers, can't be used.
+    /// The file is invalid, by itself or with the layers.
     #[error(transparent)]
     Config(#[from] InstanceConfigError),
     /// The decisions reject a setting.
@@ -22,16 +22,15 @@
     Setting(#[from] SettingError),
 }
 
-/// Handles SIGHUP from now on, which ends the program no more.
+/// Installs a handler for SIGHUP, which would end the program otherwise.
 ///
 /// # Errors
-/// When the system refuses the handler.
+/// When the handler can't be installed.
 pub fn signals() -> Result<Signal, StartError> {
     signal(SignalKind::hangup()).map_err(StartError::Signals)
 }
 
-/// Reads the file again at each SIGHUP, for as long as the program runs. `on_reload` is called after each reload that
-/// took effect.
+/// Reloads the file at each SIGHUP until the program ends. `on_reload` is called after each successful reload.
 pub async fn reload_on_signal(
     mut signals: Signal,
     running: &RunningInstance,
@@ -41,30 +40,30 @@
     while signals.recv().await.is_some() {
         match active.reload(running) {
             Ok(()) => on_reload(),
-            Err(error) => tracing::error!("not taken over, all stays as it was: {error}"),
+            Err(error) => tracing::error!("reload rejected, nothing has changed: {error}"),
         }
     }
 }
 
-/// The configuration in effect: the balancer's own file as it was read last, the fleet's layers over it, and the outcome
-/// of both.
+/// The configuration in effect: the balancer's own file as last read, the fleet's layers over it, and the result of merging
+/// both.
 pub struct ActiveConfiguration {
     path: PathBuf,
-    /// The text of the file. Empty without a fleet, until the first reload. Written by each reload.
+    /// The text of the file. Empty until the first reload where there is no fleet. Written by each reload.
     file_text: RefCell<String>,
-    /// Written by each change of the fleet's configuration.
+    /// The fleet's layers. Written by each change of the fleet's configuration.
     layers: RefCell<Vec<Layer>>,
-    /// The outcome of the two. Written with either.
+    /// The result of merging both. Written with either.
     instance: RefCell<InstanceConfig>,
 }
 
 impl ActiveConfiguration {
-    /// At a start: `instance` was read from the file at `path`.
+    /// Called at a start, with the `instance` that was read from the file at `path`.
     ///
     /// # Errors
     /// When the file can't be read.
     pub fn new(path: &Path, instance: InstanceConfig) -> Result<Self, InstanceConfigError> {
-        // Read a second time: an operator who changes the file in between sends SIGHUP anyway.
+        // The file is read a second time: an operator who changes it in between sends SIGHUP anyway.
         let file_text =
             if instance.fleet.is_some() { InstanceConfig::read_text(path)? } else { String::new() };
         Ok(ActiveConfiguration {
@@ -75,15 +74,15 @@
         })
     }
 
-    /// The outcome of the file and the layers.
+    /// The result of merging the file and the layers.
     pub fn instance(&self) -> InstanceConfig {
         self.instance.borrow().clone()
     }
 
-    /// At a start, before anything runs: applies these layers over the file.
+    /// Called at a start, before any task runs: applies these layers over the file.
     ///
     /// # Errors
-    /// When a balancer can't start with the outcome; nothing changes then.
+    /// When a balancer can't start with the result; nothing changes then.
     pub fn apply_initial_layers(&self, layers: Vec<Layer>) -> Result<(), ReloadError> {
         let new = self.decode(&self.file_text.borrow(), &layers)?;
         new.check()?;
@@ -92,36 +91,36 @@
         Ok(())
     }
 
-    /// Reads the file again and applies the layers in effect over it.
+    /// Reloads the file and applies the layers in effect over it.
     fn reload(&self, running: &RunningInstance) -> Result<(), ReloadError> {
         let file_text = InstanceConfig::read_text(&self.path)?;
         let old_discovery = self.instance.borrow().discovery;
         let layers = self.layers.borrow().clone();
         for name in self.activate(running, file_text, layers)? {
-            tracing::warn!("{name} has changed: that needs a restart");
+            tracing::warn!("{name} has changed, which requires a restart");
         }
         let discovery = self.instance.borrow().discovery;
         if discovery == old_discovery {
-            tracing::info!("read again, discovery is still at {discovery}");
+            tracing::info!("reloaded, discovery is still at {discovery}");
         } else {
-            tracing::info!("read again, discovery is at {discovery} from now on");
+            tracing::info!("reloaded, discovery is now at {discovery}");
         }
         Ok(())
     }
 
-    /// Applies other layers over the file as it was read last. No layer names what needs a restart, and a change of that
-    /// kind in the file was logged when it was read.
+    /// Applies other layers over the file as last read. Layers contain no values that require a restart, and a change of such
+    /// a value in the file was logged when it was read.
     ///
     /// # Errors
-    /// When the outcome can't be used; nothing changes then.
+    /// When the result can't be used; nothing changes then.
     pub fn apply_layers(&self, running: &RunningInstance, layers: Vec<Layer>) -> Result<(), ReloadError> {
         let file_text = self.file_text.borrow().clone();
         self.activate(running, file_text, layers)?;
         Ok(())
     }
 
-    /// The one path on which new settings reach a running balancer. Returns the names of changed values that need a
-    /// restart.
+    /// Applies new settings to a running balancer; all changes of settings go through here. Returns the names of changed
+    /// values that require a restart.
     fn activate(
         &self,
         running: &RunningInstance,
@@ -131,9 +130,9 @@
         let new = self.decode(&file_text, &layers)?;
         running.update_settings(&new.settings)?;
         let mut instance = self.instance.borrow_mut();
-        let need_restart = instance.changes_needing_restart(&new);
+        let restart_required = instance.changes_needing_restart(&new);
         if new.settings != instance.settings {
-            tracing::info!("new settings from now on");
+            tracing::info!("new settings are in effect");
         }
         if new.discovery != instance.discovery {
             running.set_discovery(new.discovery);
@@ -142,7 +141,7 @@
         instance.discovery = new.discovery;
         self.file_text.replace(file_text);
         self.layers.replace(layers);
-        Ok(need_restart)
+        Ok(restart_required)
     }
 
     fn decode(&self, file_text: &str, layers: &[Layer]) -> Result<InstanceConfig, InstanceConfigError> {
--- a/crates/fernroute-server/src/program/running.rs
+++ b/crates/fernroute-server/src/program/running.rs
@@ -1,5 +1,5 @@
-//! A running balancer, and what the program's tasks do to it: change its settings, its discovery and its quota, and
-//! begin to serve.
+//! A running balancer, with the operations that the program's tasks perform on it: changing its settings, its discovery and
+//! its quota, and starting to serve.
 
 use super::descriptor_quota::DescriptorQuota;
 use super::fleet::FleetMember;
@@ -18,7 +18,7 @@
 use std::rc::Rc;
 use tokio::net::TcpSocket;
 
-/// The system's usual limit for connections that wait to be accepted.
+/// How many connections may wait to be accepted; a common limit of the system.
 pub(super) const LISTEN_BACKLOG: u32 = 1024;
 
 /// A running balancer. It is *waiting* or *serving* after its start; [`RunningInstance::start_serving`] moves it to *serving*.
@@ -27,11 +27,11 @@
     pub board: Rc<Switchboard>,
     /// The callers' connections.
     pub server: Rc<Server>,
-    /// Where callers connect.
+    /// The address for callers, with the actual port.
     pub address: SocketAddr,
-    /// Where operators connect, if anywhere.
+    /// The address for operators, if there is one.
     pub ops_address: Option<SocketAddr>,
-    /// The callers' socket while nobody can connect to it yet. Taken by [`RunningInstance::start_serving`].
+    /// The socket for callers while it is bound but does not listen. Taken by [`RunningInstance::start_serving`].
     pub(super) bound_socket: Cell<Option<TcpSocket>>,
     pub(super) name: String,
     /// The address in the file, whose port may be 0.
@@ -40,29 +40,29 @@
     pub(super) quota: Cell<DescriptorQuota>,
     /// The balancer's memory over all its processes, in bytes.
     pub(super) memory_bytes: usize,
-    /// Written as a watch starts.
+    /// The address of discovery. Written when a watch starts.
     pub(super) discovery: Cell<SocketAddr>,
     /// Whether the decisions start each poll of the endpoint list. Written with new settings.
     pub(super) decisions_start_polls: Cell<bool>,
     /// The task that watches the endpoint list. Replaced with each change of discovery.
     pub(super) endpoint_watch: RefCell<Option<JoinHandle<()>>>,
-    /// The membership of a fleet, if there is one. Set once at the start.
+    /// The membership of a fleet, if any. Set once at the start.
     pub(super) fleet_member: RefCell<Option<Rc<FleetMember>>>,
 }
 
 impl RunningInstance {
-    /// Watches the endpoint list at this address from now on, and nowhere else. The balancer serves with the list that it
-    /// has until the new one arrives.
+    /// Watches the endpoint list at this address instead of the current one. The balancer keeps its list until the new one
+    /// arrives.
     pub fn set_discovery(&self, discovery: SocketAddr) {
-        // Versions belong to one discovery, so the new one is polled for the whole list, at once.
+        // Versions are specific to one discovery, so the whole list is requested from the new one, at once.
         self.board.follow.notify_one();
         self.watch_endpoints(discovery, None);
     }
 
-    /// Adopts new settings, all or none. Connections, breakers and open requests stay.
+    /// Adopts all new settings, or none. Connections, circuit breakers and open requests are kept.
     ///
     /// # Errors
-    /// With the setting that the decisions reject.
+    /// The setting that the decisions reject.
     pub fn update_settings(&self, settings: &Settings) -> Result<(), SettingError> {
         self.board.new_terms(settings).map_err(SettingError)?;
         if let Some(member) = self.fleet_member() {
@@ -75,7 +75,7 @@
         Ok(())
     }
 
-    /// Replaces the task that watches the endpoint list, from this version of it on.
+    /// Replaces the task that watches the endpoint list, beginning after this version of the list.
     pub(super) fn watch_endpoints(&self, discovery: SocketAddr, version: Option<u64>) {
         self.discovery.set(discovery);
         self.board.since.set(version);
@@ -93,10 +93,10 @@
         }
     }
 
-    /// Serves callers from now on.
+    /// Starts to serve callers.
     ///
     /// # Errors
-    /// When the system does not let callers connect.
+    /// When listening for callers fails.
     pub fn start_serving(&self) -> Result<(), StartError> {
         if let Some(socket) = self.bound_socket.take() {
             let listener = socket.listen(LISTEN_BACKLOG);
@@ -114,36 +114,36 @@
         tracing::info!("serving on {}, {upstreams} upstreams known", self.address);
     }
 
-    /// The membership of a fleet, if there is one.
+    /// The membership of a fleet, if any.
     pub fn fleet_member(&self) -> Option<Rc<FleetMember>> {
         self.fleet_member.borrow().clone()
     }
 
-    /// The path of the handover socket, on which a successor process connects.
+    /// The path of the handover socket, to which a successor process connects.
     ///
     /// # Errors
-    /// When there can be no such file.
+    /// When there is no valid path.
     pub fn handover_path(&self) -> Result<PathBuf, StartError> {
         handover::socket_path(&self.name, self.listen).map_err(StartError::HandoverPath)
     }
 
-    /// The endpoint list as this process has it.
+    /// The current endpoint list of this process.
     pub fn endpoint_list(&self) -> Known {
         let upstreams = self.board.upstreams.borrow();
         Known::of(self.discovery.get(), self.board.since.get(), upstreams.values().map(|(entry, _)| entry))
     }
 
-    /// How many connections are open, to callers and to upstreams.
+    /// The number of open connections to callers and upstreams.
     pub fn connections(&self) -> usize {
         self.server.connections() + self.board.client.connections()
     }
 
-    /// What this process may have open.
+    /// The descriptor quota of this process.
     pub fn quota(&self) -> DescriptorQuota {
         self.quota.get()
     }
 
-    /// Changes what this process may have open; idle connections beyond that are closed.
+    /// Changes the descriptor quota of this process; idle connections beyond the new quota are closed.
     pub fn update_quota(&self, change: impl FnOnce(&mut DescriptorQuota)) {
         let mut quota = self.quota.get();
         change(&mut quota);
@@ -155,7 +155,7 @@
     }
 }
 
-/// Whether the decisions start each poll of the endpoint list; else the watch runs on its own.
+/// Whether the decisions start each poll of the endpoint list; otherwise the watch polls by itself.
 pub(super) fn decisions_start_polls(settings: &Settings) -> bool {
     settings.get("list_mode").is_some_and(|mode| mode == "ask")
 }
--- a/crates/fernroute-server/src/program/serve.rs
+++ b/crates/fernroute-server/src/program/serve.rs
@@ -1,8 +1,8 @@
-//! Builds a balancer from its layers and runs it on one thread.
+//! Assembles a balancer and runs it on one thread.
 //!
-//! A process is *waiting* after its start where another process may serve, or the fleet's configuration is followed; else
-//! it is *serving* at once. The task of [`super::upgrade`] moves it from *waiting* to *serving*, and to *handing over* as a
-//! successor becomes ready. SIGTERM moves it to *draining* ([`super::shutdown`]), which ends with the program.
+//! After its start, a process is *waiting* if another process may serve, or if it follows the fleet's configuration; otherwise
+//! it is *serving* at once. The task of [`super::upgrade`] moves it from *waiting* to *serving*, and to *handing over* when a
+//! successor becomes ready. SIGTERM moves it to *draining* ([`super::shutdown`]), which lasts until the program ends.
 
 use super::configuration::{self, ConfigurationTask};
 use super::descriptor_quota::DescriptorQuota;
@@ -32,14 +32,14 @@
 pub use super::running::RunningInstance;
 pub use super::start_error::StartError;
 
-/// How often connections are checked for their time-outs, which are exact to a tenth.
+/// How often the time-outs of connections are checked, which are exact to a tenth.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Serves until the program is told to stop, or a successor has taken over. `path` is the file that `instance` was read
-/// from.
+/// Serves until the program is stopped by a signal, or a successor has taken over. `path` is the file from which `instance`
+/// was read.
 ///
 /// # Errors
-/// When the balancer does not start, or callers can't connect to it.
+/// When the balancer can't start, or callers can't connect to it.
 pub fn serve(instance: InstanceConfig, path: &Path) -> Result<(), StartError> {
     instance.check()?;
     let runtime = actix_rt::Runtime::new().map_err(StartError::Runtime)?;
@@ -47,7 +47,7 @@
 }
 
 async fn run(instance: InstanceConfig, path: &Path) -> Result<(), StartError> {
-    // Before all else: an early signal must not end the program.
+    // Installed first, so that an early signal does not end the program.
     let reload_signals = reload::signals()?;
     let stop_signals = shutdown::signals()?;
     let StartedInstance { running, active, configuration, handed_over } =
@@ -60,7 +60,7 @@
     let mut stop_signals = pin!(stop_signals);
     let end = select(&mut stop_signals, handed_over);
     let reloads = pin!(reload::reload_on_signal(reload_signals, &running, &active, on_reload));
-    // Settings that are read while the program stops would take no effect.
+    // No reloads during the shutdown: they would have no effect.
     let end = match select(reloads, end).await {
         Either::Left(((), end)) => end.await,
         Either::Right((end, _)) => end,
@@ -69,7 +69,7 @@
         return Err(error);
     }
     shutdown::shut_down(&running.board, &running.server).await;
-    tracing::info!("all is answered, ending");
+    tracing::info!("all requests are answered, exiting");
     Ok(())
 }
 
@@ -81,15 +81,14 @@
     pub active: Rc<ActiveConfiguration>,
     /// The follower of the fleet's configuration, where there is one.
     pub configuration: Option<Rc<ConfigurationTask>>,
-    /// Ends once a successor has taken over. It runs on while the program stops, to report free descriptors to a
-    /// successor.
+    /// Ends once a successor has taken over. It continues during the shutdown, to report free descriptors to a successor.
     pub handed_over: JoinHandle<Result<(), StartError>>,
 }
 
-/// Begins a balancer on the running thread, in place of the process that serves at its address, if there is one.
+/// Starts a balancer on the current thread, and takes over from a process that serves at its address, if there is one.
 ///
 /// # Errors
-/// When the balancer does not start.
+/// When the balancer can't start.
 pub async fn start_or_take_over(
     instance: InstanceConfig,
     path: &Path,
@@ -101,8 +100,8 @@
     let running = Rc::new(start_after(&mut predecessor, instance, configuration.clone()).await?);
     if let Some(configuration) = &configuration {
         let board = Rc::clone(&running.board);
-        let (overlaid, overlay) = (Rc::clone(&running), Rc::clone(&active));
-        let apply = move |layers| overlay.apply_layers(&overlaid, layers);
+        let (target, active) = (Rc::clone(&running), Rc::clone(&active));
+        let apply = move |layers| active.apply_layers(&target, layers);
         actix_rt::spawn(Rc::clone(configuration).run(board, apply));
     }
     let handed_over = upgrade::run(Rc::clone(&running), predecessor, configuration.clone());
@@ -110,15 +109,15 @@
     Ok(StartedInstance { running, active, configuration, handed_over })
 }
 
-/// Starts a balancer on the running thread as its only process.
+/// Starts a balancer on the current thread, without looking for a predecessor.
 ///
 /// # Errors
-/// When the balancer does not start.
+/// When the balancer can't start.
 pub async fn start(instance: InstanceConfig) -> Result<RunningInstance, StartError> {
     start_after(&mut Predecessor::Absent, instance, None).await
 }
 
-/// Starts a balancer with what its predecessor handed over, which is taken from it. A balancer that follows the fleet's
+/// Starts a balancer with what `predecessor` handed over, which is moved out of it. A balancer that follows the fleet's
 /// configuration stays *waiting*.
 async fn start_after(
     predecessor: &mut Predecessor,
@@ -149,7 +148,7 @@
     Ok(running)
 }
 
-/// Opens the sockets for callers and operators. Operators are answered from then on; callers are accepted later, by the
+/// Opens the sockets for callers and operators. Operators are served from here on; callers are accepted later, by the
 /// server's task.
 async fn open_sockets(
     instance: &InstanceConfig,
@@ -186,7 +185,7 @@
     })
 }
 
-/// All that the file and the system allow; beside a predecessor, what that one leaves.
+/// The quota at the start: all that the file and the system allow, or what a predecessor leaves.
 fn initial_quota(instance: &InstanceConfig, predecessor: &Predecessor) -> DescriptorQuota {
     let mut quota = DescriptorQuota::new(allowed_descriptors(instance.descriptors), instance.ops.is_some());
     if let Some(serving) = predecessor.serving() {
@@ -195,12 +194,12 @@
     quota
 }
 
-/// How many descriptors this process may have open. Guards against callers, whose part is computed from the file, that use
-/// up all that the system allows.
+/// How many descriptors this process may have open: the configured number, limited to what the system allows. Otherwise the
+/// callers' part could use up all that the system allows.
 fn allowed_descriptors(configured: usize) -> usize {
     let system_limit = getrlimit(Resource::Nofile).current.map_or(usize::MAX, |limit| limit as usize);
     if system_limit < configured {
-        tracing::warn!("limits.sockets says {configured}, the machine grants {system_limit}");
+        tracing::warn!("limits.sockets is {configured}, but the system allows {system_limit}");
     }
     configured.min(system_limit)
 }
@@ -211,10 +210,10 @@
     Switchboard::new(&instance.settings, instance.seed, connections, memory).map_err(SettingError)
 }
 
-/// Replaces the endpoint list of the file with the predecessor's, which is newer, unless that one never had any.
+/// Replaces the file's endpoint list with the predecessor's, which is newer, unless the predecessor never received one.
 fn adopt_endpoint_list(instance: &mut InstanceConfig, predecessor: &Predecessor) {
     if let Predecessor::Unresponsive = predecessor {
-        // Polls for the whole list: a poll for changes would wait until there is one.
+        // Requests the whole list, since a request for changes would wait for the next change.
         instance.list_version = None;
     }
     let never_received = |list: &Known| list.since.is_none() && list.upstreams.is_empty();
@@ -228,9 +227,9 @@
 
 /// The socket for callers.
 enum CallerSocket {
-    /// Callers can connect.
+    /// It listens: callers can connect.
     Listening(TcpListener),
-    /// Nobody can connect yet.
+    /// It does not listen yet: nobody can connect.
     Bound(TcpSocket),
 }
 
@@ -243,8 +242,8 @@
     }
 }
 
-/// The predecessor's socket where there is one, else a new one. Beside a process that may serve, it does not listen yet:
-/// that process's callers would wait in a queue that nobody accepts from.
+/// Takes the predecessor's socket if there is one, else opens a new one. The new one does not listen yet where another
+/// process may serve, whose callers would otherwise wait in a queue that nobody accepts from.
 fn open_caller_socket(listen: SocketAddr, predecessor: &mut Predecessor) -> io::Result<CallerSocket> {
     if let Some(listener) = predecessor.serving_mut().and_then(|serving| serving.listener.take()) {
         return Ok(CallerSocket::Listening(listener));
@@ -256,12 +255,11 @@
     Ok(CallerSocket::Listening(socket.listen(LISTEN_BACKLOG)?))
 }
 
-/// A socket that nobody can connect to yet. Another process may bind the same address, for the case that handing over the
-/// socket fails.
+/// Binds a socket without listening. Another process may bind the same address, in case the handover of the socket fails.
 fn bind(address: SocketAddr) -> io::Result<TcpSocket> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
     socket.set_reuseaddr(true)?;
-    // Not for port 0: the system could pick a port that another process has.
+    // Not for port 0, where the system could choose a port of another process.
     if let Err(error) = socket.set_reuseport(address.port() != 0) {
         tracing::debug!("no second process can listen at {address}: {error}");
     }
--- a/crates/fernroute-server/src/program/shutdown.rs
+++ b/crates/fernroute-server/src/program/shutdown.rs
@@ -1,5 +1,5 @@
-//! Graceful shutdown: the process is *draining* from SIGTERM or SIGINT to its end. The times of the stages are those of
-//! `routing/phase.rs`.
+//! Graceful shutdown: the process is *draining* from SIGTERM or SIGINT until it ends. The durations of the stages are defined
+//! in `routing/phase.rs`.
 
 use super::start_error::StartError;
 use crate::routing::phase::Closing;
@@ -12,13 +12,13 @@
 use std::time::Duration;
 use tokio::signal::unix::{signal, SignalKind};
 
-/// How often the stage is checked; its times are exact to a twentieth of a second.
+/// How often the stage is checked. The durations of the stages are exact to a twentieth of a second.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Handles SIGTERM and SIGINT from now on; the future ends at the first of either.
+/// Installs handlers for SIGTERM and SIGINT; the future ends at the first signal.
 ///
 /// # Errors
-/// When the system refuses a handler.
+/// When a handler can't be installed.
 pub fn signals() -> Result<impl Future<Output = ()>, StartError> {
     let mut terminate = signal(SignalKind::terminate()).map_err(StartError::Signals)?;
     let mut interrupt = signal(SignalKind::interrupt()).map_err(StartError::Signals)?;
@@ -27,24 +27,25 @@
     })
 }
 
-/// Drains and ends the server. The balancer is not ready any more; it serves on while callers still connect and their
-/// requests may be answered, then closes each connection with its answer. Guards against a request that is open when the
-/// process is killed.
+/// Drains and ends the server. The balancer is not ready from here on. It continues to serve while callers still connect and
+/// their requests can be answered in time, then closes each connection with its answer, so that no request is still open
+/// when the process is killed.
 pub async fn shut_down(board: &Rc<Switchboard>, server: &Server) {
-    tracing::info!("told to stop");
+    tracing::info!("shutting down");
     board.phase_change(|phase, now| phase.leave(now));
     while !may_close_all(board, server) {
         actix_rt::time::sleep(POLL_INTERVAL).await;
     }
     let mut end = pin!(server.shut_down());
-    let last_moment = pin!(wait_for_stage(board, Closing::Open));
-    if let Either::Right(_) = select(&mut end, last_moment).await {
+    let deadline = pin!(wait_for_stage(board, Closing::Open));
+    if let Either::Right(_) = select(&mut end, deadline).await {
         board.error_all();
         end.await;
     }
 }
 
-/// Beside a successor no new caller connects to this process: it need not wait once all have gone.
+/// Whether connections may be closed. No new caller connects to this process once a successor serves, so that it need not
+/// wait after the last connection has ended.
 fn may_close_all(board: &Switchboard, server: &Server) -> bool {
     board.closing() >= Closing::Idle || board.phase.get().is_handing_over() && server.connections() == 0
 }
--- a/crates/fernroute-server/src/program/start_error.rs
+++ b/crates/fernroute-server/src/program/start_error.rs
@@ -1,4 +1,4 @@
-//! Why a balancer does not start, or a started one has to end.
+//! Errors at the start of a balancer, and those that end a running one.
 
 use super::configuration::CachePathError;
 use super::instance::{InstanceConfigError, SettingError};
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Why a balancer does not start, or a started one has to end.
+/// Why a balancer can't start, or has to end.
 #[derive(Debug, Error)]
 pub enum StartError {
     /// The balancer's file can't be used.
@@ -15,40 +15,40 @@
     /// The decisions reject a setting.
     #[error(transparent)]
     Setting(#[from] SettingError),
-    /// The cached configuration of the fleet has no path.
+    /// There is no valid path for the cache of the fleet's configuration.
     #[error(transparent)]
     CachePath(#[from] CachePathError),
-    /// The asynchronous runtime does not start.
+    /// The asynchronous runtime can't start.
     #[error("runtime: {0}")]
     Runtime(#[source] io::Error),
-    /// The handlers of signals can't be set.
+    /// The signal handlers can't be installed.
     #[error("signals: {0}")]
     Signals(#[source] io::Error),
-    /// Callers can't connect.
+    /// Listening for callers failed.
     #[error("listen on {address}: {source}")]
     Listen {
         /// The address for callers.
         address: SocketAddr,
-        /// What the system reports.
+        /// The system's error.
         source: io::Error,
     },
-    /// Operators can't connect.
-    #[error("operators' door at {address}: {source}")]
+    /// Listening for operators failed.
+    #[error("listen for operators on {address}: {source}")]
     OpsListen {
         /// The address for operators.
         address: SocketAddr,
-        /// What the system reports.
+        /// The system's error.
         source: io::Error,
     },
-    /// The process that serves rejects the takeover.
-    #[error("the process that serves on {address} hands nothing over: {reason}")]
+    /// The process that serves at the address rejected the handover.
+    #[error("the process that serves on {address} rejected the handover: {reason}")]
     HandoverRejected {
         /// The address for callers.
         address: SocketAddr,
-        /// The reason that the process gives.
+        /// The reason given by the process.
         reason: String,
     },
-    /// The handover socket has no path.
+    /// There is no valid path for the handover socket.
     #[error("{0}")]
     HandoverPath(String),
 }
--- a/crates/fernroute-server/src/program/successor.rs
+++ b/crates/fernroute-server/src/program/successor.rs
@@ -1,9 +1,9 @@
 //! The old process of an upgrade: hands over to a successor that connects to the handover socket.
 //!
-//! The old process is *serving*. A successor that asks gets the listening socket, the endpoint list and a part of the
-//! descriptors; both *hand over* until it reports that it is ready. From then on the old process is *draining*: it accepts
-//! nobody, closes each connection with its next answer, and reports the descriptors that become free. If the successor ends
-//! before the drain is complete, the old process takes everything back and is *serving* again.
+//! The old process is *serving*. A successor requests a handover and receives the listening socket, the endpoint list and a
+//! part of the descriptors. When the successor reports that it is ready, the old process is *draining*: it accepts no new
+//! connections, closes each connection with its next answer, and reports the descriptors that become free. If the successor
+//! ends before the drain is complete, the old process takes everything back and is *serving* again.
 
 use super::predecessor::REPLY_TIMEOUT;
 use super::running::RunningInstance;
@@ -14,22 +14,22 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// How often free descriptors are reported to the successor.
+/// The interval between reports of free descriptors to the successor.
 const REPORT_INTERVAL: Duration = Duration::from_millis(100);
 
-/// After a connection could not be accepted, the next one is accepted this much later.
+/// The delay before the next accept after a failed one.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(100);
 
-/// How a drain beside a successor ended.
+/// How a drain for a successor ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum DrainEnd {
-    /// The successor has everything that this process had.
+    /// All connections of this process have ended; only the successor serves.
     Complete,
     /// The successor ended first; this process serves again.
     SuccessorEnded,
 }
 
-/// Waits for successors until one of them has become ready, then drains beside it.
+/// Waits for successors until one of them is ready, then drains while it serves.
 pub(super) async fn serve_successors(running: &RunningInstance, meeting: HandoverListener) -> DrainEnd {
     loop {
         let link = accept(&meeting).await;
@@ -40,7 +40,7 @@
             tracing::info!("a successor serves");
             // The successor opens the handover socket for the next one.
             drop(meeting);
-            return drain_beside(running, link).await;
+            return drain_for_successor(running, link).await;
         }
         reclaim(running);
     }
@@ -51,14 +51,14 @@
         match meeting.accept().await {
             Ok(link) => return link,
             Err(error) => {
-                tracing::warn!("a successor: {error}");
+                tracing::warn!("accepting a successor's connection failed: {error}");
                 actix_rt::time::sleep(ACCEPT_BACKOFF).await;
             }
         }
     }
 }
 
-async fn drain_beside(running: &RunningInstance, link: HandoverConnection) -> DrainEnd {
+async fn drain_for_successor(running: &RunningInstance, link: HandoverConnection) -> DrainEnd {
     let end = report_until_drained(running, link).await;
     if end == DrainEnd::SuccessorEnded {
         tracing::warn!("the successor has ended, serving again");
@@ -69,7 +69,7 @@
     end
 }
 
-/// Takes back what a successor was given.
+/// Takes back what was given to a successor.
 fn reclaim(running: &RunningInstance) {
     running.update_quota(|quota| quota.reclaim());
     if let Some(member) = running.fleet_member() {
@@ -77,7 +77,7 @@
     }
 }
 
-/// Hands over to one successor and rejects all others meanwhile. Returns the link to a successor that is ready.
+/// Hands over to one successor and rejects all others in the meantime. Returns the link once the successor is ready.
 async fn hand_over_exclusively(
     running: &RunningInstance,
     meeting: &HandoverListener,
@@ -94,7 +94,7 @@
     loop {
         match meeting.accept().await {
             Ok(link) => {
-                // Closing a socket with an unread message would cut off the reply.
+                // Closing a socket with an unread message would discard the reply.
                 let _ = timeout(REPLY_TIMEOUT, link.receive::<FromNew>()).await;
                 reject(link, "another process takes over already", false).await;
             }
@@ -109,12 +109,12 @@
     let _ = timeout(REPLY_TIMEOUT, link.send(&message)).await;
 }
 
-/// Hands over to a successor. Returns the link once it is ready; `None` if it never will be.
+/// Hands over to a successor. Returns the link once the successor is ready; `None` if the handover failed.
 async fn hand_over(running: &RunningInstance, mut link: HandoverConnection) -> Option<HandoverConnection> {
     let version_is_known = match timeout(REPLY_TIMEOUT, link.receive::<FromNew>()).await {
         Ok(Ok(Some((message @ FromNew::Take { .. }, _)))) => message.is_known(),
         other => {
-            tracing::warn!("who came to take over says {other:?}");
+            tracing::warn!("unexpected message from a successor: {other:?}");
             return None;
         }
     };
@@ -140,11 +140,11 @@
     }
 }
 
-/// Shrinks what this process has, and makes the message with what the successor gets.
+/// Shrinks the quota of this process and builds the handover message for the successor.
 fn prepare_handover(running: &RunningInstance) -> FromOld {
     running.update_quota(|quota| quota.shrink_for_successor(running.connections()));
     let descriptors = running.quota().available_to_successor(running.connections());
-    tracing::info!("a successor comes, it gets {descriptors} descriptors");
+    tracing::info!("a successor connected, it gets {descriptors} descriptors");
     let handover = running.fleet_member().and_then(|member| member.hand_over());
     FromOld::given(running.endpoint_list(), descriptors, handover)
 }
--- a/crates/fernroute-server/src/program/upgrade.rs
+++ b/crates/fernroute-server/src/program/upgrade.rs
@@ -1,10 +1,10 @@
-//! A new process of the balancer takes over from the old one while callers connect.
+//! Upgrade: a new process of the balancer takes over from the old one without refusing connections.
 //!
-//! The new process is *waiting* after its start. It asks for the listening socket, gets it with the endpoint list and a
+//! The new process is *waiting* after its start. It requests the listening socket, receives it with the endpoint list and a
 //! part of the descriptors, reports when it is ready, and is *serving* from then on. The old process *hands over* and then
-//! *drains*: it accepts nobody, closes each connection with its next answer, reports the descriptors that become free, and
-//! ends. After any failure both go on: the new process opens a listening socket of its own, the old one takes back what it
-//! gave.
+//! *drains*: it accepts no new connections, closes each connection with its next answer, reports the descriptors that become
+//! free, and ends. After any failure both continue: the new process opens its own listening socket, and the old one takes
+//! back what it handed over.
 
 use super::configuration::ConfigurationTask;
 use super::predecessor::Predecessor;
@@ -23,11 +23,11 @@
 use thiserror::Error;
 use tokio::sync::Notify;
 
-/// A new process that gets no endpoint list from a predecessor waits this long for discovery's before it serves with its
-/// file's.
-const DISCOVERY_WAIT: Duration = Duration::from_secs(3);
+/// How long a new process that received no endpoint list from a predecessor waits for discovery before it serves with the
+/// list in its file.
+const DISCOVERY_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How often the endpoint list is looked for.
+/// The polling interval while waiting for the endpoint list.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Why no successor can connect.
@@ -39,24 +39,24 @@
     Open { path: PathBuf, source: io::Error },
 }
 
-/// The task: takes over from the predecessor, if there is one, then waits for a successor for as long as the program
-/// runs; ends once a successor has everything.
+/// The task: takes over from the predecessor, if there is one, then waits for a successor until the program ends. Returns once
+/// a successor has taken over.
 ///
 /// # Errors
-/// When callers can't connect to this process.
+/// When listening for callers fails.
 pub async fn run(
     running: Rc<RunningInstance>,
     predecessor: Predecessor,
     configuration: Option<Rc<ConfigurationTask>>,
 ) -> Result<(), StartError> {
-    // What keeps a predecessor from handing over keeps this process from it, too, and has been logged as a warning.
-    let obstacle_is_logged = matches!(predecessor, Predecessor::Unresponsive);
+    // What prevented a handover from the predecessor also prevents one to a successor, and has been logged as a warning.
+    let is_cause_logged = matches!(predecessor, Predecessor::Unresponsive);
     start_serving(&running, predecessor, configuration).await?;
     if let Err(error) = hand_over_to_successor(&running).await {
-        if obstacle_is_logged {
-            tracing::info!("no successor can be handed over to: {error}");
+        if is_cause_logged {
+            tracing::info!("no handover to a successor is possible: {error}");
         } else {
-            tracing::warn!("no successor can be handed over to: {error}");
+            tracing::warn!("no handover to a successor is possible: {error}");
         }
         return std::future::pending().await;
     }
@@ -64,8 +64,8 @@
     Ok(())
 }
 
-/// Moves this process from *waiting* to *serving*. The fleet's configuration is waited for beside all else, and no longer
-/// than its file allows.
+/// Moves this process from *waiting* to *serving*. It waits for the fleet's configuration at the same time as for everything
+/// else, and no longer than configured.
 async fn start_serving(
     running: &Rc<RunningInstance>,
     predecessor: Predecessor,
@@ -91,7 +91,7 @@
     }
 }
 
-/// Begins to serve. A process that was told to stop before that never does.
+/// Starts to serve, except in a process that is shutting down already.
 async fn start_serving_unless_stopping(running: &RunningInstance) -> Result<(), StartError> {
     if running.board.phase.get().is_leaving() {
         return std::future::pending().await;
@@ -99,27 +99,28 @@
     running.start_serving()
 }
 
-/// Waits for discovery's endpoint list: the file's may be old, and the predecessor may know of upstreams that drain.
+/// Waits for discovery's endpoint list, since the one in the file may be out of date, and the predecessor may know of
+/// upstreams that drain.
 async fn wait_for_discovery(running: &RunningInstance) {
     let started_at = Instant::now();
-    while !running.board.heard.get() && started_at.elapsed() < DISCOVERY_WAIT {
+    while !running.board.heard.get() && started_at.elapsed() < DISCOVERY_TIMEOUT {
         actix_rt::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Takes over from a predecessor that serves; ends once the next successor may connect to this process.
+/// Takes over from a predecessor that serves. Returns once the next successor may connect to this process.
 async fn take_over(
     running: &Rc<RunningInstance>,
     mut link: HandoverConnection,
     configuration_current: impl Future<Output = ()>,
 ) -> Result<(), StartError> {
     let descriptors = running.quota().assigned;
-    tracing::info!("taking over from the process that serves, {descriptors} descriptors for a start");
+    tracing::info!("taking over from the process that serves, {descriptors} descriptors at the start");
     wait_until_prepared(running, &link, configuration_current).await;
     if running.board.phase.get().is_leaving() {
         return std::future::pending().await;
     }
-    // Sent before this process accepts: if it can't be sent, the predecessor has ended.
+    // Sent before this process accepts connections. A failure means that the predecessor has ended.
     let sent = link.send(&FromNew::Ready).await;
     start_serving_unless_stopping(running).await?;
     if sent.is_err() {
@@ -132,8 +133,8 @@
     Ok(())
 }
 
-/// Waits for the configuration and the first upstream. Guards against a listening socket that nobody accepts from: it
-/// returns at once if the predecessor ends.
+/// Waits for the configuration and the first upstream. Returns at once if the predecessor ends, since nobody would accept
+/// from the listening socket then.
 async fn wait_until_prepared(
     running: &RunningInstance,
     link: &HandoverConnection,
@@ -146,11 +147,11 @@
         }
     });
     if let Either::Right((message, _)) = select(prepared, pin!(link.receive::<FromOld>())).await {
-        tracing::warn!("the old process did not wait for this one: {message:?}");
+        tracing::warn!("the old process ended the handover early: {message:?}");
     }
 }
 
-/// Follows the drain of the predecessor until it ends.
+/// Follows the predecessor's drain until that process ends.
 async fn follow_predecessor(
     running: Rc<RunningInstance>,
     link: HandoverConnection,
@@ -160,7 +161,7 @@
         match message {
             FromOld::Left { descriptors } => running.update_quota(|quota| quota.assigned = descriptors),
             FromOld::Yours => may_hand_over.notify_one(),
-            other => tracing::warn!("the old process says {other:?}"),
+            other => tracing::warn!("unexpected message from the old process: {other:?}"),
         }
     }
     tracing::info!("the old process has ended");
@@ -168,7 +169,7 @@
     may_hand_over.notify_one();
 }
 
-/// The predecessor has ended: its descriptors and its half of the fleet's budgets belong to this process.
+/// Takes over the descriptors and the part of the fleet's budgets of a predecessor that has ended.
 fn reclaim_from_predecessor(running: &RunningInstance) {
     running.update_quota(|quota| quota.reclaim());
     if let Some(member) = running.fleet_member() {
@@ -176,7 +177,7 @@
     }
 }
 
-/// Waits until a successor has taken over; opens the handover socket anew after each successor that failed.
+/// Waits until a successor has taken over. Opens the handover socket again after each successor that failed.
 async fn hand_over_to_successor(running: &RunningInstance) -> Result<(), HandoverSocketError> {
     loop {
         let path = running.handover_path()?;
--- a/crates/fernroute-server/tests/configuration.rs
+++ b/crates/fernroute-server/tests/configuration.rs
@@ -196,7 +196,7 @@
         assert_eq!(status(&program, "pay").await, 200);
         // Its own file has another method now, and the fleet's list of them stands over it.
         program.reload(&text.replace("\"look\"", "\"other\"").replace("rate = 100", "rate = 50"));
-        until(|| program.says("read again")).await;
+        until(|| program.says("reloaded")).await;
         assert_eq!((status(&program, "pay").await, status(&program, "other").await), (200, 404));
         // A narrower part's list takes the place of a wider one's.
         let second = stewards.put_for("service/shop/zone/z", &method("zoned"));
@@ -247,7 +247,7 @@
         let (fetches, beats) = (stewards.fetches.get(), stewards.beats.borrow().len());
         until(|| stewards.beats.borrow().len() > beats + 10).await;
         assert_eq!(stewards.fetches.get(), fetches);
-        assert_eq!(program.times("is refused"), 1);
+        assert_eq!(program.times("was rejected"), 1);
         let refused = figures(&program).await["fleet"]["configuration"]["refused"].clone();
         assert_eq!(refused[0], bad);
         let third = stewards.put(&method("third"));
@@ -274,7 +274,7 @@
         stewards.until_in_force(asks).await;
         // Without it again: what the fleet says would not load any more.
         program.reload(&text.replace("\"look\"", "\"other\""));
-        until(|| program.says("not taken over, all stays as it was")).await;
+        until(|| program.says("reload rejected, nothing has changed")).await;
         assert_eq!((status(&program, "look").await, status(&program, "other").await), (200, 404));
         assert_eq!(stewards.report().active, asks);
     });
@@ -312,7 +312,7 @@
         stewards.know.set(false);
         stewards.put(&method("new"));
         let program = Program::start(&folder("older"), &page(up.address, &stewards.at, SHOP)).await;
-        assert!(!program.says("no word of the stewards"));
+        assert!(!program.says("no current configuration from the coordinators"));
         until(|| stewards.beats.borrow().len() > 10).await;
         assert_eq!((status(&program, "look").await, stewards.fetches.get()), (200, 0));
         // One that follows none reports none, and is told of none.
@@ -347,8 +347,8 @@
         let from = Instant::now();
         let program = Program::start(&folder, &text).await;
         assert!(from.elapsed() >= Duration::from_millis(300));
-        assert!(program.says(&format!("configuration {version} is in force, as it was kept")));
-        assert!(program.says("no word of the stewards in time"));
+        assert!(program.says(&format!("configuration {version} is in force, from the cache")));
+        assert!(program.says("no current configuration from the coordinators in time"));
         assert_eq!((status(&program, "kept").await, status(&program, "look").await), (200, 404));
         program.kill();
         let cut = &whole[..whole.len() / 2];
@@ -356,7 +356,7 @@
         for damaged in [cut, "", "{}", &other, &whole.replace("\"z\"", "\"y\""), "\u{0}"] {
             std::fs::write(&path, damaged).expect("a file");
             let program = Program::start(&folder, &text).await;
-            assert_eq!(program.times("passed over: "), 1, "{:?}", program.log());
+            assert_eq!(program.times("cached configuration ignored: "), 1, "{:?}", program.log());
             assert_eq!((status(&program, "kept").await, status(&program, "look").await), (404, 200));
             program.kill();
         }
@@ -364,7 +364,7 @@
         std::fs::write(&path, &whole).expect("a file");
         let program =
             Program::start(&folder, &text.replace("zone = \"z\"\n[fleet]", "zone = \"x\"\n[fleet]")).await;
-        assert_eq!(program.times("passed over: it is not of the balancer n0"), 1);
+        assert_eq!(program.times("cached configuration ignored: not for balancer n0"), 1);
         program.kill();
         // The stewards are back: their word goes into force before it serves.
         stewards.answer.set(true);
@@ -389,12 +389,12 @@
             stewards.until_in_force(version).await;
             assert_eq!(status(&program, &format!("m{n}")).await, 200);
         }
-        assert_eq!(program.times("in force and not kept"), 1, "{:?}", program.log());
+        assert_eq!(program.times("in force but not cached"), 1, "{:?}", program.log());
         assert_eq!(figures(&program).await["fleet"]["configuration"]["kept"], false);
         std::fs::create_dir(&place).expect("a folder");
         let version = stewards.put(&method("last"));
         stewards.until_in_force(version).await;
-        assert_eq!(program.times("is kept, as those after it"), 1);
+        assert_eq!(program.times("is cached, writes to the cache work again"), 1);
         program.kill();
         stewards.answer.set(false);
         let program = Program::start(&folder, &text).await;
@@ -465,7 +465,7 @@
         until(|| asked() == ["dart"]).await;
         let beats = stewards.beats.borrow().len();
         until(|| stewards.beats.borrow().len() > beats + 3).await;
-        assert!(!program.says("all stays as it was"), "{:?}", program.log());
+        assert!(!program.says("nothing has changed"), "{:?}", program.log());
     });
 }
 
@@ -481,7 +481,7 @@
         stewards.until_in_force(first).await;
         stewards.answer.set(false);
         let new = Program::start(&folder, &text).await;
-        assert!(new.says(&format!("configuration {first} is in force, as it was kept")), "{:?}", new.log());
+        assert!(new.says(&format!("configuration {first} is in force, from the cache")), "{:?}", new.log());
         assert!(new.says("taking over"));
         assert_eq!((status(&new, "first").await, status(&new, "look").await), (200, 404));
         old.ends_well().await;
--- a/crates/fernroute-server/tests/configuration_cache.rs
+++ b/crates/fernroute-server/tests/configuration_cache.rs
@@ -51,9 +51,7 @@
         assert_eq!(kept.read(&place("z")).expect("it can be read"), Some(second));
         kept.write(&place("y"), &third, within).await.expect("there is room");
         assert_eq!(kept.read(&place("y")).expect("it can be read"), Some(third));
-        assert!(kept
-            .read(&place("z"))
-            .is_err_and(|error| error.to_string().contains("not of the balancer n0")));
+        assert!(kept.read(&place("z")).is_err_and(|error| error.to_string().contains("not for balancer n0")));
         // What is damaged stands in nobody's way, nor does what a process that was killed left beside it.
         std::fs::write(&path, "{").expect("a file");
         kept.write(&place("z"), &first, within).await.expect("there is room");
--- a/crates/fernroute-server/tests/program.rs
+++ b/crates/fernroute-server/tests/program.rs
@@ -567,19 +567,19 @@
             assert_eq!(status("GET", "/other", "").await, 404, "turn {turn}");
             let after = moved(&ups, agent.address);
             program.reload(&after);
-            until(|| program.times("new settings from now on") == 2 * turn + 1).await;
+            until(|| program.times("new settings are in effect") == 2 * turn + 1).await;
             assert_eq!(status("GET", "/other", "").await, 200, "turn {turn}");
             assert_eq!(status("POST", "/put", put).await, 404, "turn {turn}");
             // Half a file, and one that contradicts itself.
             program.reload(&before[..before.len() / 2]);
-            until(|| program.times("not taken over") == 2 * turn + 1).await;
+            until(|| program.times("nothing has changed") == 2 * turn + 1).await;
             program.reload(&after.replace(r#""cold-from":0.3"#, r#""cold-from":3"#));
             until(|| program.times("out of range contract.cold-from") == turn + 1).await;
             assert_eq!(status("GET", "/other", "").await, 200, "turn {turn}");
             // Two in quick succession: the last counts.
             program.reload(&after);
             program.reload(&before);
-            until(|| program.times("new settings from now on") == 2 * turn + 2).await;
+            until(|| program.times("new settings are in effect") == 2 * turn + 2).await;
         }
         stop.set(true);
         let mut ends = Vec::new();
--- a/crates/fernroute-server/tests/upgrade.rs
+++ b/crates/fernroute-server/tests/upgrade.rs
@@ -93,7 +93,7 @@
         let load = Load::start(4, old.address);
         let mut early = UnixStream::connect(meeting(&folder)).await.expect("it is there");
         early.write_all(b"{\"take\":{\"version\":1}}\n").await.expect("it reads");
-        until(|| old.says("a successor comes")).await;
+        until(|| old.says("a successor connected")).await;
         drop(early);
         until(|| old.says("the successor ended before it could serve")).await;
         load.more(50).await;
@@ -170,7 +170,7 @@
         assert!(meeting(&killed).exists());
         let new = Program::start(&killed, &text).await;
         until_ready(new.address).await;
-        assert!(new.says("left by a process that is no more"));
+        assert!(new.says("left by a process that has ended"));
         // It is where the next one comes to.
         until(|| std::os::unix::net::UnixStream::connect(meeting(&killed)).is_ok()).await;
         let next = Program::start(&killed, &text).await;
@@ -181,14 +181,14 @@
         std::fs::write(meeting(&foreign), "somebody's").expect("a file");
         let alone = Program::start(&foreign, &text).await;
         until_ready(alone.address).await;
-        until(|| alone.says("no successor can be handed over to")).await;
+        until(|| alone.says("no handover to a successor is possible")).await;
         assert_eq!(std::fs::read(meeting(&foreign)).expect("it is there"), b"somebody's");
 
         let dumb = folder("dumb");
         let silent = UnixListener::bind(meeting(&dumb)).expect("a place");
         let alone = Program::start(&dumb, &text).await;
         until_ready(alone.address).await;
-        assert!(alone.says("no process hands over, starting as if alone: no answer"));
+        assert!(alone.says("no handover, starting without a predecessor: no reply"));
         assert!(silent.accept().await.is_ok() && meeting(&dumb).exists());
 
         let long = folder(&"long".repeat(30));
@@ -255,7 +255,7 @@
         until_ready(new.door).await;
         old.reload(&text);
         new.reload(&text);
-        until(|| new.says("read again")).await;
+        until(|| new.says("reloaded")).await;
         assert!(is_ready(new.address).await);
         // Killed in the middle: its file is the new process's by now.
         old.kill();
@@ -328,7 +328,7 @@
         let old = Program::launch(&folder, &text, None).await.serving().await;
         let first = ask(old.address, rpc("GET", "/look", "").replace("4000", "500")).await;
         assert_eq!(first.status(), 200, "{}", first.head);
-        assert!(!old.says("starting as if alone"));
+        assert!(!old.says("starting without a predecessor"));
         let load = Load::start(8, old.address);
         load.more(100).await;
         let new = Program::launch(&folder, &text, None).await.serving().await;
--- a/crates/fernroute-testbed/tests/configuration.rs
+++ b/crates/fernroute-testbed/tests/configuration.rs
@@ -113,7 +113,7 @@
         for n in [0, 2] {
             fleet.edit(n, "[rules]", "[list]\nask_within_s = 2\n[rules]");
             fleet.reload(n);
-            until(|| fleet.balancers[n].says("read again")).await;
+            until(|| fleet.balancers[n].says("reloaded")).await;
         }
         let first = fleet.put(SHOP, &methods(&["first"])).await;
         fleet.until_in_force(first, &ALL).await;
@@ -129,7 +129,7 @@
         let third = fleet.put(SHOP, &methods(&["third"])).await;
         fleet.until_in_force(third, &ALL).await;
         assert_eq!(fleet.answers(1, "third").await, Some(200));
-        assert_eq!(fleet.balancers[1].times("is refused"), 1);
+        assert_eq!(fleet.balancers[1].times("was rejected"), 1);
         end(&fleet);
     });
 }
@@ -199,7 +199,11 @@
             assert_eq!(fleet.answers(n, method).await.map(|status| status == 404), Some(false));
         }
         assert_eq!(fleet.answers(1, "kept").await, Some(404));
-        assert!(fleet.balancers[1].says("passed over: it is damaged"), "{:?}", fleet.balancers[1].log());
+        assert!(
+            fleet.balancers[1].says("cached configuration ignored: damaged"),
+            "{:?}",
+            fleet.balancers[1].log()
+        );
         for n in ALL {
             fleet.start_steward(n).expect("it starts");
         }
@@ -225,7 +229,7 @@
             fleet.until_in_force(last, &ALL).await;
             assert_eq!(fleet.answers(0, name).await, Some(200));
         }
-        assert_eq!(fleet.balancers[0].times("in force and not kept"), 1, "{:?}", fleet.balancers[0].log());
+        assert_eq!(fleet.balancers[0].times("in force but not cached"), 1, "{:?}", fleet.balancers[0].log());
         assert_eq!(std::fs::read(fleet.copy(0)).expect("it is kept"), before);
         // With room again it is told what it missed, before it serves.
         fleet.start_again(0).await.expect("it serves");
@@ -257,7 +261,7 @@
         let zone = (1..=n).rev().find(|n| n % 3 == 2).expect("one");
         for balancer in ALL {
             assert_eq!(fleet.answers(balancer, &format!("m{zone}")).await, Some(200));
-            assert!(!fleet.balancers[balancer].says("all stays as it was"));
+            assert!(!fleet.balancers[balancer].says("nothing has changed"));
         }
         // As many as are asked still run, each one served; the last ones' answers are on their way for a moment.
         fleet.until_runs(60).await;
--- a/crates/fernroute-testbed/tests/fleet.rs
+++ b/crates/fernroute-testbed/tests/fleet.rs
@@ -103,7 +103,7 @@
         // Heard, and hearing nothing.
         fleet.links[0].iter().for_each(|link| link.set(Way::Passes, Way::Silent));
         fleet.rates(&[150, 150, 2]);
-        until(|| fleet.balancers[0].says("nothing is granted by the fleet")).await;
+        until(|| fleet.balancers[0].says("no grant from the fleet")).await;
         sleep(LONG).await;
         fleet.rates(&[0, 150, 2]);
         // Its part is kept for it while it is heard; once it is cut off both ways the others have it.
@@ -156,7 +156,7 @@
         let leader = fleet.leader().await;
         fleet.part(&[leader], &[0, 1]);
         // The others have a leader of their own, and in time all that the two held but their floors.
-        until(|| fleet.balancers[0].says("nothing is granted by the fleet")).await;
+        until(|| fleet.balancers[0].says("no grant from the fleet")).await;
         fleet.rates(&[20, 20, 100, 100]);
         fleet.until_used().await;
         // Both halves ask for far more than the whole.
