--- a/crates/fernroute-server/src/transport/discovery.rs
+++ b/crates/fernroute-server/src/transport/discovery.rs
@@ -49,7 +49,7 @@
 /// Limit for concurrent polls. Guards against adding load to a discovery service that is slow because it is overloaded.
 const MAX_POLLS: usize = 3;
 
-/// An implausible list that is confirmed within this time is accepted.
+/// An implausible list that the repeated poll confirms within this time is accepted.
 const CONFIRMATION_PERIOD: Duration = Duration::from_secs(6);
 
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
@@ -113,13 +113,14 @@
 struct Polls<'a> {
     watch: &'a DiscoveryWatch,
     in_progress: Vec<Poll>,
-    started: Instant,
+    /// When the latest poll started.
+    last_started: Instant,
 }
 
 impl Polls<'_> {
     fn poll(&mut self, version: Option<u64>, wait: Duration) {
         self.in_progress.push(self.watch.poll(version, wait));
-        self.started = Instant::now();
+        self.last_started = Instant::now();
     }
 
     /// The next complete list. It may belong to an earlier poll; then it is relative to the version known when that poll
@@ -157,8 +158,8 @@
                 self.in_progress.clear();
                 return Err(reason);
             }
-            let is_slow =
-                self.in_progress.last().is_some_and(Poll::is_slow) && self.started.elapsed() >= SLOW_CONNECT;
+            let is_slow = self.in_progress.last().is_some_and(Poll::is_slow)
+                && self.last_started.elapsed() >= SLOW_CONNECT;
             if is_slow && self.in_progress.len() < MAX_POLLS {
                 self.watch.abandon_connections();
                 self.poll(version, wait);
@@ -238,7 +239,7 @@
         start_signal: Option<Rc<Notify>>,
         on_update: impl Fn(Option<List>),
     ) {
-        let mut polls = Polls { watch: &self, in_progress: Vec::new(), started: Instant::now() };
+        let mut polls = Polls { watch: &self, in_progress: Vec::new(), last_started: Instant::now() };
         let (mut failing, mut is_up) = (false, false);
         // When the last implausible list came. The list after it is the answer to the repeated poll, and is accepted. Guards
         // against rejecting lists indefinitely while the polls in between fail.
--- a/crates/fernroute-server/src/transport/inbound.rs
+++ b/crates/fernroute-server/src/transport/inbound.rs
@@ -33,7 +33,7 @@
     open_requests: Cell<u32>,
     /// Bytes of an incomplete request have been received.
     partial_request: Cell<bool>,
-    /// Bytes of an answer wait for the caller to read them.
+    /// Bytes of an answer have not been sent, because the caller has not read enough.
     unsent_answer: Cell<bool>,
     /// A request has been received, valid or not.
     received_request: Cell<bool>,
@@ -44,7 +44,7 @@
     /// Bytes read in the current turn of the library.
     read_in_turn: Cell<usize>,
     /// The library's last read found the socket empty.
-    read_all: Cell<bool>,
+    input_drained: Cell<bool>,
     /// When the caller was last found to be connected.
     last_connected_at: Cell<Option<Instant>>,
     close_when_idle: Cell<bool>,
@@ -72,7 +72,7 @@
             state_since: Cell::new(Instant::now()),
             last_received_at: Cell::new(Instant::now()),
             read_in_turn: Cell::new(0),
-            read_all: Cell::new(false),
+            input_drained: Cell::new(false),
             last_connected_at: Cell::new(None),
             close_when_idle: Cell::new(false),
             evicted: Cell::new(false),
@@ -94,7 +94,7 @@
         self.open_requests.get() == 0 && !self.partial_request.get() && !self.unsent_answer.get()
     }
 
-    /// The caller does not read its answer; `state_since` is the time of the last progress.
+    /// Bytes of an answer wait for the caller to read them; `state_since` is the time of the last progress.
     pub fn is_write_blocked(&self) -> bool {
         self.unsent_answer.get()
     }
@@ -150,8 +150,8 @@
         self.wake.notify_one();
     }
 
-    /// Closes the connection when it is idle to make room for another, without waiting for the caller to read the last
-    /// answer or for the rest of an incomplete request.
+    /// Closes the connection to make room for another: as soon as it is idle, and without waiting for the caller to read the
+    /// last answer or to send the rest of an incomplete request.
     pub fn evict(&self) {
         self.evicted.set(true);
         if self.has_partial_request() {
@@ -229,7 +229,7 @@
     /// The same for a connection with an open RPC from which the library does not read. Guards against long work for a caller
     /// that has disconnected.
     pub fn has_disconnected_unread(&self) -> bool {
-        self.open_requests.get() > 0 && !self.read_all.get() && self.has_disconnected()
+        self.open_requests.get() > 0 && !self.input_drained.get() && self.has_disconnected()
     }
 
     /// The runtime has received the close event, even if unread bytes precede it.
@@ -305,7 +305,7 @@
             }
             Poll::Pending => connection.read_in_turn.set(0),
         }
-        connection.read_all.set(read.is_pending());
+        connection.input_drained.set(read.is_pending());
         match &read {
             Poll::Ready(Ok(())) if buf.filled().len() > before => {
                 if connection.is_idle() {
--- a/crates/fernroute-server/src/transport/ops_server.rs
+++ b/crates/fernroute-server/src/transport/ops_server.rs
@@ -11,7 +11,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::timeout;
 
-/// Enough for monitoring tools that poll every second and a person beside them. A further connection closes the oldest one,
+/// Enough for monitoring tools that poll every second and for an operator at the same time. A further connection closes the oldest one,
 /// so that idle connections do not keep operators out.
 pub const MAX_CONNECTIONS: usize = 8;
 
--- a/crates/fernroute-server/src/transport/server.rs
+++ b/crates/fernroute-server/src/transport/server.rs
@@ -392,26 +392,26 @@
     /// Guards against closing an accepted connection unserved because its socket rejects `TCP_NODELAY`, which only reduces
     /// latency. A Unix socket rejects all options of TCP.
     #[test]
-    fn a_connection_that_cannot_be_hurried_is_served_all_the_same() {
-        actix_rt::Runtime::new().expect("a runtime").block_on(async {
-            let (ours, theirs) = UnixStream::pair().expect("a pair");
-            ours.set_nonblocking(true).expect("it does not block");
-            let stream =
-                TcpStream::from_std(std::net::TcpStream::from(OwnedFd::from(ours))).expect("a stream");
+    fn a_connection_without_tcp_nodelay_is_served() {
+        actix_rt::Runtime::new().expect("start a runtime").block_on(async {
+            let (server_end, caller_end) = UnixStream::pair().expect("create a socket pair");
+            server_end.set_nonblocking(true).expect("set non-blocking");
+            let stream = TcpStream::from_std(std::net::TcpStream::from(OwnedFd::from(server_end)))
+                .expect("register the stream");
             assert!(stream.set_nodelay(true).is_err());
             let handle = |_, connection: Rc<CallerConnection>| async move {
                 let _guard = connection.begin_request();
                 Response::new(StatusCode::IM_A_TEAPOT).set_body(BoxBody::new(""))
             };
-            let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+            let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind a port");
             let service = http_service(handle).new_service(()).await;
             let Ok(service) = service else { panic!("cannot start the HTTP service for callers") };
             Server::new(Some(listener), 1).spawn_connection(&Rc::new(service), stream);
-            theirs.set_nonblocking(true).expect("it does not block");
-            let mut theirs = tokio::net::UnixStream::from_std(theirs).expect("a stream");
-            theirs.write_all(b"GET / HTTP/1.1\r\nHost: n0\r\n\r\n").await.expect("it is written");
+            caller_end.set_nonblocking(true).expect("set non-blocking");
+            let mut caller_end = tokio::net::UnixStream::from_std(caller_end).expect("register the stream");
+            caller_end.write_all(b"GET / HTTP/1.1\r\nHost: n0\r\n\r\n").await.expect("write the request");
             let mut answer = [0; 12];
-            theirs.read_exact(&mut answer).await.expect("it is answered");
+            caller_end.read_exact(&mut answer).await.expect("read the answer");
             assert_eq!(&answer, b"HTTP/1.1 418");
         });
     }
