--- a/crates/fernroute-coordinator/src/commands/configuration/mod.rs
+++ b/crates/fernroute-coordinator/src/commands/configuration/mod.rs
@@ -1,7 +1,7 @@
 //! `fernroute-coordinator configuration`: the versioned configuration of the balancers of a fleet.
 //!
 //! `put` enters a part of a balancer's file and waits for its rollout, `table` prints status and history; the
-//! shorter commands stand here.
+//! shorter commands are in this file.
 
 mod file;
 mod put;
@@ -112,7 +112,7 @@
 /// Runs the command.
 ///
 /// # Errors
-/// A file can't be used, the leader was not reached or rejected the call, or a rollout is not complete in
+/// A file cannot be used, the leader was not reached or rejected the call, or a rollout is not complete in
 /// time.
 pub fn run(arguments: Configuration) -> Result<(), CommandError> {
     match arguments.command {
@@ -128,7 +128,7 @@
     let content = file::read(&arguments.file)?;
     file::validate(&arguments.file, &content)?;
     let (path, hash) = (arguments.file.display(), content_hash(&content));
-    println!("{path}: will do: {} bytes, {hash}", content.len());
+    println!("{path}: valid: {} bytes, {hash}", content.len());
     Ok(())
 }
 
--- a/crates/fernroute-coordinator/src/store/log_store.rs
+++ b/crates/fernroute-coordinator/src/store/log_store.rs
@@ -1,4 +1,4 @@
-//! Raft's log and vote, and single values beside them, in one redb file.
+//! Raft's log, its vote and other single values, in one redb file.
 
 use super::{
     read_error, write_error, ReplicaIdentity, ReplicaPosition, StateMachine, StorageResult, StoreError,
@@ -36,8 +36,8 @@
 const PURGED_KEY: &str = "purged";
 pub(super) const SNAPSHOT_KEY: &str = "snapshot";
 
-/// The length from which entries are left for the next message to a replica. Guards against one that never catches up:
-/// raft gives a message no longer than the pause between heartbeats, and sends it again at the same length.
+/// Once a message to a replica has this length, further entries are left for the next one. Guards against a replica that
+/// never catches up: raft allows a message no more time than a heartbeat interval, and repeats it at the same length.
 const MAX_MESSAGE_BYTES: usize = 64 << 10;
 
 /// The file of one replica.
@@ -50,7 +50,7 @@
     /// Opens the folder, or creates it with a new identity.
     ///
     /// # Errors
-    /// Where the folder can't be used or belongs to another cluster.
+    /// Where the folder cannot be used or belongs to another cluster.
     pub fn open(folder: &Path, cluster: &str) -> Result<(Self, ReplicaIdentity), StoreError> {
         std::fs::create_dir_all(folder)
             .map_err(|source| StoreError::CreateFolder { folder: folder.to_owned(), source })?;
@@ -83,7 +83,7 @@
     /// The replica's position by what is stored; none where it never belonged to a ledger.
     ///
     /// # Errors
-    /// Where the disk can't be read.
+    /// Where the disk cannot be read.
     pub fn position(&self) -> Result<Option<ReplicaPosition>, StoreError> {
         let vote: Option<Vote<u64>> = self.read_value(VOTE_KEY)?;
         let snapshot: Option<StateMachine> = self.read_value(SNAPSHOT_KEY)?;
@@ -99,7 +99,7 @@
     /// The voters of the last membership on this disk: their names by identifier.
     ///
     /// # Errors
-    /// Where the disk can't be read.
+    /// Where the disk cannot be read.
     pub fn voters(&self) -> Result<BTreeMap<u64, String>, StoreError> {
         let membership = self.last_membership()?;
         let voters: BTreeSet<u64> = membership.voter_ids().collect();
