--- a/crates/fernroute-server/src/program/predecessor.rs
+++ b/crates/fernroute-server/src/program/predecessor.rs
@@ -54,7 +54,7 @@
 /// A process that hands over, with what it handed over.
 pub struct ServingPredecessor {
     /// The connection to it.
-    pub(super) link: HandoverConnection,
+    pub(super) connection: HandoverConnection,
     /// The listening socket for callers; taken when this process starts.
     pub listener: Option<TcpListener>,
     /// Its endpoint list.
@@ -125,8 +125,8 @@
 
 async fn request_handover(name: &str, listen: SocketAddr) -> Result<HandoverReply, HandoverError> {
     let path = handover_path(name, listen).map_err(HandoverError::Path)?;
-    let link = match HandoverConnection::connect(&path).await {
-        Ok(Some(link)) => link,
+    let connection = match HandoverConnection::connect(&path).await {
+        Ok(Some(connection)) => connection,
         Ok(None) => return Ok(HandoverReply::Absent),
         // The process was killed and could not remove the socket file.
         Err(error) if error.kind() == ErrorKind::ConnectionRefused => {
@@ -135,16 +135,16 @@
         }
         Err(source) => return Err(HandoverError::Connect { path, source }),
     };
-    timeout(REPLY_TIMEOUT, receive_handover(link, listen)).await.map_err(|_| HandoverError::TimedOut)?
+    timeout(REPLY_TIMEOUT, receive_handover(connection, listen)).await.map_err(|_| HandoverError::TimedOut)?
 }
 
 async fn receive_handover(
-    mut link: HandoverConnection,
+    mut connection: HandoverConnection,
     listen: SocketAddr,
 ) -> Result<HandoverReply, HandoverError> {
     let requested_at = Instant::now();
-    link.send(&FromNew::take()).await?;
-    let Some((message, socket)) = link.receive().await? else { return Err(HandoverError::Closed) };
+    connection.send(&FromNew::take()).await?;
+    let Some((message, socket)) = connection.receive().await? else { return Err(HandoverError::Closed) };
     let (list, descriptors, handover, socket) = match (message, socket) {
         (FromOld::Given { list, descriptors, member, .. }, Some(socket)) => {
             (list, descriptors, member, socket)
@@ -155,7 +155,7 @@
     };
     let listener = Some(into_listener(socket, listen)?);
     let member = handover.map(|handover| ReceivedHandover { handover, requested_at });
-    Ok(HandoverReply::Given(Box::new(ServingPredecessor { link, listener, list, descriptors, member })))
+    Ok(HandoverReply::Given(Box::new(ServingPredecessor { connection, listener, list, descriptors, member })))
 }
 
 /// Converts the socket into a listener, after checking that it has this address.
--- a/crates/fernroute-server/src/program/successor.rs
+++ b/crates/fernroute-server/src/program/successor.rs
@@ -30,26 +30,26 @@
 }
 
 /// Waits for successors until one of them is ready, then drains while it serves.
-pub(super) async fn serve_successors(running: &RunningInstance, meeting: HandoverListener) -> DrainEnd {
+pub(super) async fn serve_successors(running: &RunningInstance, listener: HandoverListener) -> DrainEnd {
     loop {
-        let link = accept(&meeting).await;
-        if let Some(link) = hand_over_exclusively(running, &meeting, link).await {
+        let connection = accept(&listener).await;
+        if let Some(connection) = hand_over_exclusively(running, &listener, connection).await {
             running.board.phase_change(|phase, now| phase.hand_over(now));
             running.server.set_accepting(false);
             running.update_quota(|quota| quota.handed_over = true);
             tracing::info!("a successor serves");
             // The successor opens the handover socket for the next one.
-            drop(meeting);
-            return drain_for_successor(running, link).await;
+            drop(listener);
+            return drain_for_successor(running, connection).await;
         }
         reclaim(running);
     }
 }
 
-async fn accept(meeting: &HandoverListener) -> HandoverConnection {
+async fn accept(listener: &HandoverListener) -> HandoverConnection {
     loop {
-        match meeting.accept().await {
-            Ok(link) => return link,
+        match listener.accept().await {
+            Ok(connection) => return connection,
             Err(error) => {
                 tracing::warn!("accepting a successor's connection failed: {error}");
                 actix_rt::time::sleep(ACCEPT_BACKOFF).await;
@@ -58,8 +58,8 @@
     }
 }
 
-async fn drain_for_successor(running: &RunningInstance, link: HandoverConnection) -> DrainEnd {
-    let end = report_until_drained(running, link).await;
+async fn drain_for_successor(running: &RunningInstance, connection: HandoverConnection) -> DrainEnd {
+    let end = report_until_drained(running, connection).await;
     if end == DrainEnd::SuccessorEnded {
         tracing::warn!("the successor has ended, serving again");
         running.board.phase_change(|phase, _| phase.take_back());
@@ -77,41 +77,44 @@
     }
 }
 
-/// Hands over to one successor and rejects all others in the meantime. Returns the link once the successor is ready.
+/// Hands over to one successor and rejects all others in the meantime. Returns the connection once the successor is ready.
 async fn hand_over_exclusively(
     running: &RunningInstance,
-    meeting: &HandoverListener,
-    link: HandoverConnection,
+    listener: &HandoverListener,
+    connection: HandoverConnection,
 ) -> Option<HandoverConnection> {
-    let reject_others = pin!(reject_others(meeting));
-    match select(pin!(hand_over(running, link)), reject_others).await {
+    let reject_others = pin!(reject_others(listener));
+    match select(pin!(hand_over(running, connection)), reject_others).await {
         Either::Left((ready, _)) => ready,
         Either::Right(((), _)) => None,
     }
 }
 
-async fn reject_others(meeting: &HandoverListener) {
+async fn reject_others(listener: &HandoverListener) {
     loop {
-        match meeting.accept().await {
-            Ok(link) => {
+        match listener.accept().await {
+            Ok(connection) => {
                 // Closing a socket with an unread message would discard the reply.
-                let _ = timeout(REPLY_TIMEOUT, link.receive::<FromNew>()).await;
-                reject(link, "another process takes over already", false).await;
+                let _ = timeout(REPLY_TIMEOUT, connection.receive::<FromNew>()).await;
+                reject(connection, "another process takes over already", false).await;
             }
             Err(_) => actix_rt::time::sleep(ACCEPT_BACKOFF).await,
         }
     }
 }
 
-async fn reject(mut link: HandoverConnection, reason: &str, ending: bool) {
+async fn reject(mut connection: HandoverConnection, reason: &str, ending: bool) {
     let message = FromOld::Refused { why: reason.to_owned(), ending };
     // The other process may have ended.
-    let _ = timeout(REPLY_TIMEOUT, link.send(&message)).await;
+    let _ = timeout(REPLY_TIMEOUT, connection.send(&message)).await;
 }
 
-/// Hands over to a successor. Returns the link once the successor is ready; `None` if the handover failed.
-async fn hand_over(running: &RunningInstance, mut link: HandoverConnection) -> Option<HandoverConnection> {
-    let version_is_known = match timeout(REPLY_TIMEOUT, link.receive::<FromNew>()).await {
+/// Hands over to a successor. Returns the connection once the successor is ready; `None` if the handover failed.
+async fn hand_over(
+    running: &RunningInstance,
+    mut connection: HandoverConnection,
+) -> Option<HandoverConnection> {
+    let version_is_known = match timeout(REPLY_TIMEOUT, connection.receive::<FromNew>()).await {
         Ok(Ok(Some((message @ FromNew::Take { .. }, _)))) => message.is_known(),
         other => {
             tracing::warn!("unexpected message from a successor: {other:?}");
@@ -119,20 +122,20 @@
         }
     };
     if !version_is_known {
-        reject(link, "this process can't hand over to one of that version", false).await;
+        reject(connection, "this process can't hand over to one of that version", false).await;
         return None;
     }
     let Some(socket) = running.server.listener() else {
-        reject(link, "this process is ending", true).await;
+        reject(connection, "this process is ending", true).await;
         return None;
     };
     let message = prepare_handover(running);
-    match timeout(REPLY_TIMEOUT, link.send_with_socket(&message, socket)).await {
+    match timeout(REPLY_TIMEOUT, connection.send_with_socket(&message, socket)).await {
         Ok(Ok(())) => {}
         _ => return None,
     }
-    match link.receive::<FromNew>().await {
-        Ok(Some((FromNew::Ready, _))) => Some(link),
+    match connection.receive::<FromNew>().await {
+        Ok(Some((FromNew::Ready, _))) => Some(connection),
         _ => {
             tracing::warn!("the successor ended before it could serve");
             None
@@ -150,18 +153,18 @@
 }
 
 /// Reports free descriptors to the successor as connections end, until none is open or the successor has ended.
-async fn report_until_drained(running: &RunningInstance, mut link: HandoverConnection) -> DrainEnd {
-    if link.send(&FromOld::Yours).await.is_err() {
+async fn report_until_drained(running: &RunningInstance, mut connection: HandoverConnection) -> DrainEnd {
+    if connection.send(&FromOld::Yours).await.is_err() {
         return DrainEnd::SuccessorEnded;
     }
     let mut reported = 0;
     while running.server.connections() > 0 {
         let descriptors = running.quota().available_to_successor(running.connections());
-        if descriptors != reported && link.send(&FromOld::Left { descriptors }).await.is_err() {
+        if descriptors != reported && connection.send(&FromOld::Left { descriptors }).await.is_err() {
             return DrainEnd::SuccessorEnded;
         }
         reported = descriptors;
-        if let Ok(Ok(None) | Err(_)) = timeout(REPORT_INTERVAL, link.receive::<FromNew>()).await {
+        if let Ok(Ok(None) | Err(_)) = timeout(REPORT_INTERVAL, connection.receive::<FromNew>()).await {
             return DrainEnd::SuccessorEnded;
         }
     }
--- a/crates/fernroute-server/src/program/upgrade.rs
+++ b/crates/fernroute-server/src/program/upgrade.rs
@@ -87,7 +87,7 @@
             join(configuration_current, wait_for_discovery(running)).await;
             start_serving_unless_stopping(running).await
         }
-        Predecessor::Serving(serving) => take_over(running, serving.link, configuration_current).await,
+        Predecessor::Serving(serving) => take_over(running, serving.connection, configuration_current).await,
     }
 }
 
@@ -111,24 +111,24 @@
 /// Takes over from a predecessor that serves. Returns once the next successor may connect to this process.
 async fn take_over(
     running: &Rc<RunningInstance>,
-    mut link: HandoverConnection,
+    mut connection: HandoverConnection,
     configuration_current: impl Future<Output = ()>,
 ) -> Result<(), StartError> {
     let descriptors = running.quota().assigned;
     tracing::info!("taking over from the process that serves, {descriptors} descriptors at the start");
-    wait_until_prepared(running, &link, configuration_current).await;
+    wait_until_prepared(running, &connection, configuration_current).await;
     if running.board.phase.get().is_leaving() {
         return std::future::pending().await;
     }
     // Sent before this process accepts connections. A failure means that the predecessor has ended.
-    let sent = link.send(&FromNew::Ready).await;
+    let sent = connection.send(&FromNew::Ready).await;
     start_serving_unless_stopping(running).await?;
     if sent.is_err() {
         reclaim_from_predecessor(running);
         return Ok(());
     }
     let may_hand_over = Rc::new(Notify::new());
-    actix_rt::spawn(follow_predecessor(Rc::clone(running), link, Rc::clone(&may_hand_over)));
+    actix_rt::spawn(follow_predecessor(Rc::clone(running), connection, Rc::clone(&may_hand_over)));
     may_hand_over.notified().await;
     Ok(())
 }
@@ -137,7 +137,7 @@
 /// from the listening socket then.
 async fn wait_until_prepared(
     running: &RunningInstance,
-    link: &HandoverConnection,
+    connection: &HandoverConnection,
     configuration_current: impl Future<Output = ()>,
 ) {
     let prepared = pin!(async {
@@ -146,7 +146,7 @@
             actix_rt::time::sleep(POLL_INTERVAL).await;
         }
     });
-    if let Either::Right((message, _)) = select(prepared, pin!(link.receive::<FromOld>())).await {
+    if let Either::Right((message, _)) = select(prepared, pin!(connection.receive::<FromOld>())).await {
         tracing::warn!("the old process ended the handover early: {message:?}");
     }
 }
@@ -154,10 +154,10 @@
 /// Follows the predecessor's drain until that process ends.
 async fn follow_predecessor(
     running: Rc<RunningInstance>,
-    link: HandoverConnection,
+    connection: HandoverConnection,
     may_hand_over: Rc<Notify>,
 ) {
-    while let Ok(Some((message, _))) = link.receive::<FromOld>().await {
+    while let Ok(Some((message, _))) = connection.receive::<FromOld>().await {
         match message {
             FromOld::Left { descriptors } => running.update_quota(|quota| quota.assigned = descriptors),
             FromOld::Yours => may_hand_over.notify_one(),
@@ -181,11 +181,11 @@
 async fn hand_over_to_successor(running: &RunningInstance) -> Result<(), HandoverSocketError> {
     loop {
         let path = running.handover_path()?;
-        let meeting = match HandoverListener::open(&path).await {
-            Ok(meeting) => meeting,
+        let listener = match HandoverListener::open(&path).await {
+            Ok(listener) => listener,
             Err(source) => return Err(HandoverSocketError::Open { path, source }),
         };
-        if serve_successors(running, meeting).await == DrainEnd::Complete {
+        if serve_successors(running, listener).await == DrainEnd::Complete {
             return Ok(());
         }
     }
