--- a/crates/fernroute-server/src/lib.rs
+++ b/crates/fernroute-server/src/lib.rs
@@ -1,5 +1,6 @@
-//! The balancer on sockets, by layer: `transport` moves bytes, `protocol` gives them meaning, `routing` takes
-//! each RPC through its stages before the decisions of the `fernroute` library, `program` starts and stops it.
+//! The balancer server, by layer: `transport` handles connections, `protocol` decodes and encodes messages, `routing`
+//! takes each RPC through its stages and applies the decisions of the `fernroute` library, `program` starts and stops
+//! the process.
 
 pub mod program;
 pub mod protocol;
--- a/crates/fernroute-server/src/program/configuration.rs
+++ b/crates/fernroute-server/src/program/configuration.rs
@@ -11,7 +11,7 @@
 use super::random::random_fraction;
 use crate::protocol::ops;
 use crate::routing::clock::duration;
-use crate::routing::switchboard::Switchboard;
+use crate::routing::dispatcher::Dispatcher;
 use crate::transport::handover;
 use fernroute_config::FleetConfig;
 use fernroute_fleet::configuration::follower::{ConfigurationFollower, ConfigurationSnapshot, FetchError};
@@ -174,7 +174,7 @@
     /// take effect, all or none.
     pub async fn run<E: Display>(
         self: Rc<Self>,
-        board: Rc<Switchboard>,
+        board: Rc<Dispatcher>,
         apply: impl Fn(Vec<Layer>) -> Result<(), E>,
     ) {
         let coordinators = CoordinatorClient::new(&self.fleet, Rc::clone(&board));
@@ -208,14 +208,14 @@
     async fn fetch(
         &self,
         coordinators: &CoordinatorClient,
-        board: &Switchboard,
+        board: &Dispatcher,
         request: &FetchRequest,
     ) -> Option<ConfigurationSnapshot> {
         let addresses = &coordinators.addresses;
         let first = (random_fraction() * addresses.len() as f64) as usize;
         for offset in 0..addresses.len() {
             let coordinator = addresses[(first + offset) % addresses.len()];
-            board.note(|control| control.fetches += 1);
+            board.update_fleet_status(|control| control.fetches += 1);
             match self.fetch_from(coordinator, coordinators, request).await {
                 Ok(snapshot) => return Some(snapshot),
                 Err(error) => {
@@ -273,15 +273,15 @@
     }
 
     /// Writes the state to the operators' metrics.
-    fn publish(&self, board: &Switchboard) {
+    fn publish(&self, board: &Dispatcher) {
         let ConfigurationReport { active, rejected, .. } = self.report();
-        let state = ops::Followed {
+        let state = ops::ConfigurationStatus {
             in_force: active,
             told: self.follower.borrow().notified_version(),
             refused: rejected,
             kept: self.is_cached.get(),
         };
-        board.note(|control| control.configuration = Some(state));
+        board.update_fleet_status(|control| control.configuration = Some(state));
     }
 }
 
--- a/crates/fernroute-server/src/program/coordinators.rs
+++ b/crates/fernroute-server/src/program/coordinators.rs
@@ -1,6 +1,6 @@
 //! HTTP client of a fleet's coordinators. Counts the bytes of requests and replies for the operators' metrics.
 
-use crate::routing::switchboard::Switchboard;
+use crate::routing::dispatcher::Dispatcher;
 use awc::error::{PayloadError, SendRequestError};
 use awc::http::StatusCode;
 use awc::Client;
@@ -57,12 +57,12 @@
     /// All coordinators, in the order of the configuration file.
     pub addresses: Vec<SocketAddr>,
     client: Client,
-    board: Rc<Switchboard>,
+    board: Rc<Dispatcher>,
 }
 
 impl CoordinatorClient {
     /// A client of the fleet's coordinators; traffic is counted on `board`.
-    pub fn new(fleet: &FleetConfig, board: Rc<Switchboard>) -> Self {
+    pub fn new(fleet: &FleetConfig, board: Rc<Dispatcher>) -> Self {
         let client = Client::builder().disable_redirects().finish();
         CoordinatorClient {
             cluster: fleet.cluster.clone(),
@@ -86,7 +86,7 @@
         let envelope =
             Envelope { cluster: self.cluster.clone(), version: PROTOCOL_VERSION, recipient: 0, message };
         let body = serde_json::to_vec(&envelope).map_err(CoordinatorError::Encode)?;
-        self.board.note(|control| control.sent_bytes += body.len() as u64);
+        self.board.update_fleet_status(|control| control.sent_bytes += body.len() as u64);
         let request = self.client.post(format!("http://{coordinator}{path}")).timeout(limits.timeout);
         let request = request.content_type("application/json").send_body(body);
         let exchange = async {
@@ -97,7 +97,7 @@
         // The client's own time-out ends with the head of the reply; its body may never arrive.
         let exchange = actix_rt::time::timeout(limits.timeout, exchange).await;
         let (status, body) = exchange.map_err(|_| CoordinatorError::TimedOut)??;
-        self.board.note(|control| control.received_bytes += body.len() as u64);
+        self.board.update_fleet_status(|control| control.received_bytes += body.len() as u64);
         if !status.is_success() {
             let body = String::from_utf8_lossy(&body).into_owned();
             return Err(CoordinatorError::Status { status, body });
--- a/crates/fernroute-server/src/program/duties.rs
+++ b/crates/fernroute-server/src/program/duties.rs
@@ -1,8 +1,8 @@
 //! The duties of which this balancer is the lease holder. It acquires them while it serves, and releases them as soon as
 //! it drains, ends, or a successor process takes its place.
 
-use crate::protocol::ops::{Control, HeldDuty};
-use crate::routing::switchboard::Switchboard;
+use crate::protocol::ops::{FleetStatus, HeldDuty};
+use crate::routing::dispatcher::Dispatcher;
 use fernroute::Time;
 use fernroute_fleet::duties::holder::{Event, MemberDuties, StopReason};
 use fernroute_fleet::duties::{DutyAssignments, DutyReport, Term};
@@ -11,7 +11,7 @@
 
 /// The duties of this balancer, with their effects: log lines and the operators' metrics.
 pub struct HeldDuties {
-    board: Rc<Switchboard>,
+    board: Rc<Dispatcher>,
     /// Changed by heartbeats, their replies and the handover to a successor.
     duties: RefCell<MemberDuties>,
     /// Another process of this balancer serves in its place. Written by [`HeldDuties::set_replaced`] alone.
@@ -20,7 +20,7 @@
 
 impl HeldDuties {
     /// Without any duty. `incarnation` is drawn at random by this process.
-    pub fn new(board: Rc<Switchboard>, incarnation: u64) -> Self {
+    pub fn new(board: Rc<Dispatcher>, incarnation: u64) -> Self {
         HeldDuties { board, duties: RefCell::new(MemberDuties::new(incarnation)), replaced: Cell::new(false) }
     }
 
@@ -77,7 +77,7 @@
         let to_metrics =
             |(duty, term, until): (&str, Term, Time)| (duty.to_owned(), HeldDuty { term, until });
         let held = self.duties.borrow().held().map(to_metrics).collect();
-        self.board.note(|control: &mut Control| control.duties = held);
+        self.board.update_fleet_status(|control: &mut FleetStatus| control.duties = held);
     }
 }
 
--- a/crates/fernroute-server/src/program/fleet.rs
+++ b/crates/fernroute-server/src/program/fleet.rs
@@ -14,9 +14,9 @@
 use super::duties::HeldDuties;
 use super::identity::wait_for_identity;
 use super::random::random_identity;
-use crate::protocol::ops::Control;
+use crate::protocol::ops::FleetStatus;
 use crate::routing::clock::{duration, tenths, Clock};
-use crate::routing::switchboard::Switchboard;
+use crate::routing::dispatcher::Dispatcher;
 use fernroute::{Settings, Time, RETRY_BUDGET, TRIAL_BUDGET};
 use fernroute_config::FleetConfig;
 use fernroute_fleet::demand::DemandMeter;
@@ -68,10 +68,10 @@
 
 /// Starts the task. Until the first grant arrives the member has nothing of any shared budget except what a predecessor
 /// handed over.
-pub fn join(board: Rc<Switchboard>, membership: MembershipOptions<'_>) -> Rc<FleetMember> {
+pub fn join(board: Rc<Dispatcher>, membership: MembershipOptions<'_>) -> Rc<FleetMember> {
     let MembershipOptions { name, identity_path, fleet, settings, received, configuration } = membership;
     let now = board.clock.now();
-    board.control.replace(Some(Control::default()));
+    board.fleet_status.replace(Some(FleetStatus::default()));
     let member = received.map(|ReceivedHandover { handover, requested_at }| {
         let requested_at = now.saturating_sub(tenths(requested_at.elapsed()));
         Member::take_over(name, requested_at, first_heartbeat_number(), &handover)
@@ -107,7 +107,7 @@
 
 /// This balancer as a member of its fleet.
 pub struct FleetMember {
-    board: Rc<Switchboard>,
+    board: Rc<Dispatcher>,
     coordinators: CoordinatorClient,
     /// The duties that this balancer holds.
     pub duties: HeldDuties,
@@ -133,12 +133,12 @@
         let count = settings.get("tenants.count").and_then(|count| count.parse().ok()).unwrap_or(0);
         let names =
             (0..count).filter_map(|index: usize| settings.get(&format!("tenants.{index}.name")).cloned());
-        let mut previous = self.board.asked.take().unwrap_or_default();
+        let mut previous = self.board.tenant_demand.take().unwrap_or_default();
         let with_meter = |name: String| {
             let meter = previous.remove(&name).unwrap_or_else(|| DemandMeter::new(now));
             (name, meter)
         };
-        self.board.asked.replace(Some(names.map(with_meter).collect()));
+        self.board.tenant_demand.replace(Some(names.map(with_meter).collect()));
         self.apply_grant();
     }
 
@@ -267,7 +267,7 @@
 
     /// The demand for each shared budget, in thousandths a second.
     fn measure_demand(&self, now: Time) -> BudgetAmounts {
-        let mut tenants = self.board.asked.borrow_mut();
+        let mut tenants = self.board.tenant_demand.borrow_mut();
         let mut demand: BudgetAmounts =
             tenants.iter_mut().flatten().map(|(name, meter)| (name.clone(), meter.demand(now))).collect();
         for budget in &self.shared_budgets {
@@ -282,13 +282,13 @@
     }
 
     fn has_ejected_upstreams(&self) -> bool {
-        let (_, ejected) = self.board.standing();
+        let (_, ejected) = self.board.upstream_counts();
         ejected > 0
     }
 
     fn measure_retry_demand(&self, now: Time) -> u64 {
         let RetryDemand { meter, counted } = &mut *self.retry_demand.borrow_mut();
-        let wanted = self.board.wished();
+        let wanted = self.board.retries_wanted();
         for _ in *counted..wanted {
             meter.count(now);
         }
@@ -301,11 +301,11 @@
     fn apply_grant(&self) {
         let member = self.member.borrow();
         let rates = |name| member.as_ref().map(|member| member.rates(name)).unwrap_or_default();
-        let tenants = self.board.asked.borrow();
+        let tenants = self.board.tenant_demand.borrow();
         let tenant_names = tenants.iter().flat_map(|meters| meters.keys().map(String::as_str));
         let names = tenant_names.chain(self.shared_budgets.iter().copied());
         let budgets: Vec<(&str, [(f64, Time); 2])> = names.map(|name| (name, rates(name))).collect();
-        if let Err(error) = self.board.new_shares(&budgets) {
+        if let Err(error) = self.board.set_budget_rates(&budgets) {
             tracing::warn!("not taken over, all stays as it was: {error}");
         }
     }
@@ -322,7 +322,7 @@
         let mut failure = HeartbeatFailure::NoCoordinator;
         for _ in 0..=addresses.len() {
             let coordinator = addresses[*index % addresses.len()];
-            self.board.note(|control| control.beats += 1);
+            self.board.update_fleet_status(|control| control.beats += 1);
             let reply = self.coordinators.request(coordinator, HEARTBEAT_PATH, heartbeat, limits).await;
             match reply {
                 Ok(Ok(reply)) => return Ok(reply),
--- a/crates/fernroute-server/src/program/instance.rs
+++ b/crates/fernroute-server/src/program/instance.rs
@@ -2,7 +2,7 @@
 //! from the platform's JSON file or from an operator's TOML file.
 
 use crate::protocol::list::{self, Entry, List, State};
-use crate::protocol::terms;
+use crate::protocol::settings;
 use fernroute::action_queue::ActionQueue;
 use fernroute::{Balancer, InvalidSetting, Settings};
 use fernroute_config::{BalancerConfig, ConfigError, FleetConfig, MAX_MEMORY_MB, MIN_DESCRIPTORS};
@@ -281,7 +281,7 @@
             list_version: known.as_ref().map(|known| known.version),
             endpoint_list: known,
             fleet: None,
-            settings: terms::decode(&raw.settings),
+            settings: settings::decode(&raw.settings),
         })
     }
 
--- a/crates/fernroute-server/src/program/ops.rs
+++ b/crates/fernroute-server/src/program/ops.rs
@@ -2,8 +2,8 @@
 
 use super::start_error::StartError;
 use crate::protocol::ops::{Call, Reply};
+use crate::routing::dispatcher::Dispatcher;
 use crate::routing::phase::Closing;
-use crate::routing::switchboard::Switchboard;
 use crate::transport::ops_server;
 use crate::transport::server::Server;
 use actix_http::StatusCode;
@@ -17,7 +17,7 @@
 /// When the address can't be listened on.
 pub async fn open(
     address: SocketAddr,
-    board: &Rc<Switchboard>,
+    board: &Rc<Dispatcher>,
     server: &Rc<Server>,
 ) -> Result<SocketAddr, StartError> {
     let listen_error = |source| StartError::OpsListen { address, source };
@@ -28,32 +28,32 @@
     Ok(local_address)
 }
 
-fn answer(board: &Switchboard, server: &Server, call: Call) -> Reply {
+fn answer(board: &Dispatcher, server: &Server, call: Call) -> Reply {
     match call {
         Call::Ready if board.is_ready() => Reply::plain(StatusCode::OK, "ready"),
         Call::Ready => Reply::plain(StatusCode::SERVICE_UNAVAILABLE, "not ready"),
-        Call::Metrics => Reply::figures(&board.figures()),
+        Call::Metrics => Reply::metrics(&board.metrics()),
         Call::Drain => drain(board),
         Call::Resume => resume(board, server),
     }
 }
 
-fn drain(board: &Switchboard) -> Reply {
-    if board.phase_change(|phase, now| phase.drain(now)) {
+fn drain(board: &Dispatcher) -> Reply {
+    if board.update_phase(|phase, now| phase.drain(now)) {
         tracing::info!("told to drain");
     }
     Reply::plain(StatusCode::OK, "draining")
 }
 
 /// Ends a drain. Neither a shutdown nor an upgrade is undone.
-fn resume(board: &Switchboard, server: &Server) -> Reply {
-    if board.phase_change(|phase, _| phase.resume()) {
+fn resume(board: &Dispatcher, server: &Server) -> Reply {
+    if board.update_phase(|phase, _| phase.resume()) {
         tracing::info!("told to resume");
         // Not at the next sweep: a caller may connect before it.
         server.sweep(board.closing() >= Closing::Idle);
     }
     let phase = board.phase.get();
-    if phase.is_leaving() || phase.is_handing_over() {
+    if phase.is_shutting_down() || phase.is_handing_over() {
         return Reply::plain(StatusCode::CONFLICT, "told to stop, or a successor serves");
     }
     Reply::plain(StatusCode::OK, "serving")
--- a/crates/fernroute-server/src/program/predecessor.rs
+++ b/crates/fernroute-server/src/program/predecessor.rs
@@ -2,7 +2,7 @@
 
 use super::fleet::ReceivedHandover;
 use super::start_error::StartError;
-use crate::protocol::handover::{FromNew, FromOld, Known};
+use crate::protocol::handover::{HandoverList, PredecessorMessage, SuccessorMessage};
 use crate::transport::handover::{socket_path as handover_path, HandoverConnection};
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
@@ -58,7 +58,7 @@
     /// The callers' socket; taken as this process starts.
     pub listener: Option<TcpListener>,
     /// Its endpoint list.
-    pub list: Known,
+    pub list: HandoverList,
     /// How many descriptors this process may have open for a start.
     pub descriptors: usize,
     /// Its half of a fleet's budgets, if it gave one; taken as this process starts.
@@ -116,7 +116,7 @@
     #[error("{0}")]
     Io(#[from] io::Error),
     #[error("{0:?} without the socket")]
-    UnexpectedMessage(Box<FromOld>),
+    UnexpectedMessage(Box<PredecessorMessage>),
     #[error("it ended")]
     Closed,
     #[error("its socket is another")]
@@ -143,14 +143,14 @@
     listen: SocketAddr,
 ) -> Result<HandoverReply, HandoverError> {
     let requested_at = Instant::now();
-    link.send(&FromNew::take()).await?;
+    link.send(&SuccessorMessage::take()).await?;
     let Some((message, socket)) = link.receive().await? else { return Err(HandoverError::Closed) };
     let (list, descriptors, handover, socket) = match (message, socket) {
-        (FromOld::Given { list, descriptors, member, .. }, Some(socket)) => {
+        (PredecessorMessage::Given { list, descriptors, member, .. }, Some(socket)) => {
             (list, descriptors, member, socket)
         }
-        (FromOld::Refused { ending: true, .. }, _) => return Ok(HandoverReply::Ending),
-        (FromOld::Refused { why, .. }, _) => return Ok(HandoverReply::Rejected { reason: why }),
+        (PredecessorMessage::Refused { ending: true, .. }, _) => return Ok(HandoverReply::Ending),
+        (PredecessorMessage::Refused { why, .. }, _) => return Ok(HandoverReply::Rejected { reason: why }),
         (other, _) => return Err(HandoverError::UnexpectedMessage(Box::new(other))),
     };
     let listener = Some(into_listener(socket, listen)?);
--- a/crates/fernroute-server/src/program/running.rs
+++ b/crates/fernroute-server/src/program/running.rs
@@ -5,8 +5,8 @@
 use super::fleet::FleetMember;
 use super::instance::SettingError;
 use super::start_error::StartError;
-use crate::protocol::handover::Known;
-use crate::routing::switchboard::Switchboard;
+use crate::protocol::handover::HandoverList;
+use crate::routing::dispatcher::Dispatcher;
 use crate::transport::discovery::DiscoveryWatch;
 use crate::transport::handover;
 use crate::transport::server::Server;
@@ -24,7 +24,7 @@
 /// A running balancer. It is *waiting* or *serving* after its start; [`RunningInstance::start_serving`] moves it to *serving*.
 pub struct RunningInstance {
     /// The requests and the decisions.
-    pub board: Rc<Switchboard>,
+    pub board: Rc<Dispatcher>,
     /// The callers' connections.
     pub server: Rc<Server>,
     /// Where callers connect.
@@ -55,7 +55,7 @@
     /// has until the new one arrives.
     pub fn set_discovery(&self, discovery: SocketAddr) {
         // Versions belong to one discovery, so the new one is polled for the whole list, at once.
-        self.board.follow.notify_one();
+        self.board.watch_wanted.notify_one();
         self.watch_endpoints(discovery, None);
     }
 
@@ -64,7 +64,7 @@
     /// # Errors
     /// With the setting that the decisions reject.
     pub fn update_settings(&self, settings: &Settings) -> Result<(), SettingError> {
-        self.board.new_terms(settings).map_err(SettingError)?;
+        self.board.update_settings(settings).map_err(SettingError)?;
         if let Some(member) = self.fleet_member() {
             member.set_tenants(settings);
         }
@@ -78,13 +78,13 @@
     /// Replaces the task that watches the endpoint list, from this version of it on.
     pub(super) fn watch_endpoints(&self, discovery: SocketAddr, version: Option<u64>) {
         self.discovery.set(discovery);
-        self.board.since.set(version);
+        self.board.list_version.set(version);
         let board = Rc::clone(&self.board);
-        let poll_signal = self.decisions_start_polls.get().then(|| Rc::clone(&self.board.follow));
+        let poll_signal = self.decisions_start_polls.get().then(|| Rc::clone(&self.board.watch_wanted));
         let watch = DiscoveryWatch::new(discovery).run(version, poll_signal, move |event| match event {
             Some(list) => {
-                board.since.set(Some(list.version));
-                board.take_list(&list, true);
+                board.list_version.set(Some(list.version));
+                board.apply_list(&list, true);
             }
             None => board.list_failed(),
         });
@@ -103,7 +103,7 @@
             let address = self.address;
             self.server.listen(listener.map_err(|source| StartError::Listen { address, source })?);
         }
-        self.board.phase_change(|phase, _| phase.begin());
+        self.board.update_phase(|phase, _| phase.start_serving());
         self.server.set_accepting(true);
         self.log_serving();
         Ok(())
@@ -128,9 +128,13 @@
     }
 
     /// The endpoint list as this process has it.
-    pub fn endpoint_list(&self) -> Known {
+    pub fn endpoint_list(&self) -> HandoverList {
         let upstreams = self.board.upstreams.borrow();
-        Known::of(self.discovery.get(), self.board.since.get(), upstreams.values().map(|(entry, _)| entry))
+        HandoverList::of(
+            self.discovery.get(),
+            self.board.list_version.get(),
+            upstreams.values().map(|(entry, _)| entry),
+        )
     }
 
     /// How many connections are open, to callers and to upstreams.
--- a/crates/fernroute-server/src/program/serve.rs
+++ b/crates/fernroute-server/src/program/serve.rs
@@ -12,10 +12,10 @@
 use super::reload::{self, ActiveConfiguration};
 use super::running::{decisions_start_polls, LISTEN_BACKLOG};
 use super::{ops, shutdown, upgrade};
-use crate::protocol::handover::Known;
+use crate::protocol::handover::HandoverList;
+use crate::routing::dispatcher::Dispatcher;
 use crate::routing::phase::Closing;
-use crate::routing::switchboard::Switchboard;
-use crate::routing::take_in;
+use crate::routing::receive;
 use crate::transport::server::Server;
 use actix_rt::task::JoinHandle;
 use futures_util::future::{select, Either};
@@ -129,11 +129,11 @@
     let quota = initial_quota(&instance, predecessor);
     let board = new_board(&instance, quota)?;
     if !serves_at_once {
-        board.phase_change(|phase, _| phase.wait());
+        board.update_phase(|phase, _| phase.start_waiting());
     }
     adopt_endpoint_list(&mut instance, predecessor);
     if let Some(known) = &instance.endpoint_list {
-        board.take_list(known, false);
+        board.apply_list(known, false);
     }
     let running = open_sockets(&instance, predecessor, board, quota).await?;
     running.server.set_accepting(serves_at_once);
@@ -154,7 +154,7 @@
 async fn open_sockets(
     instance: &InstanceConfig,
     predecessor: &mut Predecessor,
-    board: Rc<Switchboard>,
+    board: Rc<Dispatcher>,
     quota: DescriptorQuota,
 ) -> Result<RunningInstance, StartError> {
     let listen_error = |source| StartError::Listen { address: instance.listen, source };
@@ -205,10 +205,10 @@
     configured.min(system_limit)
 }
 
-fn new_board(instance: &InstanceConfig, quota: DescriptorQuota) -> Result<Rc<Switchboard>, SettingError> {
+fn new_board(instance: &InstanceConfig, quota: DescriptorQuota) -> Result<Rc<Dispatcher>, SettingError> {
     let connections = quota.connection_limits().upstreams;
     let memory = quota.memory(instance.memory_bytes);
-    Switchboard::new(&instance.settings, instance.seed, connections, memory).map_err(SettingError)
+    Dispatcher::new(&instance.settings, instance.seed, connections, memory).map_err(SettingError)
 }
 
 /// Replaces the endpoint list of the file with the predecessor's, which is newer, unless that one never had any.
@@ -217,7 +217,7 @@
         // Polls for the whole list: a poll for changes would wait until there is one.
         instance.list_version = None;
     }
-    let never_received = |list: &Known| list.since.is_none() && list.upstreams.is_empty();
+    let never_received = |list: &HandoverList| list.since.is_none() && list.upstreams.is_empty();
     let Some(serving) = predecessor.serving().filter(|serving| !never_received(&serving.list)) else {
         return;
     };
@@ -270,15 +270,15 @@
 }
 
 /// Starts the timers, the sweep of connections and the callers' server.
-fn spawn_tasks(board: &Rc<Switchboard>, server: &Rc<Server>) {
-    actix_rt::spawn(Rc::clone(board).keep_time());
+fn spawn_tasks(board: &Rc<Dispatcher>, server: &Rc<Server>) {
+    actix_rt::spawn(Rc::clone(board).run_timers());
     actix_rt::spawn(sweep_connections(Rc::clone(board), Rc::clone(server)));
     let handler_board = Rc::clone(board);
-    let handle = move |message, connection| take_in::handle(Rc::clone(&handler_board), message, connection);
+    let handle = move |message, connection| receive::handle(Rc::clone(&handler_board), message, connection);
     actix_rt::spawn(Rc::clone(server).run(handle));
 }
 
-async fn sweep_connections(board: Rc<Switchboard>, server: Rc<Server>) {
+async fn sweep_connections(board: Rc<Dispatcher>, server: Rc<Server>) {
     loop {
         actix_rt::time::sleep(SWEEP_INTERVAL).await;
         board.client.sweep();
--- a/crates/fernroute-server/src/program/shutdown.rs
+++ b/crates/fernroute-server/src/program/shutdown.rs
@@ -2,8 +2,8 @@
 //! `routing/phase.rs`.
 
 use super::start_error::StartError;
+use crate::routing::dispatcher::Dispatcher;
 use crate::routing::phase::Closing;
-use crate::routing::switchboard::Switchboard;
 use crate::transport::server::Server;
 use futures_util::future::{select, Either};
 use std::future::Future;
@@ -30,26 +30,26 @@
 /// Drains and ends the server. The balancer is not ready any more; it serves on while callers still connect and their
 /// requests may be answered, then closes each connection with its answer. Guards against a request that is open when the
 /// process is killed.
-pub async fn shut_down(board: &Rc<Switchboard>, server: &Server) {
+pub async fn shut_down(board: &Rc<Dispatcher>, server: &Server) {
     tracing::info!("told to stop");
-    board.phase_change(|phase, now| phase.leave(now));
+    board.update_phase(|phase, now| phase.shut_down(now));
     while !may_close_all(board, server) {
         actix_rt::time::sleep(POLL_INTERVAL).await;
     }
     let mut end = pin!(server.shut_down());
-    let last_moment = pin!(wait_for_stage(board, Closing::Open));
+    let last_moment = pin!(wait_for_stage(board, Closing::OpenRpcs));
     if let Either::Right(_) = select(&mut end, last_moment).await {
-        board.error_all();
+        board.fail_all();
         end.await;
     }
 }
 
 /// Beside a successor no new caller connects to this process: it need not wait once all have gone.
-fn may_close_all(board: &Switchboard, server: &Server) -> bool {
+fn may_close_all(board: &Dispatcher, server: &Server) -> bool {
     board.closing() >= Closing::Idle || board.phase.get().is_handing_over() && server.connections() == 0
 }
 
-async fn wait_for_stage(board: &Switchboard, stage: Closing) {
+async fn wait_for_stage(board: &Dispatcher, stage: Closing) {
     while board.closing() < stage {
         actix_rt::time::sleep(POLL_INTERVAL).await;
     }
--- a/crates/fernroute-server/src/program/successor.rs
+++ b/crates/fernroute-server/src/program/successor.rs
@@ -7,7 +7,7 @@
 
 use super::predecessor::REPLY_TIMEOUT;
 use super::running::RunningInstance;
-use crate::protocol::handover::{FromNew, FromOld};
+use crate::protocol::handover::{PredecessorMessage, SuccessorMessage};
 use crate::transport::handover::{HandoverConnection, HandoverListener};
 use futures_util::future::{select, Either};
 use std::pin::pin;
@@ -34,7 +34,7 @@
     loop {
         let link = accept(&meeting).await;
         if let Some(link) = hand_over_exclusively(running, &meeting, link).await {
-            running.board.phase_change(|phase, now| phase.hand_over(now));
+            running.board.update_phase(|phase, now| phase.hand_over(now));
             running.server.set_accepting(false);
             running.update_quota(|quota| quota.handed_over = true);
             tracing::info!("a successor serves");
@@ -62,7 +62,7 @@
     let end = report_until_drained(running, link).await;
     if end == DrainEnd::SuccessorEnded {
         tracing::warn!("the successor has ended, serving again");
-        running.board.phase_change(|phase, _| phase.take_back());
+        running.board.update_phase(|phase, _| phase.cancel_hand_over());
         running.server.set_accepting(true);
         reclaim(running);
     }
@@ -95,7 +95,7 @@
         match meeting.accept().await {
             Ok(link) => {
                 // Closing a socket with an unread message would cut off the reply.
-                let _ = timeout(REPLY_TIMEOUT, link.receive::<FromNew>()).await;
+                let _ = timeout(REPLY_TIMEOUT, link.receive::<SuccessorMessage>()).await;
                 reject(link, "another process takes over already", false).await;
             }
             Err(_) => actix_rt::time::sleep(ACCEPT_BACKOFF).await,
@@ -104,15 +104,15 @@
 }
 
 async fn reject(mut link: HandoverConnection, reason: &str, ending: bool) {
-    let message = FromOld::Refused { why: reason.to_owned(), ending };
+    let message = PredecessorMessage::Refused { why: reason.to_owned(), ending };
     // The other process may have ended.
     let _ = timeout(REPLY_TIMEOUT, link.send(&message)).await;
 }
 
 /// Hands over to a successor. Returns the link once it is ready; `None` if it never will be.
 async fn hand_over(running: &RunningInstance, mut link: HandoverConnection) -> Option<HandoverConnection> {
-    let version_is_known = match timeout(REPLY_TIMEOUT, link.receive::<FromNew>()).await {
-        Ok(Ok(Some((message @ FromNew::Take { .. }, _)))) => message.is_known(),
+    let version_is_known = match timeout(REPLY_TIMEOUT, link.receive::<SuccessorMessage>()).await {
+        Ok(Ok(Some((message @ SuccessorMessage::Take { .. }, _)))) => message.is_supported_version(),
         other => {
             tracing::warn!("who came to take over says {other:?}");
             return None;
@@ -131,8 +131,8 @@
         Ok(Ok(())) => {}
         _ => return None,
     }
-    match link.receive::<FromNew>().await {
-        Ok(Some((FromNew::Ready, _))) => Some(link),
+    match link.receive::<SuccessorMessage>().await {
+        Ok(Some((SuccessorMessage::Ready, _))) => Some(link),
         _ => {
             tracing::warn!("the successor ended before it could serve");
             None
@@ -141,27 +141,27 @@
 }
 
 /// Shrinks what this process has, and makes the message with what the successor gets.
-fn prepare_handover(running: &RunningInstance) -> FromOld {
+fn prepare_handover(running: &RunningInstance) -> PredecessorMessage {
     running.update_quota(|quota| quota.shrink_for_successor(running.connections()));
     let descriptors = running.quota().available_to_successor(running.connections());
     tracing::info!("a successor comes, it gets {descriptors} descriptors");
     let handover = running.fleet_member().and_then(|member| member.hand_over());
-    FromOld::given(running.endpoint_list(), descriptors, handover)
+    PredecessorMessage::given(running.endpoint_list(), descriptors, handover)
 }
 
 /// Reports free descriptors to the successor as connections end, until none is open or the successor has ended.
 async fn report_until_drained(running: &RunningInstance, mut link: HandoverConnection) -> DrainEnd {
-    if link.send(&FromOld::Yours).await.is_err() {
+    if link.send(&PredecessorMessage::Yours).await.is_err() {
         return DrainEnd::SuccessorEnded;
     }
     let mut reported = 0;
     while running.server.connections() > 0 {
         let descriptors = running.quota().available_to_successor(running.connections());
-        if descriptors != reported && link.send(&FromOld::Left { descriptors }).await.is_err() {
+        if descriptors != reported && link.send(&PredecessorMessage::Left { descriptors }).await.is_err() {
             return DrainEnd::SuccessorEnded;
         }
         reported = descriptors;
-        if let Ok(Ok(None) | Err(_)) = timeout(REPORT_INTERVAL, link.receive::<FromNew>()).await {
+        if let Ok(Ok(None) | Err(_)) = timeout(REPORT_INTERVAL, link.receive::<SuccessorMessage>()).await {
             return DrainEnd::SuccessorEnded;
         }
     }
--- a/crates/fernroute-server/src/program/upgrade.rs
+++ b/crates/fernroute-server/src/program/upgrade.rs
@@ -11,7 +11,7 @@
 use super::running::RunningInstance;
 use super::start_error::StartError;
 use super::successor::{serve_successors, DrainEnd};
-use crate::protocol::handover::{FromNew, FromOld};
+use crate::protocol::handover::{PredecessorMessage, SuccessorMessage};
 use crate::transport::handover::{HandoverConnection, HandoverListener};
 use futures_util::future::{join, select, Either};
 use std::future::Future;
@@ -93,7 +93,7 @@
 
 /// Begins to serve. A process that was told to stop before that never does.
 async fn start_serving_unless_stopping(running: &RunningInstance) -> Result<(), StartError> {
-    if running.board.phase.get().is_leaving() {
+    if running.board.phase.get().is_shutting_down() {
         return std::future::pending().await;
     }
     running.start_serving()
@@ -102,7 +102,7 @@
 /// Waits for discovery's endpoint list: the file's may be old, and the predecessor may know of upstreams that drain.
 async fn wait_for_discovery(running: &RunningInstance) {
     let started_at = Instant::now();
-    while !running.board.heard.get() && started_at.elapsed() < DISCOVERY_WAIT {
+    while !running.board.discovery_answered.get() && started_at.elapsed() < DISCOVERY_WAIT {
         actix_rt::time::sleep(POLL_INTERVAL).await;
     }
 }
@@ -116,11 +116,11 @@
     let descriptors = running.quota().assigned;
     tracing::info!("taking over from the process that serves, {descriptors} descriptors for a start");
     wait_until_prepared(running, &link, configuration_current).await;
-    if running.board.phase.get().is_leaving() {
+    if running.board.phase.get().is_shutting_down() {
         return std::future::pending().await;
     }
     // Sent before this process accepts: if it can't be sent, the predecessor has ended.
-    let sent = link.send(&FromNew::Ready).await;
+    let sent = link.send(&SuccessorMessage::Ready).await;
     start_serving_unless_stopping(running).await?;
     if sent.is_err() {
         reclaim_from_predecessor(running);
@@ -145,7 +145,7 @@
             actix_rt::time::sleep(POLL_INTERVAL).await;
         }
     });
-    if let Either::Right((message, _)) = select(prepared, pin!(link.receive::<FromOld>())).await {
+    if let Either::Right((message, _)) = select(prepared, pin!(link.receive::<PredecessorMessage>())).await {
         tracing::warn!("the old process did not wait for this one: {message:?}");
     }
 }
@@ -156,10 +156,12 @@
     link: HandoverConnection,
     may_hand_over: Rc<Notify>,
 ) {
-    while let Ok(Some((message, _))) = link.receive::<FromOld>().await {
+    while let Ok(Some((message, _))) = link.receive::<PredecessorMessage>().await {
         match message {
-            FromOld::Left { descriptors } => running.update_quota(|quota| quota.assigned = descriptors),
-            FromOld::Yours => may_hand_over.notify_one(),
+            PredecessorMessage::Left { descriptors } => {
+                running.update_quota(|quota| quota.assigned = descriptors)
+            }
+            PredecessorMessage::Yours => may_hand_over.notify_one(),
             other => tracing::warn!("the old process says {other:?}"),
         }
     }
--- a/crates/fernroute-server/src/protocol/answer.rs
+++ b/crates/fernroute-server/src/protocol/answer.rs
@@ -1,8 +1,8 @@
-//! What upstreams answer, and what callers are answered.
+//! Answers of upstreams, and answers to callers.
 
-use super::load::{self, Gauges};
+use super::load::{self, LoadFields};
 use super::names;
-use super::request::Unfit;
+use super::request::InvalidRequest;
 use actix_http::body::{BodySize, BoxBody, MessageBody};
 use actix_http::header::{HeaderMap, HeaderValue, RETRY_AFTER};
 use actix_http::{ConnectionType, Response, ResponseHead, StatusCode};
@@ -13,114 +13,114 @@
 use std::task::{Context, Poll};
 use tokio::sync::mpsc;
 
-/// The most bytes that the body of an answer holds. Longer ones have no end.
-pub const MOST_ANSWER: usize = 32 << 20;
+/// A longer answer is taken for an endless one.
+pub const MAX_ANSWER_BYTES: usize = 32 << 20;
 
-/// A whole answer of an upstream.
+/// An answer of an upstream.
 #[derive(Debug)]
 pub struct Answer {
     pub outcome: Outcome,
-    /// The load report, in the order of the terms; empty where there is none.
+    /// The load report, in the order of the settings; empty if there is none.
     pub loads: Vec<f64>,
     pub headers: HeaderMap,
     pub body: Bytes,
-    /// What follows `body` as it comes; none where that is all.
-    pub flow: Option<Flow>,
+    /// The rest of a streamed body after `body`; None if `body` is complete.
+    pub stream: Option<StreamedBody>,
 }
 
-/// An answer that broke off: its caller has to see that.
+/// The answer broke off. The caller must be able to detect that.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Cut;
+pub struct Truncated;
 
-impl fmt::Display for Cut {
+impl fmt::Display for Truncated {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("the answer broke off")
+        f.write_str("upstream answer truncated")
     }
 }
 
-impl std::error::Error for Cut {}
+impl std::error::Error for Truncated {}
 
-type AtEnd = Box<dyn FnOnce(bool)>;
+type OnEnd = Box<dyn FnOnce(bool)>;
 
-/// The body of an answer that is handed on while it comes.
-pub struct Flow {
-    pub coming: mpsc::Receiver<Result<Bytes, Cut>>,
-    /// What it says to be in all, if it does.
+/// The body of an answer that is forwarded while it is received.
+pub struct StreamedBody {
+    pub chunks: mpsc::Receiver<Result<Bytes, Truncated>>,
+    /// The declared length, if any.
     pub length: Option<u64>,
-    first: Bytes,
-    at_end: Vec<AtEnd>,
+    buffered: Bytes,
+    on_end: Vec<OnEnd>,
 }
 
-impl fmt::Debug for Flow {
+impl fmt::Debug for StreamedBody {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("Flow").field("length", &self.length).finish_non_exhaustive()
+        f.debug_struct("StreamedBody").field("length", &self.length).finish_non_exhaustive()
     }
 }
 
-impl Flow {
-    pub fn new(coming: mpsc::Receiver<Result<Bytes, Cut>>, length: Option<u64>) -> Self {
-        Flow { coming, length, first: Bytes::new(), at_end: Vec::new() }
+impl StreamedBody {
+    pub fn new(chunks: mpsc::Receiver<Result<Bytes, Truncated>>, length: Option<u64>) -> Self {
+        StreamedBody { chunks, length, buffered: Bytes::new(), on_end: Vec::new() }
     }
 
-    fn end(&mut self, whole: bool) {
-        self.at_end.drain(..).for_each(|at_end| at_end(whole));
+    fn end(&mut self, complete: bool) {
+        self.on_end.drain(..).for_each(|on_end| on_end(complete));
     }
 }
 
-impl MessageBody for Flow {
-    type Error = Cut;
+impl MessageBody for StreamedBody {
+    type Error = Truncated;
 
     fn size(&self) -> BodySize {
         self.length.map_or(BodySize::Stream, BodySize::Sized)
     }
 
-    fn poll_next(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Cut>>> {
-        if !self.first.is_empty() {
-            return Poll::Ready(Some(Ok(std::mem::take(&mut self.first))));
+    fn poll_next(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Truncated>>> {
+        if !self.buffered.is_empty() {
+            return Poll::Ready(Some(Ok(std::mem::take(&mut self.buffered))));
         }
-        let next = std::task::ready!(self.coming.poll_recv(cx));
+        let next = std::task::ready!(self.chunks.poll_recv(cx));
         match next {
             Some(Ok(_)) => {}
             None => self.end(true),
-            Some(Err(Cut)) => self.end(false),
+            Some(Err(Truncated)) => self.end(false),
         }
         Poll::Ready(next)
     }
 }
 
 impl Answer {
-    /// One that has gone to its caller already.
-    pub fn handed_on(loads: Vec<f64>) -> Self {
+    /// An answer whose body has already been streamed to the caller.
+    pub fn streamed(loads: Vec<f64>) -> Self {
         Answer {
             outcome: Outcome::Completed,
             loads,
             headers: HeaderMap::new(),
             body: Bytes::new(),
-            flow: None,
+            stream: None,
         }
     }
 
-    pub fn decode(head: ResponseHead, body: Bytes, gauges: &Gauges) -> Self {
+    pub fn decode(head: ResponseHead, body: Bytes, fields: &LoadFields) -> Self {
         let declined = head.headers.get(names::DECLINED).is_some_and(|v| v.as_bytes() == b"1");
         let outcome = match head.status {
             StatusCode::OK => Outcome::Completed,
-            // Without the mark it may be the word of something behind the upstream, which may have run it.
+            // Without the header the answer may be from behind the upstream, and the RPC may have run.
             StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if declined => Outcome::Rejected,
             _ => Outcome::Failed,
         };
         let report = head.headers.get(names::LOAD).and_then(|v| v.to_str().ok());
-        let loads = report.map(|text| load::decode(text, gauges)).unwrap_or_default();
+        let loads = report.map(|text| load::decode(text, fields)).unwrap_or_default();
         let mut headers = head.headers;
         names::keep_end_to_end(&mut headers, &[names::LOAD, names::DECLINED]);
-        Answer { outcome, loads, headers, body, flow: None }
+        Answer { outcome, loads, headers, body, stream: None }
     }
 }
 
 /// The final answer of an RPC.
 #[derive(Debug)]
-pub enum Final {
+pub enum FinalAnswer {
     Completed(Answer),
-    /// Asking again does no harm, after this time.
+    /// Safe to retry, after this time.
     Exhausted(Time),
     Errored,
 }
@@ -129,58 +129,59 @@
     Response::build(status).content_type("text/plain").body(text).map_into_boxed_body()
 }
 
-impl Final {
-    /// For the log.
-    pub fn word(&self) -> &'static str {
+impl FinalAnswer {
+    /// The name used in the log.
+    pub fn name(&self) -> &'static str {
         match self {
-            Final::Completed(_) => "completed",
-            Final::Exhausted(_) => "exhausted",
-            Final::Errored => "errored",
+            FinalAnswer::Completed(_) => "completed",
+            FinalAnswer::Exhausted(_) => "exhausted",
+            FinalAnswer::Errored => "errored",
         }
     }
 
-    /// Has this called with whether the answer was handed on whole, where that is not known yet; gives it back where
-    /// all of it is there. Dropped uncalled, the caller has gone.
-    pub fn at_end<F: FnOnce(bool) + 'static>(&mut self, at_end: F) -> Option<F> {
+    /// Registers a callback for the end of a streamed answer, called with whether the answer was forwarded completely.
+    /// Returns it if the answer is not streamed. It is dropped without a call if the caller disconnects.
+    pub fn on_end<F: FnOnce(bool) + 'static>(&mut self, on_end: F) -> Option<F> {
         match self {
-            Final::Completed(Answer { flow: Some(flow), .. }) => {
-                flow.at_end.push(Box::new(at_end));
+            FinalAnswer::Completed(Answer { stream: Some(stream), .. }) => {
+                stream.on_end.push(Box::new(on_end));
                 None
             }
-            _ => Some(at_end),
+            _ => Some(on_end),
         }
     }
 
     pub fn encode(self) -> Response<BoxBody> {
         match self {
-            Final::Completed(answer) => {
-                let body = match answer.flow {
-                    Some(flow) => BoxBody::new(Flow { first: answer.body, ..flow }),
+            FinalAnswer::Completed(answer) => {
+                let body = match answer.stream {
+                    Some(stream) => BoxBody::new(StreamedBody { buffered: answer.body, ..stream }),
                     None => BoxBody::new(answer.body),
                 };
                 let mut response = Response::with_body(StatusCode::OK, body);
                 *response.headers_mut() = answer.headers;
                 response
             }
-            Final::Exhausted(stay_away) => {
+            FinalAnswer::Exhausted(retry_after) => {
                 let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "exhausted\n");
-                if stay_away > 0 {
-                    if let Ok(value) = HeaderValue::from_str(&fernroute_settings::format_seconds(stay_away)) {
+                if retry_after > 0 {
+                    if let Ok(value) = HeaderValue::from_str(&fernroute_settings::format_seconds(retry_after))
+                    {
                         response.headers_mut().insert(RETRY_AFTER, value);
                     }
                 }
                 response
             }
-            Final::Errored => plain(StatusCode::BAD_GATEWAY, "errored\n"),
+            FinalAnswer::Errored => plain(StatusCode::BAD_GATEWAY, "errored\n"),
         }
     }
 }
 
-/// The answer to a message that is no RPC; the last one on its connection.
-pub fn unfit(unfit: &Unfit) -> Response<BoxBody> {
-    let mut response = plain(unfit.0, unfit.1);
+/// The answer to a message that is not a valid RPC; the last one on its connection.
+pub fn invalid_request(error: &InvalidRequest) -> Response<BoxBody> {
+    let mut response = plain(error.0, error.1);
     response.head_mut().set_connection_type(ConnectionType::Close);
-    if unfit.0 == StatusCode::METHOD_NOT_ALLOWED {
+    if error.0 == StatusCode::METHOD_NOT_ALLOWED {
         response.headers_mut().insert(actix_http::header::ALLOW, HeaderValue::from_static("GET, POST"));
     }
     response
@@ -194,7 +195,7 @@
     }
 }
 
-/// For what went wrong in here: it promises nothing.
-pub fn broken() -> Response<BoxBody> {
+/// The answer after an internal failure. It does not say whether the RPC ran.
+pub fn internal_error() -> Response<BoxBody> {
     plain(StatusCode::INTERNAL_SERVER_ERROR, "errored\n")
 }
--- a/crates/fernroute-server/src/protocol/handover.rs
+++ b/crates/fernroute-server/src/protocol/handover.rs
@@ -1,55 +1,55 @@
-//! What the old and the new process of a balancer tell each other during an upgrade: a line of JSON each.
+//! The messages between the old and the new process of a balancer during an upgrade, one line of JSON each.
 
 use super::list::{Entry, List, State};
 use fernroute_fleet::member::MemberHandover;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// A process of another version may come: it must be told apart before anything else is read.
+/// The version of these messages. It is checked before any other field, as the other process may be of another version.
 const VERSION: u32 = 1;
 
-/// The longest line: a list of some ten thousand upstreams.
-pub const MOST_LINE: usize = 4 << 20;
+/// Fits a list of about ten thousand upstreams.
+pub const MAX_LINE_BYTES: usize = 4 << 20;
 
-/// The successor speaks first, and again when it can serve.
+/// Sent by the successor: `Take` first, `Ready` when it can serve.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum FromNew {
+pub enum SuccessorMessage {
     Take { version: u32 },
     Ready,
 }
 
-/// The old process answers, and goes on telling what it leaves, until its end.
+/// Sent by the old process: the reply, then the descriptors that it releases, until it ends.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum FromOld {
-    /// With the listening socket: the list as this process has it, and the descriptors that are left.
+pub enum PredecessorMessage {
+    /// Sent with the listening socket: the current list of upstreams and the number of descriptors for the successor.
     Given {
         version: u32,
-        list: Known,
+        list: HandoverList,
         descriptors: usize,
-        /// Half of what it holds of a fleet's budgets, where it is of one; an earlier version says none.
+        /// Half of the fleet budgets that this process holds, if it belongs to a fleet. Earlier versions do not send it.
         #[serde(default)]
         member: Option<MemberHandover>,
     },
-    /// Another successor is here already, or this one can't be served.
+    /// There is another successor already, or this one cannot be served.
     Refused {
         why: String,
-        /// Nobody will be served here any more: the address is free once this process has ended. An earlier version says no.
+        /// The old process is shutting down and its address is free once it has ended. Earlier versions do not send it.
         #[serde(default)]
         ending: bool,
     },
-    /// More descriptors, as connections end.
+    /// The number of descriptors for the successor, as connections close.
     Left { descriptors: usize },
-    /// The successor accepts alone from now on, and is whom the next one comes to.
+    /// From now on only the successor accepts connections, and it serves the next upgrade.
     Yours,
 }
 
-/// The list of upstreams with where it came from.
+/// The list of upstreams with its source.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Known {
+pub struct HandoverList {
     pub discovery: SocketAddr,
-    /// Discovery's version of it, where it has told one.
+    /// The list's version, if one has been received from discovery.
     pub since: Option<u64>,
     pub upstreams: Vec<Upstream>,
 }
@@ -60,26 +60,26 @@
     pub address: SocketAddr,
     pub zone: String,
     pub cell: String,
-    /// An earlier version says none.
+    /// Earlier versions do not send it.
     #[serde(default)]
     pub kind: String,
     pub started_ms: u64,
 }
 
-impl FromNew {
+impl SuccessorMessage {
     pub fn take() -> Self {
-        FromNew::Take { version: VERSION }
+        SuccessorMessage::Take { version: VERSION }
     }
 
-    /// Whether this process speaks as that one does.
-    pub fn is_known(&self) -> bool {
-        !matches!(self, FromNew::Take { version } if *version != VERSION)
+    /// Whether the message is of a version that this process supports.
+    pub fn is_supported_version(&self) -> bool {
+        !matches!(self, SuccessorMessage::Take { version } if *version != VERSION)
     }
 }
 
-impl FromOld {
-    pub fn given(list: Known, descriptors: usize, member: Option<MemberHandover>) -> Self {
-        FromOld::Given { version: VERSION, list, descriptors, member }
+impl PredecessorMessage {
+    pub fn given(list: HandoverList, descriptors: usize, member: Option<MemberHandover>) -> Self {
+        PredecessorMessage::Given { version: VERSION, list, descriptors, member }
     }
 }
 
@@ -90,11 +90,11 @@
 }
 
 pub fn decode<'a, M: Deserialize<'a>>(line: &'a [u8]) -> Result<M, String> {
-    serde_json::from_slice(line).map_err(|why| why.to_string())
+    serde_json::from_slice(line).map_err(|error| error.to_string())
 }
 
-impl Known {
-    /// What serves of a list. The others are nobody's to send to.
+impl HandoverList {
+    /// Keeps only ready upstreams; the others get no RPCs.
     pub fn of<'a>(discovery: SocketAddr, since: Option<u64>, list: impl Iterator<Item = &'a Entry>) -> Self {
         let upstream = |entry: &Entry| {
             Some(Upstream {
@@ -106,7 +106,7 @@
                 started_ms: entry.started_ms,
             })
         };
-        Known { discovery, since, upstreams: list.filter_map(upstream).collect() }
+        HandoverList { discovery, since, upstreams: list.filter_map(upstream).collect() }
     }
 
     pub fn list(&self) -> List {
@@ -132,7 +132,7 @@
     use super::*;
 
     #[test]
-    fn a_list_goes_over_whole_and_what_drains_is_left_out() {
+    fn list_is_handed_over_without_draining_upstreams() {
         let entry = |id: &str, state| Entry {
             id: id.to_owned(),
             state,
@@ -142,20 +142,24 @@
             kind: "k".to_owned(),
             started_ms: 7,
         };
-        let entries = [entry("a", State::Ready), entry("b", State::Drains), entry("c", State::Gone)];
-        let known = Known::of(SocketAddr::from(([127, 0, 0, 1], 8500)), Some(41), entries.iter());
-        let line = encode(&FromOld::given(known, 100, None));
-        let Ok(FromOld::Given { list, descriptors: 100, .. }) = decode(&line) else { panic!("not the same") };
+        let entries = [entry("a", State::Ready), entry("b", State::Draining), entry("c", State::Removed)];
+        let sent = HandoverList::of(SocketAddr::from(([127, 0, 0, 1], 8500)), Some(41), entries.iter());
+        let line = encode(&PredecessorMessage::given(sent, 100, None));
+        let Ok(PredecessorMessage::Given { list, descriptors: 100, .. }) = decode(&line) else {
+            panic!("unexpected message")
+        };
         assert_eq!(list.list(), List { version: 41, full: true, entries: entries[..1].to_vec() });
     }
 
-    /// Guards against a successor of another version that is given what it can't read.
+    /// Guards against a successor of another version that is sent messages it cannot read.
     #[test]
-    fn strangers_are_told_apart() {
-        assert!(decode::<FromNew>(&encode(&FromNew::take())).is_ok_and(|m| m.is_known()));
-        assert!(decode::<FromNew>(b"{\"take\":{\"version\":2}}\n").is_ok_and(|m| !m.is_known()));
+    fn other_versions_and_invalid_messages_are_recognised() {
+        assert!(decode::<SuccessorMessage>(&encode(&SuccessorMessage::take()))
+            .is_ok_and(|m| m.is_supported_version()));
+        assert!(decode::<SuccessorMessage>(b"{\"take\":{\"version\":2}}\n")
+            .is_ok_and(|m| !m.is_supported_version()));
         for noise in [&b"GET / HTTP/1.1\r\n"[..], b"\n", b"{}", b"{\"take\":{}}"] {
-            assert!(decode::<FromNew>(noise).is_err());
+            assert!(decode::<SuccessorMessage>(noise).is_err());
         }
     }
 }
--- a/crates/fernroute-server/src/protocol/list.rs
+++ b/crates/fernroute-server/src/protocol/list.rs
@@ -1,36 +1,36 @@
-//! The list of upstreams as discovery gives it.
+//! The list of upstreams from discovery.
 
 use serde_json::Value;
 use std::collections::btree_map::Entry::{Occupied, Vacant};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// The least ready last.
+/// Ordered from the most to the least ready.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum State {
     Ready,
-    Drains,
-    Gone,
+    Draining,
+    Removed,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
     pub id: String,
     pub state: State,
-    /// There is one wherever it is ready.
+    /// Always present in state `Ready`.
     pub address: Option<SocketAddr>,
     pub zone: String,
     pub cell: String,
-    /// What machine it is, where the list tells.
+    /// The kind of machine, empty if the list does not name one.
     pub kind: String,
-    /// Unix time in milliseconds; 0 for long ago.
+    /// Unix time in milliseconds; 0 if unknown, which counts as long ago.
     pub started_ms: u64,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct List {
     pub version: u64,
-    /// All there are, not only what has changed.
+    /// Whether the list names all upstreams, not only changed ones.
     pub full: bool,
     pub entries: Vec<Entry>,
 }
@@ -43,8 +43,8 @@
     };
     let state = match value.get("state")?.as_str()? {
         "SERVING" => State::Ready,
-        "DRAINING" => State::Drains,
-        "DELETED" => State::Gone,
+        "DRAINING" => State::Draining,
+        "DELETED" => State::Removed,
         _ => return None,
     };
     let address = text("addr").and_then(|a| a.parse().ok());
@@ -67,46 +67,49 @@
 }
 
 impl List {
-    /// Why this had better be asked for again before it is believed, coming after a list of version `last`: a whole
-    /// list without one upstream that may be used would end all service, and what is older than what is known would
-    /// bring back upstreams that drain or are gone.
-    pub fn doubtful(&self, last: Option<u64>) -> Option<&'static str> {
+    /// Why this list should be confirmed by a second request before it is applied after a list of version `last`: a full
+    /// list without a ready upstream would end all service, and an older list would bring back upstreams that are
+    /// draining or removed.
+    pub fn reason_to_confirm(&self, last: Option<u64>) -> Option<&'static str> {
         if last.is_some_and(|last| self.version < last) {
-            return Some("its version goes back");
+            return Some("its version is lower than the last one");
         }
         let empty = self.full && self.entries.iter().all(|e| e.state != State::Ready);
-        empty.then_some("it names no upstream that serves")
+        empty.then_some("it names no ready upstream")
     }
 
-    /// What a list that is doubted says of those that leave: they count as told so, and where the answer to the doubt takes
-    /// its time nothing new is theirs. None where nobody leaves, or where it is older than what is known.
-    pub fn leaving(&self, last: Option<u64>) -> Option<List> {
-        let leave: Vec<Entry> = self.entries.iter().filter(|e| e.state != State::Ready).cloned().collect();
-        let is_news = last.is_none_or(|last| self.version >= last) && !leave.is_empty();
-        is_news.then(|| List { version: last.unwrap_or(0), full: false, entries: leave })
+    /// The draining and removed upstreams of a list that waits for confirmation. They are applied at once, so that they
+    /// get no new RPCs if the confirmation takes time. None if there are none, or if the list is older than `last`.
+    pub fn departures(&self, last: Option<u64>) -> Option<List> {
+        let departed: Vec<Entry> = self.entries.iter().filter(|e| e.state != State::Ready).cloned().collect();
+        let is_news = last.is_none_or(|last| self.version >= last) && !departed.is_empty();
+        is_news.then(|| List { version: last.unwrap_or(0), full: false, entries: departed })
     }
 }
 
-/// None where it is no list at all; an entry that can't be read is skipped.
+/// Returns None if the value is not a list. Unreadable entries are skipped.
 pub fn decode(value: &Value) -> Option<List> {
     let version = value.get("version")?.as_u64()?;
     let full = value.get("full").and_then(Value::as_bool).unwrap_or(false);
     let mut entries: Vec<Entry> = Vec::new();
-    let mut places = BTreeMap::new();
-    for one in value.get("servers")?.as_array()? {
-        let Some(entry) = entry(one) else {
-            tracing::warn!("list {version}: entry {one} is not readable, skipped");
+    let mut positions = BTreeMap::new();
+    for value in value.get("servers")?.as_array()? {
+        let Some(entry) = entry(value) else {
+            tracing::warn!("list {version}: skipping unreadable entry {value}");
             continue;
         };
-        match places.entry(entry.id.clone()) {
-            Vacant(place) => {
-                place.insert(entries.len());
+        match positions.entry(entry.id.clone()) {
+            Vacant(position) => {
+                position.insert(entries.len());
                 entries.push(entry);
             }
-            // Whatever is meant, nothing new to one that may be leaving.
-            Occupied(place) => {
-                tracing::warn!("list {version}: {} is named twice, the least ready counts", entry.id);
-                let before = &mut entries[*place.get()];
+            // Prefer the less ready state: an upstream that may be draining must get no new RPCs.
+            Occupied(position) => {
+                tracing::warn!(
+                    "list {version}: upstream {} is listed twice, using the less ready state",
+                    entry.id
+                );
+                let before = &mut entries[*position.get()];
                 if entry.state > before.state {
                     *before = entry;
                 }
--- a/crates/fernroute-server/src/protocol/mod.rs
+++ b/crates/fernroute-server/src/protocol/mod.rs
@@ -1,5 +1,4 @@
-//! What the messages mean. Each is decoded into a small typed value once, and encoded once; the names that
-//! stand on the wire are known in this layer alone.
+//! Decodes messages into typed values and encodes them. Only this layer knows the names used on the wire.
 
 pub mod answer;
 pub mod handover;
@@ -8,4 +7,4 @@
 pub mod names;
 pub mod ops;
 pub mod request;
-pub mod terms;
+pub mod settings;
--- a/crates/fernroute-server/src/protocol/names.rs
+++ b/crates/fernroute-server/src/protocol/names.rs
@@ -1,11 +1,11 @@
-//! Names on the wire.
+//! Header names and paths on the wire.
 
 use actix_http::header::{HeaderMap, HeaderName, CONNECTION};
 
 pub const ID: &str = "req-id";
 pub const METHOD: &str = "req-kind";
 pub const TENANT: &str = "req-owner";
-/// Further figures of an RPC, its key among them.
+/// Further attributes of an RPC, including its cache key.
 pub const EXTRA: &str = "req-extra";
 pub const DEADLINE: &str = "req-deadline-ms";
 pub const KEY: &str = "idempotency-key";
@@ -15,8 +15,8 @@
 pub const READY_PATH: &str = "/-/ready";
 pub const LIST_PATH: &str = "/api/targets";
 
-/// Headers that belong to one connection, and those that each side's library writes itself.
-const OF_ONE_HOP: [&str; 11] = [
+/// Hop-by-hop headers, and those that the HTTP library writes itself.
+const HOP_BY_HOP: [&str; 11] = [
     "connection",
     "content-length",
     "expect",
@@ -30,7 +30,7 @@
     "upgrade",
 ];
 
-/// Takes out what is not meant for the next hop, also what `Connection` names, and `others`.
+/// Removes hop-by-hop headers, including those that `Connection` names, and `others`.
 pub fn keep_end_to_end(headers: &mut HeaderMap, others: &[&str]) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
@@ -41,7 +41,7 @@
     for name in named {
         headers.remove(name);
     }
-    for name in OF_ONE_HOP.iter().chain(others) {
+    for name in HOP_BY_HOP.iter().chain(others) {
         headers.remove(*name);
     }
 }
--- a/crates/fernroute-server/src/protocol/ops.rs
+++ b/crates/fernroute-server/src/protocol/ops.rs
@@ -1,4 +1,4 @@
-//! Operators' calls, and what they are answered.
+//! Operators' calls and their replies.
 
 use super::names;
 use actix_http::{Method, StatusCode, Uri};
@@ -6,9 +6,9 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// Longer heads are no operator's of ours.
-pub const MOST_HEAD: usize = 8 * 1024;
-const MOST_HEADERS: usize = 64;
+/// A longer head is rejected.
+pub const MAX_HEAD_BYTES: usize = 8 * 1024;
+const MAX_HEADERS: usize = 64;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Call {
@@ -26,13 +26,13 @@
         ("/-/resume", Method::POST, Call::Resume),
     ];
 
-    /// The call that begins with these bytes, once its head is whole; else the status that says what is wrong.
+    /// Decodes the call at the start of `bytes`. None while its head is incomplete; an error status if it is invalid.
     pub fn decode(bytes: &[u8]) -> Option<Result<Call, StatusCode>> {
-        let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
+        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut head = httparse::Request::new(&mut headers);
         match head.parse(bytes) {
-            Ok(httparse::Status::Complete(length)) if length <= MOST_HEAD => {}
-            Ok(httparse::Status::Partial) if bytes.len() <= MOST_HEAD => return None,
+            Ok(httparse::Status::Complete(length)) if length <= MAX_HEAD_BYTES => {}
+            Ok(httparse::Status::Partial) if bytes.len() <= MAX_HEAD_BYTES => return None,
             Ok(_) | Err(httparse::Error::TooManyHeaders) => {
                 return Some(Err(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE));
             }
@@ -42,16 +42,16 @@
         let (Some(verb), Some(target)) = (head.method, target) else {
             return Some(Err(StatusCode::BAD_REQUEST));
         };
-        let known = Call::ALL.iter().find(|(path, ..)| *path == target.path());
-        Some(match known {
+        let entry = Call::ALL.iter().find(|(path, ..)| *path == target.path());
+        Some(match entry {
             None => Err(StatusCode::NOT_FOUND),
-            Some((_, right, call)) if *right == *verb => Ok(*call),
+            Some((_, method, call)) if *method == *verb => Ok(*call),
             Some(_) => Err(StatusCode::METHOD_NOT_ALLOWED),
         })
     }
 }
 
-/// How many RPCs of one method ended how.
+/// The numbers of RPCs of one method by their end.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Ends {
     #[serde(rename = "succeeded")]
@@ -62,40 +62,42 @@
     pub errored: u64,
 }
 
-/// What the balancer tells of itself; counts are since its start.
+/// The balancer's metrics; counts are since its start.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Figures {
+pub struct Metrics {
     #[serde(rename = "results")]
     pub ends: BTreeMap<String, Ends>,
-    /// RPCs that were taken, and those of them whose caller went before the end.
+    /// Accepted RPCs.
     pub taken: u64,
+    /// Accepted RPCs whose caller disconnected before the end.
     pub left: u64,
-    /// RPCs that are taken and not ended.
+    /// RPCs that are accepted and not ended.
     pub outstanding: usize,
-    /// Transmissions whose last byte is out.
+    /// Attempts whose last byte is written.
     #[serde(rename = "forwards")]
-    pub transmissions: u64,
-    /// Upstreams that the list names, and those of them that get nothing now.
+    pub attempts: u64,
+    /// Upstreams on the list.
     #[serde(rename = "discovered")]
     pub listed: usize,
+    /// Listed upstreams that currently get no RPCs.
     #[serde(rename = "ejected")]
     pub avoided: usize,
-    /// Where it is of a fleet.
+    /// Present if the balancer belongs to a fleet.
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub fleet: Option<Control>,
+    pub fleet: Option<FleetStatus>,
 }
 
-/// What a balancer and its fleet's stewards told each other.
+/// The exchange between a balancer and its fleet's coordinators.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Control {
-    /// Messages that left, answered or not.
+pub struct FleetStatus {
+    /// Messages sent, whether answered or not.
     pub beats: u64,
     pub fetches: u64,
-    /// Of the messages and the answers, without their heads.
+    /// Bytes of messages and replies, without their heads.
     pub sent_bytes: u64,
     pub received_bytes: u64,
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub configuration: Option<Followed>,
+    pub configuration: Option<ConfigurationStatus>,
     /// The duties that this balancer holds.
     #[serde(skip_serializing_if = "BTreeMap::is_empty")]
     pub duties: BTreeMap<String, HeldDuty>,
@@ -105,40 +107,41 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct HeldDuty {
     pub term: u64,
-    /// From then on it does not.
+    /// When the lease expires.
     #[serde(skip)]
     pub until: Time,
 }
 
-/// The fleet's configuration, as a balancer goes by it.
+/// The state of the fleet's configuration at a balancer.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Followed {
-    /// Versions; 0 for its own file alone, and where it was told of none.
+pub struct ConfigurationStatus {
+    /// The version in force; 0 if only the balancer's own file is.
     pub in_force: u64,
+    /// The latest version announced by a coordinator; 0 if none.
     pub told: u64,
-    /// The one that it can't go by, and why.
+    /// The version that was rejected, with the reason.
     pub refused: Option<(u64, String)>,
-    /// Whether the disk has what is in force.
+    /// Whether the configuration in force is stored on disk.
     pub kept: bool,
 }
 
-/// An answer to an operator, the last on its connection.
+/// A reply to an operator, the last on its connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reply {
     pub status: StatusCode,
-    pub kind: &'static str,
+    pub content_type: &'static str,
     pub body: String,
 }
 
 impl Reply {
     pub fn plain(status: StatusCode, text: &str) -> Self {
-        Reply { status, kind: "text/plain", body: format!("{text}\n") }
+        Reply { status, content_type: "text/plain", body: format!("{text}\n") }
     }
 
-    pub fn figures(figures: &Figures) -> Self {
-        serde_json::to_string(figures).map_or_else(
-            |why| Reply::plain(StatusCode::INTERNAL_SERVER_ERROR, &why.to_string()),
-            |body| Reply { status: StatusCode::OK, kind: "application/json", body },
+    pub fn metrics(metrics: &Metrics) -> Self {
+        serde_json::to_string(metrics).map_or_else(
+            |error| Reply::plain(StatusCode::INTERNAL_SERVER_ERROR, &error.to_string()),
+            |body| Reply { status: StatusCode::OK, content_type: "application/json", body },
         )
     }
 
@@ -147,7 +150,7 @@
         format!(
             "HTTP/1.1 {} {reason}\r\nContent-Type: {}\r\nContent-Length: {}\r\nConnection: close\r\n\r\n{}",
             self.status.as_u16(),
-            self.kind,
+            self.content_type,
             self.body.len(),
             self.body
         )
@@ -159,9 +162,10 @@
 mod tests {
     use super::*;
 
-    /// Guards against a call that is taken for another, and against heads that end the program or hold a place.
+    /// Guards against calls mistaken for others, and against invalid heads that end the process or keep a connection
+    /// waiting.
     #[test]
-    fn calls_are_told_apart_and_what_is_none_is_told_why() {
+    fn calls_are_decoded_and_invalid_ones_get_the_matching_status() {
         let decode = |text: &str| Call::decode(text.as_bytes());
         let cases = [
             ("GET /-/ready HTTP/1.1\r\n\r\n", Ok(Call::Ready)),
@@ -186,8 +190,8 @@
         for end in 0..whole.len() {
             assert_eq!(decode(&whole[..end]), None, "{end}");
         }
-        let long = format!("GET /-/ready HTTP/1.1\r\nA: {}", "a".repeat(MOST_HEAD));
-        let many = "GET /-/ready HTTP/1.1\r\n".to_owned() + &"A: a\r\n".repeat(MOST_HEADERS + 1) + "\r\n";
+        let long = format!("GET /-/ready HTTP/1.1\r\nA: {}", "a".repeat(MAX_HEAD_BYTES));
+        let many = "GET /-/ready HTTP/1.1\r\n".to_owned() + &"A: a\r\n".repeat(MAX_HEADERS + 1) + "\r\n";
         for text in [long.clone(), long + "\r\n\r\n", many] {
             assert_eq!(decode(&text), Some(Err(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE)));
         }
--- a/crates/fernroute-server/src/protocol/request.rs
+++ b/crates/fernroute-server/src/protocol/request.rs
@@ -1,4 +1,4 @@
-//! An RPC as a caller sends it.
+//! An RPC as received from a caller.
 
 use super::names;
 use actix_http::header::{HeaderMap, HeaderName, HeaderValue, CONTENT_LENGTH, TRANSFER_ENCODING};
@@ -10,63 +10,64 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// A body of up to so many bytes is held whole, and may be sent again.
-pub const MOST_HELD: usize = 64 * 1024;
+/// A body of up to this size is buffered whole, so that it can be sent again. Larger ones are streamed.
+pub const MAX_BUFFERED_BODY_BYTES: usize = 64 * 1024;
 
-/// The most bytes that a body holds.
-pub const MOST_BODY: u64 = 32 << 20;
+pub const MAX_BODY_BYTES: u64 = 32 << 20;
 
-/// Longer ids and deadlines are no caller's of ours: a day, and what a header line may reasonably hold.
-const MOST_ID: usize = 128;
-const MOST_MS: u64 = 24 * 3600 * 1000;
+/// Longer ids are rejected, so that an id's header line stays of a reasonable length.
+const MAX_ID_BYTES: usize = 128;
+/// Longer deadlines are rejected: no valid RPC takes more than a day.
+const MAX_DEADLINE_MS: u64 = 24 * 3600 * 1000;
 
-/// A method as the terms name it, and how an RPC of it is sent.
+/// A method from the settings, and the form of its RPCs.
 #[derive(Debug)]
-pub struct Shape {
+pub struct MethodSpec {
     pub name: String,
     verb: Method,
+    /// Whether its RPCs carry an idempotency key.
     keyed: bool,
 }
 
-impl Shape {
-    /// `effect` is the terms' word for what repeats do.
+impl MethodSpec {
+    /// `effect` is the setting for the effect of repeated RPCs.
     pub fn new(name: String, effect: &str) -> Self {
         let verb = if effect == "retriable" { Method::GET } else { Method::POST };
-        Shape { name, verb, keyed: effect == "deduped" }
+        MethodSpec { name, verb, keyed: effect == "deduped" }
     }
 }
 
 #[derive(Debug)]
 pub struct Request {
     pub id: Rc<str>,
-    /// What the RPC asks for, by the name in the terms.
+    /// The method's name in the settings.
     pub method: String,
     pub tenant: String,
-    /// The key that it bears; none is empty.
+    /// The cache key; empty if there is none.
     pub key: String,
     pub time_left: Time,
-    /// It must never run twice.
-    pub once: bool,
+    /// It must not run more than once.
+    pub run_once: bool,
     verb: Method,
     uri: Uri,
-    /// End-to-end headers, the deadline left out: each transmission has one of its own.
+    /// End-to-end headers without the deadline, which each attempt sets itself.
     headers: HeaderMap,
     pub body: Bytes,
-    /// What follows `body` as it comes; none where that is all.
+    /// The rest of a streamed body after `body`; None if `body` is complete.
     pub upload: Option<Rc<Upload>>,
 }
 
-/// The part of a body that still comes.
+/// The part of a streamed body that has not been received yet.
 pub struct Upload {
-    pub coming: RefCell<Payload>,
-    /// What the body says to be in all, if it does.
+    pub payload: RefCell<Payload>,
+    /// The body's declared length, if any.
     pub length: Option<u64>,
-    /// Something of it has been sent on, and is not held any more.
-    pub gone: Cell<bool>,
-    /// Its last byte has come, at this moment.
-    pub whole_at: Cell<Option<Time>>,
-    /// Its caller broke it off, or stopped to send, or sends too much.
-    pub broken: Cell<bool>,
+    /// Some of it has been forwarded and is no longer in memory.
+    pub consumed: Cell<bool>,
+    /// When its last byte was received.
+    pub completed_at: Cell<Option<Time>>,
+    /// The caller broke it off, stopped sending, or sent too much.
+    pub failed: Cell<bool>,
     pub too_large: Cell<bool>,
 }
 
@@ -77,26 +78,27 @@
 }
 
 impl Upload {
-    pub fn new(coming: Payload, length: Option<u64>) -> Rc<Self> {
+    pub fn new(payload: Payload, length: Option<u64>) -> Rc<Self> {
         Rc::new(Upload {
-            coming: RefCell::new(coming),
+            payload: RefCell::new(payload),
             length,
-            gone: Cell::new(false),
-            whole_at: Cell::new(None),
-            broken: Cell::new(false),
+            consumed: Cell::new(false),
+            completed_at: Cell::new(None),
+            failed: Cell::new(false),
             too_large: Cell::new(false),
         })
     }
 }
 
-/// Why a message is not an RPC, as the status that says so.
+/// Why a message is not a valid RPC: the response's status and body.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Unfit(pub StatusCode, pub &'static str);
+pub struct InvalidRequest(pub StatusCode, pub &'static str);
 
-/// One that is safe to repeat has no body; it may come in chunks, of which there is none.
-pub const BODIED: Unfit = Unfit(StatusCode::BAD_REQUEST, "a body where there is none");
+/// A GET request has no body. It may use chunked encoding if it has no chunks.
+pub const UNEXPECTED_BODY: InvalidRequest =
+    InvalidRequest(StatusCode::BAD_REQUEST, "a body where there is none");
 
-/// The key among a request's further figures, `name=value,name=value`.
+/// The cache key in the further attributes of a request, `name=value,name=value`.
 fn key(extra: &str) -> &str {
     extra.split(',').find_map(|part| part.trim().strip_prefix("key=")).unwrap_or("")
 }
@@ -106,50 +108,50 @@
         self.verb != Method::GET
     }
 
-    /// Reads the head of a message. What says anything twice, or differs from the shape of its method, is no RPC:
-    /// upstreams could read it in another way.
-    pub fn decode(head: &RequestHead, shapes: &[Shape]) -> Result<Self, Unfit> {
-        let bad = |why| Unfit(StatusCode::BAD_REQUEST, why);
+    /// Decodes the head of a message. A repeated header, or a head that does not match the form of its method, is rejected:
+    /// upstreams could interpret it differently.
+    pub fn decode(head: &RequestHead, methods: &[MethodSpec]) -> Result<Self, InvalidRequest> {
+        let bad = |reason| InvalidRequest(StatusCode::BAD_REQUEST, reason);
         let path = head.uri.path();
         let first = path.strip_prefix('/').and_then(|path| path.split('/').next()).unwrap_or("");
-        let shape = shapes.iter().find(|s| s.name == first);
-        let shape = shape.ok_or(Unfit(StatusCode::NOT_FOUND, "no such path"))?;
+        let spec = methods.iter().find(|s| s.name == first);
+        let spec = spec.ok_or(InvalidRequest(StatusCode::NOT_FOUND, "no such path"))?;
         if head.method != Method::GET && head.method != Method::POST {
-            return Err(Unfit(StatusCode::METHOD_NOT_ALLOWED, "GET or POST"));
+            return Err(InvalidRequest(StatusCode::METHOD_NOT_ALLOWED, "GET or POST"));
         }
-        let one = |name: &str| {
+        let single = |name: &str| {
             let mut all = head.headers.get_all(name);
-            let one = all.next().and_then(|v| v.to_str().ok()).map(str::trim);
-            one.filter(|one| !one.is_empty() && all.next().is_none())
+            let value = all.next().and_then(|v| v.to_str().ok()).map(str::trim);
+            value.filter(|value| !value.is_empty() && all.next().is_none())
         };
-        let id = one(names::ID).filter(|id| id.len() <= MOST_ID);
+        let id = single(names::ID).filter(|id| id.len() <= MAX_ID_BYTES);
         let id = id.filter(|id| id.bytes().all(|b| b.is_ascii_graphic())).ok_or(bad("bad or missing id"))?;
-        let method = one(names::METHOD).filter(|m| *m == first).ok_or(bad("bad or missing method"))?;
-        let ms = one(names::DEADLINE).filter(|ms| ms.bytes().all(|b| b.is_ascii_digit()));
-        let ms = ms.and_then(|text| text.parse::<u64>().ok()).filter(|ms| *ms <= MOST_MS);
+        let method = single(names::METHOD).filter(|m| *m == first).ok_or(bad("bad or missing method"))?;
+        let ms = single(names::DEADLINE).filter(|ms| ms.bytes().all(|b| b.is_ascii_digit()));
+        let ms = ms.and_then(|text| text.parse::<u64>().ok()).filter(|ms| *ms <= MAX_DEADLINE_MS);
         let ms = ms.ok_or(bad("bad or missing deadline"))?;
-        if head.method != shape.verb {
+        if head.method != spec.verb {
             return Err(bad("not the method's verb"));
         }
-        if head.headers.contains_key(names::KEY) != shape.keyed || shape.keyed && one(names::KEY).is_none() {
+        if head.headers.contains_key(names::KEY) != spec.keyed || spec.keyed && single(names::KEY).is_none() {
             return Err(bad("a key that the method has not, or the other way round"));
         }
         if head.headers.contains_key(CONTENT_LENGTH) && head.headers.contains_key(TRANSFER_ENCODING) {
             return Err(bad("two readings of its length"));
         }
-        let bodied = head.headers.get(CONTENT_LENGTH).is_some_and(|n| n.as_bytes() != b"0");
-        if shape.verb == Method::GET && bodied {
-            return Err(BODIED);
+        let has_body = head.headers.get(CONTENT_LENGTH).is_some_and(|n| n.as_bytes() != b"0");
+        if spec.verb == Method::GET && has_body {
+            return Err(UNEXPECTED_BODY);
         }
         let mut headers = head.headers.clone();
         names::keep_end_to_end(&mut headers, &[names::DEADLINE]);
         Ok(Request {
             id: Rc::from(id),
             method: method.to_owned(),
-            tenant: one(names::TENANT).unwrap_or("").to_owned(),
-            key: key(one(names::EXTRA).unwrap_or("")).to_owned(),
+            tenant: single(names::TENANT).unwrap_or("").to_owned(),
+            key: key(single(names::EXTRA).unwrap_or("")).to_owned(),
             time_left: ms * 10,
-            once: shape.verb == Method::POST && !shape.keyed,
+            run_once: spec.verb == Method::POST && !spec.keyed,
             verb: head.method.clone(),
             uri: head.uri.clone(),
             headers,
@@ -158,12 +160,12 @@
         })
     }
 
-    /// Whether its last byte has come.
-    pub fn is_whole(&self) -> bool {
-        self.upload.as_ref().is_none_or(|upload| upload.whole_at.get().is_some())
+    /// Whether its last byte has been received.
+    pub fn is_complete(&self) -> bool {
+        self.upload.as_ref().is_none_or(|upload| upload.completed_at.get().is_some())
     }
 
-    /// What goes to an upstream at this address that is given this long: the verb, the address, the headers.
+    /// The verb, URI and headers of an attempt at `address` with `time_left` as its deadline.
     pub fn encode(&self, address: SocketAddr, time_left: Time) -> (Method, String, HeaderMap) {
         let path = self.uri.path_and_query().map_or("/", |p| p.as_str());
         let mut headers = self.headers.clone();
--- a/crates/fernroute-server/src/protocol/terms.rs
+++ b/crates/fernroute-server/src/protocol/settings.rs
@@ -1,10 +1,10 @@
-//! The settings, nested JSON, to the plain map that a balancer starts with.
+//! Converts settings from nested JSON into the flat map that a balancer is created with.
 
 use fernroute::Settings;
 use serde_json::Value;
 
-/// Paths and values as the one table of settings takes them: a list of objects by count and place, a list of
-/// plain values joined.
+/// Appends the paths and values of `value`: a list of objects as its count and its items by index, a list of plain values
+/// joined by commas.
 fn flatten(path: &str, value: &Value, out: &mut Vec<(String, String)>) {
     let under = |name: &str| if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") };
     match value {
@@ -16,7 +16,7 @@
         Value::Array(items) => {
             out.push((path.to_owned(), items.iter().map(plain).collect::<Vec<_>>().join(",")));
         }
-        // Nothing said.
+        // Not set.
         Value::Null => {}
         _ => out.push((path.to_owned(), plain(value))),
     }
--- a/crates/fernroute-server/src/routing/admit.rs
+++ b/crates/fernroute-server/src/routing/admit.rs
@@ -1,10 +1,10 @@
-//! Puts an RPC before the decisions, and waits for its final answer.
+//! Passes an RPC to the balancer and waits for its final answer.
 
+use super::counters::End;
+use super::dispatcher::{Dispatcher, OpenRpc};
 use super::phase::Closing;
-use super::switchboard::{Open, Switchboard};
-use super::tally::End;
-use crate::protocol::answer::Final;
-use crate::protocol::request::{Request, Unfit};
+use crate::protocol::answer::FinalAnswer;
+use crate::protocol::request::{InvalidRequest, Request};
 use crate::transport::inbound::CallerConnection;
 use actix_http::StatusCode;
 use std::collections::BTreeMap;
@@ -12,63 +12,65 @@
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
-/// Tells that the caller has gone, should it go before the final answer.
-struct Caller {
-    board: Rc<Switchboard>,
+/// Abandons the RPC when dropped: the caller has disconnected before the final answer.
+struct AbandonOnDrop {
+    dispatcher: Rc<Dispatcher>,
     rpc: Rc<str>,
 }
 
-impl Drop for Caller {
+impl Drop for AbandonOnDrop {
     fn drop(&mut self) {
-        self.board.abandoned(&self.rpc);
+        self.dispatcher.abandon(&self.rpc);
     }
 }
 
-impl Switchboard {
-    /// `caller` is the connection that it came on, if it came on one.
+impl Dispatcher {
+    /// `caller` is the connection that the RPC was received on, if any.
     pub async fn admit(
         self: &Rc<Self>,
         request: Request,
         caller: Option<&Rc<CallerConnection>>,
-    ) -> Result<Final, Unfit> {
+    ) -> Result<FinalAnswer, InvalidRequest> {
         let rpc = Rc::clone(&request.id);
-        // One id, one final answer.
+        // Two open RPCs with one id could not be told apart.
         if self.open.borrow().contains_key(&rpc) {
-            return Err(Unfit(StatusCode::BAD_REQUEST, "id in use"));
+            return Err(InvalidRequest(StatusCode::BAD_REQUEST, "id in use"));
         }
-        let mut taken = self.tally.take(&request.method);
-        if self.closing() == Closing::Open {
-            // What is open has just been ended: nothing new begins that would be cut off, and this one never ran.
-            taken.end(End::Exhausted);
-            return Ok(Final::Exhausted(0));
+        let mut accepted = self.counters.accept(&request.method);
+        if self.closing() == Closing::OpenRpcs {
+            // Open RPCs have just been ended, so a new one would be cut off. It has not run and is safe to repeat.
+            accepted.end(End::Exhausted);
+            return Ok(FinalAnswer::Exhausted(0));
         }
-        let (answer, waiting) = oneshot::channel();
+        let (sender, receiver) = oneshot::channel();
         let request = Rc::new(request);
-        let open = Open {
+        let open = OpenRpc {
             request: Rc::clone(&request),
             caller: caller.map(Rc::downgrade),
-            answer: Some(answer),
+            answer: Some(sender),
             streaming: false,
-            made: 0,
-            out: BTreeMap::new(),
+            attempts_started: 0,
+            attempts: BTreeMap::new(),
         };
         self.open.borrow_mut().insert(Rc::clone(&rpc), open);
-        if let Some(asked) = self.asked.borrow_mut().as_mut() {
+        if let Some(demand) = self.tenant_demand.borrow_mut().as_mut() {
             let now = self.clock.now();
-            asked.get_mut(&request.tenant).into_iter().for_each(|meter| meter.count(now));
+            demand.get_mut(&request.tenant).into_iter().for_each(|meter| meter.count(now));
         }
-        let _caller = Caller { board: Rc::clone(self), rpc: Rc::clone(&rpc) };
+        let _abandon_on_drop = AbandonOnDrop { dispatcher: Rc::clone(self), rpc: Rc::clone(&rpc) };
         self.decide(Some(&rpc), |b, now| {
             b.rpc_arrived(now, &rpc, &request.method, &request.tenant, &request.key, request.time_left);
         });
-        let Ok(mut last) = waiting.await else {
-            // Found to have left: its connection is ended, and with it this.
+        let Ok(mut answer) = receiver.await else {
+            // The caller has disconnected; closing the connection drops this future.
             return pending().await;
         };
-        let end = End::of(&last);
-        if let Some(at_end) = last.at_end(move |whole| taken.end(if whole { end } else { End::Errored })) {
-            at_end(true);
+        let end = End::of(&answer);
+        if let Some(on_end) =
+            answer.on_end(move |complete| accepted.end(if complete { end } else { End::Errored }))
+        {
+            on_end(true);
         }
-        Ok(last)
+        Ok(answer)
     }
 }
--- a/crates/fernroute-server/src/routing/clock.rs
+++ b/crates/fernroute-server/src/routing/clock.rs
@@ -1,22 +1,22 @@
-//! The balancer's clock: Unix time read once at start, carried on by a clock that only goes forward.
+//! The balancer's clock: Unix time read once at start, advanced by the monotonic clock.
 
 use fernroute::Time;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
-    started: Time,
-    since: Instant,
+    started_at: Time,
+    started: Instant,
 }
 
 impl Clock {
     pub fn start() -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { started: tenths(unix), since: Instant::now() }
+        Clock { started_at: tenths(unix), started: Instant::now() }
     }
 
     pub fn now(&self) -> Time {
-        self.started + tenths(self.since.elapsed())
+        self.started_at + tenths(self.started.elapsed())
     }
 }
 
--- a/crates/fernroute-server/src/routing/mod.rs
+++ b/crates/fernroute-server/src/routing/mod.rs
@@ -1,15 +1,16 @@
-//! The stages of an RPC: taken in, admitted, routed, sent, relayed, booked. No stage decides anything.
+//! The stages of an RPC: receive, admit, route, send, relay, complete. All balancing decisions are made by the
+//! `fernroute` library.
 
 pub mod admit;
-pub mod book;
 pub mod clock;
+pub mod completion;
+pub mod counters;
+pub mod dispatcher;
 pub mod phase;
+pub mod receive;
 pub mod relay;
 pub mod route;
 pub mod send;
-pub mod switchboard;
-pub mod take_in;
-pub mod tally;
 pub mod timers;
 pub mod upload;
 pub mod windows;
--- a/crates/fernroute-server/src/routing/phase.rs
+++ b/crates/fernroute-server/src/routing/phase.rs
@@ -1,131 +1,133 @@
-//! The ways out of service and back, and their times. A drain, an upgrade and the end differ in times alone: first the
-//! balancer is not said to be ready, then each answer closes its connection, then idle connections are closed too, and
-//! at last what is open is ended. No I/O: it is told what happens, with the time.
+//! The stages of taking the balancer out of service and back. A drain, an upgrade and a shutdown differ only in timing:
+//! first the balancer reports that it is not ready, then each answer closes its connection, then idle connections are
+//! closed too, and finally open RPCs are ended. No I/O: the caller passes in events and the time.
 
 use fernroute::host::SECOND;
 use fernroute::Time;
 
-/// How far the closing of connections has come.
+/// The stage of closing callers' connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Closing {
     Nothing,
     /// Each answer is the last on its connection.
-    Answered,
-    /// Idle ones are closed, too.
+    AfterAnswer,
+    /// Idle connections are closed, too.
     Idle,
-    /// What is open is errored.
-    Open,
+    /// Open RPCs are ended as errored.
+    OpenRpcs,
 }
 
-/// Since when the balancer is on each way out of service; on none it serves.
+/// When each way of leaving service began; the balancer serves while all are `None` and it is not waiting.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Phase {
-    /// It has not begun to serve: the process before it does, or its list is not to be trusted yet.
+    /// Not serving yet: the predecessor process still does, or the list of upstreams is not confirmed yet.
     waiting: bool,
-    /// Asked to be empty; the program runs on.
+    /// An operator has asked for a drain; the process keeps running.
     draining: Option<Time>,
-    /// Another process of this balancer accepts in its place.
+    /// A successor process of this balancer accepts connections.
     handing_over: Option<Time>,
-    /// Told to stop.
-    leaving: Option<Time>,
+    /// The process has been told to stop.
+    shutting_down: Option<Time>,
     /// The longest hard deadline of any RPC.
-    longest: Time,
+    longest_deadline: Time,
 }
 
-/// The front asks every tenth of a second whether the balancer is ready, and sends new clients for two tenths more;
-/// half a second leaves room for a busy machine.
-const DRAIN_NOTICE: Time = SECOND / 2;
+/// From a drain to the first closing answers. The load balancer in front checks readiness every 0.1 s and sends new
+/// callers for 0.2 s more; the rest allows for a busy machine.
+const DRAIN_ANSWER_DELAY: Time = SECOND / 2;
 
-/// Callers that ask until then learn it from their answer; the others are sent away well before the two seconds after
-/// which no RPC may come any more if the balancer is to be empty at four.
-const DRAIN_IDLE: Time = SECOND * 3 / 2;
+/// From a drain to the closing of idle connections. Callers that send an RPC before then have their connection closed by
+/// its answer. For the balancer to be empty after 4 s, no RPC may arrive later than 2 s after the drain.
+const DRAIN_IDLE_DELAY: Time = SECOND * 3 / 2;
 
-/// A balancer is killed no sooner than the longest deadline, of this at most, and 0.7 s more after it was told to
-/// stop; two tenths are left for a busy machine.
-const LONGEST: Time = 3 * SECOND;
-const LAST: Time = SECOND / 2;
+/// A balancer that was told to stop is killed no sooner than the longest hard deadline, up to this limit, plus 0.7 s.
+const MAX_DEADLINE_AT_SHUTDOWN: Time = 3 * SECOND;
+/// How long after that deadline open RPCs are ended: 0.2 s of the 0.7 s are left for a busy machine.
+const SHUTDOWN_MARGIN: Time = SECOND / 2;
 
-/// Told to stop, callers are kept as long as there is this much time for their RPCs: few take longer. Guards against
-/// clients with nowhere to go, as when the balancer that was restarted before this one is not back yet.
-const ROOM: Time = SECOND * 9 / 5;
+/// At shutdown, callers' connections are kept until this much time is left for their RPCs; few take longer. Closing them
+/// at once would leave callers without a balancer if the one that was restarted before this one is not back yet.
+const RPC_TIME_AT_SHUTDOWN: Time = SECOND * 9 / 5;
 
-/// For so long clients may still be sent here after it stopped to be ready.
-const NOTICE: Time = SECOND / 2;
+/// How long callers may still be sent here after the balancer has stopped being ready.
+const READINESS_DELAY: Time = SECOND / 2;
 
 impl Phase {
-    pub fn new(longest: Time) -> Self {
-        Phase { waiting: false, draining: None, handing_over: None, leaving: None, longest }
+    pub fn new(longest_deadline: Time) -> Self {
+        Phase { waiting: false, draining: None, handing_over: None, shutting_down: None, longest_deadline }
     }
 
-    /// What is taken from now on may last so long; what is open may still last as long as before.
-    pub fn set_longest(&mut self, longest: Time) {
-        self.longest = self.longest.max(longest);
+    /// Raises the longest hard deadline. It is never lowered, as open RPCs keep their deadlines.
+    pub fn raise_longest_deadline(&mut self, longest: Time) {
+        self.longest_deadline = self.longest_deadline.max(longest);
     }
 
     pub fn is_ready(&self) -> bool {
-        !self.waiting && self.draining.or(self.handing_over).or(self.leaving).is_none()
+        !self.waiting && self.draining.or(self.handing_over).or(self.shutting_down).is_none()
     }
 
-    /// Not ready until it is said to begin.
-    pub fn wait(&mut self) {
+    /// Not ready until `start_serving` is called.
+    pub fn start_waiting(&mut self) {
         self.waiting = true;
     }
 
-    pub fn begin(&mut self) {
+    pub fn start_serving(&mut self) {
         self.waiting = false;
     }
 
-    pub fn is_leaving(&self) -> bool {
-        self.leaving.is_some()
+    pub fn is_shutting_down(&self) -> bool {
+        self.shutting_down.is_some()
     }
 
     pub fn is_handing_over(&self) -> bool {
         self.handing_over.is_some()
     }
 
-    /// Empties the balancer. One that is told to stop does so already.
+    /// Starts a drain. Has no effect during a shutdown, which empties the balancer anyway.
     pub fn drain(&mut self, now: Time) {
-        if self.leaving.is_none() {
+        if self.shutting_down.is_none() {
             self.draining.get_or_insert(now);
         }
     }
 
-    /// Back from a drain, at once. Who was told to stop goes on stopping.
+    /// Ends a drain at once. A shutdown continues.
     pub fn resume(&mut self) {
         self.draining = None;
     }
 
-    /// A successor accepts from now on; new callers are its own.
+    /// From now on a successor accepts new connections.
     pub fn hand_over(&mut self, now: Time) {
         self.handing_over.get_or_insert(now);
     }
 
-    /// The successor has gone: who comes, comes here again.
-    pub fn take_back(&mut self) {
+    /// The successor has ended: this process accepts new connections again.
+    pub fn cancel_hand_over(&mut self) {
         self.handing_over = None;
     }
 
-    /// Told to stop.
-    pub fn leave(&mut self, now: Time) {
-        self.leaving.get_or_insert(now);
+    pub fn shut_down(&mut self, now: Time) {
+        self.shutting_down.get_or_insert(now);
     }
 
     pub fn closing(&self, now: Time) -> Closing {
-        let last = self.longest.min(LONGEST) + LAST;
-        let notice = last.saturating_sub(ROOM).max(NOTICE);
-        // A caller whose connection ends with its answer finds the successor at the same address. Idle ones may stay as
-        // long as when there is none: one that ends as its next RPC crosses costs the caller a second try.
-        let handed = self.handing_over.is_some();
+        let end = self.longest_deadline.min(MAX_DEADLINE_AT_SHUTDOWN) + SHUTDOWN_MARGIN;
+        let closing = end.saturating_sub(RPC_TIME_AT_SHUTDOWN).max(READINESS_DELAY);
+        // A caller whose connection closes with its answer finds the successor at the same address. Idle connections stay
+        // as long as without a successor: closing one while an RPC is on its way costs the caller a retry.
+        let has_successor = self.handing_over.is_some();
         let ways = [
-            (self.draining, [Some(DRAIN_NOTICE), Some(DRAIN_IDLE), None]),
-            (self.handing_over, [Some(0), Some(notice), None]),
-            (self.leaving, [(!handed).then_some(notice), (!handed).then_some(notice), Some(last)]),
+            (self.draining, [Some(DRAIN_ANSWER_DELAY), Some(DRAIN_IDLE_DELAY), None]),
+            (self.handing_over, [Some(0), Some(closing), None]),
+            (
+                self.shutting_down,
+                [(!has_successor).then_some(closing), (!has_successor).then_some(closing), Some(end)],
+            ),
         ];
         let reached = |(since, times): (Option<Time>, [Option<Time>; 3])| {
             let passed = now.saturating_sub(since?);
-            let steps = [Closing::Answered, Closing::Idle, Closing::Open];
-            let due = |(_, time): &(Closing, Option<Time>)| time.is_some_and(|time| passed >= time);
-            steps.into_iter().zip(times).filter(due).map(|(step, _)| step).max()
+            let steps = [Closing::AfterAnswer, Closing::Idle, Closing::OpenRpcs];
+            let is_reached = |(_, time): &(Closing, Option<Time>)| time.is_some_and(|time| passed >= time);
+            steps.into_iter().zip(times).filter(is_reached).map(|(step, _)| step).max()
         };
         ways.into_iter().filter_map(reached).max().unwrap_or(Closing::Nothing)
     }
@@ -134,26 +136,26 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use Closing::{Answered, Idle, Nothing, Open};
+    use Closing::{AfterAnswer, Idle, Nothing, OpenRpcs};
 
     fn steps(phase: &Phase, from: Time) -> Vec<Closing> {
         [0, 400, 600, 1400, 1600, 1800, 3400, 3600].map(|ms| phase.closing(from + ms * 10)).to_vec()
     }
 
     const SERVING: [Closing; 8] = [Nothing; 8];
-    const LEAVING: [Closing; 8] = [Nothing, Nothing, Nothing, Nothing, Nothing, Idle, Idle, Open];
+    const SHUTTING_DOWN: [Closing; 8] = [Nothing, Nothing, Nothing, Nothing, Nothing, Idle, Idle, OpenRpcs];
 
-    /// Guards against an operator who finds RPCs or idle connections four seconds after a drain, and against a drain
-    /// that is begun anew, or undone by halves, by what is said twice.
+    /// Guards against RPCs or idle connections left four seconds after a drain, and against a repeated drain that starts
+    /// over or a repeated resume that undoes only part of it.
     #[test]
-    fn a_drain_closes_step_by_step_and_ends_at_once() {
+    fn drain_closes_in_stages_and_resume_ends_it_at_once() {
         let mut phase = Phase::new(6 * SECOND);
         phase.resume();
         assert!(phase.is_ready() && steps(&phase, 1) == SERVING);
         phase.drain(100);
         phase.drain(9_000);
         assert!(!phase.is_ready());
-        assert_eq!(steps(&phase, 100), [Nothing, Nothing, Answered, Answered, Idle, Idle, Idle, Idle]);
+        assert_eq!(steps(&phase, 100), [Nothing, Nothing, AfterAnswer, AfterAnswer, Idle, Idle, Idle, Idle]);
         phase.resume();
         phase.resume();
         assert!(phase.is_ready() && steps(&phase, 20_000) == SERVING);
@@ -161,55 +163,55 @@
         assert_eq!(steps(&phase, 30_000)[4], Idle);
     }
 
-    /// Guards against an operator's call that holds up the end or undoes it; one that drained before has nothing to
-    /// wait for.
+    /// Guards against an operator's call that delays or undoes a shutdown. A balancer that has drained before has nothing
+    /// to wait for.
     #[test]
-    fn the_end_is_not_undone() {
+    fn shutdown_is_not_undone() {
         let mut phase = Phase::new(6 * SECOND);
-        phase.leave(50_000);
+        phase.shut_down(50_000);
         phase.drain(50_001);
         phase.resume();
-        phase.leave(60_000);
-        assert!(!phase.is_ready() && phase.is_leaving());
-        assert_eq!(steps(&phase, 50_000), LEAVING);
+        phase.shut_down(60_000);
+        assert!(!phase.is_ready() && phase.is_shutting_down());
+        assert_eq!(steps(&phase, 50_000), SHUTTING_DOWN);
         let mut drained = Phase::new(6 * SECOND);
         drained.drain(0);
-        drained.leave(50_000);
-        assert_eq!(steps(&drained, 50_000), [Idle, Idle, Idle, Idle, Idle, Idle, Idle, Open]);
+        drained.shut_down(50_000);
+        assert_eq!(steps(&drained, 50_000), [Idle, Idle, Idle, Idle, Idle, Idle, Idle, OpenRpcs]);
         drained.resume();
-        assert!(!drained.is_ready() && steps(&drained, 50_000) == LEAVING);
+        assert!(!drained.is_ready() && steps(&drained, 50_000) == SHUTTING_DOWN);
         let mut short = Phase::new(SECOND);
-        short.leave(0);
-        assert_eq!(steps(&short, 0), [Nothing, Nothing, Idle, Idle, Open, Open, Open, Open]);
+        short.shut_down(0);
+        assert_eq!(steps(&short, 0), [Nothing, Nothing, Idle, Idle, OpenRpcs, OpenRpcs, OpenRpcs, OpenRpcs]);
     }
 
-    /// Guards against callers that stay with the old process of an upgrade, and against a balancer that nobody serves
-    /// because its successor died.
+    /// Guards against callers that stay with the old process of an upgrade, and against a balancer that no process serves
+    /// because its successor ended.
     #[test]
-    fn a_successor_gets_the_callers_and_gives_them_back_by_dying() {
-        let handed = [Answered, Answered, Answered, Answered, Answered, Idle, Idle, Idle];
+    fn successor_takes_over_the_callers_until_it_ends() {
+        let handed = [AfterAnswer, AfterAnswer, AfterAnswer, AfterAnswer, AfterAnswer, Idle, Idle, Idle];
         let mut phase = Phase::new(6 * SECOND);
         phase.hand_over(0);
         phase.hand_over(9);
         assert!(!phase.is_ready() && phase.is_handing_over());
         assert_eq!(steps(&phase, 0), handed);
-        phase.leave(0);
+        phase.shut_down(0);
         assert_eq!(steps(&phase, 0)[..7], handed[..7]);
-        assert_eq!(steps(&phase, 0)[7], Open);
-        phase.take_back();
-        assert!(!phase.is_ready() && steps(&phase, 0) == LEAVING);
+        assert_eq!(steps(&phase, 0)[7], OpenRpcs);
+        phase.cancel_hand_over();
+        assert!(!phase.is_ready() && steps(&phase, 0) == SHUTTING_DOWN);
         let mut phase = Phase::new(6 * SECOND);
         phase.hand_over(0);
-        phase.take_back();
+        phase.cancel_hand_over();
         assert!(phase.is_ready() && steps(&phase, 0) == SERVING);
-        phase.wait();
+        phase.start_waiting();
         assert!(!phase.is_ready());
-        phase.begin();
+        phase.start_serving();
         assert!(phase.is_ready());
-        // What an operator asked for holds for this process, whatever its successor does.
+        // An operator's drain of this process holds, whatever its successor does.
         phase.drain(0);
         phase.hand_over(10_000);
-        phase.take_back();
+        phase.cancel_hand_over();
         assert!(!phase.is_ready());
     }
 }
--- a/crates/fernroute-server/src/routing/route.rs
+++ b/crates/fernroute-server/src/routing/route.rs
@@ -1,107 +1,110 @@
-//! From the upstream that was drawn to the transmission's task: its address, its number, its timer.
+//! Starts the task of an attempt on the selected upstream: its address, number and timer.
 
 use super::clock::duration;
+use super::dispatcher::{Dispatcher, OpenAttempt};
 use super::send::AttemptPlan;
-use super::switchboard::{Out, Switchboard};
-use super::timers::Due;
+use super::timers::TimerEvent;
 use crate::transport::client::UpstreamClient;
 use crate::transport::outbound::{AttemptProgress, AttemptState};
 use fernroute::{Outcome, Time};
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
-impl Switchboard {
+impl Dispatcher {
     pub(super) fn route(
         self: &Rc<Self>,
         rpc: &Rc<str>,
         upstream: &Rc<str>,
-        time_out: Time,
-        written_by: Option<Time>,
+        timeout: Time,
+        write_deadline: Option<Time>,
     ) {
         let mut open = self.open.borrow_mut();
         let Some(entry) = open.get_mut(rpc) else {
-            tracing::error!("RPC {rpc} is to be sent, but is not open");
+            tracing::error!("cannot start an attempt of RPC {rpc}: it is not open");
             return;
         };
-        let tx = entry.made;
-        entry.made += 1;
+        let number = entry.attempts_started;
+        entry.attempts_started += 1;
         let (stop, stopped) = oneshot::channel();
-        let due = Due::Transmission { rpc: Rc::clone(rpc), tx };
-        // Its time counts from the last byte of an RPC that still comes.
-        let time_out_key = entry.request.is_whole().then(|| self.timers.set(time_out, due));
+        let event = TimerEvent::AttemptTimeout { rpc: Rc::clone(rpc), number };
+        // While a request is still being received, the timeout starts at its last byte.
+        let timer = entry.request.is_complete().then(|| self.timers.set(timeout, event));
         let client = self.upstreams.borrow().get(upstream).map(|(_, client)| Rc::clone(client));
-        let attempt = AttemptState::new(entry.caller.clone(), &self.tally.written);
+        let attempt = AttemptState::new(entry.caller.clone(), &self.counters.written);
         let left = |by: Time| duration(by.saturating_sub(self.clock.now()));
-        written_by.map(left).into_iter().for_each(|left| attempt.set_write_deadline(left));
-        let out = Out {
+        write_deadline.map(left).into_iter().for_each(|left| attempt.set_write_deadline(left));
+        let open_attempt = OpenAttempt {
             stop: Some(stop),
-            time_out: time_out_key,
-            lasts: time_out,
+            timer,
+            timeout,
             attempt: Rc::clone(&attempt),
             client: client.clone(),
         };
-        entry.out.insert(tx, out);
+        entry.attempts.insert(number, open_attempt);
         let request = Rc::clone(&entry.request);
-        tracing::debug!("RPC {rpc} transmission {tx} to {upstream}");
-        let plan = AttemptPlan { client, attempt, time_out, stopped };
-        actix_rt::spawn(Rc::clone(self).transmission(Rc::clone(rpc), tx, request, plan));
+        tracing::debug!("RPC {rpc} attempt {number} to {upstream}");
+        let plan = AttemptPlan { client, attempt, timeout, stopped };
+        actix_rt::spawn(Rc::clone(self).run_attempt(Rc::clone(rpc), number, request, plan));
     }
 
-    /// The last byte of an RPC has come that was sent on while it came.
-    pub(super) fn whole(self: &Rc<Self>, rpc: &Rc<str>) {
+    /// The last byte of a streamed request has been received: starts the timeouts of its attempts.
+    pub(super) fn request_complete(self: &Rc<Self>, rpc: &Rc<str>) {
         if let Some(entry) = self.open.borrow_mut().get_mut(rpc) {
-            let Some(upload) = entry.request.upload.as_ref().filter(|u| u.whole_at.get().is_none()) else {
+            let Some(upload) = entry.request.upload.as_ref().filter(|u| u.completed_at.get().is_none())
+            else {
                 return;
             };
-            upload.whole_at.set(Some(self.clock.now()));
-            for (tx, out) in entry.out.iter_mut().filter(|(_, out)| out.stop.is_some()) {
-                let due = Due::Transmission { rpc: Rc::clone(rpc), tx: *tx };
-                out.time_out = Some(self.timers.set(out.lasts, due));
+            upload.completed_at.set(Some(self.clock.now()));
+            for (number, out) in entry.attempts.iter_mut().filter(|(_, out)| out.stop.is_some()) {
+                let event = TimerEvent::AttemptTimeout { rpc: Rc::clone(rpc), number: *number };
+                out.timer = Some(self.timers.set(out.timeout, event));
             }
         }
         self.decide(None, |b, now| b.rpc_fully_received(now, rpc));
     }
 
-    /// Ends a transmission that is out; how it ended is booked by its own task.
-    pub(super) fn stop(&self, rpc: &str, tx: usize, why: Outcome) {
+    /// Stops a running attempt; its own task reports the outcome.
+    pub(super) fn stop_attempt(&self, rpc: &str, number: usize, outcome: Outcome) {
         let mut open = self.open.borrow_mut();
-        let Some(out) = open.get_mut(rpc).and_then(|entry| entry.out.get_mut(&tx)) else { return };
+        let Some(out) = open.get_mut(rpc).and_then(|entry| entry.attempts.get_mut(&number)) else { return };
         let Some(stop) = out.stop.take() else { return };
-        // A timer that has come due is off the queue, and its place there may be another's by now.
-        if let Some(time_out) = out.time_out.take().filter(|_| why != Outcome::TimedOut) {
-            self.timers.drop(&time_out);
+        // The key of an expired timer may already be reused for another timer.
+        if let Some(timer) = out.timer.take().filter(|_| outcome != Outcome::TimedOut) {
+            self.timers.cancel(&timer);
         }
         out.attempt.prevent_start();
-        // Its task may have ended this moment: then it was not stopped.
-        let _ = stop.send(why);
+        // The send fails if the task has just finished, which needs no handling.
+        let _ = stop.send(outcome);
     }
 
-    /// What has not begun at an upstream that left the list, or started anew, does not begin there. Guards against a
-    /// connection that comes up past the grace.
-    pub(super) fn call_off_to_those_that_left(&self) {
+    /// Cancels attempts not yet begun at upstreams that were removed from the list or have restarted. Otherwise a
+    /// connection established after the drain grace would still send its request there.
+    pub(super) fn cancel_attempts_to_removed_upstreams(&self) {
         let upstreams = self.upstreams.borrow();
-        let is_there =
+        let is_listed =
             |client: &Rc<UpstreamClient>| upstreams.values().any(|(_, listed)| Rc::ptr_eq(listed, client));
-        let has_disconnected = |out: &Out| {
+        let is_obsolete = |out: &OpenAttempt| {
             out.attempt.progress() == AttemptProgress::NotStarted
-                && out.client.as_ref().is_some_and(|client| !is_there(client))
+                && out.client.as_ref().is_some_and(|client| !is_listed(client))
         };
-        let mut those = Vec::new();
+        let mut obsolete = Vec::new();
         for (rpc, entry) in &*self.open.borrow() {
-            let left = entry.out.iter().filter(|(_, out)| has_disconnected(out));
-            those.extend(left.map(|(tx, _)| (Rc::clone(rpc), *tx)));
+            let attempts = entry.attempts.iter().filter(|(_, out)| is_obsolete(out));
+            obsolete.extend(attempts.map(|(number, _)| (Rc::clone(rpc), *number)));
         }
-        those.iter().for_each(|(rpc, tx)| self.stop(rpc, *tx, Outcome::NotSent));
+        obsolete.iter().for_each(|(rpc, number)| self.stop_attempt(rpc, *number, Outcome::NotSent));
     }
 
-    /// The caller has gone: what is not all written of its RPC never will be, also where what may have run is not to be
-    /// called off. Guards against a connection that comes up late, and an RPC that nobody waits for on it.
-    pub(super) fn call_off_unwritten(&self, rpc: &str) {
-        let unwritten = |out: &Out| out.attempt.progress() < AttemptProgress::RequestWritten;
-        let those: Vec<usize> = match self.open.borrow().get(rpc) {
-            Some(entry) => entry.out.iter().filter(|(_, out)| unwritten(out)).map(|(tx, _)| *tx).collect(),
+    /// The caller has disconnected: cancels attempts whose request is not fully written, even of RPCs whose started
+    /// attempts must not be cancelled. Otherwise a connection established late would run an RPC that nobody waits for.
+    pub(super) fn cancel_unwritten_attempts(&self, rpc: &str) {
+        let unwritten = |out: &OpenAttempt| out.attempt.progress() < AttemptProgress::RequestWritten;
+        let attempts: Vec<usize> = match self.open.borrow().get(rpc) {
+            Some(entry) => {
+                entry.attempts.iter().filter(|(_, out)| unwritten(out)).map(|(number, _)| *number).collect()
+            }
             None => return,
         };
-        those.into_iter().for_each(|tx| self.stop(rpc, tx, Outcome::Cancelled));
+        attempts.into_iter().for_each(|number| self.stop_attempt(rpc, number, Outcome::Cancelled));
     }
 }
--- a/crates/fernroute-server/src/routing/send.rs
+++ b/crates/fernroute-server/src/routing/send.rs
@@ -1,9 +1,9 @@
-//! One transmission, from its first byte to its outcome.
+//! Runs one attempt, from its first byte to its outcome.
 
-use super::switchboard::Switchboard;
-use super::upload::Sent;
-use super::windows::PIECES;
-use crate::protocol::answer::{Answer, Cut, Flow};
+use super::dispatcher::Dispatcher;
+use super::upload::UploadBody;
+use super::windows::CHUNKS_PER_BODY;
+use crate::protocol::answer::{Answer, StreamedBody, Truncated};
 use crate::protocol::request::Request;
 use crate::transport::client::{AnswerStream, Body, UpstreamClient, UpstreamRequest};
 use crate::transport::outbound::{AttemptProgress, AttemptState};
@@ -18,94 +18,93 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::timeout;
 
-/// An upstream that has begun an answer and gives nothing more for so long is silent for good. Any that still gives,
-/// however little, is waited for.
-const SILENT: Duration = Duration::from_secs(10);
+/// How long an upstream may pause within an answer. Any data, however little, restarts the timeout.
+const UPSTREAM_SILENCE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What a transmission sets out with.
+/// The parameters of an attempt.
 pub struct AttemptPlan {
     pub client: Option<Rc<UpstreamClient>>,
     pub attempt: Rc<AttemptState>,
-    pub time_out: Time,
+    pub timeout: Time,
     pub stopped: oneshot::Receiver<Outcome>,
 }
 
-impl Switchboard {
-    pub(super) async fn transmission(
+impl Dispatcher {
+    pub(super) async fn run_attempt(
         self: Rc<Self>,
         rpc: Rc<str>,
-        tx: usize,
+        number: usize,
         request: Rc<Request>,
         plan: AttemptPlan,
     ) {
         let sent = self.clock.now();
         let attempt = Rc::clone(&plan.attempt);
-        let made = self.make(&request, plan);
-        let result = AssertUnwindSafe(made).catch_unwind().await.unwrap_or(Err(Outcome::Unknown));
+        let sending = self.send(&request, plan);
+        let result = AssertUnwindSafe(sending).catch_unwind().await.unwrap_or(Err(Outcome::Unknown));
         if attempt.is_caller_gone() {
-            // Before it is booked: nothing further is to be sent.
-            self.abandoned(&rpc);
+            // Before the outcome is reported, so that the balancer starts no further attempt.
+            self.abandon(&rpc);
         }
-        // An RPC that was sent on while it came is worked on from its last byte on.
-        let whole = request.upload.as_ref().and_then(|upload| upload.whole_at.get());
-        let took = self.clock.now() - whole.map_or(sent, |whole| whole.max(sent));
+        // The upstream can work on a streamed request only from its last byte on.
+        let completed_at = request.upload.as_ref().and_then(|upload| upload.completed_at.get());
+        let took = self.clock.now() - completed_at.map_or(sent, |completed_at| completed_at.max(sent));
         let result = match result {
             Ok((answer, None)) => Ok(answer),
             Ok((answer, Some(rest))) => {
-                let handed_on = self.hand_on(&rpc, tx, answer, rest);
-                AssertUnwindSafe(handed_on).catch_unwind().await.unwrap_or(Err(Outcome::Unknown))
+                let streaming = self.stream_response(&rpc, number, answer, rest);
+                AssertUnwindSafe(streaming).catch_unwind().await.unwrap_or(Err(Outcome::Unknown))
             }
             Err(outcome) => Err(outcome),
         };
-        self.book(&rpc, tx, result, took);
+        self.complete_attempt(&rpc, number, result, took);
     }
 
-    /// A whole answer or its beginning, or how it ended without one.
-    async fn make(
+    /// Returns a complete answer, or the beginning of one with the stream of its remainder, or the outcome.
+    async fn send(
         self: &Rc<Self>,
         request: &Request,
-        AttemptPlan { client, attempt, time_out, stopped }: AttemptPlan,
+        AttemptPlan { client, attempt, timeout, stopped }: AttemptPlan,
     ) -> Result<(Answer, Option<AnswerStream>), Outcome> {
-        // Left the list after it was drawn: nothing was sent.
+        // The upstream was removed from the list after it was selected: nothing was sent.
         let Some(client) = client else { return Err(Outcome::NotSent) };
-        let (verb, uri, headers) = request.encode(client.address, time_out);
+        let (verb, uri, headers) = request.encode(client.address, timeout);
         let body = match &request.upload {
-            // What an earlier transmission took of it is nowhere any more: this one can't be made.
-            Some(upload) if upload.gone.get() || upload.broken.get() => return Err(Outcome::NotSent),
-            Some(upload) => Body::Stream(BoxBody::new(Sent::new(self, request, upload, &attempt))),
+            // Data that an earlier attempt consumed is not kept, so the request cannot be sent again.
+            Some(upload) if upload.consumed.get() || upload.failed.get() => return Err(Outcome::NotSent),
+            Some(upload) => Body::Stream(BoxBody::new(UploadBody::new(self, request, upload, &attempt))),
             None => Body::Buffered(request.body.clone()),
         };
-        let call = UpstreamRequest { method: verb, uri, headers, body, new_connection: request.once };
+        let call = UpstreamRequest { method: verb, uri, headers, body, new_connection: request.run_once };
         let result = {
             let call = pin!(client.send(call, &attempt));
             // Dropping the call at the end of this block closes its connection.
             match select(call, stopped).await {
                 Either::Left((result, _)) => Ok(result),
-                Either::Right((why, _)) => Err(why.unwrap_or(Outcome::Cancelled)),
+                Either::Right((outcome, _)) => Err(outcome.unwrap_or(Outcome::Cancelled)),
             }
         };
         match result {
             Ok(Ok(answered)) => {
-                let answer = Answer::decode(answered.head, answered.body_start, &self.gauges.borrow());
-                // Of no other answer is the body passed on.
+                let answer = Answer::decode(answered.head, answered.body_start, &self.load_fields.borrow());
+                // Only the body of a completed RPC is forwarded.
                 Ok((answer, answered.remaining)).map(|(answer, rest)| match answer.outcome {
                     Outcome::Completed => (answer, rest),
                     _ => (answer, None),
                 })
             }
-            Ok(Err(broken)) => {
-                tracing::debug!("RPC {} at {}: {broken}", request.id, client.address);
-                let caller_broke = request.upload.as_ref().is_some_and(|upload| upload.broken.get());
-                Err(match broken.progress {
+            Ok(Err(error)) => {
+                tracing::debug!("RPC {} at {}: {error}", request.id, client.address);
+                let upload_failed = request.upload.as_ref().is_some_and(|upload| upload.failed.get());
+                Err(match error.progress {
                     AttemptProgress::NotStarted if attempt.is_caller_gone() => Outcome::Cancelled,
-                    // For want of connections here, of time or of the RPC: that says nothing of the upstream.
+                    // No free connection, no time left or the RPC has ended: says nothing about the upstream.
                     AttemptProgress::NotStarted | AttemptProgress::Connected if attempt.held_back() => {
                         Outcome::NotSent
                     }
-                    AttemptProgress::NotStarted | AttemptProgress::Connected if caller_broke => {
+                    AttemptProgress::NotStarted | AttemptProgress::Connected if upload_failed => {
                         Outcome::NotSent
                     }
-                    // Turned away before it was there.
+                    // The upstream answered before the request was written.
                     AttemptProgress::NotStarted | AttemptProgress::Connected
                         if attempt.answered_early.get() =>
                     {
@@ -115,51 +114,52 @@
                     AttemptProgress::RequestWritten | AttemptProgress::AnswerStarted => Outcome::Reset,
                 })
             }
-            // Given up before its last byte was out: the upstream can't have begun it.
+            // Timed out before the last byte was written: the upstream cannot have started the RPC.
             Err(Outcome::TimedOut) if attempt.progress() < AttemptProgress::RequestWritten => {
                 Err(Outcome::ConnectFailed)
             }
-            // A caller's going says nothing of the upstream.
-            Err(why) => Err(why),
+            // A caller's disconnection says nothing about the upstream.
+            Err(outcome) => Err(outcome),
         }
     }
 
-    /// Hands an answer on as it comes and as its caller takes it.
-    async fn hand_on(
+    /// Streams an answer to the caller, at the pace at which the caller reads it.
+    async fn stream_response(
         self: &Rc<Self>,
         rpc: &str,
-        tx: usize,
+        number: usize,
         mut answer: Answer,
         mut rest: AnswerStream,
     ) -> Result<Answer, Outcome> {
-        let (passed, coming) = mpsc::channel(PIECES / 2);
+        let (sender, receiver) = mpsc::channel(CHUNKS_PER_BODY / 2);
         let window = self.windows.open();
         let loads = std::mem::take(&mut answer.loads);
-        answer.flow = Some(Flow::new(coming, rest.content_length));
-        if !self.begin(rpc, tx, answer) {
+        answer.stream = Some(StreamedBody::new(receiver, rest.content_length));
+        if !self.start_streaming(rpc, number, answer) {
             return Err(Outcome::Cancelled);
         }
         loop {
-            let next = timeout(SILENT, rest.next(window.piece()));
-            let next = match select(pin!(next), pin!(passed.closed())).await {
-                Either::Left((next, _)) => next.unwrap_or_else(|_| Err("silent".to_owned())),
+            let next = timeout(UPSTREAM_SILENCE_TIMEOUT, rest.next(window.chunk_size()));
+            let next = match select(pin!(next), pin!(sender.closed())).await {
+                Either::Left((next, _)) => next
+                    .unwrap_or_else(|_| Err(format!("no data for {} s", UPSTREAM_SILENCE_TIMEOUT.as_secs()))),
                 Either::Right(_) => return Err(Outcome::Cancelled),
             };
             match next {
-                Ok(Some(more)) => {
-                    if passed.send(Ok(more)).await.is_err() {
+                Ok(Some(chunk)) => {
+                    if sender.send(Ok(chunk)).await.is_err() {
                         return Err(Outcome::Cancelled);
                     }
                 }
                 Ok(None) => break,
-                Err(why) => {
-                    tracing::debug!("RPC {rpc}, its answer begun: {why}");
-                    // Should the caller have gone: it needs no word.
-                    let _ = passed.send(Err(Cut)).await;
+                Err(error) => {
+                    tracing::debug!("RPC {rpc}: answer broke off: {error}");
+                    // Fails only if the caller has disconnected.
+                    let _ = sender.send(Err(Truncated)).await;
                     return Err(Outcome::Reset);
                 }
             }
         }
-        Ok(Answer::handed_on(loads))
+        Ok(Answer::streamed(loads))
     }
 }
--- a/crates/fernroute-server/src/routing/timers.rs
+++ b/crates/fernroute-server/src/routing/timers.rs
@@ -1,4 +1,4 @@
-//! The one queue of timers: the decisions' own, and the ends of transmissions.
+//! The queue of all timers: those of the balancer and the attempt timeouts.
 
 use super::clock;
 use fernroute::{Time, Timer};
@@ -10,36 +10,36 @@
 use tokio_util::time::{delay_queue::Key, DelayQueue};
 
 #[derive(Debug)]
-pub enum Due {
-    /// A timer of the decisions.
-    Decision(Timer),
-    /// A transmission has had its time.
-    Transmission { rpc: Rc<str>, tx: usize },
+pub enum TimerEvent {
+    /// A timer of the balancer.
+    Balancer(Timer),
+    /// An attempt has timed out.
+    AttemptTimeout { rpc: Rc<str>, number: usize },
 }
 
-/// Emptied as timers come due, and of a transmission's when it ends.
+/// Timers are removed as they expire, and an attempt's timer when the attempt ends.
 #[derive(Debug, Default)]
-pub struct Timers(RefCell<DelayQueue<Due>>);
+pub struct Timers(RefCell<DelayQueue<TimerEvent>>);
 
 impl Timers {
-    pub fn set(&self, after: Time, due: Due) -> Key {
-        self.0.borrow_mut().insert(due, clock::duration(after))
+    pub fn set(&self, after: Time, event: TimerEvent) -> Key {
+        self.0.borrow_mut().insert(event, clock::duration(after))
     }
 
-    /// How many are set and have not come due.
+    /// The number of timers that have not expired.
     pub fn count(&self) -> usize {
         self.0.borrow().len()
     }
 
-    /// For one that has not come due.
-    pub fn drop(&self, key: &Key) {
+    /// The timer must not have expired: the key of an expired timer may be reused.
+    pub fn cancel(&self, key: &Key) {
         self.0.borrow_mut().try_remove(key);
     }
 
-    pub async fn next(&self) -> Due {
+    pub async fn next(&self) -> TimerEvent {
         poll_fn(|cx| match Pin::new(&mut *self.0.borrow_mut()).poll_next(cx) {
             std::task::Poll::Ready(Some(expired)) => std::task::Poll::Ready(expired.into_inner()),
-            // Empty or not yet: the queue wakes this task when a timer is set or comes due.
+            // Empty or none expired yet: the queue wakes this task when a timer is set or expires.
             _ => std::task::Poll::Pending,
         })
         .await
--- a/crates/fernroute-server/src/routing/upload.rs
+++ b/crates/fernroute-server/src/routing/upload.rs
@@ -1,8 +1,8 @@
-//! A body that is sent on while it comes: what is there of it first, then the rest as the upstream takes it.
+//! The body of a streamed request: the buffered beginning first, then the rest as the upstream reads it.
 
-use super::switchboard::Switchboard;
+use super::dispatcher::Dispatcher;
 use super::windows::Window;
-use crate::protocol::request::{Request, Upload, MOST_BODY};
+use crate::protocol::request::{Request, Upload, MAX_BODY_BYTES};
 use crate::transport::outbound::AttemptState;
 use actix_http::body::{BodySize, MessageBody};
 use bytes::Bytes;
@@ -15,84 +15,86 @@
 use std::time::Duration;
 use tokio::time::{sleep, Instant, Sleep};
 
-/// A caller that sends nothing more for so long has stopped: the poorest line brings something each second.
-const CALLER: Duration = Duration::from_millis(2500);
+/// How long a caller may pause within a body. Even a very slow connection delivers some data each second.
+const CALLER_STALL_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// An upstream that takes nothing for so long will not: its slot is full, or it stands still. The caller is told then,
-/// well before it gives up by itself.
-const UPSTREAM: Duration = Duration::from_secs(5);
+/// How long an upstream may stop reading a body, because it is full or stalled. The caller is answered after that, well
+/// before its own timeout.
+const UPSTREAM_STALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-pub struct Sent {
-    board: Rc<Switchboard>,
+pub struct UploadBody {
+    dispatcher: Rc<Dispatcher>,
     rpc: Rc<str>,
     attempt: Rc<AttemptState>,
-    first: Bytes,
+    buffered: Bytes,
     upload: Rc<Upload>,
-    passed: u64,
+    bytes_passed: u64,
     window: Window,
-    /// Comes due where nothing moves; whom it waits for.
-    stalled: Pin<Box<Sleep>>,
-    for_caller: bool,
+    /// Expires when no data has moved for the stall timeout.
+    stall_timer: Pin<Box<Sleep>>,
+    /// Whether the caller, not the upstream, is being waited for.
+    waits_for_caller: bool,
 }
 
-impl Sent {
+impl UploadBody {
     pub fn new(
-        board: &Rc<Switchboard>,
+        dispatcher: &Rc<Dispatcher>,
         request: &Request,
         upload: &Rc<Upload>,
         attempt: &Rc<AttemptState>,
     ) -> Self {
-        Sent {
-            board: Rc::clone(board),
+        UploadBody {
+            dispatcher: Rc::clone(dispatcher),
             rpc: Rc::clone(&request.id),
             attempt: Rc::clone(attempt),
-            first: request.body.clone(),
+            buffered: request.body.clone(),
             upload: Rc::clone(upload),
-            passed: 0,
-            window: board.windows.open(),
-            stalled: Box::pin(sleep(UPSTREAM)),
-            for_caller: false,
+            bytes_passed: 0,
+            window: dispatcher.windows.open(),
+            stall_timer: Box::pin(sleep(UPSTREAM_STALL_TIMEOUT)),
+            waits_for_caller: false,
         }
     }
 
-    /// Nothing moves until this one does something; an error once it has had its time.
+    /// Waits for the caller to send or for the upstream to read. Returns an error once the stall timeout has expired.
     fn wait(&mut self, cx: &mut Context<'_>, for_caller: bool) -> Poll<Option<Result<Bytes, io::Error>>> {
-        if std::mem::replace(&mut self.for_caller, for_caller) != for_caller {
-            self.moved(for_caller);
+        if std::mem::replace(&mut self.waits_for_caller, for_caller) != for_caller {
+            self.restart_stall_timer(for_caller);
         }
-        std::task::ready!(self.stalled.as_mut().poll(cx));
-        self.upload.broken.set(for_caller);
-        let who = if for_caller { "the caller sends" } else { "the upstream takes" };
-        Poll::Ready(Some(Err(io::Error::new(io::ErrorKind::TimedOut, format!("{who} nothing more")))))
+        std::task::ready!(self.stall_timer.as_mut().poll(cx));
+        self.upload.failed.set(for_caller);
+        let reason =
+            if for_caller { "caller stopped sending the body" } else { "upstream stopped reading the body" };
+        Poll::Ready(Some(Err(io::Error::new(io::ErrorKind::TimedOut, reason))))
     }
 
-    fn moved(&mut self, for_caller: bool) {
-        let time = if for_caller { CALLER } else { UPSTREAM };
-        self.stalled.as_mut().reset(Instant::now() + time);
+    fn restart_stall_timer(&mut self, for_caller: bool) {
+        let time = if for_caller { CALLER_STALL_TIMEOUT } else { UPSTREAM_STALL_TIMEOUT };
+        self.stall_timer.as_mut().reset(Instant::now() + time);
     }
 
     fn pass(&mut self, bytes: Bytes) -> Poll<Option<Result<Bytes, io::Error>>> {
-        self.moved(self.for_caller);
-        self.passed += bytes.len() as u64;
-        if self.passed > MOST_BODY {
-            self.upload.broken.set(true);
+        self.restart_stall_timer(self.waits_for_caller);
+        self.bytes_passed += bytes.len() as u64;
+        if self.bytes_passed > MAX_BODY_BYTES {
+            self.upload.failed.set(true);
             self.upload.too_large.set(true);
-            return Poll::Ready(Some(Err(io::Error::other("a body too large"))));
+            return Poll::Ready(Some(Err(io::Error::other("request body too large"))));
         }
-        if self.upload.length == Some(self.passed) {
+        if self.upload.length == Some(self.bytes_passed) {
             self.finish();
         }
         Poll::Ready(Some(Ok(bytes)))
     }
 
-    /// The last byte has come; once what is passed on is written it may run.
+    /// The last byte has been received; once it is written the upstream may run the RPC.
     fn finish(&mut self) {
         self.attempt.body_incomplete.set(false);
-        self.board.whole(&self.rpc);
+        self.dispatcher.request_complete(&self.rpc);
     }
 }
 
-impl MessageBody for Sent {
+impl MessageBody for UploadBody {
     type Error = io::Error;
 
     fn size(&self) -> BodySize {
@@ -100,32 +102,32 @@
     }
 
     fn poll_next(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, io::Error>>> {
-        match self.attempt.poll_write_capacity(cx, self.window.piece()) {
+        match self.attempt.poll_write_capacity(cx, self.window.chunk_size()) {
             Poll::Pending => return self.wait(cx, false),
-            Poll::Ready(Err(why)) => return Poll::Ready(Some(Err(why))),
+            Poll::Ready(Err(error)) => return Poll::Ready(Some(Err(error))),
             Poll::Ready(Ok(())) => {}
         }
-        if !self.first.is_empty() {
-            let first = std::mem::take(&mut self.first);
-            return self.pass(first);
+        if !self.buffered.is_empty() {
+            let buffered = std::mem::take(&mut self.buffered);
+            return self.pass(buffered);
         }
-        if self.upload.length == Some(self.passed) {
+        if self.upload.length == Some(self.bytes_passed) {
             return Poll::Ready(None);
         }
-        let next = Pin::new(&mut *self.upload.coming.borrow_mut()).poll_next(cx);
+        let next = Pin::new(&mut *self.upload.payload.borrow_mut()).poll_next(cx);
         match next {
             Poll::Pending => self.wait(cx, true),
-            Poll::Ready(Some(Ok(more))) => {
-                self.upload.gone.set(true);
-                self.pass(more)
+            Poll::Ready(Some(Ok(chunk))) => {
+                self.upload.consumed.set(true);
+                self.pass(chunk)
             }
             Poll::Ready(None) if self.upload.length.is_none() => {
                 self.finish();
                 Poll::Ready(None)
             }
             Poll::Ready(_) => {
-                self.upload.broken.set(true);
-                Poll::Ready(Some(Err(io::Error::other("the caller broke off"))))
+                self.upload.failed.set(true);
+                Poll::Ready(Some(Err(io::Error::other("caller broke off the request body"))))
             }
         }
     }
--- a/crates/fernroute-server/src/routing/windows.rs
+++ b/crates/fernroute-server/src/routing/windows.rs
@@ -1,62 +1,63 @@
-//! How much of long bodies may wait in this process: the sum over all that are handed on stays within a part of the
-//! memory, however many they are. No I/O.
+//! Limits the memory for streamed bodies: the sum over all of them stays within a part of the process's memory, however
+//! many there are. No I/O.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Of the memory that a balancer may hold, this part is for what waits of long bodies. The rest is for the program itself,
-/// messages that are held whole, and the libraries' buffers of some score kilobytes for each connection.
-const PART: usize = 4;
+/// One part in this many of the process's memory is for streamed bodies. The rest is for the program itself, messages
+/// that are buffered whole, and the libraries' buffers, which take tens of kilobytes for each connection.
+const MEMORY_DIVISOR: usize = 4;
 
-/// A body has so many pieces in here at once: two that wait, one that is read, one that is written.
-pub const PIECES: usize = 4;
+/// A streamed body has this many chunks in memory at once: two queued, one being read, one being written.
+pub const CHUNKS_PER_BODY: usize = 4;
 
-/// Larger pieces are no quicker; smaller ones cost more turns than they save memory.
-const LARGEST: usize = 16 * 1024;
-const LEAST: usize = 2 * 1024;
+/// Larger chunks are no faster; smaller ones cost more wake-ups than they save memory.
+const MAX_CHUNK_BYTES: usize = 16 * 1024;
+const MIN_CHUNK_BYTES: usize = 2 * 1024;
 
 #[derive(Debug)]
 pub struct Windows {
     budget: Cell<usize>,
-    open: Cell<usize>,
+    open_bodies: Cell<usize>,
 }
 
 impl Windows {
-    /// `memory` in bytes is what the process may hold.
+    /// `memory` is the memory limit of the process in bytes.
     pub fn new(memory: usize) -> Rc<Self> {
-        Rc::new(Windows { budget: Cell::new(memory / PART), open: Cell::new(0) })
+        Rc::new(Windows { budget: Cell::new(memory / MEMORY_DIVISOR), open_bodies: Cell::new(0) })
     }
 
-    /// Another process of this balancer has a part of the memory, or gives it back.
+    /// Changes the limit while another process of this balancer uses a part of the memory.
     pub fn set_memory(&self, memory: usize) {
-        self.budget.set(memory / PART);
+        self.budget.set(memory / MEMORY_DIVISOR);
     }
 
-    /// One more body is handed on, for as long as what is returned is held.
+    /// Opens the window of one more body. Dropping it closes it.
     pub fn open(self: &Rc<Self>) -> Window {
-        self.open.set(self.open.get() + 1);
+        self.open_bodies.set(self.open_bodies.get() + 1);
         Window(Rc::clone(self))
     }
 
-    fn piece(&self) -> usize {
-        (self.budget.get() / (PIECES * self.open.get().max(1))).clamp(LEAST, LARGEST)
+    fn chunk_size(&self) -> usize {
+        (self.budget.get() / (CHUNKS_PER_BODY * self.open_bodies.get().max(1)))
+            .clamp(MIN_CHUNK_BYTES, MAX_CHUNK_BYTES)
     }
 }
 
-/// Held while a body is handed on.
+/// The share of one streamed body, held while it is forwarded.
 #[derive(Debug)]
 pub struct Window(Rc<Windows>);
 
 impl Window {
-    /// How long a piece may be now: the more bodies, the shorter.
-    pub fn piece(&self) -> usize {
-        self.0.piece()
+    /// The current maximum chunk size in bytes: the more bodies, the smaller.
+    pub fn chunk_size(&self) -> usize {
+        self.0.chunk_size()
     }
 }
 
 impl Drop for Window {
     fn drop(&mut self) {
-        self.0.open.set(self.0.open.get() - 1);
+        self.0.open_bodies.set(self.0.open_bodies.get() - 1);
     }
 }
 
@@ -64,29 +65,34 @@
 mod tests {
     use super::*;
 
-    /// Guards against long bodies that together outgrow the memory, and against windows that stay small for good.
+    /// Guards against streamed bodies that together exceed their memory, and against chunks that stay small after the
+    /// number of bodies has fallen.
     #[test]
-    fn the_windows_of_all_bodies_fit_into_a_part_of_the_memory() {
-        const MEGA: usize = 1 << 20;
-        for memory in [32 * MEGA, 48 * MEGA, 192 * MEGA] {
+    fn windows_of_all_bodies_fit_into_their_part_of_the_memory() {
+        const MIB: usize = 1 << 20;
+        for memory in [32 * MIB, 48 * MIB, 192 * MIB] {
             let windows = Windows::new(memory);
             let mut open = Vec::new();
-            // Both ways on as many connections as the least memory is ever given with.
+            // Both directions on as many connections as the smallest memory limit is used with.
             for count in 1..=1000 {
                 open.push(windows.open());
-                let piece = open[0].piece();
-                assert!((LEAST..=LARGEST).contains(&piece));
-                assert!(count * PIECES * piece <= memory / PART, "{memory} {count} {piece}");
+                let chunk = open[0].chunk_size();
+                assert!((MIN_CHUNK_BYTES..=MAX_CHUNK_BYTES).contains(&chunk));
+                assert!(
+                    count * CHUNKS_PER_BODY * chunk <= memory / MEMORY_DIVISOR,
+                    "{memory} {count} {chunk}"
+                );
             }
             windows.set_memory(memory / 2);
             assert!(
-                open[0].piece() * open.len() * PIECES <= (memory / 2 / PART).max(open.len() * PIECES * LEAST)
+                open[0].chunk_size() * open.len() * CHUNKS_PER_BODY
+                    <= (memory / 2 / MEMORY_DIVISOR).max(open.len() * CHUNKS_PER_BODY * MIN_CHUNK_BYTES)
             );
             windows.set_memory(memory);
             open.truncate(1);
-            assert_eq!(open[0].piece(), LARGEST);
+            assert_eq!(open[0].chunk_size(), MAX_CHUNK_BYTES);
             drop(open);
-            assert_eq!(windows.open.get(), 0);
+            assert_eq!(windows.open_bodies.get(), 0);
         }
     }
 }
--- a/crates/fernroute-server/src/transport/discovery.rs
+++ b/crates/fernroute-server/src/transport/discovery.rs
@@ -247,10 +247,10 @@
                 match calls.answer(version, wait, doubted.take(), &news).await {
                     Ok(list) => {
                         let is_second = asked_again.take().is_some_and(|at| at.elapsed() < DOUBT);
-                        let doubt = list.doubtful(version).filter(|_| !is_second);
+                        let doubt = list.reason_to_confirm(version).filter(|_| !is_second);
                         if let Some(why) = doubt {
                             tracing::warn!("list {}: {why}, the whole list is asked for", list.version);
-                            doubted = list.leaving(version);
+                            doubted = list.departures(version);
                             (version, asked_again, once_more) = (None, Some(Instant::now()), false);
                             // What is out asks for changes only.
                             calls.out.clear();
--- a/crates/fernroute-server/src/transport/handover.rs
+++ b/crates/fernroute-server/src/transport/handover.rs
@@ -1,7 +1,7 @@
 //! The Unix socket between the old and the new process of a balancer: lines both ways, and the listening socket with
 //! one of them.
 
-use crate::protocol::handover::{decode, encode, MOST_LINE};
+use crate::protocol::handover::{decode, encode, MAX_LINE_BYTES};
 use rustix::net::{
     recvmsg, sendmsg, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
     SendAncillaryMessage, SendFlags,
@@ -110,7 +110,7 @@
                     Err(why) => Err(io::Error::new(ErrorKind::InvalidData, why)),
                 };
             }
-            if self.heard.borrow().len() > MOST_LINE {
+            if self.heard.borrow().len() > MAX_LINE_BYTES {
                 return Err(io::Error::new(ErrorKind::InvalidData, "a line without end"));
             }
             let mut part = [0; 4096];
--- a/crates/fernroute-server/src/transport/ops_server.rs
+++ b/crates/fernroute-server/src/transport/ops_server.rs
@@ -1,6 +1,6 @@
 //! The operators' door: a few places of its own, each for one call.
 
-use crate::protocol::ops::{Call, Reply, MOST_HEAD};
+use crate::protocol::ops::{Call, Reply, MAX_HEAD_BYTES};
 use actix_http::StatusCode;
 use actix_rt::task::JoinHandle;
 use bytes::BytesMut;
@@ -65,7 +65,7 @@
             }
             break Err(StatusCode::BAD_REQUEST);
         }
-        debug_assert!(heard.len() <= 2 * MOST_HEAD);
+        debug_assert!(heard.len() <= 2 * MAX_HEAD_BYTES);
     };
     let reply = call.map_or_else(|status| Reply::plain(status, "no such call"), answer);
     if stream.write_all(&reply.encode()).await.is_ok() && stream.shutdown().await.is_ok() {
--- a/crates/fernroute-server/tests/daily.rs
+++ b/crates/fernroute-server/tests/daily.rs
@@ -129,7 +129,7 @@
             (number(&v["taken"]), ended + number(&v["left"]) + number(&v["outstanding"]))
         };
         assert_eq!(counts(&told).0, counts(&told).1, "{told}");
-        until(|| b.board.open.borrow().values().filter(|rpc| !rpc.out.is_empty()).count() == 2).await;
+        until(|| b.board.open.borrow().values().filter(|rpc| !rpc.attempts.is_empty()).count() == 2).await;
         until(|| up.seen.borrow().len() >= 6).await;
         drop(leaver);
         until(|| b.board.open.borrow().len() == 1).await;
@@ -141,11 +141,11 @@
         assert_eq!(told["forwards"], up.seen.borrow().len(), "{told}");
         drop(stayer);
         until(|| b.board.open.borrow().is_empty()).await;
-        b.board.take_list(&Default::default(), true);
+        b.board.apply_list(&Default::default(), true);
         let told = figures(&b).await;
         assert_eq!((counts(&told).0, counts(&told).1, &told["discovered"]), (6, 6, &1.into()));
         let none = fernroute_server::protocol::list::List { full: true, ..Default::default() };
-        b.board.take_list(&none, true);
+        b.board.apply_list(&none, true);
         assert_eq!(figures(&b).await["discovered"], 0);
     });
 }
@@ -198,7 +198,7 @@
             actix_rt::time::sleep(Duration::from_millis(300)).await;
         }
         // Told to stop it says so, and stays so.
-        b.board.phase_change(|phase, now| phase.leave(now));
+        b.board.update_phase(|phase, now| phase.shut_down(now));
         assert_eq!(tell(&b, "POST", "/-/drain").await, 200);
         assert_eq!(tell(&b, "POST", "/-/resume").await, 409);
         assert_eq!(tell(&b, "GET", "/-/ready").await, 503);
--- a/crates/fernroute-server/tests/departures.rs
+++ b/crates/fernroute-server/tests/departures.rs
@@ -103,7 +103,7 @@
 
 async fn nothing_left(b: &RunningInstance) {
     until(|| b.board.open.borrow().is_empty()).await;
-    assert_eq!(b.board.figures().outstanding, 0);
+    assert_eq!(b.board.metrics().outstanding, 0);
     until(|| b.board.timers.count() == 0).await;
     until(|| b.server.connections() == 0).await;
 }
@@ -209,7 +209,7 @@
                 let half = leave(caller, how);
                 yield_now().await;
                 std::thread::sleep(TURN);
-                b.board.take_list(&list(8, true, &[entry("s-0", up.address, "z", "SERVING")]), true);
+                b.board.apply_list(&list(8, true, &[entry("s-0", up.address, "z", "SERVING")]), true);
                 nothing_left(&b).await;
                 assert!(up.seen.borrow().is_empty() && up.connections.get() == 0, "{how:?}");
                 assert_eq!(ask(b.address, rpc("GET", "/look", "")).await.status(), 200);
@@ -230,7 +230,7 @@
                 let held = Held::new().await.expect("a full queue");
                 let b = balancer_at(&[held.address], &late).await;
                 let caller = send(b.address, whole).await;
-                until(|| b.board.open.borrow().values().any(|rpc| rpc.out.len() == 1)).await;
+                until(|| b.board.open.borrow().values().any(|rpc| rpc.attempts.len() == 1)).await;
                 tokio::time::sleep(Duration::from_millis(100)).await;
                 let half = leave(caller, how);
                 yield_now().await;
@@ -256,11 +256,11 @@
             let other = stand_in(|_, _| ok("whole")).await;
             let b = balancer_at(&[held.address], &[]).await;
             let caller = send(b.address, long()).await;
-            until(|| b.board.open.borrow().values().any(|rpc| rpc.out.len() == 1)).await;
+            until(|| b.board.open.borrow().values().any(|rpc| rpc.attempts.len() == 1)).await;
             tokio::time::sleep(Duration::from_millis(60)).await;
             let both = [held.address, other.address];
             let both = [0, 1].map(|n| entry(&format!("s-{n}"), both[n], "z", "SERVING"));
-            b.board.take_list(&list(8, true, &both), true);
+            b.board.apply_list(&list(8, true, &both), true);
             let half = leave(caller, how);
             yield_now().await;
             // The first one's time is over by then.
--- a/crates/fernroute-server/tests/endings.rs
+++ b/crates/fernroute-server/tests/endings.rs
@@ -8,7 +8,7 @@
     stand_in, until, Deed,
 };
 use fernroute_server::program::serve::RunningInstance;
-use fernroute_server::protocol::answer::Final;
+use fernroute_server::protocol::answer::FinalAnswer;
 use fernroute_test_support::http::{answer, Peer};
 use fernroute_test_support::stand_in::Held;
 use futures_util::FutureExt as _;
@@ -31,12 +31,12 @@
 /// Nothing is left of what the crossing was about.
 async fn nothing_left(b: &RunningInstance) {
     until(|| b.board.open.borrow().is_empty()).await;
-    assert_eq!(b.board.figures().outstanding, 0);
+    assert_eq!(b.board.metrics().outstanding, 0);
     until(|| b.board.timers.count() == 0).await;
 }
 
 fn out(b: &RunningInstance) -> usize {
-    b.board.open.borrow().values().map(|rpc| rpc.out.len()).sum()
+    b.board.open.borrow().values().map(|rpc| rpc.attempts.len()).sum()
 }
 
 fn post(more: &str) -> String {
@@ -59,7 +59,7 @@
                 caller.set_zero_linger().expect("it may");
             }
             drop(caller);
-            until(|| b.board.figures().outstanding == 0).await;
+            until(|| b.board.metrics().outstanding == 0).await;
             let up = held.let_go(|_, _| ok("whole"));
             // Past the second after which its machine would have tried again.
             tokio::time::sleep(Duration::from_millis(1300)).await;
@@ -81,7 +81,7 @@
             let caller = send(b.address, rpc("GET", "/look", "").replace("Ms: 4000", "Ms: 700")).await;
             until(|| up.seen.borrow().len() == 1).await;
             drop(caller);
-            until(|| b.board.figures().outstanding == 0).await;
+            until(|| b.board.metrics().outstanding == 0).await;
             assert!(allowed || up.left.get() == 0);
             // Called off, or once its time is up.
             until(|| up.left.get() == 1).await;
@@ -171,7 +171,7 @@
         until(|| b.board.open.borrow().len() == 1).await;
         drop(caller);
         until(|| b.board.open.borrow().is_empty()).await;
-        b.board.take_list(&list(8, true, &[entry("s-0", up.address, "z", "SERVING")]), true);
+        b.board.apply_list(&list(8, true, &[entry("s-0", up.address, "z", "SERVING")]), true);
         assert_eq!(ask(b.address, rpc("GET", "/look", "")).await.status(), 200);
         nothing_left(&b).await;
         assert_eq!(up.seen.borrow().len(), 1);
@@ -198,7 +198,7 @@
                 "not named" => {}
                 state => entries.push(entry("s-0", held.address, "z", state)),
             }
-            b.board.take_list(&list(8, state == "not named", &entries), true);
+            b.board.apply_list(&list(8, state == "not named", &entries), true);
             let answer = read(&mut caller).await.expect("an answer");
             assert_eq!((answer.status(), answer.body), (200, b"whole".to_vec()), "{state}");
             // Its machine tries to connect again after a second: that was not waited for.
@@ -223,8 +223,8 @@
         let mut asked = pin!(b.board.admit(request(&b, "turn", "look", "4000"), None));
         assert!(asked.as_mut().now_or_never().is_none() && out(&b) == 1);
         let entries = [entry("s-0", one.address, "z", "DRAINING"), entry("s-1", two.address, "z", "SERVING")];
-        b.board.take_list(&list(8, false, &entries), true);
-        let Ok(Final::Completed(last)) = asked.await else { panic!("it is served") };
+        b.board.apply_list(&list(8, false, &entries), true);
+        let Ok(FinalAnswer::Completed(last)) = asked.await else { panic!("it is served") };
         assert_eq!((&last.body[..], one.seen.borrow().len()), (&b"two"[..], 1));
         nothing_left(&b).await;
     });
@@ -238,8 +238,8 @@
         let up = commanded(Rc::clone(&go)).await;
         let b = balancer_at(&[up], &[]).await;
         let mut caller = send(b.address, post("")).await;
-        until(|| b.board.figures().transmissions == 1).await;
-        b.board.take_list(&list(8, false, &[entry("s-0", up, "z", "DRAINING")]), true);
+        until(|| b.board.metrics().attempts == 1).await;
+        b.board.apply_list(&list(8, false, &[entry("s-0", up, "z", "DRAINING")]), true);
         go.notify_one();
         assert_eq!(read(&mut caller).await.expect("an answer").status(), 200);
         nothing_left(&b).await;
@@ -398,7 +398,7 @@
         assert!(again.is_err(), "the old one is not booked yet");
         nothing_left(&b).await;
         let last = b.board.admit(request(&b, "twice", "look", "4000"), None).await;
-        assert!(matches!(last, Ok(Final::Completed(_))), "{last:?}");
+        assert!(matches!(last, Ok(FinalAnswer::Completed(_))), "{last:?}");
         nothing_left(&b).await;
     });
 }
@@ -412,7 +412,7 @@
         let b = balancer_at(&[up], &[("\"max-transmissions\":3", "\"max-transmissions\":1")]).await;
         for n in 0..20 {
             let mut caller = send(b.address, post("").replace("Ms: 4000", "Ms: 30")).await;
-            until(|| b.board.figures().transmissions == n + 1).await;
+            until(|| b.board.metrics().attempts == n + 1).await;
             // Both come due while nothing runs here.
             go.notify_one();
             tokio::task::yield_now().await;
@@ -482,8 +482,8 @@
         let (first, rest) = whole.split_at(40);
         let mut slow = send(b.address, first).await;
         until(|| b.server.connections() == 1).await;
-        b.board.phase_change(|phase, now| phase.leave(now - 90_000));
-        b.board.error_all();
+        b.board.update_phase(|phase, now| phase.shut_down(now - 90_000));
+        b.board.fail_all();
         slow.write_all(rest.as_bytes()).await.expect("it reads");
         let last = read(&mut slow).await.expect("an answer");
         assert_eq!((last.status(), last.header("connection")), (503, Some("close")));
@@ -561,8 +561,8 @@
         ];
         for (n, text) in bad.iter().enumerate() {
             match n % 3 {
-                1 => drop(b.board.phase_change(|phase, now| phase.drain(now))),
-                2 => drop(b.board.phase_change(|phase, _| phase.resume())),
+                1 => drop(b.board.update_phase(|phase, now| phase.drain(now))),
+                2 => drop(b.board.update_phase(|phase, _| phase.resume())),
                 _ => {}
             }
             let mut waiting = Vec::new();
--- a/crates/fernroute-server/tests/forms.rs
+++ b/crates/fernroute-server/tests/forms.rs
@@ -213,8 +213,8 @@
             let got =
                 if head.to_ascii_lowercase().contains("chunked") { out_of_chunks(&got) } else { Some(got) };
             assert!(got.is_some_and(|got| got == body));
-            let told = b.board.figures();
-            assert_eq!((told.ends["pay"].completed, told.outstanding, told.transmissions), (1, 0, 1));
+            let told = b.board.metrics();
+            assert_eq!((told.ends["pay"].completed, told.outstanding, told.attempts), (1, 0, 1));
         }
     });
 }
@@ -249,7 +249,7 @@
             let mut caller = send(b.address, rpc("GET", "/look", "").replace("4000", "300")).await;
             let mut first = vec![0; 100_000];
             caller.read_exact(&mut first).await.expect("it has begun");
-            assert_eq!(b.board.figures().outstanding, 1);
+            assert_eq!(b.board.metrics().outstanding, 1);
             // Long past its deadline it is still open.
             actix_rt::time::sleep(Duration::from_millis(600)).await;
             go.notify_one();
@@ -261,9 +261,9 @@
                 to_the_end(&mut caller).await
             };
             assert_eq!(rest.len() > 50_000, whole, "{}", rest.len());
-            until(|| b.board.figures().outstanding == 0).await;
+            until(|| b.board.metrics().outstanding == 0).await;
         }
-        let told = b.board.figures().ends["look"];
+        let told = b.board.metrics().ends["look"];
         assert_eq!((told.completed, told.errored, calls.get()), (1, 1, 2));
     });
 }
@@ -301,7 +301,7 @@
         assert!(told >= 400 && from.elapsed() < Duration::from_secs(3), "{told} {:?}", from.elapsed());
         // Its caller goes.
         drop(send(b.address, [head("/pay").as_bytes(), &pattern(200_000)].concat()).await);
-        until(|| b.board.figures().left == 1 && b.board.open.borrow().is_empty()).await;
+        until(|| b.board.metrics().left == 1 && b.board.open.borrow().is_empty()).await;
         // More than any RPC may hold, said or not.
         let (said, _) =
             exchange(b.address, rpc("POST", "/pay", "Content-Length: 33554433\r\n").into_bytes()).await;
@@ -310,7 +310,7 @@
         let request = [rpc("POST", "/pay", "Transfer-Encoding: chunked\r\n").as_bytes(), &chunks].concat();
         let (said, _) = exchange(b.address, request).await;
         assert!(said.starts_with("HTTP/1.1 413"), "{said}");
-        assert_eq!(b.board.figures().transmissions, 0);
+        assert_eq!(b.board.metrics().attempts, 0);
     });
 }
 
--- a/crates/fernroute-server/tests/program.rs
+++ b/crates/fernroute-server/tests/program.rs
@@ -8,7 +8,7 @@
 use fernroute_server::program::instance::InstanceConfig;
 use fernroute_server::program::{serve, shutdown};
 use fernroute_server::protocol::list::{self as lists, State};
-use fernroute_server::protocol::load::{self, Gauges};
+use fernroute_server::protocol::load::{self, LoadFields};
 use process::{folder, Program};
 use std::net::TcpListener;
 use std::process::Command;
@@ -165,7 +165,7 @@
         let text = format!(r#"{{"version":1,"full":true,"servers":[{},{}]}}"#, entry(first), entry(second));
         let list = lists::decode(&serde_json::from_str(&text).expect("it is JSON")).expect("a list");
         let states: Vec<State> = list.entries.iter().map(|e| e.state).collect();
-        assert_eq!(states, [if first == "DELETED" { State::Gone } else { State::Drains }]);
+        assert_eq!(states, [if first == "DELETED" { State::Removed } else { State::Draining }]);
     }
 }
 
@@ -248,7 +248,7 @@
         until(|| up.seen.borrow().len() == 2).await;
         let (board, server, from) = (b.board.clone(), b.server.clone(), Instant::now());
         let end = actix_rt::spawn(async move { shutdown::shut_down(&board, &server).await });
-        until(|| b.board.phase.get().is_leaving()).await;
+        until(|| b.board.phase.get().is_shutting_down()).await;
         assert_eq!(ask(b.address, READY).await.status(), 503);
         let late = ask(b.address, rpc("GET", "/look", "")).await;
         assert!(late.status() == 200 && late.header("connection").is_none(), "{}", late.head);
@@ -379,7 +379,7 @@
 
 #[test]
 fn load_reports_are_read_by_name() {
-    let gauges = Gauges(vec!["service_time".to_owned(), "errors".to_owned(), "utilisation".to_owned()]);
+    let gauges = LoadFields(vec!["service_time".to_owned(), "errors".to_owned(), "utilisation".to_owned()]);
     let loads = load::decode("inflight=7, util=0.61,latency_ms=much,queue,eps=2", &gauges);
     assert!(loads[0].is_nan());
     assert_eq!(&loads[1..], [2.0, 0.61]);
--- a/crates/fernroute-server/tests/public_interface.rs
+++ b/crates/fernroute-server/tests/public_interface.rs
@@ -7,7 +7,7 @@
 
 use common::*;
 use fernroute_server::program::configuration_cache::ConfigurationCache;
-use fernroute_server::protocol::handover::{decode, encode, FromNew, FromOld};
+use fernroute_server::protocol::handover::{decode, encode, PredecessorMessage, SuccessorMessage};
 use fernroute_server::protocol::{names, ops};
 use process::{folder, Program};
 use std::cell::RefCell;
@@ -29,11 +29,11 @@
 #[test]
 fn the_lines_of_an_upgrade_stay_as_they_are() {
     for line in SUCCESSOR_LINES {
-        let message: FromNew = decode(line.as_bytes()).expect("it is read");
+        let message: SuccessorMessage = decode(line.as_bytes()).expect("it is read");
         assert_eq!(encode(&message), format!("{line}\n").into_bytes());
     }
     for line in PREDECESSOR_LINES {
-        let message: FromOld = decode(line.as_bytes()).expect("it is read");
+        let message: PredecessorMessage = decode(line.as_bytes()).expect("it is read");
         assert_eq!(encode(&message), format!("{line}\n").into_bytes());
     }
 }
--- a/crates/fernroute-server/tests/relay.rs
+++ b/crates/fernroute-server/tests/relay.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{ask, balancer, balancer_at, ok, read, rested, rpc, run, say, send, stand_in, until, Deed};
-use fernroute_server::protocol::answer::Final;
+use fernroute_server::protocol::answer::FinalAnswer;
 use fernroute_server::transport::outbound::{AttemptProgress, AttemptState, CURRENT_ATTEMPT};
 use fernroute_server::transport::upstream_connections::ConnectionTable;
 use std::cell::Cell;
@@ -412,7 +412,7 @@
 
 #[test]
 fn exhaustion_says_when_to_come_back() {
-    let answer = Final::Exhausted(12_345).encode();
+    let answer = FinalAnswer::Exhausted(12_345).encode();
     assert_eq!(answer.status().as_u16(), 503);
     assert_eq!(answer.headers().get("retry-after").and_then(|v| v.to_str().ok()), Some("1.2345"));
     run(async {
--- a/crates/fernroute-server/tests/repeats.rs
+++ b/crates/fernroute-server/tests/repeats.rs
@@ -38,9 +38,9 @@
             read(&mut stream).await.expect("the RPC");
             // It may have run there. From here on there is only one whose connections come up late.
             let both = [entry("s-0", at, "z", "DRAINING"), entry("s-1", held.address, "z", "SERVING")];
-            b.board.take_list(&list(8, true, &both), true);
+            b.board.apply_list(&list(8, true, &both), true);
             stream.write_all(&answer(500, "", "")).await.expect("it is read");
-            until(|| b.board.open.borrow().values().any(|rpc| rpc.made == 2)).await;
+            until(|| b.board.open.borrow().values().any(|rpc| rpc.attempts_started == 2)).await;
             assert!(begun.elapsed() < WINDOW, "too slow a machine: the repeat was to be sent off in time");
             tokio::time::sleep(WINDOW.saturating_sub(begun.elapsed())).await;
             let up = held.let_go(|_, _| ok("whole"));
--- a/crates/fernroute-server/tests/schedules.rs
+++ b/crates/fernroute-server/tests/schedules.rs
@@ -202,7 +202,7 @@
 
     /// All that was written has come.
     async fn settle(&self) {
-        let written = || self.b.board.figures().transmissions as usize;
+        let written = || self.b.board.metrics().attempts as usize;
         until(|| written() <= self.ledger.arrivals.borrow().len()).await;
     }
 
@@ -213,7 +213,7 @@
             false,
             &[entry(&format!("s-{upstream}"), self.addresses[upstream], "z", state)],
         );
-        self.b.board.take_list(&list, true);
+        self.b.board.apply_list(&list, true);
         self.ledger.drains[upstream].set(state != "SERVING");
     }
 
@@ -385,7 +385,7 @@
         let board = &self.b.board;
         let clear = || {
             board.open.borrow().is_empty()
-                && board.figures().outstanding == 0
+                && board.metrics().outstanding == 0
                 && board.timers.count() == 0
                 && self.b.server.connections() == 0
         };
--- a/crates/fernroute-server/tests/sizes.rs
+++ b/crates/fernroute-server/tests/sizes.rs
@@ -4,7 +4,7 @@
 
 use common::{balancer_at, entry, list, run, until};
 use fernroute_server::program::serve;
-use fernroute_server::protocol::handover::{decode, encode, Known, MOST_LINE};
+use fernroute_server::protocol::handover::{decode, encode, HandoverList, MAX_LINE_BYTES};
 use fernroute_test_support::stand_in::Discovery;
 use std::net::SocketAddr;
 
@@ -27,7 +27,7 @@
         let discovery = Discovery::start(at, indented).await.expect("a port");
         let none: [SocketAddr; 0] = [];
         let b = serve::start(common::station(&none, discovery.address, &[])).await.expect("it starts");
-        until(|| b.board.standing().0 == MANY).await;
+        until(|| b.board.upstream_counts().0 == MANY).await;
         assert_eq!(b.board.upstreams.borrow().len(), MANY);
         discovery.tell(many("DRAINING").join(","));
         until(|| b.board.upstreams.borrow().is_empty()).await;
@@ -40,13 +40,13 @@
     run(async {
         let none: [SocketAddr; 0] = [];
         let b = balancer_at(&none, &[]).await;
-        b.board.take_list(&list(8, true, &many("SERVING")), true);
+        b.board.apply_list(&list(8, true, &many("SERVING")), true);
         let lines = b.board.upstreams.borrow();
         let discovery = SocketAddr::from(([127, 0, 0, 1], 1));
-        let known = Known::of(discovery, Some(8), lines.values().map(|(entry, _)| entry));
+        let known = HandoverList::of(discovery, Some(8), lines.values().map(|(entry, _)| entry));
         let line = encode(&known);
-        assert!(line.len() * 4 < MOST_LINE, "{} bytes", line.len());
-        let known: Known = decode(&line).expect("it is read");
+        assert!(line.len() * 4 < MAX_LINE_BYTES, "{} bytes", line.len());
+        let known: HandoverList = decode(&line).expect("it is read");
         assert_eq!(known.list().entries.len(), MANY);
     });
 }
--- a/crates/fernroute-server/tests/told.rs
+++ b/crates/fernroute-server/tests/told.rs
@@ -265,7 +265,7 @@
         let b = balancer(agent.address, None).await;
         agent.until_called(2).await;
         two.set(true);
-        until(|| b.board.since.get() == Some(8)).await;
+        until(|| b.board.list_version.get() == Some(8)).await;
         taken.set(true);
         let from = agent.until_called(3).await;
         assert!(agent.dead.get() >= 2);
--- a/crates/fernroute-server/tests/watches.rs
+++ b/crates/fernroute-server/tests/watches.rs
@@ -65,7 +65,7 @@
         let b = serve::start(station(&[one.address, two.address], discovery.address, &[]))
             .await
             .expect("it starts");
-        until(|| b.board.standing().1 == 1).await;
+        until(|| b.board.upstream_counts().1 == 1).await;
         for _ in 0..20 {
             assert!(served(&b).await);
         }
@@ -159,7 +159,7 @@
         go.notify_one();
         until(|| answered.get() && new.seen.borrow().len() == 2).await;
         assert!(b.board.is_ready() && served(&b).await);
-        assert_eq!(b.board.since.get(), Some(3));
+        assert_eq!(b.board.list_version.get(), Some(3));
     });
 }
 
@@ -188,7 +188,7 @@
         assert!(served(&b).await);
         let _open = send(b.address, "GET /lo").await;
         back.set(true);
-        until(|| b.board.since.get() == Some(9)).await;
+        until(|| b.board.list_version.get() == Some(9)).await;
         let before = one.seen.borrow().len();
         for _ in 0..20 {
             assert!(served(&b).await);
--- a/crates/fernroute-testbed/src/player.rs
+++ b/crates/fernroute-testbed/src/player.rs
@@ -4,7 +4,7 @@
 use crate::trace::Told;
 use fernroute::action_queue::ActionQueue;
 use fernroute::{Balancer, Host as _, Outcome, Time, Timer};
-use fernroute_server::protocol::terms;
+use fernroute_server::protocol::settings;
 use rand::{RngExt as _, SeedableRng as _};
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
@@ -146,7 +146,7 @@
         if !matches!(self, Variant::Fernroute | Variant::Fleet) {
             return Box::new(Baseline::new(scenario, self, desk, seed));
         }
-        let terms = terms::decode(&scenario.settings(post));
+        let terms = settings::decode(&scenario.settings(post));
         match Balancer::new(desk, now, seed, &terms) {
             Ok(balancer) => Box::new(balancer),
             Err(missing) => unreachable!("a scenario that was checked gives all terms: {missing}"),
