--- a/crates/fernroute-fleet/src/duties/table.rs
+++ b/crates/fernroute-fleet/src/duties/table.rs
@@ -113,13 +113,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DutyError {
     /// The transition was decided at another version of the table.
-    #[error("decided at another version")]
+    #[error("decided at another version of the table")]
     OutOfDate,
     /// There is no such duty, or its name is not valid.
     #[error("{0}: no such duty")]
     UnknownDuty(String),
     /// The duty has a holder, whose term has to end first.
-    #[error("{0}: it is held")]
+    #[error("{0}: it already has a holder")]
     AlreadyHeld(String),
     /// The term is not its holder's.
     #[error(transparent)]
