--- a/crates/fernroute-coordinator/src/duties.rs
+++ b/crates/fernroute-coordinator/src/duties.rs
@@ -65,7 +65,7 @@
     pub duties: Vec<DutyStatus>,
 }
 
-/// The holder that is asked to release a duty.
+/// The holder that was told to release a duty, and when its term ends at the latest.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PendingRelease {
     /// The holder's name.
--- a/crates/fernroute-coordinator/src/replica/bootstrap.rs
+++ b/crates/fernroute-coordinator/src/replica/bootstrap.rs
@@ -8,9 +8,9 @@
 
 impl Replica {
     /// Creates a ledger where there is none. Only the first replica of the configuration does so, once all replicas are
-    /// reachable and uninitialized, and the grants of a former ledger have expired. Guards against two ledgers of one fleet, and
-    /// against a new one that grants again what members still hold from a ledger that was lost with all its disks. With `at_once` it
-    /// does not wait for grants to expire.
+    /// reachable and uninitialized, and the grants of a former ledger have expired. Guards against two ledgers of one
+    /// fleet, and against a new ledger that grants again what members still hold from one that was lost with all its
+    /// disks. With `at_once` it does not wait for grants to expire.
     pub async fn bootstrap(&self, at_once: bool) {
         let Some(raft) = self.raft() else { return };
         let is_first = self.config.coordinators.first().is_some_and(|first| first.name == self.config.name);
