--- a/crates/fernroute-server/tests/schedules.rs
+++ b/crates/fernroute-server/tests/schedules.rs
@@ -1,8 +1,8 @@
 //! Random orders of what callers, upstreams, the list and the settings do, against a small model of what is owed. Each
 //! schedule runs on real sockets; a failing one is shrunk. What is checked holds in whichever way a crossing ends.
 //!
-//! Seen to fail with each of these taken out: the look whether a caller has left (`take_in.rs`), the bar on first bytes to
-//! upstreams that left (`call_off_to_those_that_left`), the rest of kept connections (`REST`). What needs a connection held
+//! Seen to fail with each of these taken out: the look whether a caller has left (`receive.rs`), the bar on first bytes to
+//! upstreams that left (`cancel_attempts_to_removed_upstreams`), the rest of kept connections (`REST`). What needs a connection held
 //! back while it comes up, or two things in one turn, is forced in `endings.rs`: schedules do not meet it.
 
 mod common;
