--- a/crates/fernroute-server/src/program/predecessor.rs
+++ b/crates/fernroute-server/src/program/predecessor.rs
@@ -2,7 +2,7 @@
 
 use super::fleet::ReceivedHandover;
 use super::start_error::StartError;
-use crate::protocol::handover::{FromNew, FromOld, Known};
+use crate::protocol::handover::{HandoverList, PredecessorMessage, SuccessorMessage};
 use crate::transport::handover::{socket_path as handover_path, HandoverConnection};
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
@@ -58,7 +58,7 @@
     /// The listening socket for callers; taken when this process starts.
     pub listener: Option<TcpListener>,
     /// Its endpoint list.
-    pub list: Known,
+    pub list: HandoverList,
     /// How many descriptors this process may have open at the start.
     pub descriptors: usize,
     /// Half of its part of the fleet's budgets, if handed over; taken when this process starts.
@@ -116,7 +116,7 @@
     #[error("{0}")]
     Io(#[from] io::Error),
     #[error("unexpected message, or the socket is missing: {0:?}")]
-    UnexpectedMessage(Box<FromOld>),
+    UnexpectedMessage(Box<PredecessorMessage>),
     #[error("the connection was closed")]
     Closed,
     #[error("the received socket can't be used for the address")]
@@ -143,14 +143,14 @@
     listen: SocketAddr,
 ) -> Result<HandoverReply, HandoverError> {
     let requested_at = Instant::now();
-    connection.send(&FromNew::take()).await?;
+    connection.send(&SuccessorMessage::take()).await?;
     let Some((message, socket)) = connection.receive().await? else { return Err(HandoverError::Closed) };
     let (list, descriptors, handover, socket) = match (message, socket) {
-        (FromOld::Given { list, descriptors, member, .. }, Some(socket)) => {
+        (PredecessorMessage::Given { list, descriptors, member, .. }, Some(socket)) => {
             (list, descriptors, member, socket)
         }
-        (FromOld::Refused { ending: true, .. }, _) => return Ok(HandoverReply::ShuttingDown),
-        (FromOld::Refused { why, .. }, _) => return Ok(HandoverReply::Rejected { reason: why }),
+        (PredecessorMessage::Refused { ending: true, .. }, _) => return Ok(HandoverReply::ShuttingDown),
+        (PredecessorMessage::Refused { why, .. }, _) => return Ok(HandoverReply::Rejected { reason: why }),
         (other, _) => return Err(HandoverError::UnexpectedMessage(Box::new(other))),
     };
     let listener = Some(into_listener(socket, listen)?);
--- a/crates/fernroute-server/src/program/shutdown.rs
+++ b/crates/fernroute-server/src/program/shutdown.rs
@@ -2,8 +2,8 @@
 //! in `routing/phase.rs`.
 
 use super::start_error::StartError;
+use crate::routing::dispatcher::Dispatcher;
 use crate::routing::phase::Closing;
-use crate::routing::switchboard::Switchboard;
 use crate::transport::server::Server;
 use futures_util::future::{select, Either};
 use std::future::Future;
@@ -30,27 +30,27 @@
 /// Drains and ends the server. The balancer is not ready from here on. It continues to serve while callers still connect and
 /// their requests can be answered in time, then closes each connection with its answer, so that no request is still open
 /// when the process is killed.
-pub async fn shut_down(board: &Rc<Switchboard>, server: &Server) {
+pub async fn shut_down(board: &Rc<Dispatcher>, server: &Server) {
     tracing::info!("shutting down");
-    board.phase_change(|phase, now| phase.leave(now));
+    board.update_phase(|phase, now| phase.shut_down(now));
     while !may_close_all(board, server) {
         actix_rt::time::sleep(POLL_INTERVAL).await;
     }
     let mut end = pin!(server.shut_down());
-    let deadline = pin!(wait_for_stage(board, Closing::Open));
+    let deadline = pin!(wait_for_stage(board, Closing::OpenRpcs));
     if let Either::Right(_) = select(&mut end, deadline).await {
-        board.error_all();
+        board.fail_all();
         end.await;
     }
 }
 
 /// Whether connections may be closed. No new caller connects to this process once a successor serves, so that it need not
 /// wait after the last connection has ended.
-fn may_close_all(board: &Switchboard, server: &Server) -> bool {
+fn may_close_all(board: &Dispatcher, server: &Server) -> bool {
     board.closing() >= Closing::Idle || board.phase.get().is_handing_over() && server.connections() == 0
 }
 
-async fn wait_for_stage(board: &Switchboard, stage: Closing) {
+async fn wait_for_stage(board: &Dispatcher, stage: Closing) {
     while board.closing() < stage {
         actix_rt::time::sleep(POLL_INTERVAL).await;
     }
