--- a/crates/fernroute-testbed/src/beside.rs
+++ b/crates/fernroute-testbed/src/beside.rs
@@ -1,7 +1,7 @@
 //! One balancer on this machine with all that it needs beside it: stand-ins for the upstreams and the discovery that
 //! its file names, at the addresses that it names.
 
-use crate::processes::{Fleet, Shape};
+use crate::processes::{Fleet, FleetConfig};
 use fernroute_server::program::instance::InstanceConfig;
 use fernroute_test_support::http::answer;
 use fernroute_test_support::stand_in::{entry, serve, Deed, Discovery};
@@ -28,22 +28,22 @@
     let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
     LocalSet::new().block_on(&runtime, async {
         let folder = std::env::temp_dir().join(format!("fernroute-fleet-{}", std::process::id()));
-        let fleet = Fleet::start(program, folder, Shape::new(3, 4, WHOLE)).await?;
+        let fleet = Fleet::start(program, folder, FleetConfig::new(3, 4, WHOLE)).await?;
         let mut int = signal(SignalKind::interrupt()).map_err(|e| format!("signals: {e}"))?;
         let mut term = signal(SignalKind::terminate()).map_err(|e| format!("signals: {e}"))?;
         for look in 0usize.. {
             let busy = look * 2 / 5 % 4;
             let rates: Vec<u64> = (0..4).map(|n| if n == busy { 220 } else { 10 }).collect();
-            fleet.rates(&rates);
+            fleet.set_rates(&rates);
             tokio::select! {
                 _ = int.recv() => return Ok(()),
                 _ = term.recv() => return Ok(()),
                 () = sleep(Duration::from_secs(2)) => {}
             }
-            fleet.forget();
-            let (ran, broken) = (fleet.ran.within(Duration::from_secs(1)), fleet.broken());
+            fleet.discard_old();
+            let (ran, broken) = (fleet.executions.count_within(Duration::from_secs(1)), fleet.violation());
             println!("\nb{busy} is asked for 220 a second, the others for 10; {ran} ran in the last second, {WHOLE} are the whole");
-            for at in &fleet.steward_addresses {
+            for at in &fleet.coordinator_addresses {
                 let status = Command::new(program).args(["steward-status", &at.to_string()]).output();
                 match status {
                     Ok(said) if said.status.success() => {
--- a/crates/fernroute-testbed/src/live/balancers.rs
+++ b/crates/fernroute-testbed/src/live/balancers.rs
@@ -1,6 +1,6 @@
 //! The real balancers of a run, a process each.
 
-use super::discovery::Agent;
+use super::discovery::DiscoveryAgent;
 use super::Lab;
 use crate::demand::balancer_seed;
 use crate::player::Post;
@@ -16,12 +16,12 @@
 use std::time::Duration;
 
 /// A real balancer, by its number in the run.
-pub(super) struct Node {
+pub(super) struct BalancerProcess {
     pub(super) name: String,
     pub(super) tier: usize,
     pub(super) zone: usize,
     pub(super) address: SocketAddr,
-    pub(super) agent: Rc<Agent>,
+    pub(super) agent: Rc<DiscoveryAgent>,
     pub(super) process: Process,
     pub(super) alive: Cell<bool>,
     /// Connections to it that stand idle.
@@ -29,76 +29,79 @@
 }
 
 impl Lab {
-    pub(super) fn node(&self, number: usize) -> Rc<Node> {
+    pub(super) fn node(&self, number: usize) -> Rc<BalancerProcess> {
         Rc::clone(&self.nodes.borrow()[number])
     }
 
-    pub(super) async fn new_balancer_of(self: &Rc<Self>, upstream: usize) -> Result<(), String> {
-        let stand = self.stand(upstream);
-        let (tier, zone) = (stand.model.borrow().tier + 1, stand.model.borrow().zone);
+    pub(super) async fn new_upstream_balancer(self: &Rc<Self>, upstream: usize) -> Result<(), String> {
+        let stand_in = self.stand_in(upstream);
+        let (tier, zone) = (stand_in.model.borrow().tier + 1, stand_in.model.borrow().zone);
         if tier < self.scenario.tier.len() {
-            let node = self.new_node(tier, upstream, zone).await?;
-            stand.balancer.set(Some(node));
+            let node = self.start_balancer(tier, upstream, zone).await?;
+            stand_in.balancer.set(Some(node));
         }
         Ok(())
     }
 
     /// Starts a real balancer, and waits until it says where it serves.
-    pub(super) async fn new_node(
+    pub(super) async fn start_balancer(
         self: &Rc<Self>,
         tier: usize,
         number: usize,
         zone: usize,
     ) -> Result<usize, String> {
         /// Far longer than a start takes, on a busy machine too.
-        const START: Duration = Duration::from_secs(10);
+        const START_TIMEOUT: Duration = Duration::from_secs(10);
         let node = self.nodes.borrow().len();
         let agent = self.new_agent(node).await?;
         let up = |n: &usize| {
-            let stand = self.stand(*n);
-            let model = stand.model.borrow();
+            let stand_in = self.stand_in(*n);
+            let model = stand_in.model.borrow();
             model.tier == tier && model.state == State::Up
         };
-        let known: Vec<usize> = (0..self.stands.borrow().len()).filter(up).collect();
+        let known: Vec<usize> = (0..self.upstreams.borrow().len()).filter(up).collect();
         known
             .iter()
-            .for_each(|n| self.see(&Event::Heard { balancer: node, upstream: *n, told: Told::Ready }));
+            .for_each(|n| self.record(&Event::Heard { balancer: node, upstream: *n, told: Told::Ready }));
         let post = Post { tier, number, instances: self.scenario.instances(tier), zone };
         let seed = balancer_seed(self.seed, node);
         let name = format!("b{node}");
-        let stewards = self.stewards.borrow().clone().filter(|_| tier == 0);
-        let (file, page) = match stewards {
-            Some(stewards) => {
+        let coordinators = self.coordinators.borrow().clone().filter(|_| tier == 0);
+        let (file, file_text) = match coordinators {
+            Some(coordinators) => {
                 let entry = |n: &usize| {
-                    let stand = self.stand(*n);
-                    let model = stand.model.borrow();
-                    (model.name.to_string(), stand.address.get(), model.zone, model.cell)
+                    let stand_in = self.stand_in(*n);
+                    let model = stand_in.model.borrow();
+                    (model.name.to_string(), stand_in.address.get(), model.zone, model.cell)
                 };
                 let known: Vec<_> = known.iter().map(entry).collect();
-                let page = stewards.page(&self.scenario, post, agent.address, seed, &known).await?;
-                (self.folder.join(format!("{name}.toml")), page)
+                let file_text =
+                    coordinators.balancer_file(&self.scenario, post, agent.address, seed, &known).await?;
+                (self.folder.join(format!("{name}.toml")), file_text)
             }
             None => {
                 let known: Vec<Value> = known.into_iter().map(|n| self.entry(n, Told::Ready)).collect();
-                let page = json!({
+                let file_text = json!({
                     "name": name, "listen": "127.0.0.1:0", "discovery": agent.address, "seed": format!("{seed:016x}"),
                     "limits": {"sockets": 1024}, "known": {"version": 0, "full": true, "servers": known},
                     "settings": self.scenario.settings(post),
                 });
-                (self.folder.join(format!("{name}.json")), page.to_string())
+                (self.folder.join(format!("{name}.json")), file_text.to_string())
             }
         };
-        std::fs::write(&file, page).map_err(|e| format!("{}: {e}", file.display()))?;
-        let (word, words) = self.program.split_first().ok_or("no program is named")?;
-        let mut command = Command::new(word);
-        command.args(words).arg("--config").arg(&file).stdout(Stdio::null());
+        std::fs::write(&file, file_text).map_err(|e| format!("{}: {e}", file.display()))?;
+        let (program, arguments) = self.balancer_command.split_first().ok_or("no program is named")?;
+        let mut command = Command::new(program);
+        command.args(arguments).arg("--config").arg(&file).stdout(Stdio::null());
         // Else it would take over from the balancer of that name of another run.
         command.env("TMPDIR", &self.folder);
-        let process = Process::launch(command).map_err(|e| format!("{word}: {e}"))?;
-        let address =
-            process.address_after("serving on ", START).await.map_err(|why| format!("{word}: {why}"))?;
+        let process = Process::launch(command).map_err(|e| format!("{program}: {e}"))?;
+        let address = process
+            .address_after("serving on ", START_TIMEOUT)
+            .await
+            .map_err(|why| format!("{program}: {why}"))?;
         let (alive, idle) = (Cell::new(true), RefCell::default());
-        self.nodes.borrow_mut().push(Rc::new(Node {
+        self.nodes.borrow_mut().push(Rc::new(BalancerProcess {
             name,
             tier,
             zone,
@@ -111,10 +114,10 @@
         Ok(node)
     }
 
-    pub(super) fn balancer_dies(&self, number: usize) {
+    pub(super) fn kill_balancer(&self, number: usize) {
         let node = self.node(number);
         node.alive.set(false);
-        self.see(&Event::BalancerDied { balancer: number });
+        self.record(&Event::BalancerDied { balancer: number });
         node.agent.serving.abort();
         node.process.kill();
         node.idle.borrow_mut().clear();
--- a/crates/fernroute-testbed/src/live/callers.rs
+++ b/crates/fernroute-testbed/src/live/callers.rs
@@ -22,29 +22,29 @@
         let hard = from + millis(m.hard_ms);
         let calls = want.calls.iter().map(u32::to_string).collect::<Vec<_>>().join(",");
         for n in 0..=self.scenario.load.retries {
-            let count = self.first.borrow().len();
-            let place = if n == 0 { want.balancer } else { self.chance.borrow_mut().random_range(0..count) };
-            let mut node = self.first.borrow()[place];
+            let count = self.first_tier.borrow().len();
+            let place = if n == 0 { want.balancer } else { self.rng.borrow_mut().random_range(0..count) };
+            let mut node = self.first_tier.borrow()[place];
             if !self.node(node).alive.get() {
                 // Its front deals it to another.
                 let alive = |n: &usize| self.node(*n).alive.get();
-                let alive: Vec<usize> = self.first.borrow().iter().copied().filter(alive).collect();
+                let alive: Vec<usize> = self.first_tier.borrow().iter().copied().filter(alive).collect();
                 if alive.is_empty() {
                     break;
                 }
-                node = alive[self.chance.borrow_mut().random_range(0..alive.len())];
+                node = alive[self.rng.borrow_mut().random_range(0..alive.len())];
             }
             let rpc: Rc<str> = Rc::from(format!("r{number}.{n}"));
             if hard <= self.now() + 10 {
                 break;
             }
-            let asking = self.ask(node, &rpc, want.method, want.tenant, hard, want.work, &calls);
+            let rpc_call = self.send(node, &rpc, want.method, want.tenant, hard, want.work, &calls);
             let last = match want.leaves {
-                None => asking.await,
+                None => rpc_call.await,
                 Some(share) => {
                     let stays = duration((millis(m.hard_ms) as f64 * share) as Time);
                     // Dropping the call closes its connection.
-                    timeout(stays, asking).await.unwrap_or(None)
+                    timeout(stays, rpc_call).await.unwrap_or(None)
                 }
             };
             let now = asked + self.now().saturating_sub(from);
@@ -59,9 +59,9 @@
                         millis(m.soft_ms),
                     );
                 }
-                Some((Final::Exhausted, stay_away)) if n < self.scenario.load.retries => {
+                Some((Final::Exhausted, retry_after)) if n < self.scenario.load.retries => {
                     let backoff = Duration::from_secs_f64(self.scenario.load.backoff_ms / 1000.0);
-                    sleep(stay_away.unwrap_or(backoff)).await;
+                    sleep(retry_after.unwrap_or(backoff)).await;
                 }
                 Some((Final::Exhausted, _)) => {
                     self.books.borrow_mut().tenant(asked, want.tenant, false);
@@ -76,7 +76,7 @@
 
     /// Puts an RPC before a balancer; none where its connection ended without an answer.
     #[allow(clippy::too_many_arguments)]
-    pub(super) async fn ask(
+    pub(super) async fn send(
         &self,
         number: usize,
         rpc: &Rc<str>,
@@ -101,20 +101,20 @@
              Lab-Work: {work}\r\nLab-Calls: {calls}\r\n{whom}{key}\r\n"
         );
         self.books.borrow_mut().ends.arrived += 1;
-        let mut end = Ending { lab: self, rpc, last: None, broke: false };
+        let mut end = OutcomeRecorder { lab: self, rpc, last: None, connection_failed: false };
         let kept = node.idle.borrow_mut().pop();
         let mut peer = match kept {
             Some(peer) => peer,
             None => {
                 let Ok(stream) = TcpStream::connect(node.address).await else {
-                    end.broke = true;
+                    end.connection_failed = true;
                     return None;
                 };
                 Peer::new(stream)
             }
         };
-        self.open.borrow_mut().insert(Rc::clone(rpc), (number, 0));
-        self.see(&Event::Arrived {
+        self.open_rpcs.borrow_mut().insert(Rc::clone(rpc), (number, 0));
+        self.record(&Event::Arrived {
             rpc: Rc::clone(rpc),
             balancer: number,
             method,
@@ -126,9 +126,9 @@
             peer.read().await.ok()?
         };
         // Beyond any answer that could still count: what does not come by then never does.
-        let most = duration(hard.saturating_sub(self.now())) + Duration::from_secs(1);
-        let Ok(Some(message)) = timeout(most, exchange).await else {
-            end.broke = true;
+        let answer_timeout = duration(hard.saturating_sub(self.now())) + Duration::from_secs(1);
+        let Ok(Some(message)) = timeout(answer_timeout, exchange).await else {
+            end.connection_failed = true;
             return None;
         };
         let last = match message.status() {
@@ -138,26 +138,26 @@
             _ => Final::Errored,
         };
         end.last = Some(last);
-        let stay_away = message.number::<f64>("retry-after").filter(|s| s.is_finite() && *s >= 0.0);
+        let retry_after = message.number::<f64>("retry-after").filter(|s| s.is_finite() && *s >= 0.0);
         if !message.closes() && node.alive.get() {
             node.idle.borrow_mut().push(peer);
         }
-        Some((last, stay_away.map(Duration::from_secs_f64)))
+        Some((last, retry_after.map(Duration::from_secs_f64)))
     }
 }
 
 /// Notes an RPC's end, also when its caller leaves and the call is dropped.
-struct Ending<'a> {
+struct OutcomeRecorder<'a> {
     lab: &'a Lab,
     rpc: &'a Rc<str>,
     last: Option<Final>,
     /// The connection ended without an answer.
-    broke: bool,
+    connection_failed: bool,
 }
 
-impl Drop for Ending<'_> {
+impl Drop for OutcomeRecorder<'_> {
     fn drop(&mut self) {
-        let open = self.lab.open.borrow_mut().remove(self.rpc);
+        let open = self.lab.open_rpcs.borrow_mut().remove(self.rpc);
         let ends = &mut self.lab.books.borrow_mut().ends;
         let rpc = Rc::clone(self.rpc);
         match self.last {
@@ -167,14 +167,14 @@
                     Final::Exhausted => ends.exhausted += 1,
                     Final::Errored => ends.errored += 1,
                 }
-                self.lab.see(&Event::Answered { rpc, last });
+                self.lab.record(&Event::Answered { rpc, last });
             }
             // The referee finds it unanswered, unless its balancer has died.
-            None if self.broke => ends.lost += 1,
+            None if self.connection_failed => ends.lost += 1,
             None => {
                 ends.abandoned += 1;
                 if open.is_some() {
-                    self.lab.see(&Event::CallerLeft { rpc });
+                    self.lab.record(&Event::CallerLeft { rpc });
                 }
             }
         }
--- a/crates/fernroute-testbed/src/live/discovery.rs
+++ b/crates/fernroute-testbed/src/live/discovery.rs
@@ -1,6 +1,6 @@
 //! Discovery as each balancer meets it: an agent of its own, told late and not all at once.
 
-use super::balancers::Node;
+use super::balancers::BalancerProcess;
 use super::Lab;
 use crate::scenario::zone_name;
 use crate::trace::{Event, Told};
@@ -20,7 +20,7 @@
 use tokio::time::{sleep, timeout};
 
 /// A discovery agent of one balancer: what it has been told, and who waits.
-pub(super) struct Agent {
+pub(super) struct DiscoveryAgent {
     pub(super) address: SocketAddr,
     /// Each change with its version; the whole list is the last word on each.
     pub(super) told: RefCell<Vec<(u64, usize, Told, Value)>>,
@@ -29,7 +29,7 @@
 }
 
 impl Lab {
-    pub(super) async fn new_agent(self: &Rc<Self>, node: usize) -> Result<Rc<Agent>, String> {
+    pub(super) async fn new_agent(self: &Rc<Self>, node: usize) -> Result<Rc<DiscoveryAgent>, String> {
         let listener = TcpListener::bind("127.0.0.1:0").await.map_err(|e| format!("discovery: {e}"))?;
         let address = listener.local_addr().map_err(|e| format!("discovery: {e}"))?;
         let lab = Rc::clone(self);
@@ -39,7 +39,7 @@
             }
         });
         let (told, changed) = (RefCell::default(), Notify::new());
-        Ok(Rc::new(Agent { address, told, changed, serving: serving.abort_handle() }))
+        Ok(Rc::new(DiscoveryAgent { address, told, changed, serving: serving.abort_handle() }))
     }
 
     /// Answers one balancer's calls for the list.
@@ -60,18 +60,18 @@
             let after = query("index");
             let version = || agent.told.borrow().last().map_or(0, |(version, ..)| *version);
             if let (Some(after), Some(wait)) = (after, query("wait")) {
-                let news = async {
+                let updates = async {
                     while version() <= after {
                         agent.changed.notified().await;
                     }
                 };
                 // Nothing new is an answer too.
-                let _ = timeout(Duration::from_millis(wait), news).await;
+                let _ = timeout(Duration::from_millis(wait), updates).await;
             }
-            while self.now() < self.list_down_until.get() {
-                sleep(duration(self.list_down_until.get() - self.now())).await;
+            while self.now() < self.list_unavailable_until.get() {
+                sleep(duration(self.list_unavailable_until.get() - self.now())).await;
             }
-            let news: Vec<(u64, usize, Told, Value)> = agent
+            let updates: Vec<(u64, usize, Told, Value)> = agent
                 .told
                 .borrow()
                 .iter()
@@ -80,21 +80,22 @@
                 .collect();
             let mut entries: BTreeMap<usize, Value> = BTreeMap::new();
             if after.is_none() {
-                let stands = self.stands.borrow();
-                for (n, stand) in stands.iter().enumerate() {
-                    if stand.model.borrow().tier == node.tier && stand.model.borrow().state == State::Up {
-                        self.see(&Event::Heard { balancer: number, upstream: n, told: Told::Ready });
+                let upstreams = self.upstreams.borrow();
+                for (n, stand_in) in upstreams.iter().enumerate() {
+                    if stand_in.model.borrow().tier == node.tier && stand_in.model.borrow().state == State::Up
+                    {
+                        self.record(&Event::Heard { balancer: number, upstream: n, told: Told::Ready });
                         entries.insert(n, self.entry(n, Told::Ready));
                     }
                 }
             }
-            news.iter().for_each(|(_, n, _, entry)| {
+            updates.iter().for_each(|(_, n, _, entry)| {
                 entries.insert(*n, entry.clone());
             });
             let list = json!({"version": version(), "full": after.is_none(),
                 "servers": entries.into_values().collect::<Vec<_>>()});
-            for (_, upstream, told, _) in news {
-                self.see(&Event::Heard { balancer: number, upstream, told });
+            for (_, upstream, told, _) in updates {
+                self.record(&Event::Heard { balancer: number, upstream, told });
             }
             if peer.write(&answer(200, "", &list.to_string())).await.is_err() {
                 return;
@@ -103,32 +104,33 @@
     }
 
     pub(super) fn entry(&self, upstream: usize, told: Told) -> Value {
-        let stand = self.stand(upstream);
-        let model = stand.model.borrow();
+        let stand_in = self.stand_in(upstream);
+        let model = stand_in.model.borrow();
         let state = match told {
             Told::Ready => "SERVING",
             Told::Drains => "DRAINING",
             Told::Gone => "DELETED",
         };
         let started = if model.cold { self.unix_ms + model.started / 10 } else { 0 };
-        json!({"id": &*model.name, "addr": stand.address.get(), "zone": zone_name(model.zone),
+        json!({"id": &*model.name, "addr": stand_in.address.get(), "zone": zone_name(model.zone),
             "cell": model.cell.to_string(), "state": state, "started_ms": started})
     }
 
     pub(super) fn announce(self: &Rc<Self>, upstream: usize, told: Told, late_ms: f64) {
         let (tier, life) = {
-            let stand = self.stand(upstream);
-            let model = stand.model.borrow();
+            let stand_in = self.stand_in(upstream);
+            let model = stand_in.model.borrow();
             (model.tier, model.life)
         };
-        let nodes: Vec<Rc<Node>> = self.nodes.borrow().iter().filter(|n| n.tier == tier).cloned().collect();
+        let nodes: Vec<Rc<BalancerProcess>> =
+            self.nodes.borrow().iter().filter(|n| n.tier == tier).cloned().collect();
         for node in nodes.into_iter().filter(|n| n.alive.get()) {
-            let spread = self.scenario.discovery.spread_ms * self.chance.borrow_mut().random::<f64>();
+            let spread = self.scenario.discovery.spread_ms * self.rng.borrow_mut().random::<f64>();
             let lab = Rc::clone(self);
             spawn_local(async move {
                 sleep(Duration::from_secs_f64((late_ms + spread) / 1000.0)).await;
                 // What is overtaken by a later start or end is not told any more.
-                if lab.stand(upstream).model.borrow().life == life {
+                if lab.stand_in(upstream).model.borrow().life == life {
                     let entry = lab.entry(upstream, told);
                     let mut all = node.agent.told.borrow_mut();
                     let version = all.last().map_or(0, |(version, ..)| *version) + 1;
--- a/crates/fernroute-testbed/src/live/faults.rs
+++ b/crates/fernroute-testbed/src/live/faults.rs
@@ -19,28 +19,28 @@
         let tier = self.scenario.tier_of(fault);
         let d = &self.scenario.discovery;
         let up = |n: &usize| {
-            let stand = self.stand(*n);
-            let model = stand.model.borrow();
+            let stand_in = self.stand_in(*n);
+            let model = stand_in.model.borrow();
             model.tier == tier && model.state == State::Up
         };
-        let all = (0..self.stands.borrow().len()).filter(up);
-        let all = all.map(|n| (n, self.stand(n).model.borrow().zone)).collect();
+        let all = (0..self.upstreams.borrow().len()).filter(up);
+        let all = all.map(|n| (n, self.stand_in(n).model.borrow().zone)).collect();
         let all = victims(fault, i, self.seed, all);
         for n in &all {
             let afflict = |a| {
-                self.stand(*n).model.borrow_mut().afflicted.insert(i, a);
+                self.stand_in(*n).model.borrow_mut().afflicted.insert(i, a);
             };
             match fault.kind {
                 Kind::Crash => {
-                    self.die(*n, State::Dead);
+                    self.stop_upstream(*n, State::Dead);
                     self.announce(*n, Told::Gone, d.late_ms);
                 }
                 Kind::Vanish | Kind::ZoneLoss => {
-                    self.die(*n, State::Silent);
+                    self.stop_upstream(*n, State::Silent);
                     self.announce(*n, Told::Gone, d.gone_late_ms);
                 }
                 Kind::Drain => {
-                    self.stand(*n).model.borrow_mut().state = State::Draining;
+                    self.stand_in(*n).model.borrow_mut().state = State::Draining;
                     self.announce(*n, Told::Drains, d.late_ms);
                 }
                 Kind::Slow => afflict(Affliction::Slow(fault.size)),
@@ -50,34 +50,34 @@
             }
         }
         let (mut lost, mut cut, mut down) = (Vec::new(), Vec::new(), Vec::new());
-        let stewards = self.stewards.borrow().clone();
+        let coordinators = self.coordinators.borrow().clone();
         match fault.kind {
             Kind::StewardsDown => down = (0..self.scenario.fleet.stewards).collect(),
             Kind::LeaderLoss => {
-                if let Some(stewards) = &stewards {
-                    down.extend(stewards.leader().await);
+                if let Some(coordinators) = &coordinators {
+                    down.extend(coordinators.leader().await);
                 }
             }
             Kind::FleetCut => {
-                let all = (0..self.first.borrow().len()).map(|n| (n, 0)).collect();
+                let all = (0..self.first_tier.borrow().len()).map(|n| (n, 0)).collect();
                 cut = victims(fault, i, self.seed, all);
             }
             Kind::BalancerLoss => {
-                let alive = |n: &usize| self.node(self.first.borrow()[*n]).alive.get();
-                let all = (0..self.first.borrow().len()).filter(alive).map(|n| (n, 0)).collect();
+                let alive = |n: &usize| self.node(self.first_tier.borrow()[*n]).alive.get();
+                let all = (0..self.first_tier.borrow().len()).filter(alive).map(|n| (n, 0)).collect();
                 lost = victims(fault, i, self.seed, all);
-                lost.iter().for_each(|n| self.balancer_dies(self.first.borrow()[*n]));
+                lost.iter().for_each(|n| self.kill_balancer(self.first_tier.borrow()[*n]));
             }
             Kind::ReportsLate => drop(self.reports_late.borrow_mut().insert(i, seconds(fault.size))),
             Kind::ListDown => {
                 let until = from + seconds(fault.at_s + fault.for_s);
-                self.list_down_until.set(self.list_down_until.get().max(until));
+                self.list_unavailable_until.set(self.list_unavailable_until.get().max(until));
             }
             _ => {}
         }
-        if let Some(stewards) = &stewards {
-            down.iter().for_each(|n| stewards.kill(*n));
-            cut.iter().for_each(|n| stewards.cut(*n, true));
+        if let Some(coordinators) = &coordinators {
+            down.iter().for_each(|n| coordinators.kill(*n));
+            cut.iter().for_each(|n| coordinators.cut(*n, true));
         }
         let end = fault.at_s + fault.for_s;
         match fault.kind {
@@ -86,28 +86,28 @@
                 for (n, old) in all.iter().enumerate() {
                     sleep_until(at(fault.at_s + apart * n as f64)).await;
                     let (tier, zone, cell, state) = {
-                        let stand = self.stand(*old);
-                        let model = stand.model.borrow();
+                        let stand_in = self.stand_in(*old);
+                        let model = stand_in.model.borrow();
                         (model.tier, model.zone, model.cell, model.state)
                     };
                     if state != State::Up {
                         continue;
                     }
-                    self.stand(*old).model.borrow_mut().state = State::Draining;
+                    self.stand_in(*old).model.borrow_mut().state = State::Draining;
                     self.announce(*old, Told::Drains, d.late_ms);
                     let (lab, old, late) = (Rc::clone(&self), *old, d.late_ms);
                     spawn_local(async move {
                         sleep(Duration::from_secs_f64(late / 1000.0 + LINGER)).await;
-                        lab.die(old, State::Dead);
+                        lab.stop_upstream(old, State::Dead);
                         lab.announce(old, Told::Gone, late);
                     });
-                    let new = match self.new_stand(tier, zone, cell).await {
-                        Ok(new) => self.new_balancer_of(new).await.map(|()| new),
+                    let new = match self.new_stand_in(tier, zone, cell).await {
+                        Ok(new) => self.new_upstream_balancer(new).await.map(|()| new),
                         Err(why) => Err(why),
                     };
                     match new {
                         Ok(new) => self.announce(new, Told::Ready, d.late_ms),
-                        Err(why) => drop(self.trouble.replace(Some(why))),
+                        Err(why) => drop(self.error.replace(Some(why))),
                     }
                 }
             }
@@ -115,12 +115,12 @@
                 for n in 0..(fault.for_s / fault.every_s).ceil() as usize {
                     sleep_until(at(fault.at_s + fault.every_s * n as f64)).await;
                     for u in &all {
-                        let state = self.stand(*u).model.borrow().state;
+                        let state = self.stand_in(*u).model.borrow().state;
                         if n.is_multiple_of(2) && state.serves() {
-                            self.die(*u, State::Dead);
+                            self.stop_upstream(*u, State::Dead);
                             self.announce(*u, Told::Gone, d.late_ms);
                         } else if !n.is_multiple_of(2) && state == State::Dead {
-                            self.revive(*u).await;
+                            self.restart_upstream(*u).await;
                         }
                     }
                 }
@@ -129,19 +129,19 @@
                 for n in 0..(fault.for_s / fault.every_s).ceil() as usize {
                     sleep_until(at(fault.at_s + fault.every_s * n as f64)).await;
                     let until = self.now() + seconds(fault.size);
-                    all.iter().for_each(|u| self.stand(*u).model.borrow_mut().paused_until = until);
+                    all.iter().for_each(|u| self.stand_in(*u).model.borrow_mut().paused_until = until);
                 }
             }
             Kind::BalancerRestart => {
-                let count = self.first.borrow().len();
+                let count = self.first_tier.borrow().len();
                 for n in 0..count {
                     sleep_until(at(fault.at_s + fault.for_s * n as f64 / count as f64)).await;
-                    let old = self.first.borrow()[n];
+                    let old = self.first_tier.borrow()[n];
                     let zone = self.node(old).zone;
-                    self.balancer_dies(old);
-                    match self.new_node(0, n, zone).await {
-                        Ok(node) => self.first.borrow_mut()[n] = node,
-                        Err(why) => drop(self.trouble.replace(Some(why))),
+                    self.kill_balancer(old);
+                    match self.start_balancer(0, n, zone).await {
+                        Ok(node) => self.first_tier.borrow_mut()[n] = node,
+                        Err(why) => drop(self.error.replace(Some(why))),
                     }
                 }
             }
@@ -149,27 +149,27 @@
         }
         sleep_until(at(end)).await;
         self.reports_late.borrow_mut().remove(&i);
-        if let Some(stewards) = &stewards {
-            cut.iter().for_each(|n| stewards.cut(*n, false));
+        if let Some(coordinators) = &coordinators {
+            cut.iter().for_each(|n| coordinators.cut(*n, false));
             for n in &down {
-                stewards.start_again(*n).unwrap_or_else(|why| drop(self.trouble.replace(Some(why))));
+                coordinators.restart(*n).unwrap_or_else(|why| drop(self.error.replace(Some(why))));
             }
         }
         for n in lost {
-            match self.new_node(0, n, n % self.scenario.tier[0].zones).await {
-                Ok(node) => self.first.borrow_mut()[n] = node,
-                Err(why) => drop(self.trouble.replace(Some(why))),
+            match self.start_balancer(0, n, n % self.scenario.tier[0].zones).await {
+                Ok(node) => self.first_tier.borrow_mut()[n] = node,
+                Err(why) => drop(self.error.replace(Some(why))),
             }
         }
         for n in all {
-            self.stand(n).model.borrow_mut().afflicted.remove(&i);
-            let state = self.stand(n).model.borrow().state;
+            self.stand_in(n).model.borrow_mut().afflicted.remove(&i);
+            let state = self.stand_in(n).model.borrow().state;
             match fault.kind {
                 Kind::Crash | Kind::Vanish | Kind::ZoneLoss | Kind::Flap if !state.serves() => {
-                    self.revive(n).await;
+                    self.restart_upstream(n).await;
                 }
                 Kind::Drain if state == State::Draining => {
-                    self.stand(n).model.borrow_mut().state = State::Up;
+                    self.stand_in(n).model.borrow_mut().state = State::Up;
                     self.announce(n, Told::Ready, d.late_ms);
                 }
                 _ => {}
--- a/crates/fernroute-testbed/src/live/fleet.rs
+++ b/crates/fernroute-testbed/src/live/fleet.rs
@@ -17,20 +17,24 @@
 use tokio::time::sleep;
 
 /// Far longer than an election takes, on a busy machine too.
-const LEADS: Duration = Duration::from_secs(10);
+const ELECTION_TIMEOUT: Duration = Duration::from_secs(10);
 
-pub(super) struct Stewards {
-    words: Vec<String>,
-    pages: Vec<PathBuf>,
+pub(super) struct Coordinators {
+    arguments: Vec<String>,
+    files: Vec<PathBuf>,
     addresses: Vec<SocketAddr>,
     pub(super) processes: RefCell<Vec<Process>>,
     /// By the place of a balancer of the first tier: its ways to the stewards.
     links: RefCell<BTreeMap<usize, Vec<Rc<Link>>>>,
 }
 
-impl Stewards {
+impl Coordinators {
     /// Starts as many as the scenario has, and waits until one leads.
-    pub(super) async fn start(scenario: &Scenario, words: &[String], folder: &Path) -> Result<Self, String> {
+    pub(super) async fn start(
+        scenario: &Scenario,
+        arguments: &[String],
+        folder: &Path,
+    ) -> Result<Self, String> {
         let f = &scenario.fleet;
         let all = addresses(f.stewards).map_err(|e| e.to_string())?;
         let mut list = String::new();
@@ -41,9 +45,9 @@
             let _ =
                 writeln!(list, "[[budget]]\nname = {:?}\nwhole = {}\nfloors = {}", t.name, t.rate, f.floors);
         }
-        let mut pages = Vec::new();
+        let mut files = Vec::new();
         for n in 0..all.len() {
-            let page = folder.join(format!("s{n}.toml"));
+            let file_text = folder.join(format!("s{n}.toml"));
             let text = format!(
                 "cluster = {:?}\nname = \"s{n}\"\nfolder = {:?}\nmembers = {}\nshares_ms = {}\nbeat_ms = {}\nfloors_s = {}\n\
                  drift_ppm = {}\n{list}",
@@ -55,35 +59,35 @@
                 f.floors_for_s,
                 f.drift_ppm
             );
-            std::fs::write(&page, text).map_err(|e| format!("{}: {e}", page.display()))?;
-            pages.push(page);
+            std::fs::write(&file_text, text).map_err(|e| format!("{}: {e}", file_text.display()))?;
+            files.push(file_text);
         }
-        let stewards = Stewards {
-            words: words.to_vec(),
-            pages,
+        let coordinators = Coordinators {
+            arguments: arguments.to_vec(),
+            files,
             addresses: all,
             processes: RefCell::default(),
             links: RefCell::default(),
         };
-        for n in 0..stewards.pages.len() {
-            let process = stewards.launch(n)?;
-            stewards.processes.borrow_mut().push(process);
+        for n in 0..coordinators.files.len() {
+            let process = coordinators.launch(n)?;
+            coordinators.processes.borrow_mut().push(process);
         }
         let leads = async {
-            while stewards.leader().await.is_none() {
+            while coordinators.leader().await.is_none() {
                 sleep(Duration::from_millis(20)).await;
             }
         };
-        let led = tokio::time::timeout(LEADS, leads).await;
-        led.map_err(|_| format!("no steward leads: {:?}", stewards.processes.borrow()[0].log()))?;
-        Ok(stewards)
+        let led = tokio::time::timeout(ELECTION_TIMEOUT, leads).await;
+        led.map_err(|_| format!("no steward leads: {:?}", coordinators.processes.borrow()[0].log()))?;
+        Ok(coordinators)
     }
 
     fn launch(&self, n: usize) -> Result<Process, String> {
-        let (word, words) = self.words.split_first().ok_or("no program is named for stewards")?;
-        let mut command = Command::new(word);
-        command.args(words).arg("--config").arg(&self.pages[n]).stdout(Stdio::null());
-        Process::launch(command).map_err(|e| format!("{word}: {e}"))
+        let (program, arguments) = self.arguments.split_first().ok_or("no program is named for stewards")?;
+        let mut command = Command::new(program);
+        command.args(arguments).arg("--config").arg(&self.files[n]).stdout(Stdio::null());
+        Process::launch(command).map_err(|e| format!("{program}: {e}"))
     }
 
     /// Which one leads, by its own word.
@@ -102,7 +106,7 @@
     }
 
     /// With its disk.
-    pub(super) fn start_again(&self, n: usize) -> Result<(), String> {
+    pub(super) fn restart(&self, n: usize) -> Result<(), String> {
         let process = self.launch(n)?;
         self.processes.borrow_mut()[n] = process;
         Ok(())
@@ -111,12 +115,12 @@
     /// Cuts a balancer's ways to all stewards, or opens them again.
     pub(super) fn cut(&self, place: usize, cut: bool) {
         let links = self.links.borrow();
-        let ways = links.get(&place).into_iter().flatten();
-        ways.for_each(|link| if cut { link.refuse() } else { link.mend() });
+        let links = links.get(&place).into_iter().flatten();
+        links.for_each(|link| if cut { link.refuse() } else { link.mend() });
     }
 
     /// What the balancer at this place is told. One that starts again is the same one.
-    pub(super) async fn page(
+    pub(super) async fn balancer_file(
         &self,
         scenario: &Scenario,
         post: Post,
@@ -124,14 +128,14 @@
         seed: u64,
         known: &[(String, SocketAddr, usize, usize)],
     ) -> Result<String, String> {
-        let mut ways = Vec::new();
+        let mut links = Vec::new();
         for at in &self.addresses {
-            ways.push(Link::to(*at).await.map_err(|e| e.to_string())?);
+            links.push(Link::to(*at).await.map_err(|e| e.to_string())?);
         }
-        let to: Vec<String> = ways.iter().map(|way| format!("\"{}\"", way.address)).collect();
-        self.links.borrow_mut().insert(post.number, ways);
+        let to: Vec<String> = links.iter().map(|link| format!("\"{}\"", link.address)).collect();
+        self.links.borrow_mut().insert(post.number, links);
         let (r, f) = (&scenario.rules, &scenario.fleet);
-        let mut page = format!(
+        let mut file_text = format!(
             "name = \"p{}\"\nlisten = \"127.0.0.1:0\"\ndiscovery = \"{discovery}\"\nseed = \"{seed:016x}\"\n\
              [place]\ntier = {}\nnumber = {}\ninstances = {}\nzone = \"{}\"\n\
              [load]\nreports = [\"utilisation\"]\nrefuse_over_share = true\n\
@@ -162,7 +166,7 @@
                 Effect::NonRetriable => "non_retriable",
             };
             let _ = writeln!(
-                page,
+                file_text,
                 "[[method]]\nname = {:?}\neffect = \"{effect}\"\nsoft_ms = {}\nhard_ms = {}\ngain = {}",
                 m.name, m.soft_ms, m.hard_ms, m.gain
             );
@@ -172,19 +176,19 @@
                     Group::Zone => "zone",
                     Group::Cell => "cell",
                 };
-                let _ = writeln!(page, "group = \"{group}\"\nwindow_s = {}", m.window_s);
+                let _ = writeln!(file_text, "group = \"{group}\"\nwindow_s = {}", m.window_s);
             }
         }
         for t in &scenario.tenant {
-            let _ = writeln!(page, "[[tenant]]\nname = {:?}\nrate = {}", t.name, t.rate);
+            let _ = writeln!(file_text, "[[tenant]]\nname = {:?}\nrate = {}", t.name, t.rate);
         }
         for (id, at, zone, cell) in known {
             let zone = zone_name(*zone);
             let _ = writeln!(
-                page,
+                file_text,
                 "[[upstream]]\nid = {id:?}\naddress = \"{at}\"\nzone = \"{zone}\"\ncell = \"{cell}\""
             );
         }
-        Ok(page)
+        Ok(file_text)
     }
 }
--- a/crates/fernroute-testbed/src/live/mod.rs
+++ b/crates/fernroute-testbed/src/live/mod.rs
@@ -15,10 +15,10 @@
 use crate::referee::{Breach, Referee};
 use crate::scenario::{seconds, Kind, Scenario};
 use crate::trace::{Event, Witness as _};
-use balancers::Node;
+use balancers::BalancerProcess;
 use fernroute::Time;
 use fernroute_server::routing::clock::{duration, tenths};
-use fleet::Stewards;
+use fleet::Coordinators;
 use rand_chacha::ChaCha8Rng;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -27,7 +27,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::{sleep, sleep_until, Instant};
-use upstreams::Stand;
+use upstreams::StandIn;
 
 /// What a real run brought.
 pub struct Report {
@@ -38,24 +38,24 @@
     pub requests: u64,
     /// Requests that were sent later than they should have been, and by how much the latest.
     pub sent_late: u64,
-    pub latest: Duration,
+    pub max_delay: Duration,
 }
 
 impl Report {
     /// Why the figures say nothing, if they do not.
-    pub fn invalid(&self) -> Option<String> {
+    pub fn invalid_reason(&self) -> Option<String> {
         /// One request in a hundred may be sent late before the load is no longer the one that was asked for.
-        const MOST: f64 = 0.01;
+        const MAX_LATE_SHARE: f64 = 0.01;
         let share = self.sent_late as f64 / (self.requests as f64).max(1.0);
-        (share > MOST).then(|| {
-            let (late, all, latest) = (self.sent_late, self.requests, self.latest.as_millis());
-            format!("the load was not kept: {late} of {all} requests were sent late, by up to {latest} ms")
+        (share > MAX_LATE_SHARE).then(|| {
+            let (late, all, max_delay) = (self.sent_late, self.requests, self.max_delay.as_millis());
+            format!("the load was not kept: {late} of {all} requests were sent late, by up to {max_delay} ms")
         })
     }
 }
 
 /// A request that leaves so much after its moment was sent late.
-const LATE: Duration = Duration::from_millis(10);
+const LATE_THRESHOLD: Duration = Duration::from_millis(10);
 
 /// What the real clock and sockets add to any limit.
 const SLACK_MS: f64 = 50.0;
@@ -66,45 +66,47 @@
     start: Instant,
     unix_ms: u64,
     folder: PathBuf,
-    program: Vec<String>,
+    balancer_command: Vec<String>,
     /// Where the scenario has some; set before any balancer starts.
-    stewards: RefCell<Option<Rc<Stewards>>>,
-    steward: Vec<String>,
+    coordinators: RefCell<Option<Rc<Coordinators>>>,
+    coordinator_command: Vec<String>,
     referee: RefCell<Referee>,
     books: RefCell<Books>,
-    nodes: RefCell<Vec<Rc<Node>>>,
-    first: RefCell<Vec<usize>>,
-    stands: RefCell<Vec<Rc<Stand>>>,
-    chance: RefCell<ChaCha8Rng>,
+    nodes: RefCell<Vec<Rc<BalancerProcess>>>,
+    first_tier: RefCell<Vec<usize>>,
+    upstreams: RefCell<Vec<Rc<StandIn>>>,
+    rng: RefCell<ChaCha8Rng>,
     /// By RPC: which balancer it was put before, how many transmissions of it came. Emptied by its answer.
-    open: RefCell<BTreeMap<Rc<str>, (usize, usize)>>,
+    open_rpcs: RefCell<BTreeMap<Rc<str>, (usize, usize)>>,
     calls: Cell<u64>,
     reports_late: RefCell<BTreeMap<usize, Time>>,
-    list_down_until: Cell<Time>,
+    list_unavailable_until: Cell<Time>,
     sent_late: Cell<u64>,
-    latest: Cell<Duration>,
-    trouble: RefCell<Option<String>>,
+    max_delay: Cell<Duration>,
+    error: RefCell<Option<String>>,
 }
 
 /// Plays the scenario in real time; `program` and `steward` are the words that start one of each, but for `--config FILE`.
 pub fn run(
     scenario: &Scenario,
     seed: u64,
-    program: &[String],
-    steward: &[String],
+    balancer_command: &[String],
+    coordinator_command: &[String],
     folder: &Path,
 ) -> Result<Report, String> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
-    LocalSet::new().block_on(&runtime, async { Lab::play(scenario, seed, program, steward, folder).await })
+    LocalSet::new().block_on(&runtime, async {
+        Lab::run(scenario, seed, balancer_command, coordinator_command, folder).await
+    })
 }
 
 impl Lab {
-    async fn play(
+    async fn run(
         scenario: &Scenario,
         seed: u64,
-        program: &[String],
-        steward: &[String],
+        balancer_command: &[String],
+        coordinator_command: &[String],
         folder: &Path,
     ) -> Result<Report, String> {
         let mut judged = scenario.clone();
@@ -117,24 +119,24 @@
             start: Instant::now(),
             unix_ms: unix.as_millis() as u64,
             folder: folder.to_owned(),
-            program: program.to_vec(),
-            stewards: RefCell::default(),
-            steward: steward.to_vec(),
+            balancer_command: balancer_command.to_vec(),
+            coordinators: RefCell::default(),
+            coordinator_command: coordinator_command.to_vec(),
             referee: RefCell::new(Referee::new(&judged)),
             books: RefCell::new(Books::new(scenario)),
             nodes: RefCell::default(),
-            first: RefCell::default(),
-            stands: RefCell::default(),
-            chance: RefCell::new(stream(seed, CHANCE)),
-            open: RefCell::default(),
+            first_tier: RefCell::default(),
+            upstreams: RefCell::default(),
+            rng: RefCell::new(stream(seed, CHANCE)),
+            open_rpcs: RefCell::default(),
             calls: Cell::new(0),
             reports_late: RefCell::default(),
-            list_down_until: Cell::new(0),
+            list_unavailable_until: Cell::new(0),
             sent_late: Cell::new(0),
-            latest: Cell::new(Duration::ZERO),
-            trouble: RefCell::default(),
+            max_delay: Cell::new(Duration::ZERO),
+            error: RefCell::default(),
         });
-        let result = lab.clone().played().await;
+        let result = lab.clone().run_scenario().await;
         for node in lab.nodes.borrow().iter() {
             node.agent.serving.abort();
             node.process.kill();
@@ -142,8 +144,8 @@
             // For whoever looks into the run; it is judged without.
             let _ = std::fs::write(log, node.process.log().join("\n") + "\n");
         }
-        let stewards = lab.stewards.take();
-        for (n, process) in stewards.iter().flat_map(|s| s.processes.take()).enumerate() {
+        let coordinators = lab.coordinators.take();
+        for (n, process) in coordinators.iter().flat_map(|s| s.processes.take()).enumerate() {
             process.kill();
             let log = lab.folder.join(format!("s{n}.log"));
             let _ = std::fs::write(log, process.log().join("\n") + "\n");
@@ -151,11 +153,12 @@
         result
     }
 
-    async fn played(self: Rc<Self>) -> Result<Report, String> {
+    async fn run_scenario(self: Rc<Self>) -> Result<Report, String> {
         let fleet = |kind| matches!(kind, Kind::StewardsDown | Kind::LeaderLoss | Kind::FleetCut);
         if self.scenario.fleet.stewards > 0 {
-            let stewards = Stewards::start(&self.scenario, &self.steward, &self.folder).await?;
-            self.stewards.replace(Some(Rc::new(stewards)));
+            let coordinators =
+                Coordinators::start(&self.scenario, &self.coordinator_command, &self.folder).await?;
+            self.coordinators.replace(Some(Rc::new(coordinators)));
         } else if let Some(fault) = self.scenario.fault.iter().find(|f| fleet(f.kind)) {
             return Err(format!(
                 "{:?}: the scenario has no stewards for a real run (fleet.stewards)",
@@ -164,16 +167,16 @@
         }
         for (tier, of) in self.scenario.tier.iter().enumerate() {
             for place in 0..of.upstreams {
-                self.new_stand(tier, place % of.zones, place / of.cell).await?;
+                self.new_stand_in(tier, place % of.zones, place / of.cell).await?;
             }
         }
-        let count = self.stands.borrow().len();
-        for stand in 0..count {
-            self.new_balancer_of(stand).await?;
+        let count = self.upstreams.borrow().len();
+        for stand_in in 0..count {
+            self.new_upstream_balancer(stand_in).await?;
         }
         for number in 0..self.scenario.tier[0].balancers {
-            let node = self.new_node(0, number, number % self.scenario.tier[0].zones).await?;
-            self.first.borrow_mut().push(node);
+            let node = self.start_balancer(0, number, number % self.scenario.tier[0].zones).await?;
+            self.first_tier.borrow_mut().push(node);
         }
         // The scenario's time begins once all are ready; a fleet's budgets are divided by then.
         let settle = if self.scenario.fleet.stewards > 0 { 2.0 } else { 0.2 };
@@ -189,20 +192,20 @@
             let intended = self.start + duration(from + at);
             sleep_until(intended).await;
             let late = intended.elapsed();
-            self.latest.set(self.latest.get().max(late));
-            self.sent_late.set(self.sent_late.get() + u64::from(late > LATE));
+            self.max_delay.set(self.max_delay.get().max(late));
+            self.sent_late.set(self.sent_late.get() + u64::from(late > LATE_THRESHOLD));
             let want = Want::of(&self.scenario, self.seed, number);
             callers.spawn_local(Rc::clone(&self).request(number, want, intended, at));
             number += 1;
             while callers.try_join_next().is_some() {}
-            if let Some(why) = self.trouble.take() {
+            if let Some(why) = self.error.take() {
                 return Err(why);
             }
         }
         while callers.join_next().await.is_some() {}
         // Calls of upstreams whose callers were answered otherwise are open for as long as their deadlines, at most.
         let last = self.now() + self.scenario.longest() + seconds(1.5);
-        while !self.open.borrow().is_empty() && self.now() < last {
+        while !self.open_rpcs.borrow().is_empty() && self.now() < last {
             sleep(Duration::from_millis(20)).await;
         }
         let books = self.books.replace(Books::new(&self.scenario));
@@ -211,15 +214,15 @@
         let (mut breaches, cold_starts) = (referee.breaches, referee.cold_starts);
         // In the scenario's time, as everything else.
         breaches.iter_mut().for_each(|b| b.at = b.at.saturating_sub(from));
-        let (sent_late, latest) = (self.sent_late.get(), self.latest.get());
-        Ok(Report { books, breaches, cold_starts, requests: number, sent_late, latest })
+        let (sent_late, max_delay) = (self.sent_late.get(), self.max_delay.get());
+        Ok(Report { books, breaches, cold_starts, requests: number, sent_late, max_delay })
     }
 
     fn now(&self) -> Time {
         tenths(self.start.elapsed())
     }
 
-    fn see(&self, event: &Event) {
+    fn record(&self, event: &Event) {
         self.referee.borrow_mut().see(self.now(), event);
     }
 }
--- a/crates/fernroute-testbed/src/main.rs
+++ b/crates/fernroute-testbed/src/main.rs
@@ -328,12 +328,12 @@
             Ok(code) => return ExitCode::from(code),
             Err(why) => Err(why),
         },
-        Command::ScaleFit(fit) => scale::fit::read(&fit.files).and_then(|runs| {
-            print!("{}", scale::fit::table(&scale::fit::fits(&runs)?, fit.at)?);
+        Command::ScaleFit(fit) => scale::fit::read_reports(&fit.files).and_then(|runs| {
+            print!("{}", scale::fit::table(&scale::fit::fit_all(&runs)?, fit.at)?);
             Ok(())
         }),
         Command::Hollow(one) => scale::hollow::run(&one.folder),
-        Command::ScaleStand(one) => scale::stand::run(&one.config),
+        Command::ScaleStand(one) => scale::stand_in::run(&one.config),
         Command::StewardChange(change) => {
             let words = ["fernroute-coordinator", "change", "--config", &change.config];
             return fernroute_coordinator::commands::run(&words.map(str::to_owned));
@@ -438,9 +438,9 @@
         "requests sent late {} of {}, by up to {} ms",
         report.sent_late,
         report.requests,
-        report.latest.as_millis()
+        report.max_delay.as_millis()
     );
-    Ok(match report.invalid() {
+    Ok(match report.invalid_reason() {
         Some(why) => {
             println!("INVALID: {why}");
             3
@@ -460,9 +460,9 @@
     let _ = std::fs::remove_dir_all(&folder);
     let report = match report {
         Ok(report) => report,
-        Err(broken) => {
-            eprintln!("{NAME}: it did not come to its end: {}", broken.why);
-            return Ok(broken.code);
+        Err(error) => {
+            eprintln!("{NAME}: it did not come to its end: {}", error.reason);
+            return Ok(error.exit_code);
         }
     };
     report.print();
@@ -470,5 +470,5 @@
         let text = serde_json::to_string_pretty(&report).map_err(|e| e.to_string())?;
         std::fs::write(path, text + "\n").map_err(|e| format!("{}: {e}", path.display()))?;
     }
-    Ok(report.code())
+    Ok(report.exit_code())
 }
--- a/crates/fernroute-testbed/src/measure.rs
+++ b/crates/fernroute-testbed/src/measure.rs
@@ -1,7 +1,7 @@
 //! What a fleet costs, and how long it takes to get over a loss: real processes on this machine, and ledgers of many members
 //! and budgets in virtual time. Printed, for `docs/fleet.md`; not part of any test.
 
-use crate::processes::{Fleet, Shape};
+use crate::processes::{Fleet, FleetConfig};
 use fernroute::host::SECOND;
 use fernroute_coordinator::replica::now;
 use fernroute_fleet::configuration::register::Register;
@@ -46,21 +46,21 @@
 async fn losses(program: &Path) -> Result<(), String> {
     const WHOLE: usize = 120;
     let folder = std::env::temp_dir().join(format!("fernroute-measure-{}", std::process::id()));
-    let mut fleet = Fleet::start(program, folder, Shape::new(3, 3, WHOLE)).await?;
-    fleet.rates(&[150, 2, 2]);
-    fleet.until_used().await;
+    let mut fleet = Fleet::start(program, folder, FleetConfig::new(3, 3, WHOLE)).await?;
+    fleet.set_rates(&[150, 2, 2]);
+    fleet.wait_until_limit_used().await;
     let (mut led, mut least) = (Vec::new(), WHOLE);
     for _ in 0..ROUNDS {
         let leader = fleet.leader().await;
         let from = Instant::now();
-        fleet.stewards[leader].kill();
+        fleet.coordinators[leader].kill();
         fleet.leader().await;
         led.push(from.elapsed().as_secs_f64());
         while from.elapsed() < Duration::from_secs(3) {
             sleep(Duration::from_millis(50)).await;
-            least = least.min(fleet.ran.within(Duration::from_secs(1)));
+            least = least.min(fleet.executions.count_within(Duration::from_secs(1)));
         }
-        fleet.start_steward(leader)?;
+        fleet.start_coordinator(leader)?;
         sleep(Duration::from_secs(1)).await;
     }
     spread("seconds until another steward leads after the leader was killed", led);
@@ -70,23 +70,23 @@
         let (dead, other) = (n % 2, (n + 1) % 2);
         let mut rates = [2, 2, 2];
         rates[dead] = 150;
-        fleet.rates(&rates);
+        fleet.set_rates(&rates);
         sleep(Duration::from_secs(5)).await;
         (rates[dead], rates[other]) = (0, 150);
-        fleet.rates(&rates);
+        fleet.set_rates(&rates);
         fleet.balancers[dead].kill();
         let from = Instant::now();
         // What ran before its death is out of sight; then as of the begin of the half second in which as much runs as the
         // whole is.
         sleep(Duration::from_millis(600)).await;
-        while fleet.ran.within(Duration::from_millis(500)) * 2 * 20 < WHOLE * 19 {
+        while fleet.executions.count_within(Duration::from_millis(500)) * 2 * 20 < WHOLE * 19 {
             sleep(Duration::from_millis(5)).await;
         }
         used.push(from.elapsed().as_secs_f64() - 0.5);
         fleet.start_balancer(dead).await?;
     }
     spread("seconds until a killed balancer's part was in use, shares held for 3 s", used);
-    println!("beyond the whole: {}", fleet.broken().unwrap_or_else(|| "never".to_owned()));
+    println!("beyond the whole: {}", fleet.violation().unwrap_or_else(|| "never".to_owned()));
     Ok(())
 }
 
@@ -121,10 +121,10 @@
 async fn members(program: &Path, count: usize) -> Result<(), String> {
     const FOR: Duration = Duration::from_secs(20);
     let folder = std::env::temp_dir().join(format!("fernroute-measure-{}", std::process::id()));
-    let shape = Shape { members: count, ..Shape::new(3, 0, count) };
+    let shape = FleetConfig { max_members: count, ..FleetConfig::new(3, 0, count) };
     let fleet = Fleet::start(program, folder, shape).await?;
     let leader = fleet.leader().await;
-    let to = Rc::new(Cell::new(fleet.steward_addresses[leader]));
+    let to = Rc::new(Cell::new(fleet.coordinator_addresses[leader]));
     let bytes = Rc::new(Cell::new((0, 0)));
     let ended = Rc::new(RefCell::new(0));
     for n in 0..count {
@@ -141,11 +141,11 @@
     sleep(Duration::from_secs(5)).await;
     let epoch = |status: Option<fernroute_coordinator::replica::Status>| status.map_or(0, |s| s.epoch);
     let (cpu, at, first) =
-        (fleet.stewards[leader].processor_ms(), bytes.get(), epoch(fleet.status(leader).await));
+        (fleet.coordinators[leader].processor_ms(), bytes.get(), epoch(fleet.status(leader).await));
     let from = Instant::now();
     sleep(FOR).await;
     let (took, last) = (from.elapsed().as_secs_f64(), epoch(fleet.status(leader).await));
-    let spent = fleet.stewards[leader].processor_ms() - cpu;
+    let spent = fleet.coordinators[leader].processor_ms() - cpu;
     let now = bytes.get();
     println!(
         "a leading steward with {count} members: {:.0} beats a second, {:.0} bytes a second both ways, {:.1} steps a second, \
@@ -154,7 +154,7 @@
         (now.0 - at.0) as f64 / took,
         (last - first) as f64 / took,
         spent as f64 / took / 10.0,
-        fleet.stewards[leader].memory_kb(),
+        fleet.coordinators[leader].memory_kb(),
         ended.borrow()
     );
     Ok(())
--- a/crates/fernroute-testbed/src/processes.rs
+++ b/crates/fernroute-testbed/src/processes.rs
@@ -39,30 +39,30 @@
 
 /// What the upstream ran, by its own clock; the last eleven seconds of it where nobody judges all.
 #[derive(Default)]
-pub struct Ran(RefCell<Vec<Instant>>);
+pub struct ExecutionLog(RefCell<Vec<Instant>>);
 
-impl Ran {
-    pub fn within(&self, last: Duration) -> usize {
-        let ran = self.0.borrow();
-        ran.iter().rev().take_while(|at| at.elapsed() <= last).count()
+impl ExecutionLog {
+    pub fn count_within(&self, last: Duration) -> usize {
+        let executions = self.0.borrow();
+        executions.iter().rev().take_while(|at| at.elapsed() <= last).count()
     }
 
     /// The window in which all balancers together ran more than the whole and what they may save up, if there is one: two
     /// seconds of it, and some RPCs each.
-    pub fn beyond(&self, whole: usize, balancers: usize) -> Option<String> {
-        beyond(&self.0.borrow(), whole as f64, 4 * balancers)
+    pub fn limit_violation(&self, limit: usize, balancers: usize) -> Option<String> {
+        limit_violation(&self.0.borrow(), limit as f64, 4 * balancers)
     }
 
     /// Forgets what is older than any window.
-    fn forget(&self) {
+    fn discard_old(&self) {
         self.0.borrow_mut().retain(|at| at.elapsed() < Duration::from_secs(11));
     }
 }
 
 /// The window in which there was more than a whole, two seconds of it that may be saved up, and some beside it.
-pub fn beyond(at: &[Instant], whole: f64, some: usize) -> Option<String> {
+pub fn limit_violation(at: &[Instant], limit: f64, some: usize) -> Option<String> {
     for window in [1, 10] {
-        let most = (whole * (window + 2) as f64) as usize + some;
+        let most = (limit * (window + 2) as f64) as usize + some;
         for (n, from) in at.iter().enumerate() {
             let until = *from + Duration::from_secs(window);
             let count = at[n..].iter().take_while(|at| **at < until).count();
@@ -76,34 +76,34 @@
 
 /// How many of what.
 #[derive(Clone, Debug)]
-pub struct Shape {
-    pub stewards: usize,
+pub struct FleetConfig {
+    pub coordinators: usize,
     pub balancers: usize,
     /// The most that the ledger takes: as many as balancers, where those are all.
-    pub members: usize,
+    pub max_members: usize,
     pub upstreams: usize,
     /// The tenant's RPCs a second over all balancers.
-    pub whole: usize,
+    pub limit: usize,
     /// Transmissions beyond the first, and trials to one upstream, a second over all balancers; none is no budget.
-    pub further: Option<f64>,
-    pub trials: Option<f64>,
+    pub retry_limit: Option<f64>,
+    pub trial_limit: Option<f64>,
     /// Whether balancers go by the configuration of the service `shop`.
-    pub follows: bool,
+    pub follows_configuration: bool,
     /// What one balancer alone does at a time, under leases of two seconds.
     pub duties: Vec<String>,
 }
 
-impl Shape {
-    pub fn new(stewards: usize, balancers: usize, whole: usize) -> Self {
-        Shape {
-            stewards,
+impl FleetConfig {
+    pub fn new(coordinators: usize, balancers: usize, limit: usize) -> Self {
+        FleetConfig {
+            coordinators,
             balancers,
-            members: balancers,
+            max_members: balancers,
             upstreams: 1,
-            whole,
-            further: None,
-            trials: None,
-            follows: false,
+            limit,
+            retry_limit: None,
+            trial_limit: None,
+            follows_configuration: false,
             duties: Vec::new(),
         }
     }
@@ -115,18 +115,18 @@
     }
 
     fn budgets(&self) -> String {
-        let tenant = ("acme", Some(self.whole as f64));
-        let all = [tenant, (RETRY_BUDGET, self.further), (TRIAL_BUDGET, self.trials)];
-        let budget = |(name, whole): &(&str, Option<f64>)| {
-            whole.map(|whole| format!("[[budget]]\nname = \"{name}\"\nwhole = {whole}\nfloors = 0.1\n"))
+        let tenant = ("acme", Some(self.limit as f64));
+        let all = [tenant, (RETRY_BUDGET, self.retry_limit), (TRIAL_BUDGET, self.trial_limit)];
+        let budget = |(name, limit): &(&str, Option<f64>)| {
+            limit.map(|limit| format!("[[budget]]\nname = \"{name}\"\nwhole = {limit}\nfloors = 0.1\n"))
         };
         all.iter().filter_map(budget).collect()
     }
 
     fn divides(&self) -> String {
-        let all = [("\"further\"", self.further), ("\"trials\"", self.trials)];
+        let all = [("\"further\"", self.retry_limit), ("\"trials\"", self.trial_limit)];
         all.iter()
-            .filter(|(_, whole)| whole.is_some())
+            .filter(|(_, limit)| limit.is_some())
             .map(|(word, _)| *word)
             .collect::<Vec<&str>>()
             .join(", ")
@@ -135,18 +135,18 @@
 
 /// How an upstream does.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Mood {
+pub enum UpstreamBehavior {
     #[default]
-    Well,
+    Healthy,
     /// Every RPC: the connection ends without an answer.
     Fails,
     /// Every second transmission, unseen.
-    TurnsAwayHalf,
+    RejectsHalf,
 }
 
 /// A transmission, as an upstream saw it.
 #[derive(Clone, Debug)]
-pub struct Came {
+pub struct ReceivedAttempt {
     pub at: Instant,
     pub upstream: usize,
     pub rpc: String,
@@ -156,28 +156,28 @@
 pub struct Fleet {
     program: PathBuf,
     pub folder: PathBuf,
-    pub shape: Shape,
-    pub stewards: Vec<Process>,
-    pub steward_addresses: Vec<SocketAddr>,
-    steward_pages: Vec<String>,
+    pub config: FleetConfig,
+    pub coordinators: Vec<Process>,
+    pub coordinator_addresses: Vec<SocketAddr>,
+    coordinator_files: Vec<String>,
     /// From each steward to each other one, by their numbers.
-    pub between: BTreeMap<(usize, usize), Rc<Link>>,
+    pub coordinator_links: BTreeMap<(usize, usize), Rc<Link>>,
     pub balancers: Vec<Process>,
     pub addresses: Vec<SocketAddr>,
     /// Where balancers answer operators.
-    pub doors: Vec<SocketAddr>,
+    pub ops_addresses: Vec<SocketAddr>,
     /// From each balancer to each steward.
-    pub links: Vec<Vec<Rc<Link>>>,
-    pages: Vec<String>,
-    pub ran: Rc<Ran>,
+    pub balancer_links: Vec<Vec<Rc<Link>>>,
+    balancer_files: Vec<String>,
+    pub executions: Rc<ExecutionLog>,
     /// All transmissions that came, turned away or not.
-    pub came: Rc<RefCell<Vec<Came>>>,
+    pub attempts: Rc<RefCell<Vec<ReceivedAttempt>>>,
     /// How each upstream does.
-    pub moods: Rc<Vec<Cell<Mood>>>,
+    pub behaviors: Rc<Vec<Cell<UpstreamBehavior>>>,
     /// RPCs a second asked of each balancer.
     rates: Rc<Vec<Cell<u64>>>,
     /// Answers that were neither served nor refused.
-    pub wrong: Rc<RefCell<Vec<String>>>,
+    pub unexpected_answers: Rc<RefCell<Vec<String>>>,
     /// RPCs that had no answer at all.
     pub unanswered: Rc<Cell<usize>>,
     _discovery: Rc<Discovery>,
@@ -185,53 +185,55 @@
 
 impl Fleet {
     /// `program` has the roles of the laboratory's own; `folder` is made, and gone with the fleet.
-    pub async fn start(program: &Path, folder: PathBuf, shape: Shape) -> Result<Self, String> {
-        let Shape { stewards, balancers, members, whole, .. } = shape;
+    pub async fn start(program: &Path, folder: PathBuf, config: FleetConfig) -> Result<Self, String> {
+        let FleetConfig { coordinators, balancers, max_members, limit, .. } = config;
         let trouble = |e: std::io::Error| e.to_string();
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         std::fs::create_dir_all(&folder).map_err(trouble)?;
-        let at = addresses(stewards).map_err(trouble)?;
-        let (mut between, mut steward_pages) = (BTreeMap::new(), Vec::new());
-        for n in 0..stewards {
+        let at = addresses(coordinators).map_err(trouble)?;
+        let (mut coordinator_links, mut coordinator_files) = (BTreeMap::new(), Vec::new());
+        for n in 0..coordinators {
             let mut list = String::new();
             for (m, own) in at.iter().enumerate() {
                 let at = if m == n {
                     *own
                 } else {
                     let link = Link::to(*own).await.map_err(trouble)?;
-                    between.insert((n, m), Rc::clone(&link));
+                    coordinator_links.insert((n, m), Rc::clone(&link));
                     link.address
                 };
                 list += &format!("[[steward]]\nname = \"s{m}\"\naddress = \"{at}\"\n");
             }
             let disk = folder.join(format!("s{n}"));
-            steward_pages.push(format!(
-                "cluster = \"c\"\nname = \"s{n}\"\nfolder = \"{}\"\nmembers = {members}\nshares_ms = 3000\nduties_ms = 2000\nfloors_s = 12\n{list}",
+            coordinator_files.push(format!(
+                "cluster = \"c\"\nname = \"s{n}\"\nfolder = \"{}\"\nmembers = {max_members}\nshares_ms = 3000\nduties_ms = 2000\nfloors_s = 12\n{list}",
                 disk.display()
             ));
         }
         let start = |(n, text): (usize, &String)| {
-            launch(program, "steward", &folder, &format!("s{n}"), &format!("{text}{}", shape.shared()))
+            launch(program, "steward", &folder, &format!("s{n}"), &format!("{text}{}", config.shared()))
         };
-        let stewards =
-            steward_pages.iter().enumerate().map(start).collect::<Result<Vec<Process>, String>>()?;
-        let ran = Rc::new(Ran::default());
-        let came: Rc<RefCell<Vec<Came>>> = Rc::default();
-        let moods: Rc<Vec<Cell<Mood>>> = Rc::new((0..shape.upstreams).map(|_| Cell::default()).collect());
+        let coordinators =
+            coordinator_files.iter().enumerate().map(start).collect::<Result<Vec<Process>, String>>()?;
+        let executions = Rc::new(ExecutionLog::default());
+        let attempts: Rc<RefCell<Vec<ReceivedAttempt>>> = Rc::default();
+        let behaviors: Rc<Vec<Cell<UpstreamBehavior>>> =
+            Rc::new((0..config.upstreams).map(|_| Cell::default()).collect());
         let (mut upstreams, mut list) = (Vec::new(), Vec::new());
-        for n in 0..shape.upstreams {
-            let (ran, came, moods) = (Rc::clone(&ran), Rc::clone(&came), Rc::clone(&moods));
+        for n in 0..config.upstreams {
+            let (executions, attempts, behaviors) =
+                (Rc::clone(&executions), Rc::clone(&attempts), Rc::clone(&behaviors));
             let upstream = serve(any, move |asked| {
                 let rpc = asked.header("req-id").unwrap_or_default().to_owned();
-                came.borrow_mut().push(Came { at: Instant::now(), upstream: n, rpc });
-                match moods[n].get() {
-                    Mood::Fails => return Deed::SayAndClose(Vec::new()),
-                    Mood::TurnsAwayHalf if came.borrow().len() % 2 == 0 => {
+                attempts.borrow_mut().push(ReceivedAttempt { at: Instant::now(), upstream: n, rpc });
+                match behaviors[n].get() {
+                    UpstreamBehavior::Fails => return Deed::SayAndClose(Vec::new()),
+                    UpstreamBehavior::RejectsHalf if attempts.borrow().len() % 2 == 0 => {
                         return Deed::Say(answer(503, "Srv-Declined: 1\r\n", ""));
                     }
-                    Mood::Well | Mood::TurnsAwayHalf => {}
+                    UpstreamBehavior::Healthy | UpstreamBehavior::RejectsHalf => {}
                 }
-                ran.0.borrow_mut().push(Instant::now());
+                executions.0.borrow_mut().push(Instant::now());
                 ok("whole")
             });
             let at = upstream.await.map_err(trouble)?;
@@ -243,27 +245,27 @@
         let mut fleet = Fleet {
             program: program.to_owned(),
             folder,
-            shape,
-            stewards,
-            steward_addresses: at,
-            steward_pages,
-            between,
+            config,
+            coordinators,
+            coordinator_addresses: at,
+            coordinator_files,
+            coordinator_links,
             balancers: Vec::new(),
             addresses: Vec::new(),
-            doors: addresses(balancers).map_err(trouble)?,
-            links: Vec::new(),
-            pages: Vec::new(),
-            ran,
-            came,
-            moods,
+            ops_addresses: addresses(balancers).map_err(trouble)?,
+            balancer_links: Vec::new(),
+            balancer_files: Vec::new(),
+            executions,
+            attempts,
+            behaviors,
             rates,
-            wrong: Rc::default(),
+            unexpected_answers: Rc::default(),
             unanswered: Rc::default(),
             _discovery: discovery,
         };
         for n in 0..balancers {
             let mut own = Vec::new();
-            for at in &fleet.steward_addresses {
+            for at in &fleet.coordinator_addresses {
                 own.push(Link::to(*at).await.map_err(trouble)?);
             }
             let to: Vec<String> = own.iter().map(|link| format!("\"{}\"", link.address)).collect();
@@ -272,17 +274,17 @@
                  [load]\nrefuse_over_share = true\n[fleet]\ncluster = \"c\"\nstewards = [{}]\nbeat_ms = 200\ndivides = [{}]\n{}\
                  [rules]\ncold_from = 0.3\nwarm_within_s = 10\ncold_multiple = 3\ncold_window_s = 2\n\
                  [[method]]\nname = \"look\"\neffect = \"retriable\"\nsoft_ms = 1000\nhard_ms = 3000\n\
-                 [[tenant]]\nname = \"acme\"\nrate = {whole}\n\
+                 [[tenant]]\nname = \"acme\"\nrate = {limit}\n\
                  [limits]\ntransmissions = 4\n{}",
-                fleet.door(n),
+                fleet.ops_line(n),
                 fleet._discovery.address,
                 to.join(", "),
-                fleet.shape.divides(),
-                if fleet.shape.follows { "service = \"shop\"\n" } else { "" },
+                fleet.config.divides(),
+                if fleet.config.follows_configuration { "service = \"shop\"\n" } else { "" },
                 upstreams.concat()
             );
-            fleet.links.push(own);
-            fleet.pages.push(text);
+            fleet.balancer_links.push(own);
+            fleet.balancer_files.push(text);
             fleet.start_balancer(n).await?;
         }
         Ok(fleet)
@@ -290,53 +292,57 @@
 
     /// Where a balancer answers operators, as its file says it. Two processes of one balancer can't have it both, as in an
     /// upgrade: it is there where duties are, whose holders are asked at it.
-    fn door(&self, n: usize) -> String {
-        if self.shape.duties.is_empty() {
+    fn ops_line(&self, n: usize) -> String {
+        if self.config.duties.is_empty() {
             return String::new();
         }
-        format!("ops = \"{}\"\n", self.doors[n])
+        format!("ops = \"{}\"\n", self.ops_addresses[n])
     }
 
     /// Starts one again, with what is left on its disk.
-    pub fn start_steward(&mut self, n: usize) -> Result<(), String> {
-        let text = format!("{}{}", self.steward_pages[n], self.shape.shared());
-        self.stewards[n] = launch(&self.program, "steward", &self.folder, &format!("s{n}"), &text)?;
+    pub fn start_coordinator(&mut self, n: usize) -> Result<(), String> {
+        let text = format!("{}{}", self.coordinator_files[n], self.config.shared());
+        self.coordinators[n] = launch(&self.program, "steward", &self.folder, &format!("s{n}"), &text)?;
         Ok(())
     }
 
     /// A network that falls apart: these stewards and balancers reach each other, and so do all others.
-    pub fn part(&self, stewards: &[usize], balancers: &[usize]) {
-        let apart = |n: &usize, m: &usize| stewards.contains(n) != stewards.contains(m);
-        self.between.iter().filter(|((n, m), _)| apart(n, m)).for_each(|(_, link)| link.refuse());
-        for (n, links) in self.links.iter().enumerate() {
+    pub fn partition(&self, coordinators: &[usize], balancers: &[usize]) {
+        let apart = |n: &usize, m: &usize| coordinators.contains(n) != coordinators.contains(m);
+        self.coordinator_links.iter().filter(|((n, m), _)| apart(n, m)).for_each(|(_, link)| link.refuse());
+        for (n, links) in self.balancer_links.iter().enumerate() {
             let apart =
-                links.iter().enumerate().filter(|(m, _)| balancers.contains(&n) != stewards.contains(m));
+                links.iter().enumerate().filter(|(m, _)| balancers.contains(&n) != coordinators.contains(m));
             apart.for_each(|(_, link)| link.refuse());
         }
     }
 
     /// All reach all again.
     pub fn heal(&self) {
-        self.between.values().chain(self.links.iter().flatten()).for_each(|link| link.mend());
+        self.coordinator_links
+            .values()
+            .chain(self.balancer_links.iter().flatten())
+            .for_each(|link| link.mend());
     }
 
     /// Another process under the name of this balancer, on another machine as far as it can tell.
-    pub async fn stranger(&self, n: usize) -> Result<(Process, SocketAddr), String> {
+    pub async fn start_impostor(&self, n: usize) -> Result<(Process, SocketAddr), String> {
         let folder = self.folder.join(format!("elsewhere{n}"));
         std::fs::create_dir_all(&folder).map_err(|e| e.to_string())?;
-        let process = launch(&self.program, "balancer", &folder, &format!("b{n}"), &self.pages[n])?;
+        let process = launch(&self.program, "balancer", &folder, &format!("b{n}"), &self.balancer_files[n])?;
         let at = process.address_after("serving on ", START).await?;
         Ok((process, at))
     }
 
     /// What this steward says of itself and of the ledger, if it does.
-    pub async fn status(&self, steward: usize) -> Option<Status> {
-        status(self.steward_addresses[steward]).await
+    pub async fn status(&self, coordinator: usize) -> Option<Status> {
+        status(self.coordinator_addresses[coordinator]).await
     }
 
     /// Starts one, for the first time or again, with what is left on its disk.
     pub async fn start_balancer(&mut self, n: usize) -> Result<(), String> {
-        let process = launch(&self.program, "balancer", &self.folder, &format!("b{n}"), &self.pages[n])?;
+        let process =
+            launch(&self.program, "balancer", &self.folder, &format!("b{n}"), &self.balancer_files[n])?;
         let at = process.address_after("serving on ", START).await?;
         if n < self.balancers.len() {
             (self.balancers[n], self.addresses[n]) = (process, at);
@@ -344,21 +350,22 @@
             self.balancers.push(process);
             self.addresses.push(at);
         }
-        self.ask_for_ever(n);
+        self.generate_load(n);
         Ok(())
     }
 
     /// Starts a new process of the same balancer beside the old one, which it returns once the new one serves.
     pub async fn upgrade(&mut self, n: usize) -> Result<Process, String> {
         let name = format!("b{n}");
-        let new = launch(&self.program, "balancer", &self.folder, &name, &self.pages[n])?;
+        let new = launch(&self.program, "balancer", &self.folder, &name, &self.balancer_files[n])?;
         new.address_after("serving on ", START).await?;
         Ok(std::mem::replace(&mut self.balancers[n], new))
     }
 
     /// Open loop: what is slow to be answered keeps no other waiting.
-    fn ask_for_ever(&self, n: usize) {
-        let (rates, wrong, at) = (Rc::clone(&self.rates), Rc::clone(&self.wrong), self.addresses[n]);
+    fn generate_load(&self, n: usize) {
+        let (rates, unexpected_answers, at) =
+            (Rc::clone(&self.rates), Rc::clone(&self.unexpected_answers), self.addresses[n]);
         let unanswered = Rc::clone(&self.unanswered);
         spawn_local(async move {
             let (mut due, mut from) = (0.0, Instant::now());
@@ -370,7 +377,8 @@
                     continue;
                 }
                 due -= 1.0;
-                let (wrong, unanswered) = (Rc::clone(&wrong), Rc::clone(&unanswered));
+                let (unexpected_answers, unanswered) =
+                    (Rc::clone(&unexpected_answers), Rc::clone(&unanswered));
                 spawn_local(async move {
                     let none = || unanswered.set(unanswered.get() + 1);
                     let Ok(mut stream) = TcpStream::connect(at).await else { return none() };
@@ -378,7 +386,7 @@
                     let _ = stream.write_all(asked.as_bytes()).await;
                     match timeout(Duration::from_secs(4), read(&mut stream)).await {
                         Ok(Some(answer)) if matches!(answer.status(), 200 | 503) => {}
-                        Ok(Some(answer)) => wrong.borrow_mut().push(answer.head),
+                        Ok(Some(answer)) => unexpected_answers.borrow_mut().push(answer.head),
                         // Its balancer was killed, or stands still: that is judged by who did it.
                         Ok(None) | Err(_) => none(),
                     }
@@ -387,25 +395,25 @@
         });
     }
 
-    pub fn rates(&self, rates: &[u64]) {
+    pub fn set_rates(&self, rates: &[u64]) {
         rates.iter().zip(self.rates.iter()).for_each(|(rate, of)| of.set(*rate));
     }
 
     /// Until nearly the whole has run within a second.
-    pub async fn until_used(&self) {
-        self.until_runs(self.shape.whole * 19 / 20).await;
+    pub async fn wait_until_limit_used(&self) {
+        self.wait_until_rate(self.config.limit * 19 / 20).await;
     }
 
     /// Until so many have run within a second.
-    pub async fn until_runs(&self, least: usize) {
-        until(|| self.ran.within(Duration::from_secs(1)) >= least).await;
+    pub async fn wait_until_rate(&self, least: usize) {
+        until(|| self.executions.count_within(Duration::from_secs(1)) >= least).await;
     }
 
     /// Which steward leads by its own word, once one does.
     pub async fn leader(&self) -> usize {
         loop {
-            for n in 0..self.stewards.len() {
-                let running = self.stewards[n].is_running();
+            for n in 0..self.coordinators.len() {
+                let running = self.coordinators[n].is_running();
                 if running && self.status(n).await.is_some_and(|s| s.state == "leader") {
                     return n;
                 }
@@ -415,22 +423,26 @@
     }
 
     /// What all balancers together did not keep, or answered wrongly.
-    pub fn broken(&self) -> Option<String> {
-        let wrong = self.wrong.borrow().first().cloned();
-        self.ran.beyond(self.shape.whole, self.addresses.len()).or(wrong)
+    pub fn violation(&self) -> Option<String> {
+        let unexpected_answers = self.unexpected_answers.borrow().first().cloned();
+        self.executions.limit_violation(self.config.limit, self.addresses.len()).or(unexpected_answers)
     }
 
     /// When transmissions came that were not the first of their RPC.
-    pub fn further(&self) -> Vec<Instant> {
+    pub fn retry_times(&self) -> Vec<Instant> {
         let mut seen = BTreeSet::new();
-        let came = self.came.borrow();
-        came.iter().filter(|came| !seen.insert(came.rpc.clone())).map(|came| came.at).collect()
+        let attempts = self.attempts.borrow();
+        attempts
+            .iter()
+            .filter(|attempts| !seen.insert(attempts.rpc.clone()))
+            .map(|attempts| attempts.at)
+            .collect()
     }
 
     /// What is kept for a judgement of all is not kept any more.
-    pub fn forget(&self) {
-        self.ran.forget();
-        self.came.borrow_mut().retain(|came| came.at.elapsed() < Duration::from_secs(11));
+    pub fn discard_old(&self) {
+        self.executions.discard_old();
+        self.attempts.borrow_mut().retain(|attempts| attempts.at.elapsed() < Duration::from_secs(11));
     }
 }
 
@@ -445,7 +457,7 @@
 
 impl Drop for Fleet {
     fn drop(&mut self) {
-        self.stewards.clear();
+        self.coordinators.clear();
         self.balancers.clear();
         let _ = std::fs::remove_dir_all(&self.folder);
     }
--- a/crates/fernroute-testbed/src/processes/configuration.rs
+++ b/crates/fernroute-testbed/src/processes/configuration.rs
@@ -24,7 +24,7 @@
 const LOOK: Duration = Duration::from_millis(20);
 
 /// A steward's answer to an operator, if there is one.
-pub async fn say<A: DeserializeOwned>(
+pub async fn request<A: DeserializeOwned>(
     cluster: &str,
     at: SocketAddr,
     path: &str,
@@ -44,17 +44,17 @@
 impl Fleet {
     /// To whichever steward leads, as often as it takes until one does. Whether a word is entered whose answer was lost the scope's
     /// latest entry tells.
-    async fn say<A: DeserializeOwned>(
+    async fn request_leader<A: DeserializeOwned>(
         &self,
         path: &str,
         message: impl Serialize + Copy,
     ) -> Result<A, RequestError> {
         loop {
-            for (steward, at) in self.stewards.iter().zip(&self.steward_addresses) {
-                if !steward.is_running() {
+            for (coordinator, at) in self.coordinators.iter().zip(&self.coordinator_addresses) {
+                if !coordinator.is_running() {
                     continue;
                 }
-                match say::<Result<A, RequestError>>("c", *at, path, message).await {
+                match request::<Result<A, RequestError>>("c", *at, path, message).await {
                     Some(Err(RequestError::NotLeader(_))) | None => {}
                     Some(done) => return done,
                 }
@@ -64,10 +64,10 @@
     }
 
     /// Enters a part of balancers' files over what is the scope's latest; its version.
-    pub async fn put(&self, scope: &str, content: &str) -> Version {
+    pub async fn put_configuration(&self, scope: &str, content: &str) -> Version {
         let scope: Scope = scope.parse().expect("a scope");
         loop {
-            let latest: LatestEntry = self.say(GET_PATH, &scope).await.expect("the latest");
+            let latest: LatestEntry = self.request_leader(GET_PATH, &scope).await.expect("the latest");
             let base = latest.entry.as_ref().map_or(0, |part| part.version);
             if latest.entry.is_some_and(|part| part.content == content) {
                 return base;
@@ -80,7 +80,7 @@
                 content,
                 author: who,
             };
-            match self.say(PUT_PATH, &wish).await {
+            match self.request_leader(PUT_PATH, &wish).await {
                 Ok(version) => return version,
                 // The answer to an earlier try was lost, or may come yet.
                 Err(RequestError::OutOfDate(_) | RequestError::Unknown(_)) => {}
@@ -89,15 +89,15 @@
         }
     }
 
-    pub async fn standings(&self) -> ConfigurationStatus {
-        self.say(STATUS_PATH, ()).await.expect("its word")
+    pub async fn configuration_status(&self) -> ConfigurationStatus {
+        self.request_leader(STATUS_PATH, ()).await.expect("its word")
     }
 
     /// How far this balancer is by its leader's word, once it is so.
-    pub async fn until_stands(&self, n: usize, so: impl Fn(&MemberRollout) -> bool) -> MemberRollout {
+    pub async fn wait_for_rollout(&self, n: usize, so: impl Fn(&MemberRollout) -> bool) -> MemberRollout {
         let name = format!("b{n}");
         loop {
-            let members = self.standings().await.members;
+            let members = self.configuration_status().await.members;
             if let Some(member) = members.into_iter().find(|member| member.name == name && so(member)) {
                 return member;
             }
@@ -106,14 +106,14 @@
     }
 
     /// Until these balancers say that they go by this version.
-    pub async fn until_in_force(&self, version: Version, balancers: &[usize]) {
+    pub async fn wait_until_active(&self, version: Version, balancers: &[usize]) {
         for n in balancers {
-            self.until_stands(*n, |member| member.active == version).await;
+            self.wait_for_rollout(*n, |member| member.active == version).await;
         }
     }
 
     /// The answer to an RPC of this method; none where its balancer gives none.
-    pub async fn answers(&self, n: usize, method: &str) -> Option<u16> {
+    pub async fn request_status(&self, n: usize, method: &str) -> Option<u16> {
         let mut stream = TcpStream::connect(self.addresses[n]).await.ok()?;
         let asked = rpc("GET", &format!("/{method}"), "Connection: close\r\n");
         stream.write_all(asked.as_bytes()).await.ok()?;
@@ -121,18 +121,18 @@
     }
 
     /// The versions that this balancer's process says went into force, in the order in which they did.
-    pub fn applied(&self, n: usize) -> Vec<Version> {
+    pub fn applied_versions(&self, n: usize) -> Vec<Version> {
         let version =
             |line: String| line.split_once("configuration ")?.1.strip_suffix(" is in force")?.parse().ok();
         self.balancers[n].log().into_iter().filter_map(version).collect()
     }
 
     /// This balancer's own file from now on, for its next start and its next SIGHUP.
-    pub fn edit(&mut self, n: usize, old: &str, new: &str) {
-        assert!(self.pages[n].contains(old), "{old}");
-        self.pages[n] = self.pages[n].replace(old, new);
+    pub fn edit_file(&mut self, n: usize, old: &str, new: &str) {
+        assert!(self.balancer_files[n].contains(old), "{old}");
+        self.balancer_files[n] = self.balancer_files[n].replace(old, new);
         let page = self.folder.join(format!("b{n}.toml"));
-        std::fs::write(page.with_extension("new"), &self.pages[n]).expect("a file");
+        std::fs::write(page.with_extension("new"), &self.balancer_files[n]).expect("a file");
         std::fs::rename(page.with_extension("new"), page).expect("a file");
     }
 
@@ -141,12 +141,12 @@
     }
 
     /// Where this balancer keeps what it goes by.
-    pub fn copy(&self, n: usize) -> PathBuf {
+    pub fn cached_configuration(&self, n: usize) -> PathBuf {
         self.folder.join(format!("fernroute-b{n}-127.0.0.1_0.configuration"))
     }
 
     /// Starts one again that is told of a full disk by errors alone.
-    pub async fn start_tolerant(&mut self, n: usize) -> Result<(), String> {
+    pub async fn restart_ignoring_limits(&mut self, n: usize) -> Result<(), String> {
         self.balancers[n].kill();
         let mut command = Command::new(&self.program);
         let page = self.folder.join(format!("b{n}.toml"));
@@ -159,9 +159,10 @@
     }
 
     /// Starts one again, with what is left on its disk, and asks nothing of it.
-    pub async fn start_again(&mut self, n: usize) -> Result<(), String> {
+    pub async fn restart_without_load(&mut self, n: usize) -> Result<(), String> {
         self.balancers[n].kill();
-        let process = launch(&self.program, "balancer", &self.folder, &format!("b{n}"), &self.pages[n])?;
+        let process =
+            launch(&self.program, "balancer", &self.folder, &format!("b{n}"), &self.balancer_files[n])?;
         self.addresses[n] = process.address_after("serving on ", START).await?;
         self.balancers[n] = process;
         Ok(())
--- a/crates/fernroute-testbed/src/scale/changes.rs
+++ b/crates/fernroute-testbed/src/scale/changes.rs
@@ -3,7 +3,7 @@
 
 use super::fleet::Fleet;
 use super::layout::CLUSTER;
-use crate::processes::configuration::say;
+use crate::processes::configuration::request;
 use fernroute_coordinator::configuration::{
     ConfigurationStatus, LatestEntry, PutRequest, RequestError, GET_PATH, PUT_PATH, STATUS_PATH,
 };
@@ -14,20 +14,20 @@
 use tokio::time::sleep;
 
 /// How often it is looked where all are: what is told of a change is exact to that.
-const LOOK: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// A change that is not in force everywhere by then counts as one that is not.
-const MOST: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 
 /// What came of them; none is what was not measured.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub struct Changed {
+pub struct ChangeStats {
     pub made: Option<u64>,
     pub in_force_everywhere: Option<u64>,
     pub slowest_s: Option<f64>,
 }
 
-impl Changed {
+impl ChangeStats {
     pub fn add(&mut self, took: Option<f64>) {
         self.made = Some(self.made.unwrap_or(0) + 1);
         self.in_force_everywhere = Some(self.in_force_everywhere.unwrap_or(0) + u64::from(took.is_some()));
@@ -38,15 +38,15 @@
     }
 
     /// Whether one was made that is not in force everywhere.
-    pub fn left(&self) -> bool {
+    pub fn has_incomplete(&self) -> bool {
         self.made != self.in_force_everywhere
     }
 }
 
 /// The steward there enters a change for this service; its version.
-pub async fn put(at: SocketAddr, service: &str, number: u64) -> Option<Version> {
+pub async fn put_change(at: SocketAddr, service: &str, number: u64) -> Option<Version> {
     let scope: Scope = format!("service/{service}").parse().ok()?;
-    let latest: Result<LatestEntry, RequestError> = say(CLUSTER, at, GET_PATH, &scope).await?;
+    let latest: Result<LatestEntry, RequestError> = request(CLUSTER, at, GET_PATH, &scope).await?;
     let base = latest.ok()?.entry.map_or(0, |part| part.version);
     // The one method as it is, but for the time by which an answer is worth all.
     let content = format!(
@@ -54,58 +54,63 @@
         1000 + number % 1000
     );
     let (hash, who) = (content_hash(&content), "scale".to_owned());
-    let done: Result<Version, RequestError> = say(
+    let result: Result<Version, RequestError> = request(
         CLUSTER,
         at,
         PUT_PATH,
         &PutRequest { scope, base_version: base, content_hash: hash, content, author: who },
     )
     .await?;
-    done.ok()
+    result.ok()
 }
 
 /// How many balancers of this service go by this version or a later one, by the word of the steward there; none where it does not
 /// lead.
-async fn in_force(at: SocketAddr, service: &str, version: Version) -> Option<usize> {
-    let told: Result<ConfigurationStatus, RequestError> = say(CLUSTER, at, STATUS_PATH, ()).await?;
-    let members = told.ok()?.members;
+async fn count_active(at: SocketAddr, service: &str, version: Version) -> Option<usize> {
+    let status: Result<ConfigurationStatus, RequestError> = request(CLUSTER, at, STATUS_PATH, ()).await?;
+    let members = status.ok()?.members;
     Some(members.iter().filter(|m| m.service == service && m.active >= version).count())
 }
 
 /// How long after `from` all balancers of this service went by this version; none where they never did.
-pub async fn until_in_force(fleet: &Fleet, service: &str, version: Version, from: Instant) -> Option<f64> {
+pub async fn wait_until_active(
+    fleet: &Fleet,
+    service: &str,
+    version: Version,
+    since: Instant,
+) -> Option<f64> {
     let all = fleet.layout.services.iter().find(|s| s.name == service).map_or(0, |s| s.size);
     let mut leader = None;
-    while from.elapsed() < MOST {
+    while since.elapsed() < TIMEOUT {
         let at = match leader {
             Some(at) => at,
-            None => fleet.steward_addresses[fleet.leader().await.ok()?.0],
+            None => fleet.coordinator_addresses[fleet.leader().await.ok()?.0],
         };
-        let there = in_force(at, service, version).await;
-        if there.is_some_and(|there| there >= all) {
-            return Some(from.elapsed().as_secs_f64());
+        let active = count_active(at, service, version).await;
+        if active.is_some_and(|active| active >= all) {
+            return Some(since.elapsed().as_secs_f64());
         }
-        leader = there.map(|_| at);
-        sleep(LOOK).await;
+        leader = active.map(|_| at);
+        sleep(POLL_INTERVAL).await;
     }
     None
 }
 
 /// Makes so many, one after another, for one service after another.
-pub async fn make(fleet: &Fleet, count: usize, every: Duration) -> Result<Changed, String> {
-    let (mut changed, services) = (Changed::default(), &fleet.layout.services);
+pub async fn make_changes(fleet: &Fleet, count: usize, every: Duration) -> Result<ChangeStats, String> {
+    let (mut stats, services) = (ChangeStats::default(), &fleet.layout.services);
     for number in 0..count {
-        let from = Instant::now();
+        let since = Instant::now();
         // Large ones and small ones.
         let service = &services[number * 7 % services.len()].name;
         let (leader, _) = fleet.leader().await?;
-        let version = put(fleet.steward_addresses[leader], service, number as u64).await;
+        let version = put_change(fleet.coordinator_addresses[leader], service, number as u64).await;
         let took = match version {
-            Some(version) => until_in_force(fleet, service, version, from).await,
+            Some(version) => wait_until_active(fleet, service, version, since).await,
             None => None,
         };
-        changed.add(took);
-        sleep(every.saturating_sub(from.elapsed())).await;
+        stats.add(took);
+        sleep(every.saturating_sub(since.elapsed())).await;
     }
-    Ok(changed)
+    Ok(stats)
 }
--- a/crates/fernroute-testbed/src/scale/faults.rs
+++ b/crates/fernroute-testbed/src/scale/faults.rs
@@ -1,7 +1,7 @@
 //! What goes wrong at full size, and how long until all balancers are answered by a leader again.
 
-use super::changes::{put, until_in_force};
-use super::figures::Second;
+use super::changes::{put_change, wait_until_active};
+use super::figures::Sample;
 use super::file::{Fault, Kind};
 use super::fleet::Fleet;
 use super::load::Load;
@@ -18,7 +18,7 @@
 
 /// One fault, and what came of it; what was not measured, or never came, is none.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Told {
+pub struct FaultResult {
     pub kind: String,
     /// From the fault, or from its end where it is one that lasts, until the begin of the first second in which all balancers
     /// were answered by the one leader.
@@ -35,69 +35,69 @@
 }
 
 /// What faults are done to, and by what it is judged.
-pub struct Bench<'a> {
+pub struct FaultRunner<'a> {
     pub fleet: &'a Rc<Fleet>,
     pub load: &'a Load,
-    pub seconds: &'a RefCell<Vec<Second>>,
+    pub seconds: &'a RefCell<Vec<Sample>>,
     /// Messages a second between one member and its leader, as measured before any fault.
     pub rate: f64,
 }
 
 /// Beats that come may be so many fewer than usual on a busy machine.
-const MOST_OF: f64 = 0.9;
-const SETTLED_WITHIN: Duration = Duration::from_secs(60);
+const MIN_RATE_SHARE: f64 = 0.9;
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(60);
 /// Numbers of changes that no other change of a run has.
-const CUT: u64 = 900;
-const LOOK: Duration = Duration::from_millis(100);
+const CUT_CHANGE_NUMBER: u64 = 900;
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-impl Bench<'_> {
-    pub async fn play(&self, fault: &Fault) -> Result<Told, String> {
+impl FaultRunner<'_> {
+    pub async fn run(&self, fault: &Fault) -> Result<FaultResult, String> {
         let first = self.seconds.borrow().len();
         let kind = fault.kind.name().to_owned();
-        let mut told = self.fault(fault).await?;
+        let mut result = self.inject(fault).await?;
         // The last second is told of a moment later.
         sleep(Duration::from_secs(2)).await;
         let seconds = self.seconds.borrow();
-        let worst = |of: &dyn Fn(&Second) -> f64| {
+        let worst = |of: &dyn Fn(&Sample) -> f64| {
             seconds.iter().skip(first).map(|s| of(s) / s.seconds).max_by(f64::total_cmp)
         };
-        told.worst_second_bytes = worst(&|s| (s.hollow.counted + s.real.counted).bytes as f64);
-        told.worst_second_processor_percent =
-            worst(&|s| s.stewards.iter().map(|s| s.processor_ns).sum::<u64>() as f64 / 1e7);
-        Ok(Told { kind, ..told })
+        result.worst_second_bytes = worst(&|s| (s.hollow.counted + s.real.counted).bytes as f64);
+        result.worst_second_processor_percent =
+            worst(&|s| s.coordinators.iter().map(|s| s.cpu_ns).sum::<u64>() as f64 / 1e7);
+        Ok(FaultResult { kind, ..result })
     }
 
-    async fn fault(&self, fault: &Fault) -> Result<Told, String> {
+    async fn inject(&self, fault: &Fault) -> Result<FaultResult, String> {
         let fleet = self.fleet;
-        let lasts = Duration::from_secs_f64(fault.for_s);
+        let duration = Duration::from_secs_f64(fault.for_s);
         let all = fleet.layout.members.len();
         let (leader, _) = fleet.leader().await?;
-        let settled = |settled_s| Told { settled_s, ..Told::default() };
+        let settled = |settled_s| FaultResult { settled_s, ..FaultResult::default() };
         match fault.kind {
             Kind::LeaderKilled => {
                 let from = Instant::now();
-                fleet.stewards.borrow()[leader].kill();
-                let told = settled(self.settled_from(from, all, &BTreeSet::new()).await);
-                self.start_steward(leader)?;
-                Ok(told)
+                fleet.coordinators.borrow()[leader].kill();
+                let result = settled(self.settle_time_since(from, all, &BTreeSet::new()).await);
+                self.start_coordinator(leader)?;
+                Ok(result)
             }
-            Kind::StewardRestarted => {
+            Kind::CoordinatorRestarted => {
                 // All come again at once.
                 let from = Instant::now();
-                fleet.stewards.borrow()[leader].kill();
-                self.start_steward(leader)?;
-                Ok(settled(self.settled_from(from, all, &BTreeSet::new()).await))
+                fleet.coordinators.borrow()[leader].kill();
+                self.start_coordinator(leader)?;
+                Ok(settled(self.settle_time_since(from, all, &BTreeSet::new()).await))
             }
-            Kind::StewardLost => {
-                let lost = (leader + 1) % fleet.steward_addresses.len();
-                fleet.stewards.borrow()[lost].kill();
-                let disk = fleet.steward_disk(lost);
+            Kind::CoordinatorLost => {
+                let lost = (leader + 1) % fleet.coordinator_addresses.len();
+                fleet.coordinators.borrow()[lost].kill();
+                let disk = fleet.coordinator_folder(lost);
                 std::fs::remove_dir_all(&disk).map_err(|e| format!("{}: {e}", disk.display()))?;
-                let told = settled(self.settled(all).await);
-                sleep(lasts).await;
-                self.start_steward(lost)?;
-                self.take_in(lost).await?;
-                Ok(told)
+                let result = settled(self.settle_time(all).await);
+                sleep(duration).await;
+                self.start_coordinator(lost)?;
+                self.readmit(lost).await?;
+                Ok(result)
             }
             Kind::ZoneLost => {
                 let zone = fault.zone.clone().unwrap_or_default();
@@ -108,16 +108,16 @@
                 let hollow: Vec<usize> = (0..fleet.layout.hollow.len()).filter(hollow).collect();
                 let real = |n: &usize| fleet.layout.members[*n].zone == zone;
                 let real: BTreeSet<usize> = fleet.real.borrow().keys().copied().filter(real).collect();
-                let steward = fleet.layout.plan.stewards.iter().position(|of| *of == zone);
+                let coordinator = fleet.layout.plan.coordinators.iter().position(|of| *of == zone);
                 // With one steward alone nothing would be left to settle.
-                let steward = steward.filter(|_| fleet.steward_addresses.len() > 1);
-                steward.iter().for_each(|n| fleet.stewards.borrow()[*n].kill());
+                let coordinator = coordinator.filter(|_| fleet.coordinator_addresses.len() > 1);
+                coordinator.iter().for_each(|n| fleet.coordinators.borrow()[*n].kill());
                 self.kill(&hollow, &real);
-                sleep(lasts).await;
-                steward.map_or(Ok(()), |n| self.start_steward(n))?;
+                sleep(duration).await;
+                coordinator.map_or(Ok(()), |n| self.start_coordinator(n))?;
                 let from = Instant::now();
                 self.start(&hollow, &real).await?;
-                Ok(settled(self.settled_from(from, all, &BTreeSet::new()).await))
+                Ok(settled(self.settle_time_since(from, all, &BTreeSet::new()).await))
             }
             Kind::TenthRestarted => {
                 // Whole processes, of all zones: the first ones that make up a tenth.
@@ -136,82 +136,86 @@
                 self.kill(&hollow, &BTreeSet::new());
                 let from = Instant::now();
                 self.start(&hollow, &BTreeSet::new()).await?;
-                Ok(settled(self.settled_from(from, all, &BTreeSet::new()).await))
+                Ok(settled(self.settle_time_since(from, all, &BTreeSet::new()).await))
             }
-            Kind::RegionsCut => self.cut(lasts).await,
+            Kind::RegionsCut => self.cut(duration).await,
             Kind::BalancerSilent => {
                 let Some(place) = fleet.real.borrow().keys().next_back().copied() else {
                     return Ok(settled(None));
                 };
                 let number = fleet.real.borrow().len() - 1;
-                let at = fleet.real_serve().await?[number];
-                self.load.ends(number);
+                let at = fleet.wait_for_real().await?[number];
+                self.load.remove_balancer(number);
                 fleet.real.borrow()[&place].stop();
-                sleep(lasts).await;
+                sleep(duration).await;
                 // The others are answered all the while.
-                let others = self.settled(all - 1).await;
+                let others = self.settle_time(all - 1).await;
                 fleet.real.borrow()[&place].go_on();
-                let told = settled(self.settled(all).await);
-                self.load.begins(number, at);
-                Ok(Told { cut_settled_s: others, ..told })
+                let result = settled(self.settle_time(all).await);
+                self.load.add_balancer(number, at);
+                Ok(FaultResult { cut_settled_s: others, ..result })
             }
         }
     }
 
-    async fn cut(&self, lasts: Duration) -> Result<Told, String> {
+    async fn cut(&self, duration: Duration) -> Result<FaultResult, String> {
         let fleet = self.fleet;
         let regions = fleet.layout.plan.regions();
         let of = |zone: &str| regions.get(zone).copied().unwrap_or(0);
-        let of_steward = |n: usize| of(&fleet.layout.plan.stewards[n]);
-        let between = fleet.between.iter().filter(|((n, m), _)| of_steward(*n) != of_steward(*m));
-        let ways = fleet.ways.iter().flat_map(|((zone, _), links)| {
-            let apart = move |n: &usize| of_steward(*n) != of(zone);
+        let region_of_coordinator = |n: usize| of(&fleet.layout.plan.coordinators[n]);
+        let coordinator_links = fleet
+            .coordinator_links
+            .iter()
+            .filter(|((n, m), _)| region_of_coordinator(*n) != region_of_coordinator(*m));
+        let member_links = fleet.member_links.iter().flat_map(|((zone, _), links)| {
+            let apart = move |n: &usize| region_of_coordinator(*n) != of(zone);
             (0..links.len()).filter(apart).map(|n| &links[n])
         });
-        let cut: Vec<_> = between.map(|(_, link)| link).chain(ways).collect();
+        let cut: Vec<_> = coordinator_links.map(|(_, link)| link).chain(member_links).collect();
         // The side with most stewards goes on.
         let mut count = vec![0; fleet.layout.plan.region.len()];
-        (0..fleet.steward_addresses.len()).for_each(|n| count[of_steward(n)] += 1);
+        (0..fleet.coordinator_addresses.len()).for_each(|n| count[region_of_coordinator(n)] += 1);
         let larger = (0..count.len()).max_by_key(|n| count[*n]).unwrap_or(0);
-        let stay = fleet.layout.members.iter().filter(|m| of(&m.zone) == larger).count();
+        let reachable = fleet.layout.members.iter().filter(|m| of(&m.zone) == larger).count();
         let outside: BTreeSet<usize> =
-            (0..fleet.steward_addresses.len()).filter(|n| of_steward(*n) != larger).collect();
+            (0..fleet.coordinator_addresses.len()).filter(|n| region_of_coordinator(*n) != larger).collect();
         cut.iter().for_each(|link| link.refuse());
         let from = Instant::now();
-        let cut_settled_s = self.settled_from(from, stay, &outside).await;
+        let cut_settled_s = self.settle_time_since(from, reachable, &outside).await;
         // Changes on both sides: one is entered, the other has no majority.
         let service = &fleet.layout.services[0].name;
         let (mut version, mut split) = (None, None);
         if fleet.layout.plan.changes.is_some() {
-            if let (Some(leader), _) = self.led(&outside).await {
-                version = put(fleet.steward_addresses[leader], service, CUT).await;
+            if let (Some(leader), _) = self.current_leader(&outside).await {
+                version = put_change(fleet.coordinator_addresses[leader], service, CUT_CHANGE_NUMBER).await;
             }
             for n in &outside {
-                let entered = put(fleet.steward_addresses[*n], service, CUT + 1).await;
+                let entered =
+                    put_change(fleet.coordinator_addresses[*n], service, CUT_CHANGE_NUMBER + 1).await;
                 split = Some(split.unwrap_or(false) || entered.is_some());
             }
         }
-        sleep(lasts.saturating_sub(from.elapsed())).await;
+        sleep(duration.saturating_sub(from.elapsed())).await;
         cut.iter().for_each(|link| link.mend());
         let healed = Instant::now();
-        let settled_s = self.settled_from(healed, fleet.layout.members.len(), &BTreeSet::new()).await;
+        let settled_s = self.settle_time_since(healed, fleet.layout.members.len(), &BTreeSet::new()).await;
         let change_in_force_s = match version {
-            Some(version) => until_in_force(fleet, service, version, healed).await,
+            Some(version) => wait_until_active(fleet, service, version, healed).await,
             None => None,
         };
-        Ok(Told {
+        Ok(FaultResult {
             settled_s,
             cut_settled_s,
             change_in_force_s,
             entered_without_majority: split,
-            ..Told::default()
+            ..FaultResult::default()
         })
     }
 
     fn kill(&self, hollow: &[usize], real: &BTreeSet<usize>) {
         for (n, place) in self.fleet.real.borrow().keys().enumerate() {
             if real.contains(place) {
-                self.load.ends(n);
+                self.load.remove_balancer(n);
             }
         }
         hollow.iter().for_each(|n| self.fleet.hollow.borrow()[*n].kill());
@@ -227,25 +231,25 @@
             let process = self.fleet.launch_real(*n)?;
             self.fleet.real.borrow_mut().insert(*n, process);
         }
-        self.fleet.hollow_serve(hollow).await?;
-        let at = self.fleet.real_serve().await?;
+        self.fleet.wait_for_hollow(hollow).await?;
+        let at = self.fleet.wait_for_real().await?;
         for (n, place) in self.fleet.real.borrow().keys().enumerate() {
             if real.contains(place) {
-                self.load.begins(n, at[n]);
+                self.load.add_balancer(n, at[n]);
             }
         }
         Ok(())
     }
 
-    fn start_steward(&self, n: usize) -> Result<(), String> {
-        let process = self.fleet.launch_steward(n)?;
-        self.fleet.stewards.borrow_mut()[n] = process;
+    fn start_coordinator(&self, n: usize) -> Result<(), String> {
+        let process = self.fleet.launch_coordinator(n)?;
+        self.fleet.coordinators.borrow_mut()[n] = process;
         Ok(())
     }
 
     /// Has the others take in a steward whose disk was lost.
-    async fn take_in(&self, lost: usize) -> Result<(), String> {
-        let page = self.fleet.steward_page(lost)?;
+    async fn readmit(&self, lost: usize) -> Result<(), String> {
+        let page = self.fleet.coordinator_file(lost)?;
         let program = std::env::current_exe().map_err(|e| e.to_string())?;
         let from = Instant::now();
         loop {
@@ -260,61 +264,67 @@
             let done = loop {
                 match child.try_wait().map_err(|e| e.to_string())? {
                     Some(status) => break status.success(),
-                    None => sleep(LOOK).await,
+                    None => sleep(POLL_INTERVAL).await,
                 }
             };
             if done {
                 return Ok(());
             }
-            if from.elapsed() > SETTLED_WITHIN {
+            if from.elapsed() > SETTLE_TIMEOUT {
                 return Err("a steward whose disk was lost is not taken in again".to_owned());
             }
-            sleep(5 * LOOK).await;
+            sleep(5 * POLL_INTERVAL).await;
         }
     }
 
-    async fn settled(&self, members: usize) -> Option<f64> {
-        self.settled_from(Instant::now(), members, &BTreeSet::new()).await
+    async fn settle_time(&self, members: usize) -> Option<f64> {
+        self.settle_time_since(Instant::now(), members, &BTreeSet::new()).await
     }
 
     /// Until so many members are answered by one that leads, for a second: the begin of that second.
-    async fn settled_from(&self, from: Instant, members: usize, outside: &BTreeSet<usize>) -> Option<f64> {
+    async fn settle_time_since(
+        &self,
+        from: Instant,
+        members: usize,
+        outside: &BTreeSet<usize>,
+    ) -> Option<f64> {
         const WINDOW: Duration = Duration::from_secs(1);
         let fleet = self.fleet;
-        let mut looks: VecDeque<(Instant, Vec<Counted>)> = VecDeque::new();
+        let mut samples: VecDeque<(Instant, Vec<Counted>)> = VecDeque::new();
         // Since when one leads by its own word. Guards against calls that followers turn away: they are counted, too.
         let mut leads: Option<usize> = None;
-        while from.elapsed() < SETTLED_WITHIN {
-            let (word, there) = self.led(outside).await;
-            if word != leads || word.is_none() {
-                (leads, looks) = (word, VecDeque::new());
+        while from.elapsed() < SETTLE_TIMEOUT {
+            let (reported, there) = self.current_leader(outside).await;
+            if reported != leads || reported.is_none() {
+                (leads, samples) = (reported, VecDeque::new());
             }
-            let (now, counted) = (Instant::now(), fleet.to_stewards());
-            while looks.len() > 1 && looks[1].0 + WINDOW <= now {
-                looks.pop_front();
+            let (now, counted) = (Instant::now(), fleet.member_traffic());
+            while samples.len() > 1 && samples[1].0 + WINDOW <= now {
+                samples.pop_front();
             }
-            if let Some((n, (at, before))) = leads.zip(looks.front().filter(|(at, _)| *at + WINDOW <= now)) {
-                let asked = (counted[n] - before[n]).messages as f64 / (now - *at).as_secs_f64();
-                if there >= members && asked >= MOST_OF * self.rate * members as f64 {
+            if let Some((n, (at, before))) = leads.zip(samples.front().filter(|(at, _)| *at + WINDOW <= now))
+            {
+                let rate = (counted[n] - before[n]).messages as f64 / (now - *at).as_secs_f64();
+                if there >= members && rate >= MIN_RATE_SHARE * self.rate * members as f64 {
                     return Some(at.saturating_duration_since(from).as_secs_f64());
                 }
             }
-            looks.push_back((now, counted));
-            sleep(LOOK).await;
+            samples.push_back((now, counted));
+            sleep(POLL_INTERVAL).await;
         }
         None
     }
 
     /// Who leads by its own word at this moment, and how many balancers it knows.
-    async fn led(&self, outside: &BTreeSet<usize>) -> (Option<usize>, usize) {
+    async fn current_leader(&self, outside: &BTreeSet<usize>) -> (Option<usize>, usize) {
         let fleet = self.fleet;
-        for n in (0..fleet.steward_addresses.len()).filter(|n| !outside.contains(n)) {
-            if !fleet.stewards.borrow()[n].is_running() {
+        for n in (0..fleet.coordinator_addresses.len()).filter(|n| !outside.contains(n)) {
+            if !fleet.coordinators.borrow()[n].is_running() {
                 continue;
             }
-            let told = timeout(LOOK, status(fleet.steward_addresses[n])).await.ok().flatten();
-            if let Some(told) = told.filter(|told| told.state == "leader") {
-                return (Some(n), told.members.len());
+            let result = timeout(POLL_INTERVAL, status(fleet.coordinator_addresses[n])).await.ok().flatten();
+            if let Some(result) = result.filter(|result| result.state == "leader") {
+                return (Some(n), result.members.len());
             }
         }
         (None, 0)
--- a/crates/fernroute-testbed/src/scale/figures.rs
+++ b/crates/fernroute-testbed/src/scale/figures.rs
@@ -9,24 +9,24 @@
 /// What was spent in some time.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Cost {
-    pub processor_ns: u64,
+    pub cpu_ns: u64,
     pub counted: Counted,
 }
 
 impl AddAssign for Cost {
     fn add_assign(&mut self, other: Self) {
-        self.processor_ns += other.processor_ns;
+        self.cpu_ns += other.cpu_ns;
         self.counted += other.counted;
     }
 }
 
 /// One second of a run, or nearly.
 #[derive(Clone, Debug, Default)]
-pub struct Second {
+pub struct Sample {
     pub seconds: f64,
     pub hollow: Cost,
     pub real: Cost,
-    pub stewards: Vec<Cost>,
+    pub coordinators: Vec<Cost>,
     pub discovery: Cost,
     /// The steward that most was said to.
     pub leader: usize,
@@ -44,12 +44,12 @@
 }
 
 /// Of `count` processes of a role; `of` is what they spent together.
-pub fn figures(
-    seconds: &[Second],
-    all: &[Second],
+pub fn summarize(
+    seconds: &[Sample],
+    all: &[Sample],
     count: usize,
     memory_kb: u64,
-    of: impl Fn(&Second) -> Cost,
+    of: impl Fn(&Sample) -> Cost,
 ) -> Figures {
     let (mut sum, mut time) = (Cost::default(), 0.0);
     for second in seconds {
@@ -60,9 +60,9 @@
         return Figures::default();
     }
     let each = 1.0 / (count as f64 * time);
-    let bytes = |s: &Second| of(s).counted.bytes as f64 / s.seconds / count as f64;
+    let bytes = |s: &Sample| of(s).counted.bytes as f64 / s.seconds / count as f64;
     Figures {
-        processor_percent: Some(sum.processor_ns as f64 / 1e7 * each),
+        processor_percent: Some(sum.cpu_ns as f64 / 1e7 * each),
         memory_kb: Some(memory_kb / count as u64),
         bytes_per_s: Some(sum.counted.bytes as f64 * each),
         messages_per_s: Some(sum.counted.messages as f64 * each),
@@ -71,7 +71,7 @@
 }
 
 /// Processor time of a process since its start, over all its threads; 0 once it is gone.
-pub fn processor_ns(id: u32) -> u64 {
+pub fn cpu_ns(id: u32) -> u64 {
     let Ok(threads) = fs::read_dir(format!("/proc/{id}/task")) else { return 0 };
     let of = |thread: fs::DirEntry| {
         let text = fs::read_to_string(thread.path().join("schedstat")).ok()?;
@@ -90,12 +90,12 @@
 
 /// Processor time by process since the last look.
 #[derive(Debug, Default)]
-pub struct Processor(BTreeMap<u32, u64>);
+pub struct CpuTimes(BTreeMap<u32, u64>);
 
-impl Processor {
+impl CpuTimes {
     /// A process that is new has spent all of it since.
-    pub fn since(&mut self, id: u32) -> u64 {
-        let now = processor_ns(id);
+    pub fn since_last(&mut self, id: u32) -> u64 {
+        let now = cpu_ns(id);
         let before = self.0.insert(id, now).unwrap_or(0);
         now.saturating_sub(before)
     }
--- a/crates/fernroute-testbed/src/scale/file.rs
+++ b/crates/fernroute-testbed/src/scale/file.rs
@@ -33,7 +33,8 @@
     #[serde(default = "measure")]
     pub measure_s: f64,
     /// The zone of each steward.
-    pub stewards: Vec<String>,
+    #[serde(rename = "stewards")]
+    pub coordinators: Vec<String>,
     pub load: Load,
     pub region: Vec<Region>,
     pub service: Vec<Service>,
@@ -104,10 +105,12 @@
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
     LeaderKilled,
-    StewardLost,
+    #[serde(rename = "steward_lost")]
+    CoordinatorLost,
     ZoneLost,
     TenthRestarted,
-    StewardRestarted,
+    #[serde(rename = "steward_restarted")]
+    CoordinatorRestarted,
     RegionsCut,
     BalancerSilent,
 }
@@ -116,10 +119,10 @@
     pub fn name(self) -> &'static str {
         match self {
             Kind::LeaderKilled => "leader_killed",
-            Kind::StewardLost => "steward_lost",
+            Kind::CoordinatorLost => "steward_lost",
             Kind::ZoneLost => "zone_lost",
             Kind::TenthRestarted => "tenth_restarted",
-            Kind::StewardRestarted => "steward_restarted",
+            Kind::CoordinatorRestarted => "steward_restarted",
             Kind::RegionsCut => "regions_cut",
             Kind::BalancerSilent => "balancer_silent",
         }
@@ -160,10 +163,10 @@
 impl Plan {
     pub fn read(path: &Path) -> Result<Self, String> {
         let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
-        Plan::decode(&text).map_err(|why| format!("{}: {why}", path.display()))
+        Plan::parse(&text).map_err(|why| format!("{}: {why}", path.display()))
     }
 
-    pub fn decode(text: &str) -> Result<Self, String> {
+    pub fn parse(text: &str) -> Result<Self, String> {
         let plan: Plan = toml::from_str(text).map_err(|e| {
             let line = e.span().map_or(0, |span| text[..span.start].matches('\n').count() + 1);
             format!("line {line}: {}", e.message().replace('\n', " "))
@@ -209,7 +212,7 @@
             |holds: bool, place: String, why: String| faults.extend((!holds).then_some((place, why)));
         let all: usize = self.service.iter().map(|s| s.count * s.size).sum();
         ask(self.real <= all, "real".to_owned(), format!("{} of {all} balancers", self.real));
-        let count = self.stewards.len();
+        let count = self.coordinators.len();
         ask(matches!(count, 1 | 3 | 5 | 7), "stewards".to_owned(), format!("{count}, and not 1, 3, 5 or 7"));
         let mut zones = BTreeSet::new();
         for (n, region) in self.region.iter().enumerate() {
@@ -220,7 +223,7 @@
                 ask(zones.insert(zone), format!("region[{n}].zones"), format!("{zone} is there twice"));
             }
         }
-        for zone in &self.stewards {
+        for zone in &self.coordinators {
             ask(zones.contains(zone), "stewards".to_owned(), format!("no zone is called {zone}"));
         }
         let mut names = BTreeSet::new();
@@ -241,7 +244,7 @@
             ask(!needs || known, format!("fault[{n}].zone"), "no such zone".to_owned());
             let apart = f.kind != Kind::RegionsCut || self.region.len() > 1;
             ask(apart, format!("fault[{n}].kind"), "there is one region".to_owned());
-            let several = !matches!(f.kind, Kind::StewardLost) || count > 1;
+            let several = !matches!(f.kind, Kind::CoordinatorLost) || count > 1;
             ask(several, format!("fault[{n}].kind"), "there is one steward".to_owned());
             let silent = f.kind != Kind::BalancerSilent || self.real > 0;
             ask(silent, format!("fault[{n}].kind"), "there is no real balancer".to_owned());
@@ -250,7 +253,7 @@
     }
 
     /// All of it so many times as large: services, budgets, real balancers. Stewards, zones and rates stay.
-    pub fn times(mut self, factor: f64) -> Self {
+    pub fn scaled_by(mut self, factor: f64) -> Self {
         for service in &mut self.service {
             if service.size >= LARGE {
                 service.size = scaled(service.size, factor);
--- a/crates/fernroute-testbed/src/scale/fit.rs
+++ b/crates/fernroute-testbed/src/scale/fit.rs
@@ -8,13 +8,13 @@
 use std::path::Path;
 
 /// So many sizes there must be.
-pub const LEAST_SIZES: usize = 4;
+pub const MIN_SIZES: usize = 4;
 
 /// A power above this is called out: such a figure grows faster than what it is of.
-pub const MOST_POWER: f64 = 1.1;
+pub const MAX_EXPONENT: f64 = 1.1;
 
 /// Nothing is worked out for more balancers than so many times those that were measured.
-pub const MOST_BEYOND: f64 = 4.0;
+pub const MAX_EXTRAPOLATION: f64 = 4.0;
 
 const ROLES: [&str; 5] = ["balancer", "balancer_real", "steward_leader", "steward_follower", "discovery"];
 const FIGURES: [&str; 5] =
@@ -22,47 +22,58 @@
 
 /// A value and half of its 95% interval; not a number where two points leave nothing to judge by.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Within {
-    pub is: f64,
-    pub half: f64,
+pub struct Estimate {
+    pub value: f64,
+    pub half_width: f64,
 }
 
 /// A least-squares line.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Line {
-    pub slope: Within,
-    begin: f64,
+pub struct LinearFit {
+    pub slope: Estimate,
+    intercept: f64,
     /// What a prediction's interval is worked out from: points, their middle and spread, what is left over, and the quantile.
     count: f64,
-    middle: f64,
-    spread: f64,
-    left: f64,
+    mean_x: f64,
+    sum_sq_x: f64,
+    residual_variance: f64,
     quantile: f64,
 }
 
-impl Line {
+impl LinearFit {
     /// None where all points are at one place.
-    pub fn through(points: &[(f64, f64)]) -> Option<Line> {
+    pub fn through(points: &[(f64, f64)]) -> Option<LinearFit> {
         let count = points.len() as f64;
         let mean = |of: &dyn Fn(&(f64, f64)) -> f64| points.iter().map(of).sum::<f64>() / count;
-        let (middle, height) = (mean(&|p| p.0), mean(&|p| p.1));
-        let spread: f64 = points.iter().map(|p| (p.0 - middle).powi(2)).sum();
-        if spread <= 0.0 {
+        let (mean_x, mean_y) = (mean(&|p| p.0), mean(&|p| p.1));
+        let sum_sq_x: f64 = points.iter().map(|p| (p.0 - mean_x).powi(2)).sum();
+        if sum_sq_x <= 0.0 {
             return None;
         }
-        let slope = points.iter().map(|p| (p.0 - middle) * (p.1 - height)).sum::<f64>() / spread;
-        let begin = height - slope * middle;
-        let left: f64 = points.iter().map(|p| (p.1 - begin - slope * p.0).powi(2)).sum();
-        let left = left / (count - 2.0);
+        let slope = points.iter().map(|p| (p.0 - mean_x) * (p.1 - mean_y)).sum::<f64>() / sum_sq_x;
+        let intercept = mean_y - slope * mean_x;
+        let residual_variance: f64 = points.iter().map(|p| (p.1 - intercept - slope * p.0).powi(2)).sum();
+        let residual_variance = residual_variance / (count - 2.0);
         let quantile = StudentsT::new(0.0, 1.0, count - 2.0).map_or(f64::NAN, |t| t.inverse_cdf(0.975));
-        let half = quantile * (left / spread).sqrt();
-        Some(Line { slope: Within { is: slope, half }, begin, count, middle, spread, left, quantile })
+        let half_width = quantile * (residual_variance / sum_sq_x).sqrt();
+        Some(LinearFit {
+            slope: Estimate { value: slope, half_width },
+            intercept,
+            count,
+            mean_x,
+            sum_sq_x,
+            residual_variance,
+            quantile,
+        })
     }
 
     /// What one more run at this place would show.
-    pub fn at(&self, x: f64) -> Within {
-        let of = 1.0 + 1.0 / self.count + (x - self.middle).powi(2) / self.spread;
-        Within { is: self.begin + self.slope.is * x, half: self.quantile * (self.left * of).sqrt() }
+    pub fn predict(&self, x: f64) -> Estimate {
+        let of = 1.0 + 1.0 / self.count + (x - self.mean_x).powi(2) / self.sum_sq_x;
+        Estimate {
+            value: self.intercept + self.slope.value * x,
+            half_width: self.quantile * (self.residual_variance * of).sqrt(),
+        }
     }
 }
 
@@ -72,26 +83,26 @@
     pub figure: String,
     /// Balancers and what was measured.
     pub points: Vec<(f64, f64)>,
-    pub line: Option<Line>,
+    pub line: Option<LinearFit>,
     /// Of the number of balancers; none where something was not above nought.
-    pub power: Option<Within>,
+    pub exponent: Option<Estimate>,
 }
 
 impl Fit {
     pub fn new(figure: &str, points: Vec<(f64, f64)>) -> Self {
         let logs: Vec<(f64, f64)> = points.iter().map(|(x, y)| (x.ln(), y.ln())).collect();
         let positive = points.iter().all(|(x, y)| *x > 0.0 && *y > 0.0);
-        let power = Line::through(&logs).filter(|_| positive).map(|line| line.slope);
-        Fit { figure: figure.to_owned(), line: Line::through(&points), power, points }
+        let exponent = LinearFit::through(&logs).filter(|_| positive).map(|line| line.slope);
+        Fit { figure: figure.to_owned(), line: LinearFit::through(&points), exponent, points }
     }
 
-    pub fn grows_too_fast(&self) -> bool {
-        self.power.is_some_and(|power| power.is > MOST_POWER)
+    pub fn exceeds_max_exponent(&self) -> bool {
+        self.exponent.is_some_and(|exponent| exponent.value > MAX_EXPONENT)
     }
 }
 
 /// The files of runs, read.
-pub fn read(paths: &[impl AsRef<Path>]) -> Result<Vec<Value>, String> {
+pub fn read_reports(paths: &[impl AsRef<Path>]) -> Result<Vec<Value>, String> {
     let one = |path: &Path| {
         let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
         serde_json::from_str(&text).map_err(|e| format!("{}: {e}", path.display()))
@@ -104,12 +115,12 @@
 }
 
 /// Every figure that was measured at enough sizes.
-pub fn fits(runs: &[Value]) -> Result<Vec<Fit>, String> {
+pub fn fit_all(runs: &[Value]) -> Result<Vec<Fit>, String> {
     let sizes: Option<Vec<f64>> = runs.iter().map(size).collect();
     let sizes = sizes.ok_or("a file says neither hollow nor real: it is of no scale run")?;
     let different: BTreeSet<u64> = sizes.iter().map(|n| *n as u64).collect();
-    if different.len() < LEAST_SIZES {
-        return Err(format!("{} sizes, {LEAST_SIZES} are needed", different.len()));
+    if different.len() < MIN_SIZES {
+        return Err(format!("{} sizes, {MIN_SIZES} are needed", different.len()));
     }
     let mut names: Vec<String> = Vec::new();
     for role in ROLES {
@@ -125,11 +136,11 @@
     }
     let mut all = Vec::new();
     for name in names {
-        let of = |run: &Value| look(run, &name);
+        let of = |run: &Value| lookup(run, &name);
         let points = runs.iter().zip(&sizes).filter_map(|(run, size)| Some((*size, of(run)?)));
         let points: Vec<(f64, f64)> = points.collect();
-        let there: BTreeSet<u64> = points.iter().map(|p| p.0 as u64).collect();
-        if there.len() >= LEAST_SIZES {
+        let sizes_with_value: BTreeSet<u64> = points.iter().map(|p| p.0 as u64).collect();
+        if sizes_with_value.len() >= MIN_SIZES {
             all.push(Fit::new(&name, points));
         }
     }
@@ -137,7 +148,7 @@
 }
 
 /// What stands there, by keys; of a list the entry of that kind.
-fn look(run: &Value, name: &str) -> Option<f64> {
+fn lookup(run: &Value, name: &str) -> Option<f64> {
     let mut at = run;
     for key in name.split('.') {
         at = match at {
@@ -151,38 +162,47 @@
 /// A table in Markdown, and below it what grows too fast, by name. `at` is a number of balancers to work all out for.
 pub fn table(fits: &[Fit], at: Option<f64>) -> Result<String, String> {
     let largest = fits.iter().flat_map(|fit| &fit.points).map(|p| p.0).fold(0.0, f64::max);
-    if let Some(at) = at.filter(|at| !(*at > 0.0 && *at <= largest * MOST_BEYOND)) {
+    if let Some(at) = at.filter(|at| !(*at > 0.0 && *at <= largest * MAX_EXTRAPOLATION)) {
         return Err(format!("--at {at}: {largest} were measured, four times as many may be worked out"));
     }
-    let ahead = |at: f64| format!(" at {at}, worked out |");
+    let extra_column = |at: f64| format!(" at {at}, worked out |");
     let mut out = format!(
         "| figure | measured, by balancers | for each 100 more (95%) | power (95%) |{}\n| --- | --- | --- | --- |{}\n",
-        at.map_or(String::new(), ahead),
+        at.map_or(String::new(), extra_column),
         at.map_or("", |_| " --- |")
     );
     for fit in fits {
-        let points: Vec<String> = fit.points.iter().map(|(x, y)| format!("{x}: {}", short(*y))).collect();
-        let line = fit.line.map(|line| Within { is: line.slope.is * 100.0, half: line.slope.half * 100.0 });
-        let called = if fit.grows_too_fast() { " **above 1.1**" } else { "" };
-        let (line, power) = (told(line), told(fit.power));
-        let _ = write!(out, "| {} | {} | {line} | {power}{called} |", fit.figure, points.join(", "));
+        let points: Vec<String> =
+            fit.points.iter().map(|(x, y)| format!("{x}: {}", three_digits(*y))).collect();
+        let line = fit.line.map(|line| Estimate {
+            value: line.slope.value * 100.0,
+            half_width: line.slope.half_width * 100.0,
+        });
+        let mark = if fit.exceeds_max_exponent() { " **above 1.1**" } else { "" };
+        let (line, exponent) = (format_estimate(line), format_estimate(fit.exponent));
+        let _ = write!(out, "| {} | {} | {line} | {exponent}{mark} |", fit.figure, points.join(", "));
         if let Some(at) = at {
-            let _ = write!(out, " {} |", told(fit.line.map(|line| line.at(at))));
+            let _ = write!(out, " {} |", format_estimate(fit.line.map(|line| line.predict(at))));
         }
         out.push('\n');
     }
-    for fit in fits.iter().filter(|fit| fit.grows_too_fast()) {
-        let _ = writeln!(out, "\n{} grows faster than the fleet: power {}.", fit.figure, told(fit.power));
+    for fit in fits.iter().filter(|fit| fit.exceeds_max_exponent()) {
+        let _ = writeln!(
+            out,
+            "\n{} grows faster than the fleet: power {}.",
+            fit.figure,
+            format_estimate(fit.exponent)
+        );
     }
     Ok(out)
 }
 
-fn told(what: Option<Within>) -> String {
-    what.map_or("-".to_owned(), |w| format!("{} ± {}", short(w.is), short(w.half)))
+fn format_estimate(what: Option<Estimate>) -> String {
+    what.map_or("-".to_owned(), |w| format!("{} ± {}", three_digits(w.value), three_digits(w.half_width)))
 }
 
 /// Three digits that count, or all before the point.
-fn short(value: f64) -> String {
+fn three_digits(value: f64) -> String {
     let digits = if value == 0.0 { 0 } else { (2 - value.abs().log10().floor() as i32).max(0) as usize };
     format!("{value:.digits$}")
 }
--- a/crates/fernroute-testbed/src/scale/hollow.rs
+++ b/crates/fernroute-testbed/src/scale/hollow.rs
@@ -10,37 +10,36 @@
 use std::path::{Path, PathBuf};
 
 /// What a process says once all of its balancers serve.
-pub const ALL_SERVE: &str = "hollow balancers serve: ";
+pub const READY_PREFIX: &str = "hollow balancers serve: ";
 
 /// What it says of each, as `NAME ADDRESS`: where operators are answered.
-pub const DOOR: &str = "hollow door: ";
+pub const OPS_PREFIX: &str = "hollow door: ";
 
 /// Serves until it is killed; the folder holds the balancers' files, all `*.toml` in it.
 pub fn run(folder: &Path) -> Result<(), String> {
-    let trouble = |e: std::io::Error| format!("{}: {e}", folder.display());
-    let mut pages: Vec<PathBuf> = Vec::new();
-    for entry in std::fs::read_dir(folder).map_err(trouble)? {
-        pages.push(entry.map_err(trouble)?.path());
+    let io_error = |e: std::io::Error| format!("{}: {e}", folder.display());
+    let mut files: Vec<PathBuf> = Vec::new();
+    for entry in std::fs::read_dir(folder).map_err(io_error)? {
+        files.push(entry.map_err(io_error)?.path());
     }
-    pages.retain(|page| page.extension().is_some_and(|e| e == "toml"));
-    pages.sort();
+    files.retain(|file| file.extension().is_some_and(|e| e == "toml"));
+    files.sort();
     log::start("hollow");
     let runtime = actix_rt::Runtime::new().map_err(|e| format!("runtime: {e}"))?;
     runtime.block_on(async {
         let mut running = Vec::new();
-        for page in &pages {
-            let station = InstanceConfig::read(page)?;
-            station.check()?;
-            let name = station.name.clone();
-            let one = start_or_take_over(station, page)
-                .await
-                .map_err(|why| format!("{}: {why}", page.display()))?;
-            if let Some(door) = one.running.ops_address {
-                eprintln!("{DOOR}{name} {door}");
+        for file in &files {
+            let config = InstanceConfig::read(file)?;
+            config.check()?;
+            let name = config.name.clone();
+            let instance =
+                start_or_take_over(config, file).await.map_err(|why| format!("{}: {why}", file.display()))?;
+            if let Some(address) = instance.running.ops_address {
+                eprintln!("{OPS_PREFIX}{name} {address}");
             }
-            running.push(one);
+            running.push(instance);
         }
-        eprintln!("{ALL_SERVE}{}", running.len());
+        eprintln!("{READY_PREFIX}{}", running.len());
         std::future::pending().await
     })
 }
--- a/crates/fernroute-testbed/src/scale/layout.rs
+++ b/crates/fernroute-testbed/src/scale/layout.rs
@@ -6,15 +6,15 @@
 use std::net::SocketAddr;
 
 /// How many processes a run may have, all told.
-pub const MOST_PROCESSES: usize = 1_024;
+pub const MAX_PROCESSES: usize = 1_024;
 
 /// What a run may take of the machine's memory, at the most.
-pub const MOST_MEMORY: f64 = 0.5;
+pub const MAX_MEMORY_SHARE: f64 = 0.5;
 
 /// What is reckoned for each before the start, in kB: more than was ever measured.
-const PROCESS_KB: u64 = 24_000;
-const HOLLOW_KB: u64 = 2_000;
-const STEWARD_KB: u64 = 200_000;
+const ESTIMATED_PROCESS_KB: u64 = 24_000;
+const ESTIMATED_HOLLOW_KB: u64 = 2_000;
+const ESTIMATED_COORDINATOR_KB: u64 = 200_000;
 
 pub const TENANT: &str = "t";
 pub const CLUSTER: &str = "scale";
@@ -98,47 +98,49 @@
         Layout { plan, zones, services, members, hollow }
     }
 
-    pub fn real(&self) -> usize {
+    pub fn real_count(&self) -> usize {
         self.members.iter().filter(|m| m.real).count()
     }
 
     /// Stewards, balancers, and stand-ins for discovery and upstreams.
-    pub fn processes(&self) -> usize {
-        self.hollow.len() + self.real() + self.plan.stewards.len() + 2
+    pub fn process_count(&self) -> usize {
+        self.hollow.len() + self.real_count() + self.plan.coordinators.len() + 2
     }
 
     /// What all of it may take, reckoned high.
-    pub fn memory_kb(&self) -> u64 {
-        let hollow = self.members.len() - self.real();
-        self.processes() as u64 * PROCESS_KB
-            + hollow as u64 * HOLLOW_KB
-            + self.plan.stewards.len() as u64 * STEWARD_KB
+    pub fn estimated_memory_kb(&self) -> u64 {
+        let hollow = self.members.len() - self.real_count();
+        self.process_count() as u64 * ESTIMATED_PROCESS_KB
+            + hollow as u64 * ESTIMATED_HOLLOW_KB
+            + self.plan.coordinators.len() as u64 * ESTIMATED_COORDINATOR_KB
     }
 
     /// Why this machine is not to run it, if it is not: said before anything is started.
-    pub fn refusal(&self, memory_kb: u64) -> Option<String> {
-        let processes = self.processes();
-        if processes > MOST_PROCESSES {
+    pub fn rejection_reason(&self, memory_kb: u64) -> Option<String> {
+        let processes = self.process_count();
+        if processes > MAX_PROCESSES {
             return Some(format!(
-                "per_process: {processes} processes would run, {MOST_PROCESSES} at the most may"
+                "per_process: {processes} processes would run, {MAX_PROCESSES} at the most may"
             ));
         }
-        let (needs, may) = (self.memory_kb() / 1000, (memory_kb as f64 * MOST_MEMORY) as u64 / 1000);
-        (needs > may)
-            .then(|| format!("some {needs} MB would be used, half of this machine's memory is {may} MB"))
+        let (needed_mb, allowed_mb) =
+            (self.estimated_memory_kb() / 1000, (memory_kb as f64 * MAX_MEMORY_SHARE) as u64 / 1000);
+        (needed_mb > allowed_mb).then(|| {
+            format!("some {needed_mb} MB would be used, half of this machine's memory is {allowed_mb} MB")
+        })
     }
 
     /// Whose upstreams the balancers of this service choose among, as `(id, zone)`.
-    pub fn listed(&self, service: usize) -> Vec<(String, &str)> {
+    pub fn callable_upstreams(&self, service: usize) -> Vec<(String, &str)> {
         let called = &self.services[service].calls;
         let members = self.members.iter().filter(|m| called.contains(&m.service));
         members.map(|m| (format!("u-{}", m.name), m.zone.as_str())).collect()
     }
 
     /// A balancer's file. `discovery` and `stewards` are where it is to go.
-    pub fn balancer_page(&self, at: usize, discovery: SocketAddr, stewards: &[SocketAddr]) -> String {
+    pub fn balancer_file(&self, at: usize, discovery: SocketAddr, coordinators: &[SocketAddr]) -> String {
         let (m, s) = (&self.members[at], &self.services[self.members[at].service]);
-        let stewards: Vec<String> = stewards.iter().map(|at| format!("\"{at}\"")).collect();
+        let coordinators: Vec<String> = coordinators.iter().map(|at| format!("\"{at}\"")).collect();
         // Operators' port is the machine's choice, too; a file that names one address twice is refused.
         let mut text = format!(
             "name = \"{}\"\nlisten = \"127.0.0.1:0\"\nops = \"127.0.0.2:0\"\ndiscovery = \"{discovery}\"\n\
@@ -152,7 +154,7 @@
             m.number,
             m.zone,
             s.name,
-            stewards.join(", "),
+            coordinators.join(", "),
             self.plan.beat_ms,
         );
         for n in 0..self.plan.budgets {
@@ -162,7 +164,7 @@
     }
 
     /// A steward's file; `list` is where it reaches each.
-    pub fn steward_page(&self, at: usize, folder: &str, list: &[SocketAddr]) -> String {
+    pub fn coordinator_file(&self, at: usize, folder: &str, list: &[SocketAddr]) -> String {
         // As many as there are, and room for those that come again before their time is over.
         let mut text = format!(
             "cluster = \"{CLUSTER}\"\nname = \"s{at}\"\nfolder = \"{folder}\"\nmembers = {}\nshares_ms = {}\nfloors_s = 15\nbeat_ms = {}\n",
--- a/crates/fernroute-testbed/src/scale/load.rs
+++ b/crates/fernroute-testbed/src/scale/load.rs
@@ -26,13 +26,13 @@
     Idle,
     Mean,
     Times,
-    List,
+    UpstreamList,
     Division,
     Change,
 }
 
 const PHASES: [Phase; 6] =
-    [Phase::Idle, Phase::Mean, Phase::Times, Phase::List, Phase::Division, Phase::Change];
+    [Phase::Idle, Phase::Mean, Phase::Times, Phase::UpstreamList, Phase::Division, Phase::Change];
 
 impl Phase {
     pub fn name(self) -> &'static str {
@@ -40,7 +40,7 @@
             Phase::Idle => "idle",
             Phase::Mean => "mean",
             Phase::Times => "times",
-            Phase::List => "list",
+            Phase::UpstreamList => "list",
             Phase::Division => "division",
             Phase::Change => "change",
         }
@@ -48,28 +48,28 @@
 }
 
 /// Sent so long after it was due, an RPC was sent late; one in a hundred may be.
-const LATE: Duration = Duration::from_millis(10);
-const MOST_LATE: f64 = 0.01;
+const LATE_THRESHOLD: Duration = Duration::from_millis(10);
+const MAX_LATE_SHARE: f64 = 0.01;
 
 /// Connections to one address, at the most: fewer than a balancer has places for callers. An RPC beyond that waits for one, and its
 /// time runs on. Guards against a load that held up and then sent all at once, whose connections are closed for want of places.
-const MOST_CONNECTIONS: usize = 256;
+const MAX_CONNECTIONS: usize = 256;
 
 /// Longer than any deadline of these RPCs.
-const ANSWER: Duration = Duration::from_secs(6);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// Where a balancer serves, while it does, and how often it has begun to.
 #[derive(Clone, Copy, Debug, Default)]
-struct Place {
+struct Target {
     at: Option<SocketAddr>,
-    begun: u64,
+    generation: u64,
 }
 
 /// Times in microseconds.
 pub type Times = Histogram<u64>;
 
 #[derive(Debug, Default)]
-pub struct Seen {
+pub struct LoadStats {
     /// By phase, through a balancer and directly.
     pub times: BTreeMap<(Phase, bool), Times>,
     pub sent: u64,
@@ -80,14 +80,14 @@
     pub crossed: u64,
     /// What got no whole answer from a balancer that ran all the while.
     pub lost: u64,
-    pub why: Vec<String>,
+    pub loss_reasons: Vec<String>,
 }
 
-impl Seen {
+impl LoadStats {
     /// Why the machine did not keep the load, if it did not.
-    pub fn not_kept(&self) -> Option<String> {
+    pub fn overload_reason(&self) -> Option<String> {
         let share = self.late as f64 / (self.sent as f64).max(1.0);
-        (share > MOST_LATE).then(|| {
+        (share > MAX_LATE_SHARE).then(|| {
             let (late, sent, latest) = (self.late, self.sent, self.latest.as_millis());
             format!("the load was not kept: {late} of {sent} RPCs were sent late, by up to {latest} ms")
         })
@@ -97,13 +97,13 @@
 struct Shared {
     phase: AtomicUsize,
     /// Which balancer the tenants' RPCs go to.
-    busy: AtomicUsize,
+    tenant_target: AtomicUsize,
     stop: AtomicBool,
-    places: Mutex<Vec<Place>>,
-    seen: Mutex<Seen>,
+    targets: Mutex<Vec<Target>>,
+    stats: Mutex<LoadStats>,
 }
 
-fn held<T>(of: &Mutex<T>) -> MutexGuard<'_, T> {
+fn lock<T>(of: &Mutex<T>) -> MutexGuard<'_, T> {
     of.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
@@ -126,22 +126,22 @@
 /// How much is asked: RPCs a second at each balancer and directly, how many times that the first balancer and the direct way
 /// get in the phase of it, and what each tenant asks for in all.
 #[derive(Clone, Copy, Debug)]
-pub struct Rates {
+pub struct LoadRates {
     pub each: f64,
     pub times: f64,
     pub tenants: usize,
-    pub of_tenant: f64,
+    pub per_tenant: f64,
 }
 
 impl Load {
-    pub fn start(direct: SocketAddr, balancers: &[SocketAddr], rates: Rates) -> Result<Self, String> {
-        let place = |at: &SocketAddr| Place { at: Some(*at), begun: 1 };
+    pub fn start(direct: SocketAddr, balancers: &[SocketAddr], rates: LoadRates) -> Result<Self, String> {
+        let target = |at: &SocketAddr| Target { at: Some(*at), generation: 1 };
         let shared = Arc::new(Shared {
             phase: AtomicUsize::new(0),
-            busy: AtomicUsize::new(0),
+            tenant_target: AtomicUsize::new(0),
             stop: AtomicBool::new(false),
-            places: Mutex::new(balancers.iter().map(place).collect()),
-            seen: Mutex::default(),
+            targets: Mutex::new(balancers.iter().map(target).collect()),
+            stats: Mutex::default(),
         });
         let mut streams = Vec::new();
         for n in 0..balancers.len() {
@@ -151,58 +151,58 @@
         if !balancers.is_empty() {
             streams.push(Stream { balancer: None, tenant: None, rate: rates.each, times: rates.times });
             for tenant in 0..rates.tenants {
-                let (rate, tenant) = (rates.of_tenant, Some(tenant));
+                let (rate, tenant) = (rates.per_tenant, Some(tenant));
                 streams.push(Stream { balancer: Some(0), tenant, rate, times: 1.0 });
             }
         }
         streams.retain(|stream| stream.rate > 0.0);
-        let (tell, mut told) = unbounded_channel::<(usize, Instant, Phase)>();
-        let (paced, all) = (Arc::clone(&shared), streams.clone());
-        let pacer = std::thread::spawn(move || pace(&paced, &all, &tell));
+        let (schedule, mut scheduled) = unbounded_channel::<(usize, Instant, Phase)>();
+        let (pacer_state, all) = (Arc::clone(&shared), streams.clone());
+        let pacer = std::thread::spawn(move || pace(&pacer_state, &all, &schedule));
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
         let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
-        let asked = Arc::clone(&shared);
-        let asker = std::thread::spawn(move || {
+        let request = Arc::clone(&shared);
+        let sender = std::thread::spawn(move || {
             LocalSet::new().block_on(&runtime, async move {
-                let caller = Rc::new(Caller {
-                    shared: asked,
+                let callers = Rc::new(Sender {
+                    shared: request,
                     direct,
                     streams,
-                    kept: RefCell::default(),
-                    room: RefCell::default(),
+                    idle: RefCell::default(),
+                    connection_limits: RefCell::default(),
                 });
                 let mut number = 0u64;
-                while let Some((stream, due, phase)) = told.recv().await {
+                while let Some((stream, due, phase)) = scheduled.recv().await {
                     number += 1;
-                    spawn_local(Rc::clone(&caller).call(stream, due, phase, number));
+                    spawn_local(Rc::clone(&callers).call(stream, due, phase, number));
                 }
             });
         });
-        Ok(Load { shared, threads: vec![pacer, asker] })
+        Ok(Load { shared, threads: vec![pacer, sender] })
     }
 
-    pub fn phase(&self, phase: Phase) {
+    pub fn set_phase(&self, phase: Phase) {
         self.shared.phase.store(phase as usize, Ordering::Relaxed);
     }
 
     /// The tenants' RPCs go to the next balancer.
-    pub fn move_on(&self) {
-        self.shared.busy.fetch_add(1, Ordering::Relaxed);
+    pub fn rotate_tenant_target(&self) {
+        self.shared.tenant_target.fetch_add(1, Ordering::Relaxed);
     }
 
     /// Nothing is asked of it from here on, and what is open there may be lost with it.
-    pub fn ends(&self, balancer: usize) {
-        held(&self.shared.places)[balancer].at = None;
+    pub fn remove_balancer(&self, balancer: usize) {
+        lock(&self.shared.targets)[balancer].at = None;
     }
 
     /// It serves, anew or again.
-    pub fn begins(&self, balancer: usize, at: SocketAddr) {
-        let place = &mut held(&self.shared.places)[balancer];
-        *place = Place { at: Some(at), begun: place.begun + 1 };
+    pub fn add_balancer(&self, balancer: usize, at: SocketAddr) {
+        let target = &mut lock(&self.shared.targets)[balancer];
+        *target = Target { at: Some(at), generation: target.generation + 1 };
     }
 
-    pub fn look<T>(&self, look: impl FnOnce(&Seen) -> T) -> T {
-        look(&held(&self.shared.seen))
+    pub fn with_stats<T>(&self, look: impl FnOnce(&LoadStats) -> T) -> T {
+        look(&lock(&self.shared.stats))
     }
 }
 
@@ -216,12 +216,12 @@
 }
 
 /// Says when each RPC is due; the times between two are drawn, as those of many callers are.
-fn pace(shared: &Shared, streams: &[Stream], tell: &UnboundedSender<(usize, Instant, Phase)>) {
+fn pace(shared: &Shared, streams: &[Stream], schedule: &UnboundedSender<(usize, Instant, Phase)>) {
     use rand::{RngExt as _, SeedableRng as _};
-    let mut chance = rand_chacha::ChaCha8Rng::seed_from_u64(1);
+    let mut rng = rand_chacha::ChaCha8Rng::seed_from_u64(1);
     let mut wait = |stream: &Stream, phase: Phase| {
         let rate = stream.rate * if phase == Phase::Times { stream.times } else { 1.0 };
-        let part: f64 = chance.random();
+        let part: f64 = rng.random();
         Duration::from_secs_f64(-(1.0 - part).ln() / rate)
     };
     let now = Instant::now();
@@ -233,73 +233,73 @@
             std::thread::sleep(left);
         }
         let phase = PHASES[shared.phase.load(Ordering::Relaxed)];
-        if shared.stop.load(Ordering::Relaxed) || tell.send((stream, at, phase)).is_err() {
+        if shared.stop.load(Ordering::Relaxed) || schedule.send((stream, at, phase)).is_err() {
             return;
         }
         due.push(Reverse((at + wait(&streams[stream], phase), stream)));
     }
 }
 
-struct Caller {
+struct Sender {
     shared: Arc<Shared>,
     direct: SocketAddr,
     streams: Vec<Stream>,
     /// Connections that stand idle, by where they go. Emptied as they end.
-    kept: RefCell<BTreeMap<SocketAddr, Vec<Peer>>>,
+    idle: RefCell<BTreeMap<SocketAddr, Vec<Peer>>>,
     /// Room for connections, by where they go: as many as there were balancers, and as often as these began.
-    room: RefCell<BTreeMap<SocketAddr, Rc<Semaphore>>>,
+    connection_limits: RefCell<BTreeMap<SocketAddr, Rc<Semaphore>>>,
 }
 
-impl Caller {
+impl Sender {
     async fn call(self: Rc<Self>, stream: usize, due: Instant, phase: Phase, number: u64) {
         let (stream, late) = (&self.streams[stream], due.elapsed());
-        let place = stream.balancer.map(|balancer| {
-            let places = held(&self.shared.places);
-            let busy = stream.tenant.map(|n| self.shared.busy.load(Ordering::Relaxed) + n);
-            let balancer = busy.map_or(balancer, |busy| busy % places.len());
-            (balancer, places[balancer])
+        let target = stream.balancer.map(|balancer| {
+            let targets = lock(&self.shared.targets);
+            let tenant_target = stream.tenant.map(|n| self.shared.tenant_target.load(Ordering::Relaxed) + n);
+            let balancer = tenant_target.map_or(balancer, |tenant_target| tenant_target % targets.len());
+            (balancer, targets[balancer])
         });
-        let at = match place {
-            Some((_, Place { at: Some(at), .. })) => at,
+        let at = match target {
+            Some((_, Target { at: Some(at), .. })) => at,
             // It is not there now: its callers have gone elsewhere.
             Some(_) => return,
             None => self.direct,
         };
         {
-            let mut seen = held(&self.shared.seen);
-            seen.sent += 1;
-            seen.late += u64::from(late > LATE);
-            seen.latest = seen.latest.max(late);
+            let mut stats = lock(&self.shared.stats);
+            stats.sent += 1;
+            stats.late += u64::from(late > LATE_THRESHOLD);
+            stats.latest = stats.latest.max(late);
         }
         let owner = stream.tenant.map(|n| (format!("{TENANT}{n}."), format!("Req-Owner: {TENANT}{n}\r\n")));
         let (id, owner) = owner.unwrap_or(("r".to_owned(), String::new()));
-        let asked = format!(
+        let request = format!(
             "GET /look HTTP/1.1\r\nHost: app.svc\r\nReq-Id: {id}{number}\r\nReq-Kind: look\r\nReq-Deadline-Ms: 3000\r\n{owner}\r\n"
         );
-        let answered = self.ask(at, asked.as_bytes()).await;
+        let answered = self.send(at, request.as_bytes()).await;
         let took = due.elapsed();
-        let mut seen = held(&self.shared.seen);
+        let mut stats = lock(&self.shared.stats);
         match answered {
             Ok(200) => {
                 // Only the first one gets more in the one phase, and a new list in the other.
-                let of_first = matches!(phase, Phase::Times | Phase::List);
+                let of_first = matches!(phase, Phase::Times | Phase::UpstreamList);
                 let counts = !of_first || stream.balancer.is_none_or(|n| n == 0);
                 if phase != Phase::Idle && stream.tenant.is_none() && counts {
                     let new = || Histogram::new(3).unwrap_or_else(|_| unreachable!("three digits will do"));
-                    let times = seen.times.entry((phase, place.is_some())).or_insert_with(new);
+                    let times = stats.times.entry((phase, target.is_some())).or_insert_with(new);
                     // Grows by itself.
                     let _ = times.record(took.as_micros() as u64);
                 }
             }
-            Ok(503) => seen.refused += 1,
+            Ok(503) => stats.refused += 1,
             other => {
-                let Some((balancer, before)) = place else { return };
-                let now = held(&self.shared.places)[balancer];
-                if now.begun == before.begun && now.at.is_some() {
-                    seen.lost += 1;
-                    if seen.why.len() < 5 {
+                let Some((balancer, before)) = target else { return };
+                let now = lock(&self.shared.targets)[balancer];
+                if now.generation == before.generation && now.at.is_some() {
+                    stats.lost += 1;
+                    if stats.loss_reasons.len() < 5 {
                         let after = took.as_millis();
-                        seen.why.push(format!("balancer {balancer}: {other:?} after {after} ms"));
+                        stats.loss_reasons.push(format!("balancer {balancer}: {other:?} after {after} ms"));
                     }
                 }
             }
@@ -307,30 +307,30 @@
     }
 
     /// The status of an answer. A kept connection that ends as it is written to is no loss: it is sent on a new one.
-    async fn ask(&self, at: SocketAddr, asked: &[u8]) -> std::io::Result<u16> {
-        let new = || Rc::new(Semaphore::new(MOST_CONNECTIONS));
-        let room = Rc::clone(self.room.borrow_mut().entry(at).or_insert_with(new));
+    async fn send(&self, at: SocketAddr, request: &[u8]) -> std::io::Result<u16> {
+        let new = || Rc::new(Semaphore::new(MAX_CONNECTIONS));
+        let connection_limits = Rc::clone(self.connection_limits.borrow_mut().entry(at).or_insert_with(new));
         // It is never closed.
-        let _place = room.acquire().await.map_err(std::io::Error::other)?;
-        let kept = self.kept.borrow_mut().get_mut(&at).and_then(Vec::pop);
-        if let Some(peer) = kept {
-            if let Ok(status) = self.exchange(at, peer, asked).await {
+        let _place = connection_limits.acquire().await.map_err(std::io::Error::other)?;
+        let idle = self.idle.borrow_mut().get_mut(&at).and_then(Vec::pop);
+        if let Some(peer) = idle {
+            if let Ok(status) = self.exchange(at, peer, request).await {
                 return Ok(status);
             }
-            held(&self.shared.seen).crossed += 1;
+            lock(&self.shared.stats).crossed += 1;
         }
         let peer = Peer::new(TcpStream::connect(at).await?);
-        self.exchange(at, peer, asked).await
+        self.exchange(at, peer, request).await
     }
 
-    async fn exchange(&self, at: SocketAddr, mut peer: Peer, asked: &[u8]) -> std::io::Result<u16> {
+    async fn exchange(&self, at: SocketAddr, mut peer: Peer, request: &[u8]) -> std::io::Result<u16> {
         let exchange = async {
-            peer.write(asked).await?;
+            peer.write(request).await?;
             peer.read().await
         };
-        let answer = timeout(ANSWER, exchange).await??.ok_or(std::io::ErrorKind::UnexpectedEof)?;
+        let answer = timeout(ANSWER_TIMEOUT, exchange).await??.ok_or(std::io::ErrorKind::UnexpectedEof)?;
         if !answer.closes() {
-            self.kept.borrow_mut().entry(at).or_default().push(peer);
+            self.idle.borrow_mut().entry(at).or_default().push(peer);
         }
         Ok(answer.status())
     }
--- a/crates/fernroute-testbed/src/scale/report.rs
+++ b/crates/fernroute-testbed/src/scale/report.rs
@@ -1,49 +1,49 @@
 //! What a run says in the end: one object of JSON, and lines for people. What was not measured is `null`, never 0.
 
-use super::changes::Changed;
-use super::faults::Told;
+use super::changes::ChangeStats;
+use super::faults::FaultResult;
 use super::figures::Figures;
-use super::load::{Phase, Seen, Times};
+use super::load::{LoadStats, Phase, Times};
 use serde::Serialize;
 use std::collections::BTreeMap;
 
 /// Milliseconds that a balancer adds to a call: its times less those of the direct way in the same run, quantile by quantile.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub struct Added {
+pub struct AddedLatency {
     pub p50: Option<f64>,
     pub p99: Option<f64>,
 }
 
-impl Added {
+impl AddedLatency {
     fn of(balancer: Option<&Times>, direct: Option<&Times>) -> Self {
-        let (Some(balancer), Some(direct)) = (balancer, direct) else { return Added::default() };
+        let (Some(balancer), Some(direct)) = (balancer, direct) else { return AddedLatency::default() };
         // A quantile needs some beyond it.
         let at = |quantile: f64, least: u64| {
             let enough = balancer.len() >= least && direct.len() >= least;
             let ms = |times: &Times| times.value_at_quantile(quantile) as f64 / 1000.0;
             enough.then(|| ms(balancer) - ms(direct))
         };
-        Added { p50: at(0.5, 20), p99: at(0.99, 1000) }
+        AddedLatency { p50: at(0.5, 20), p99: at(0.99, 1000) }
     }
 
-    pub fn during(seen: &Seen, phase: Phase) -> Self {
-        Added::of(seen.times.get(&(phase, true)), seen.times.get(&(phase, false)))
+    pub fn during(stats: &LoadStats, phase: Phase) -> Self {
+        AddedLatency::of(stats.times.get(&(phase, true)), stats.times.get(&(phase, false)))
     }
 }
 
 /// Hollow and real balancers of one run, side by side: what a hollow one spends for what a real one spends.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub struct Alike {
+pub struct HollowComparison {
     pub bytes: Option<f64>,
     pub messages: Option<f64>,
     /// Told, and no proof: a real one serves callers beside.
     pub processor: Option<f64>,
 }
 
-impl Alike {
+impl HollowComparison {
     pub fn of(hollow: &Figures, real: &Figures) -> Self {
         let part = |a: Option<f64>, b: Option<f64>| Some(a? / b.filter(|b| *b > 0.0)?);
-        Alike {
+        HollowComparison {
             bytes: part(hollow.bytes_per_s, real.bytes_per_s),
             messages: part(hollow.messages_per_s, real.messages_per_s),
             processor: part(hollow.processor_percent, real.processor_percent),
@@ -66,33 +66,35 @@
     pub real: usize,
     /// What one balancer costs for control: the hollow ones', where there are some; else the real ones' with their RPCs.
     pub balancer: Figures,
-    pub steward_leader: Figures,
-    pub steward_follower: Figures,
+    #[serde(rename = "steward_leader")]
+    pub coordinator_leader: Figures,
+    #[serde(rename = "steward_follower")]
+    pub coordinator_follower: Figures,
     pub balancer_real: Figures,
     pub discovery: Figures,
-    pub alike: Alike,
-    pub changes: Changed,
+    pub alike: HollowComparison,
+    pub changes: ChangeStats,
     /// At the mean rate; the others by what went on meanwhile.
-    pub added_ms: Added,
-    pub added_ms_during: BTreeMap<String, Added>,
+    pub added_ms: AddedLatency,
+    pub added_ms_during: BTreeMap<String, AddedLatency>,
     pub rpcs: Option<u64>,
     pub refused: Option<u64>,
     pub crossed: Option<u64>,
     pub sent_late: Option<u64>,
     pub beyond_whole: Option<u64>,
     pub lost: Option<u64>,
-    pub faults: Vec<Told>,
+    pub faults: Vec<FaultResult>,
     /// Why the machine did not keep the load, if it did not.
     pub not_kept: Option<String>,
 }
 
 impl Report {
     /// 3 where the figures say nothing, 1 where something was lost, beyond the whole, never settled or never in force.
-    pub fn code(&self) -> u8 {
-        let split = |fault: &Told| fault.entered_without_majority == Some(true);
-        let unsettled = self.faults.iter().any(|fault| fault.settled_s.is_none() || split(fault));
+    pub fn exit_code(&self) -> u8 {
+        let minority_write = |fault: &FaultResult| fault.entered_without_majority == Some(true);
+        let unsettled = self.faults.iter().any(|fault| fault.settled_s.is_none() || minority_write(fault));
         let broken = self.lost.unwrap_or(0) > 0 || self.beyond_whole.unwrap_or(0) > 0 || unsettled;
-        let broken = broken || self.changes.left();
+        let broken = broken || self.changes.has_incomplete();
         match (broken, &self.not_kept) {
             (true, _) => 1,
             (false, Some(_)) => 3,
@@ -113,8 +115,8 @@
         for (role, f) in [
             ("hollow balancer", &self.balancer),
             ("real balancer", &self.balancer_real),
-            ("leading steward", &self.steward_leader),
-            ("following steward", &self.steward_follower),
+            ("leading steward", &self.coordinator_leader),
+            ("following steward", &self.coordinator_follower),
             ("discovery", &self.discovery),
         ] {
             println!(
--- a/crates/fernroute-testbed/src/scale/stand.rs
+++ b/crates/fernroute-testbed/src/scale/stand_in.rs
@@ -1,7 +1,7 @@
 //! Processes that stand in for discovery and for upstreams, each told by a file what to be, and asked over HTTP how much it had
 //! to do.
 
-use super::whole::Whole;
+use super::limit::LimitChecker;
 use fernroute_test_support::http::{answer, Message, Peer};
 use fernroute_test_support::stand_in::{entry, serve, Deed, Discovery};
 use fernroute_test_support::Counted;
@@ -16,21 +16,21 @@
 use tokio::task::{spawn_local, LocalSet};
 
 /// What a stand-in says once it serves, before the address that answers for it.
-pub const READY: &str = "stand-in answers on ";
+pub const READY_PREFIX: &str = "stand-in answers on ";
 
 /// Where an upstream is that nobody sends anything to: hollow balancers alone know it.
-const NOWHERE: &str = "127.0.0.1:9";
+const UNUSED_ADDRESS: &str = "127.0.0.1:9";
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum Page {
+pub enum StandInConfig {
     /// Discovery: lists by their names, and upstreams' addresses where they have one.
-    Discovery { lists: BTreeMap<String, List>, places: BTreeMap<String, SocketAddr> },
+    Discovery { lists: BTreeMap<String, UpstreamList>, places: BTreeMap<String, SocketAddr> },
     /// Upstreams by their ids, and what all of them may run of each tenant.
     Upstreams { ids: Vec<String>, whole: f64, beside: usize },
 }
 
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct List {
+pub struct UpstreamList {
     /// Ids and zones.
     pub upstreams: Vec<(String, String)>,
     /// An address for each of these, so that what they cost is told apart.
@@ -39,7 +39,7 @@
 
 /// What upstreams ran.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Ran {
+pub struct ExecutionCounts {
     pub count: u64,
     pub of_tenants: u64,
     /// Seconds in which all balancers together ran more of a tenant than its whole, and what they may save up.
@@ -47,103 +47,106 @@
 }
 
 /// Bytes and messages by kind.
-pub type Asked = BTreeMap<String, (u64, u64)>;
+pub type TrafficByKind = BTreeMap<String, (u64, u64)>;
 
 /// Serves until it is killed. `page` with `.out` for its ending is written once all is there: addresses by id, or by
 /// `LIST KIND`.
-pub fn run(page: &Path) -> Result<(), String> {
-    let trouble = |e: std::io::Error| format!("{}: {e}", page.display());
-    let text = std::fs::read_to_string(page).map_err(trouble)?;
-    let what: Page = serde_json::from_str(&text).map_err(|e| format!("{}: {e}", page.display()))?;
+pub fn run(path: &Path) -> Result<(), String> {
+    let io_error = |e: std::io::Error| format!("{}: {e}", path.display());
+    let text = std::fs::read_to_string(path).map_err(io_error)?;
+    let config: StandInConfig =
+        serde_json::from_str(&text).map_err(|e| format!("{}: {e}", path.display()))?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
     LocalSet::new().block_on(&runtime, async {
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
-        let (places, door) = match what {
-            Page::Discovery { lists, places } => discovery(any, lists, &places).await,
-            Page::Upstreams { ids, whole, beside } => upstreams(any, &ids, Whole::new(whole, beside)).await,
+        let (places, control_address) = match config {
+            StandInConfig::Discovery { lists, places } => discovery(any, lists, &places).await,
+            StandInConfig::Upstreams { ids, whole, beside } => {
+                upstreams(any, &ids, LimitChecker::new(whole, beside)).await
+            }
         }
-        .map_err(trouble)?;
+        .map_err(io_error)?;
         let text = serde_json::to_string(&places).map_err(|e| e.to_string())?;
-        std::fs::write(page.with_extension("out"), text).map_err(trouble)?;
-        eprintln!("{READY}{door}");
+        std::fs::write(path.with_extension("out"), text).map_err(io_error)?;
+        eprintln!("{READY_PREFIX}{control_address}");
         std::future::pending().await
     })
 }
 
-type Served = std::io::Result<(BTreeMap<String, SocketAddr>, SocketAddr)>;
+type StartedStandIn = std::io::Result<(BTreeMap<String, SocketAddr>, SocketAddr)>;
 
-fn said(what: &impl Serialize) -> Deed {
+fn json_response(what: &impl Serialize) -> Deed {
     let text = serde_json::to_string(what);
     Deed::Say(text.map_or_else(|e| answer(500, "", &e.to_string()), |text| answer(200, "", &text)))
 }
 
 /// A list, its upstreams as discovery tells them, and whether its last one drains.
-struct Told {
+struct FaultResult {
     entries: [String; 2],
     drains: bool,
-    by_kind: Vec<(String, Rc<Discovery>)>,
+    servers: Vec<(String, Rc<Discovery>)>,
 }
 
 async fn discovery(
     any: SocketAddr,
-    lists: BTreeMap<String, List>,
+    lists: BTreeMap<String, UpstreamList>,
     places: &BTreeMap<String, SocketAddr>,
-) -> Served {
-    let nowhere: SocketAddr = NOWHERE.parse().map_err(std::io::Error::other)?;
+) -> StartedStandIn {
+    let unused: SocketAddr = UNUSED_ADDRESS.parse().map_err(std::io::Error::other)?;
     let (mut out, mut all) = (BTreeMap::new(), BTreeMap::new());
     for (name, list) in lists {
         let entries = |last: &str| {
             let count = list.upstreams.len();
             let each = list.upstreams.iter().enumerate().map(|(n, (id, zone))| {
                 let state = if n + 1 == count { last } else { "SERVING" };
-                entry(id, places.get(id).copied().unwrap_or(nowhere), zone, state)
+                entry(id, places.get(id).copied().unwrap_or(unused), zone, state)
             });
             each.collect::<Vec<String>>().join(",")
         };
         let entries = [entries("SERVING"), entries("DRAINING")];
-        let mut by_kind = Vec::new();
+        let mut servers = Vec::new();
         for kind in list.kinds {
             let one = Discovery::start(any, entries[0].clone()).await?;
             out.insert(format!("{name} {kind}"), one.address);
-            by_kind.push((kind, one));
+            servers.push((kind, one));
         }
-        all.insert(name, RefCell::new(Told { entries, drains: false, by_kind }));
+        all.insert(name, RefCell::new(FaultResult { entries, drains: false, servers }));
     }
-    let door = serve(any, move |asked: &Message| {
+    let control_address = serve(any, move |asked: &Message| {
         if let Some(name) = asked.target.strip_prefix("/tell/") {
             // Its last upstream drains, or serves again: all who watch it get the list anew.
-            let Some(told) = all.get(name) else { return Deed::Say(answer(404, "", "")) };
-            let told = &mut *told.borrow_mut();
-            told.drains = !told.drains;
-            let entries = &told.entries[usize::from(told.drains)];
-            told.by_kind.iter().for_each(|(_, one)| one.tell(entries.clone()));
+            let Some(list) = all.get(name) else { return Deed::Say(answer(404, "", "")) };
+            let list = &mut *list.borrow_mut();
+            list.drains = !list.drains;
+            let entries = &list.entries[usize::from(list.drains)];
+            list.servers.iter().for_each(|(_, one)| one.tell(entries.clone()));
             return Deed::Say(answer(200, "", ""));
         }
-        let mut asked = Asked::new();
-        for told in all.values() {
-            for (kind, one) in &told.borrow().by_kind {
+        let mut asked = TrafficByKind::new();
+        for list in all.values() {
+            for (kind, one) in &list.borrow().servers {
                 let (sum, Counted { bytes, messages }) =
                     (asked.entry(kind.clone()).or_default(), one.counted());
                 *sum = (sum.0 + bytes, sum.1 + messages);
             }
         }
-        said(&asked)
+        json_response(&asked)
     });
-    Ok((out, door.await?))
+    Ok((out, control_address.await?))
 }
 
 /// The load names an RPC by its tenant, where it has one.
-fn note((count, whole): &mut (Ran, Whole), asked: &Message, at: Duration) {
+fn record_attempt((count, whole): &mut (ExecutionCounts, LimitChecker), asked: &Message, at: Duration) {
     count.count += 1;
     if let Some((tenant, _)) = asked.header("req-id").and_then(|id| id.split_once('.')) {
         count.of_tenants += 1;
-        whole.run(tenant, at);
+        whole.record(tenant, at);
     }
 }
 
-async fn upstreams(any: SocketAddr, ids: &[String], whole: Whole) -> Served {
-    let ran = Rc::new(RefCell::new((Ran::default(), whole)));
+async fn upstreams(any: SocketAddr, ids: &[String], whole: LimitChecker) -> StartedStandIn {
+    let ran = Rc::new(RefCell::new((ExecutionCounts::default(), whole)));
     let mut out = BTreeMap::new();
     let from = Instant::now();
     for id in ids {
@@ -157,7 +160,7 @@
                     let mut peer = Peer::new(stream);
                     let said = answer(200, "Srv-Load: util=0.10\r\n", "whole");
                     while let Ok(Some(asked)) = peer.read().await {
-                        note(&mut ran.borrow_mut(), &asked, from.elapsed());
+                        record_attempt(&mut ran.borrow_mut(), &asked, from.elapsed());
                         if peer.write(&said).await.is_err() {
                             return;
                         }
@@ -166,9 +169,9 @@
             }
         });
     }
-    let door = serve(any, move |_: &Message| {
+    let control_address = serve(any, move |_: &Message| {
         let (count, whole) = &*ran.borrow();
-        said(&Ran { beyond: whole.beyond(), ..count.clone() })
+        json_response(&ExecutionCounts { beyond: whole.violations(), ..count.clone() })
     });
-    Ok((out, door.await?))
+    Ok((out, control_address.await?))
 }
--- a/crates/fernroute-testbed/tests/duties.rs
+++ b/crates/fernroute-testbed/tests/duties.rs
@@ -7,7 +7,7 @@
 use fernroute_test_support::caller::told;
 use fernroute_test_support::http::read;
 use fernroute_test_support::link::Way;
-use fernroute_testbed::processes::{Fleet, Shape};
+use fernroute_testbed::processes::{Fleet, FleetConfig};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -55,7 +55,7 @@
         let said: Rc<RefCell<Vec<Statement>>> = Rc::default();
         let watch =
             |(balancer, door): (usize, &SocketAddr)| spawn_local(watch(balancer, *door, Rc::clone(&said)));
-        let tasks = fleet.doors.iter().enumerate().map(watch).collect();
+        let tasks = fleet.ops_addresses.iter().enumerate().map(watch).collect();
         Observer { said, tasks }
     }
 
@@ -86,7 +86,7 @@
     }
 
     /// What contradicts one holder at a time: a lower term acted on after a higher one was seen, or a term of two balancers.
-    fn broken(&self) -> Option<String> {
+    fn violation(&self) -> Option<String> {
         let mut terms: BTreeMap<(&str, u64), (usize, Instant, Instant)> = BTreeMap::new();
         let said = self.said.borrow();
         for s in said.iter() {
@@ -145,11 +145,11 @@
     (0..count).map(|n| format!("d{n}")).collect()
 }
 
-async fn start(name: &str, stewards: usize, balancers: usize, duties: usize) -> (Fleet, Observer) {
+async fn start(name: &str, coordinators: usize, balancers: usize, duties: usize) -> (Fleet, Observer) {
     let folder = std::env::temp_dir().join(format!("fernroute-duties-{name}-{}", std::process::id()));
     let program = Path::new(env!("CARGO_BIN_EXE_fernroute-testbed"));
-    let shape = Shape { duties: names(duties), ..Shape::new(stewards, balancers, 120) };
-    let fleet = Fleet::start(program, folder, shape).await.expect("it starts");
+    let config = FleetConfig { duties: names(duties), ..FleetConfig::new(coordinators, balancers, 120) };
+    let fleet = Fleet::start(program, folder, config).await.expect("it starts");
     let observer = Observer::new(&fleet);
     (fleet, observer)
 }
@@ -162,7 +162,7 @@
 ) -> Result<A, RequestError> {
     let peers = Peers::new("c", &[]);
     loop {
-        for at in &fleet.steward_addresses {
+        for at in &fleet.coordinator_addresses {
             let said: Result<Result<A, RequestError>, String> =
                 peers.send(&at.to_string(), path, 0, what, WITHIN).await;
             match said {
@@ -193,7 +193,7 @@
         assert!(without <= LEASE * 3 / 2, "{without:?} without a holder after a death");
         fleet.start_balancer(first.balancer).await.expect("it serves");
         let drained = Instant::now();
-        assert_eq!(told(fleet.doors[second.balancer], "POST", "/-/drain").await, 200);
+        assert_eq!(told(fleet.ops_addresses[second.balancer], "POST", "/-/drain").await, 200);
         let third = observer.next_holder("d0", drained, second.balancer).await;
         let without = third.heard - drained;
         assert!(without <= LEASE / 2, "{without:?} without a holder after a drain");
@@ -205,7 +205,7 @@
             Some(third.term),
             "{status:?}"
         );
-        assert_eq!(observer.broken(), None);
+        assert_eq!(observer.violation(), None);
     });
 }
 
@@ -232,7 +232,7 @@
         sleep(LEASE / 2).await;
         let now = observer.holder("d0").await;
         assert_eq!((now.balancer, now.term), (third.balancer, third.term));
-        assert_eq!(observer.broken(), None);
+        assert_eq!(observer.violation(), None);
     });
 }
 
@@ -246,15 +246,15 @@
             let (fleet, observer) = start(name, 3, 3, 1).await;
             let first = observer.holder("d0").await;
             let cut = Instant::now();
-            fleet.links[first.balancer].iter().for_each(|link| link.set(there, back));
+            fleet.balancer_links[first.balancer].iter().for_each(|link| link.set(there, back));
             let second = observer.next_holder("d0", cut, first.balancer).await;
             let without = second.heard - cut;
             println!("{name}: {without:?} until another one holds it");
             // One that is heard of is told of its duty for half a lease more.
             assert!(without <= LEASE * 7 / 4, "{name}: {without:?}");
-            fleet.links[first.balancer].iter().for_each(|link| link.mend());
+            fleet.balancer_links[first.balancer].iter().for_each(|link| link.mend());
             observer.holder("d0").await;
-            assert_eq!(observer.broken(), None);
+            assert_eq!(observer.violation(), None);
         });
     }
 }
@@ -262,7 +262,7 @@
 /// Guards against two holders as the leader is killed just when it gives a duty away, and against terms that begin anew when
 /// all stewards do.
 #[test]
-fn a_leader_killed_as_a_duty_is_given_and_all_stewards_restarted_give_no_term_twice() {
+fn a_leader_killed_as_a_duty_is_given_and_all_coordinators_restarted_give_no_term_twice() {
     run(async {
         let (mut fleet, observer) = start("leader", 3, 3, 2).await;
         let first = observer.holder("d0").await;
@@ -271,23 +271,23 @@
         // Its lease lapses about now.
         sleep(LEASE + Duration::from_millis(20)).await;
         let leader = fleet.leader().await;
-        fleet.stewards[leader].kill();
+        fleet.coordinators[leader].kill();
         let second = observer.next_holder("d0", killed, first.balancer).await;
         assert!(second.term > first.term);
-        fleet.start_steward(leader).expect("it starts");
+        fleet.start_coordinator(leader).expect("it starts");
         fleet.start_balancer(first.balancer).await.expect("it serves");
-        for n in 0..fleet.stewards.len() {
-            fleet.stewards[n].kill();
+        for n in 0..fleet.coordinators.len() {
+            fleet.coordinators[n].kill();
         }
-        for n in 0..fleet.stewards.len() {
-            fleet.start_steward(n).expect("it starts");
+        for n in 0..fleet.coordinators.len() {
+            fleet.start_coordinator(n).expect("it starts");
         }
         let again = Instant::now();
         observer.next_holder("d0", again, usize::MAX).await;
         fleet.balancers[second.balancer].kill();
         let third = observer.next_holder("d0", Instant::now(), second.balancer).await;
         assert!(third.term > second.term);
-        assert_eq!(observer.broken(), None);
+        assert_eq!(observer.violation(), None);
     });
 }
 
@@ -301,18 +301,18 @@
         }
         let leader = fleet.leader().await;
         let lost = [leader, (leader + 1) % 3];
-        lost.iter().for_each(|n| fleet.stewards[*n].kill());
+        lost.iter().for_each(|n| fleet.coordinators[*n].kill());
         sleep(LEASE).await;
         let since = Instant::now();
         sleep(LEASE / 2).await;
         for duty in names(3) {
             assert!(observer.holder_since(&duty, since).is_none(), "{duty} is acted on");
         }
-        lost.iter().for_each(|n| fleet.start_steward(*n).expect("it starts"));
+        lost.iter().for_each(|n| fleet.start_coordinator(*n).expect("it starts"));
         for duty in names(3) {
             observer.holder(&duty).await;
         }
-        assert_eq!(observer.broken(), None);
+        assert_eq!(observer.violation(), None);
     });
 }
 
@@ -341,12 +341,12 @@
         }
         fleet.heal();
         for n in 0..BALANCERS {
-            assert_eq!(told(fleet.doors[n], "POST", "/-/resume").await, 200);
+            assert_eq!(told(fleet.ops_addresses[n], "POST", "/-/resume").await, 200);
         }
         for duty in names(DUTIES) {
             observer.holder(&duty).await;
         }
-        assert_eq!(observer.broken(), None);
+        assert_eq!(observer.violation(), None);
         assert!(observer.said.borrow().len() > 1_000);
     });
 }
@@ -369,25 +369,25 @@
             fleet.balancers[n].go_on();
         }
         2 => {
-            fleet.links[n].iter().for_each(|link| link.set(Way::Silent, Way::Passes));
+            fleet.balancer_links[n].iter().for_each(|link| link.set(Way::Silent, Way::Passes));
             sleep(lasts).await;
-            fleet.links[n].iter().for_each(|link| link.mend());
+            fleet.balancer_links[n].iter().for_each(|link| link.mend());
         }
         3 => {
-            fleet.links[n].iter().for_each(|link| link.set(Way::Passes, Way::Delays(lasts / 4)));
+            fleet.balancer_links[n].iter().for_each(|link| link.set(Way::Passes, Way::Delays(lasts / 4)));
             sleep(lasts).await;
-            fleet.links[n].iter().for_each(|link| link.mend());
+            fleet.balancer_links[n].iter().for_each(|link| link.mend());
         }
         4 => {
             let leader = fleet.leader().await;
-            fleet.stewards[leader].kill();
+            fleet.coordinators[leader].kill();
             sleep(lasts / 2).await;
-            fleet.start_steward(leader).expect("it starts");
+            fleet.start_coordinator(leader).expect("it starts");
         }
         _ => {
-            told(fleet.doors[n], "POST", "/-/drain").await;
+            told(fleet.ops_addresses[n], "POST", "/-/drain").await;
             sleep(lasts / 2).await;
-            told(fleet.doors[n], "POST", "/-/resume").await;
+            told(fleet.ops_addresses[n], "POST", "/-/resume").await;
         }
     }
 }
