--- a/crates/fernroute-testbed/tests/fleet.rs
+++ b/crates/fernroute-testbed/tests/fleet.rs
@@ -5,7 +5,7 @@
 use fernroute_test_support::link::Way;
 use fernroute_test_support::process::Process;
 use fernroute_test_support::until;
-use fernroute_testbed::processes::{beyond, Fleet, Mood, Shape};
+use fernroute_testbed::processes::{limit_violation, Fleet, FleetConfig, UpstreamBehavior};
 use std::future::Future;
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -13,7 +13,7 @@
 use tokio::time::{sleep, timeout};
 
 /// RPCs a second over all balancers.
-const WHOLE: usize = 120;
+const LIMIT: usize = 120;
 const BALANCERS: usize = 3;
 
 /// Twice the whole for so long is beyond what may have been saved up.
@@ -25,18 +25,18 @@
     end.expect("the test ends");
 }
 
-async fn start(name: &str, stewards: usize) -> Fleet {
-    start_with(name, Shape::new(stewards, BALANCERS, WHOLE)).await
+async fn start(name: &str, coordinators: usize) -> Fleet {
+    start_with(name, FleetConfig::new(coordinators, BALANCERS, LIMIT)).await
 }
 
-async fn start_with(name: &str, shape: Shape) -> Fleet {
+async fn start_with(name: &str, config: FleetConfig) -> Fleet {
     let folder = std::env::temp_dir().join(format!("fernroute-fleet-{name}-{}", std::process::id()));
     let program = Path::new(env!("CARGO_BIN_EXE_fernroute-testbed"));
-    Fleet::start(program, folder, shape).await.expect("it starts")
+    Fleet::start(program, folder, config).await.expect("it starts")
 }
 
 fn end(fleet: &Fleet) {
-    assert_eq!(fleet.broken(), None);
+    assert_eq!(fleet.violation(), None);
 }
 
 /// Guards against a budget that lies idle at balancers that nobody asks, and at one that is dead.
@@ -45,17 +45,17 @@
     run(async {
         let mut fleet = start("killed", 1).await;
         // An even part would be 40.
-        fleet.rates(&[150, 2, 2]);
-        fleet.until_used().await;
-        fleet.rates(&[2, 150, 2]);
-        fleet.until_used().await;
+        fleet.set_rates(&[150, 2, 2]);
+        fleet.wait_until_limit_used().await;
+        fleet.set_rates(&[2, 150, 2]);
+        fleet.wait_until_limit_used().await;
         fleet.balancers[1].kill();
-        fleet.rates(&[2, 0, 150]);
-        fleet.until_used().await;
+        fleet.set_rates(&[2, 0, 150]);
+        fleet.wait_until_limit_used().await;
         // It starts again, finds who it was, and has its part.
         fleet.start_balancer(1).await.expect("it serves");
-        fleet.rates(&[2, 150, 2]);
-        fleet.until_used().await;
+        fleet.set_rates(&[2, 150, 2]);
+        fleet.wait_until_limit_used().await;
         end(&fleet);
     });
 }
@@ -65,21 +65,21 @@
 fn a_stopped_balancer_goes_on_with_its_floor() {
     run(async {
         let fleet = start("stopped", 1).await;
-        fleet.rates(&[150, 2, 2]);
-        fleet.until_used().await;
+        fleet.set_rates(&[150, 2, 2]);
+        fleet.wait_until_limit_used().await;
         fleet.balancers[0].stop();
-        fleet.rates(&[20, 150, 2]);
+        fleet.set_rates(&[20, 150, 2]);
         sleep(Duration::from_millis(500)).await;
-        fleet.until_used().await;
+        fleet.wait_until_limit_used().await;
         // It goes on and hears nothing: were its share still its own, ten seconds would be far beyond the whole.
-        fleet.links[0].iter().for_each(|link| link.refuse());
+        fleet.balancer_links[0].iter().for_each(|link| link.refuse());
         fleet.balancers[0].go_on();
-        fleet.rates(&[150, 150, 2]);
+        fleet.set_rates(&[150, 150, 2]);
         sleep(LONG).await;
-        assert_eq!(fleet.broken(), None);
-        fleet.links[0].iter().for_each(|link| link.mend());
-        fleet.rates(&[2, 150, 2]);
-        fleet.until_used().await;
+        assert_eq!(fleet.violation(), None);
+        fleet.balancer_links[0].iter().for_each(|link| link.mend());
+        fleet.set_rates(&[2, 150, 2]);
+        fleet.wait_until_limit_used().await;
         end(&fleet);
     });
 }
@@ -90,28 +90,28 @@
 fn a_killed_leader_and_a_balancer_that_hears_nothing_break_no_budget() {
     run(async {
         let fleet = start("leader", 3).await;
-        fleet.rates(&[150, 2, 2]);
-        fleet.until_used().await;
+        fleet.set_rates(&[150, 2, 2]);
+        fleet.wait_until_limit_used().await;
         let leader = fleet.leader().await;
-        fleet.stewards[leader].kill();
+        fleet.coordinators[leader].kill();
         let from = Instant::now();
         while from.elapsed() < Duration::from_secs(3) {
             sleep(Duration::from_millis(100)).await;
             // Its share never ended: far more than floors are runs in each second, a slow machine's too.
-            assert!(fleet.ran.within(Duration::from_secs(1)) * 10 >= WHOLE * 4, "it lapsed");
+            assert!(fleet.executions.count_within(Duration::from_secs(1)) * 10 >= LIMIT * 4, "it lapsed");
         }
         // Heard, and hearing nothing.
-        fleet.links[0].iter().for_each(|link| link.set(Way::Passes, Way::Silent));
-        fleet.rates(&[150, 150, 2]);
+        fleet.balancer_links[0].iter().for_each(|link| link.set(Way::Passes, Way::Silent));
+        fleet.set_rates(&[150, 150, 2]);
         until(|| fleet.balancers[0].says("nothing is granted by the fleet")).await;
         sleep(LONG).await;
-        fleet.rates(&[0, 150, 2]);
+        fleet.set_rates(&[0, 150, 2]);
         // Its part is kept for it while it is heard; once it is cut off both ways the others have it.
-        fleet.links[0].iter().for_each(|link| link.refuse());
-        fleet.until_used().await;
-        fleet.links[0].iter().for_each(|link| link.mend());
-        fleet.rates(&[150, 0, 2]);
-        fleet.until_used().await;
+        fleet.balancer_links[0].iter().for_each(|link| link.refuse());
+        fleet.wait_until_limit_used().await;
+        fleet.balancer_links[0].iter().for_each(|link| link.mend());
+        fleet.set_rates(&[150, 0, 2]);
+        fleet.wait_until_limit_used().await;
         end(&fleet);
     });
 }
@@ -121,19 +121,19 @@
 fn an_old_and_a_new_process_of_a_balancer_spend_one_grant_between_them() {
     run(async {
         let mut fleet = start("upgrade", 1).await;
-        fleet.rates(&[150, 2, 2]);
-        fleet.until_used().await;
+        fleet.set_rates(&[150, 2, 2]);
+        fleet.wait_until_limit_used().await;
         for _ in 0..2 {
             let old = fleet.upgrade(0).await.expect("it serves");
             let from = Instant::now();
             while from.elapsed() < Duration::from_secs(2) {
                 sleep(Duration::from_millis(100)).await;
                 // Half of its share at the least, whichever process has it; a slow machine runs some less.
-                let ran = fleet.ran.within(Duration::from_secs(1));
-                assert!(ran * 10 >= WHOLE * 2, "{ran}: {:?}", fleet.balancers[0].log());
+                let executions = fleet.executions.count_within(Duration::from_secs(1));
+                assert!(executions * 10 >= LIMIT * 2, "{executions}: {:?}", fleet.balancers[0].log());
             }
             until(|| !old.is_running()).await;
-            fleet.until_used().await;
+            fleet.wait_until_limit_used().await;
         }
         // The next one dies as it comes, while the old one still has a caller: the old one has all again.
         let mut kept = send(fleet.addresses[0], rpc("GET", "/look", "")).await;
@@ -141,31 +141,31 @@
         let old = fleet.upgrade(0).await.expect("it serves");
         fleet.balancers[0].kill();
         until(|| old.says("serving again")).await;
-        fleet.until_used().await;
+        fleet.wait_until_limit_used().await;
         end(&fleet);
     });
 }
 
 /// Guards against a leader that grants while it leads no more: it is cut off with half of the balancers and with no other steward.
 #[test]
-fn half_of_the_fleet_cut_off_with_a_minority_of_stewards_spends_its_floors_alone() {
+fn half_of_the_fleet_cut_off_with_a_minority_of_coordinators_spends_its_floors_alone() {
     run(async {
-        let fleet = start_with("apart", Shape::new(3, 4, WHOLE)).await;
-        fleet.rates(&[100, 100, 100, 100]);
-        fleet.until_used().await;
+        let fleet = start_with("apart", FleetConfig::new(3, 4, LIMIT)).await;
+        fleet.set_rates(&[100, 100, 100, 100]);
+        fleet.wait_until_limit_used().await;
         let leader = fleet.leader().await;
-        fleet.part(&[leader], &[0, 1]);
+        fleet.partition(&[leader], &[0, 1]);
         // The others have a leader of their own, and in time all that the two held but their floors.
         until(|| fleet.balancers[0].says("nothing is granted by the fleet")).await;
-        fleet.rates(&[20, 20, 100, 100]);
-        fleet.until_used().await;
+        fleet.set_rates(&[20, 20, 100, 100]);
+        fleet.wait_until_limit_used().await;
         // Both halves ask for far more than the whole.
-        fleet.rates(&[100, 100, 100, 100]);
+        fleet.set_rates(&[100, 100, 100, 100]);
         sleep(LONG).await;
-        assert_eq!(fleet.broken(), None);
+        assert_eq!(fleet.violation(), None);
         fleet.heal();
-        fleet.rates(&[150, 0, 0, 2]);
-        fleet.until_used().await;
+        fleet.set_rates(&[150, 0, 0, 2]);
+        fleet.wait_until_limit_used().await;
         end(&fleet);
     });
 }
@@ -188,25 +188,25 @@
 fn a_leader_killed_in_the_middle_of_a_division_leaves_nothing_that_is_granted_twice() {
     run(async {
         let mut fleet = start("division", 3).await;
-        fleet.rates(&[150, 2, 2]);
-        until_holds(&fleet, 0, WHOLE as f64 * 0.8).await;
+        fleet.set_rates(&[150, 2, 2]);
+        until_holds(&fleet, 0, LIMIT as f64 * 0.8).await;
         for busy in [1, 2, 0] {
             let leader = fleet.leader().await;
             let before = fleet.status(leader).await.expect("its word").epoch;
             let rates: Vec<u64> = (0..BALANCERS).map(|n| if n == busy { 150 } else { 60 }).collect();
-            fleet.rates(&rates);
+            fleet.set_rates(&rates);
             // The first step of the division is entered; what it takes back is not accepted yet, or just now.
             while fleet.status(leader).await.is_none_or(|status| status.epoch == before) {
                 sleep(Duration::from_millis(2)).await;
             }
-            fleet.stewards[leader].kill();
-            fleet.until_used().await;
-            fleet.start_steward(leader).expect("it starts");
+            fleet.coordinators[leader].kill();
+            fleet.wait_until_limit_used().await;
+            fleet.start_coordinator(leader).expect("it starts");
             // The next division is far from this one.
             let rates: Vec<u64> = (0..BALANCERS).map(|n| if n == busy { 150 } else { 2 }).collect();
-            fleet.rates(&rates);
-            until_holds(&fleet, busy, WHOLE as f64 * 0.8).await;
-            fleet.until_used().await;
+            fleet.set_rates(&rates);
+            until_holds(&fleet, busy, LIMIT as f64 * 0.8).await;
+            fleet.wait_until_limit_used().await;
         }
         end(&fleet);
     });
@@ -217,16 +217,16 @@
 fn a_stranger_under_the_name_of_another_balancer_gets_nothing() {
     run(async {
         let fleet = start("stranger", 1).await;
-        fleet.rates(&[150, 2, 2]);
-        fleet.until_used().await;
-        let (stranger, at) = fleet.stranger(0).await.expect("it serves");
+        fleet.set_rates(&[150, 2, 2]);
+        fleet.wait_until_limit_used().await;
+        let (stranger, at) = fleet.start_impostor(0).await.expect("it serves");
         until(|| stranger.says("NameTaken")).await;
         for _ in 0..20 {
             let asked = rpc("GET", "/look", "Req-Owner: acme\r\nConnection: close\r\n");
             let answer = read(&mut send(at, asked).await).await.expect("an answer");
             assert_eq!(answer.status(), 503);
         }
-        fleet.until_used().await;
+        fleet.wait_until_limit_used().await;
         // Once the other one has ended, and what it held has lapsed, the name is free.
         fleet.balancers[0].kill();
         until(|| stranger.says("of the fleet c")).await;
@@ -236,22 +236,22 @@
 
 /// Guards against RPCs that wait for stewards, and against a jump when these come back.
 #[test]
-fn without_any_steward_rpcs_go_on_within_the_floors_and_nothing_jumps_when_they_are_back() {
+fn without_any_coordinator_rpcs_go_on_within_the_floors_and_nothing_jumps_when_they_are_back() {
     run(async {
         let mut fleet = start("none", 3).await;
-        fleet.rates(&[150, 20, 20]);
-        fleet.until_used().await;
-        fleet.stewards.iter().for_each(Process::kill);
+        fleet.set_rates(&[150, 20, 20]);
+        fleet.wait_until_limit_used().await;
+        fleet.coordinators.iter().for_each(Process::kill);
         // The floors are a tenth of the whole, a third of that each.
-        let floors = WHOLE / 10;
-        until(|| fleet.ran.within(Duration::from_secs(1)) <= 2 * floors).await;
+        let floors = LIMIT / 10;
+        until(|| fleet.executions.count_within(Duration::from_secs(1)) <= 2 * floors).await;
         sleep(Duration::from_secs(2)).await;
-        let ran = fleet.ran.within(Duration::from_secs(1));
-        assert!((floors / 2..=2 * floors).contains(&ran), "{ran}");
+        let executions = fleet.executions.count_within(Duration::from_secs(1));
+        assert!((floors / 2..=2 * floors).contains(&executions), "{executions}");
         for n in 0..3 {
-            fleet.start_steward(n).expect("it starts");
+            fleet.start_coordinator(n).expect("it starts");
         }
-        fleet.until_used().await;
+        fleet.wait_until_limit_used().await;
         end(&fleet);
     });
 }
@@ -261,34 +261,38 @@
 #[test]
 fn transmissions_beyond_the_first_are_within_one_whole_and_go_where_they_are_of_use() {
     run(async {
-        const FURTHER: f64 = 24.0;
-        let shape = Shape { upstreams: 4, further: Some(FURTHER), ..Shape::new(1, BALANCERS, WHOLE) };
-        let mut fleet = start_with("further", shape).await;
-        fleet.rates(&[100, 2, 2]);
-        fleet.until_runs(90).await;
+        const RETRY_LIMIT: f64 = 24.0;
+        let config = FleetConfig {
+            upstreams: 4,
+            retry_limit: Some(RETRY_LIMIT),
+            ..FleetConfig::new(1, BALANCERS, LIMIT)
+        };
+        let mut fleet = start_with("further", config).await;
+        fleet.set_rates(&[100, 2, 2]);
+        fleet.wait_until_rate(90).await;
         // All turn every second away: there would be nearly as many further transmissions as RPCs.
-        fleet.moods.iter().for_each(|mood| mood.set(Mood::TurnsAwayHalf));
-        let lately = || fleet.further().iter().filter(|at| at.elapsed() < Duration::from_secs(1)).count();
-        until(|| lately() as f64 >= FURTHER * 0.7).await;
-        fleet.rates(&[2, 2, 100]);
+        fleet.behaviors.iter().for_each(|behavior| behavior.set(UpstreamBehavior::RejectsHalf));
+        let lately = || fleet.retry_times().iter().filter(|at| at.elapsed() < Duration::from_secs(1)).count();
+        until(|| lately() as f64 >= RETRY_LIMIT * 0.7).await;
+        fleet.set_rates(&[2, 2, 100]);
         sleep(Duration::from_secs(2)).await;
-        until(|| lately() as f64 >= FURTHER * 0.7).await;
-        fleet.rates(&[100, 100, 100]);
+        until(|| lately() as f64 >= RETRY_LIMIT * 0.7).await;
+        fleet.set_rates(&[100, 100, 100]);
         sleep(LONG).await;
-        assert_eq!(beyond(&fleet.further(), FURTHER, BALANCERS), None);
+        assert_eq!(limit_violation(&fleet.retry_times(), RETRY_LIMIT, BALANCERS), None);
         // One that starts and reaches no steward has none, for RPCs of no tenant either.
-        fleet.rates(&[0; BALANCERS]);
-        fleet.stewards[0].kill();
+        fleet.set_rates(&[0; BALANCERS]);
+        fleet.coordinators[0].kill();
         fleet.balancers[0].kill();
         fleet.start_balancer(0).await.expect("it serves");
         sleep(Duration::from_secs(1)).await;
-        let (before, came) = (fleet.further().len(), fleet.came.borrow().len());
+        let (before, attempts) = (fleet.retry_times().len(), fleet.attempts.borrow().len());
         for _ in 0..20 {
             let asked = rpc("GET", "/look", "Connection: close\r\n");
             read(&mut send(fleet.addresses[0], asked).await).await.expect("an answer");
         }
-        assert!(fleet.came.borrow().len() > came + 5, "they are sent once");
-        assert_eq!(fleet.further().len(), before);
+        assert!(fleet.attempts.borrow().len() > attempts + 5, "they are sent once");
+        assert_eq!(fleet.retry_times().len(), before);
         end(&fleet);
     });
 }
@@ -298,24 +302,25 @@
 #[test]
 fn an_upstream_out_of_use_is_tried_as_often_as_the_whole_fleet_may() {
     run(async {
-        let shape = Shape { upstreams: 4, trials: Some(0.001), ..Shape::new(1, BALANCERS, WHOLE) };
-        let mut fleet = start_with("trials", shape).await;
-        fleet.rates(&[30, 30, 30]);
-        fleet.until_runs(80).await;
-        fleet.moods[3].set(Mood::Fails);
+        let config =
+            FleetConfig { upstreams: 4, trial_limit: Some(0.001), ..FleetConfig::new(1, BALANCERS, LIMIT) };
+        let mut fleet = start_with("trials", config).await;
+        fleet.set_rates(&[30, 30, 30]);
+        fleet.wait_until_rate(80).await;
+        fleet.behaviors[3].set(UpstreamBehavior::Fails);
         until(|| fleet.balancers.iter().all(|b| b.says("-> Open"))).await;
         sleep(Duration::from_millis(200)).await;
         // It is well again, and nobody may find out: each balancer alone would try it within seven seconds.
-        fleet.moods[3].set(Mood::Well);
+        fleet.behaviors[3].set(UpstreamBehavior::Healthy);
         let from = Instant::now();
         sleep(LONG).await;
         let tried =
-            |from: Instant| fleet.came.borrow().iter().filter(|c| c.upstream == 3 && c.at > from).count();
+            |from: Instant| fleet.attempts.borrow().iter().filter(|c| c.upstream == 3 && c.at > from).count();
         assert_eq!(tried(from), 0);
         // The whole is made larger: three good trials of each, and it has its part again.
-        fleet.stewards[0].kill();
-        fleet.shape.trials = Some(9.0);
-        fleet.start_steward(0).expect("it starts");
+        fleet.coordinators[0].kill();
+        fleet.config.trial_limit = Some(9.0);
+        fleet.start_coordinator(0).expect("it starts");
         until(|| fleet.balancers.iter().all(|b| b.says("HalfOpen -> Closed"))).await;
         end(&fleet);
     });
--- a/crates/fernroute-testbed/tests/live.rs
+++ b/crates/fernroute-testbed/tests/live.rs
@@ -29,8 +29,8 @@
 fn played(name: &str, faults: &str) -> Report {
     let folder = Folder::new(name);
     let program = [env!("CARGO_BIN_EXE_fernroute-testbed").to_owned(), "balancer".to_owned()];
-    let steward = [env!("CARGO_BIN_EXE_fernroute-testbed").to_owned(), "steward".to_owned()];
-    let report = run(&scenario_with(faults), 1, &program, &steward, &folder.0).expect("it plays");
+    let coordinator = [env!("CARGO_BIN_EXE_fernroute-testbed").to_owned(), "steward".to_owned()];
+    let report = run(&scenario_with(faults), 1, &program, &coordinator, &folder.0).expect("it plays");
     let ends = report.books.ends;
     assert!(ends.arrived == ends.sum() && ends.completed > 200, "{ends:?}");
     assert_eq!(report.breaches, [], "{name}");
@@ -84,10 +84,10 @@
         cold_starts: Vec::new(),
         requests: 1000,
         sent_late,
-        latest: Duration::from_millis(80),
+        max_delay: Duration::from_millis(80),
     };
-    assert_eq!(report(10).invalid(), None);
-    let why = report(11).invalid().expect("it is invalid");
+    assert_eq!(report(10).invalid_reason(), None);
+    let why = report(11).invalid_reason().expect("it is invalid");
     assert!(why.contains("11 of 1000") && why.contains("80 ms"), "{why}");
 }
 
@@ -96,7 +96,7 @@
 fn a_fleet_keeps_its_budgets_through_the_loss_of_a_leader_a_cut_and_a_balancer() {
     let folder = Folder::new("live-fleet");
     let own = env!("CARGO_BIN_EXE_fernroute-testbed");
-    let [program, steward] = ["balancer", "steward"].map(|role| [own.to_owned(), role.to_owned()]);
+    let [program, coordinator] = ["balancer", "steward"].map(|role| [own.to_owned(), role.to_owned()]);
     let scenario = decode(
         "name = \"fleet\"\nseconds = 12\nload = { rate = 130 }\n\
          discovery = { late_ms = 200, gone_late_ms = 600, spread_ms = 100 }\n\
@@ -110,7 +110,7 @@
          [[fault]]\nkind = \"fleet_cut\"\nat_s = 4\nfor_s = 4\npart = 0.5\n\
          [[fault]]\nkind = \"balancer_loss\"\nat_s = 7\nfor_s = 3\npart = 0.25\n",
     );
-    let report = run(&scenario, 1, &program, &steward, &folder.0).expect("it plays");
+    let report = run(&scenario, 1, &program, &coordinator, &folder.0).expect("it plays");
     assert_eq!(report.breaches, []);
     let ends = report.books.ends;
     // Of some 1,560 that come a part is beyond the budgets; with even parts lost for good it would be far less.
@@ -118,6 +118,6 @@
     // Without stewards there is nothing for such a fault to act on.
     let text = "[[fault]]\nkind = \"leader_loss\"\nat_s = 1\nfor_s = 1\n";
     let again = Folder::new("live-none");
-    let why = run(&scenario_with(text), 1, &program, &steward, &again.0).err().expect("it can't");
+    let why = run(&scenario_with(text), 1, &program, &coordinator, &again.0).err().expect("it can't");
     assert!(why.contains("fleet.stewards"), "{why}");
 }
--- a/crates/fernroute-testbed/tests/scale.rs
+++ b/crates/fernroute-testbed/tests/scale.rs
@@ -4,9 +4,9 @@
 
 use common::Folder;
 use fernroute_testbed::scale::file::Plan;
-use fernroute_testbed::scale::fit::{fits, table, Fit, Line};
-use fernroute_testbed::scale::layout::{Layout, MOST_PROCESSES};
-use fernroute_testbed::scale::whole::Whole;
+use fernroute_testbed::scale::fit::{fit_all, table, Fit, LinearFit};
+use fernroute_testbed::scale::layout::{Layout, MAX_PROCESSES};
+use fernroute_testbed::scale::limit::LimitChecker;
 use serde_json::Value;
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -45,13 +45,13 @@
 }
 
 fn why(text: &str) -> String {
-    Plan::decode(text).expect_err("it will not do")
+    Plan::parse(text).expect_err("it will not do")
 }
 
 /// Guards against a run of something else than was meant, and against a fault that nobody finds in the file.
 #[test]
 fn all_that_is_wrong_with_a_file_is_told_with_its_line() {
-    Plan::decode(SMALL).expect("it will do");
+    Plan::parse(SMALL).expect("it will do");
     for (old, new, told) in [
         ("whole = 30", "whole = \"much\"", "line 6"),
         ("whole = 30", "hole = 30", "line 6: unknown field"),
@@ -101,7 +101,7 @@
     refused(&SMALL.replace("rate = 10", "rate = -1"), &[], "run.toml: line 9: load.rate");
     refused(SMALL, &["--factor", "0"], "--factor");
     let many = SMALL.replace("count = 2", "count = 2000").replace("per_process = 4", "per_process = 1");
-    refused(&many, &[], &format!("{MOST_PROCESSES} at the most"));
+    refused(&many, &[], &format!("{MAX_PROCESSES} at the most"));
     let out = scale(&["/nonexistent/run.toml"]);
     assert_eq!(out.status.code(), Some(2));
 }
@@ -110,16 +110,16 @@
 #[test]
 fn the_shipped_file_has_the_whole_installation_and_a_factor_makes_all_of_it_smaller() {
     let layout =
-        |factor: f64| Layout::new(Plan::read(&shipped("whole.toml")).expect("it will do").times(factor));
+        |factor: f64| Layout::new(Plan::read(&shipped("whole.toml")).expect("it will do").scaled_by(factor));
     let whole = layout(1.0);
     assert_eq!((whole.services.len(), whole.members.len(), whole.zones.len()), (190, 1200, 7));
     for zone in &whole.zones {
         let there = whole.members.iter().filter(|m| m.zone == *zone).count();
         assert!((171..=172).contains(&there), "{zone}: {there}");
     }
-    assert_eq!(whole.refusal(24 << 20), None);
+    assert_eq!(whole.rejection_reason(24 << 20), None);
     // More than half of a machine's memory.
-    let why = whole.refusal(8 << 20).expect("it is too much");
+    let why = whole.rejection_reason(8 << 20).expect("it is too much");
     assert!(why.contains("half of this machine's memory is 4194 MB"), "{why}");
     for (factor, all) in [(0.125, 150.0), (0.25, 300.0), (0.5, 600.0)] {
         let part = layout(factor);
@@ -144,9 +144,9 @@
 #[test]
 fn what_runs_beyond_the_whole_is_seen_and_what_may_be_saved_up_is_not() {
     let ran = |each_ms: u64, count: u64| {
-        let mut whole = Whole::new(10.0, 2);
-        (0..count).for_each(|n| whole.run("t0", Duration::from_millis(n * each_ms)));
-        whole.beyond()
+        let mut whole = LimitChecker::new(10.0, 2);
+        (0..count).for_each(|n| whole.record("t0", Duration::from_millis(n * each_ms)));
+        whole.violations()
     };
     assert_eq!(ran(100, 1000), 0);
     // Thirty at once are two seconds saved up and one that runs.
@@ -159,25 +159,28 @@
 /// Guards against an interval that says more than the points do.
 #[test]
 fn a_line_and_a_power_are_found_with_their_intervals() {
-    let near = |is: f64, should: f64| (is - should).abs() < 1e-3;
+    let near = |value: f64, should: f64| (value - should).abs() < 1e-3;
     // By hand: y = 1.4 + 0.6 x, residuals 0.4, -1.2, 1.2, -0.4; with two degrees of freedom t is 4.303.
-    let line = Line::through(&[(1.0, 2.4), (2.0, 1.4), (3.0, 4.4), (4.0, 3.4)]).expect("a line");
-    assert!(near(line.slope.is, 0.6) && near(line.slope.half, 4.302_65 * (1.6f64 / 5.0).sqrt()), "{line:?}");
-    let there = line.at(2.5);
-    assert!(near(there.is, 2.9) && near(there.half, 4.302_65 * (1.6f64 * 1.25).sqrt()), "{there:?}");
-    let of = |power: f64| {
-        let points = [150.0, 300.0, 600.0, 1200.0].map(|n: f64| (n, 0.01 * n.powf(power)));
+    let line = LinearFit::through(&[(1.0, 2.4), (2.0, 1.4), (3.0, 4.4), (4.0, 3.4)]).expect("a line");
+    assert!(
+        near(line.slope.value, 0.6) && near(line.slope.half_width, 4.302_65 * (1.6f64 / 5.0).sqrt()),
+        "{line:?}"
+    );
+    let there = line.predict(2.5);
+    assert!(near(there.value, 2.9) && near(there.half_width, 4.302_65 * (1.6f64 * 1.25).sqrt()), "{there:?}");
+    let of = |exponent: f64| {
+        let points = [150.0, 300.0, 600.0, 1200.0].map(|n: f64| (n, 0.01 * n.powf(exponent)));
         Fit::new("made", points.to_vec())
     };
-    for (power, too_fast) in [(0.0, false), (1.0, false), (1.09, false), (1.2, true), (2.0, true)] {
-        let fit = of(power);
-        let found = fit.power.expect("a power");
-        assert!(near(found.is, power) && found.half < 1e-3, "{found:?}");
-        assert_eq!(fit.grows_too_fast(), too_fast, "{power}");
+    for (exponent, too_fast) in [(0.0, false), (1.0, false), (1.09, false), (1.2, true), (2.0, true)] {
+        let fit = of(exponent);
+        let found = fit.exponent.expect("a power");
+        assert!(near(found.value, exponent) && found.half_width < 1e-3, "{found:?}");
+        assert_eq!(fit.exceeds_max_exponent(), too_fast, "{exponent}");
     }
     // Of nought there is no power, and of one place no line.
-    assert_eq!(Fit::new("made", vec![(1.0, 0.0), (2.0, 1.0), (3.0, 2.0), (4.0, 3.0)]).power, None);
-    assert_eq!(Line::through(&[(1.0, 2.0), (1.0, 3.0), (1.0, 4.0)]), None);
+    assert_eq!(Fit::new("made", vec![(1.0, 0.0), (2.0, 1.0), (3.0, 2.0), (4.0, 3.0)]).exponent, None);
+    assert_eq!(LinearFit::through(&[(1.0, 2.0), (1.0, 3.0), (1.0, 4.0)]), None);
 }
 
 /// Guards against a slope of two runs, and against figures for an installation far beyond what was measured.
@@ -189,10 +192,10 @@
             "faults": [{"kind": "zone_lost", "settled_s": 2.0 + n / 1000.0}]})
     };
     let runs: Vec<Value> = [150.0, 300.0, 600.0, 1200.0].map(run).to_vec();
-    assert!(fits(&runs[1..]).is_err_and(|why| why.contains("3 sizes, 4 are needed")));
+    assert!(fit_all(&runs[1..]).is_err_and(|why| why.contains("3 sizes, 4 are needed")));
     let twice = [&runs[1..], &runs[1..]].concat();
-    assert!(fits(&twice).is_err());
-    let all = fits(&runs).expect("four sizes");
+    assert!(fit_all(&twice).is_err());
+    let all = fit_all(&runs).expect("four sizes");
     let names: Vec<&str> = all.iter().map(|fit| fit.figure.as_str()).collect();
     let measured =
         ["steward_leader.processor_percent", "steward_leader.bytes_per_s", "faults.zone_lost.settled_s"];
@@ -223,7 +226,7 @@
         for figure in
             ["processor_percent", "memory_kb", "bytes_per_s", "messages_per_s", "worst_second_bytes"]
         {
-            assert!(of[role][figure].as_f64().is_some_and(|is| is > 0.0), "{role} {figure}: {said}");
+            assert!(of[role][figure].as_f64().is_some_and(|value| value > 0.0), "{role} {figure}: {said}");
         }
     }
     let changes = &of["changes"];
