--- a/crates/fernroute-testbed/src/live/balancers.rs
+++ b/crates/fernroute-testbed/src/live/balancers.rs
@@ -1,4 +1,4 @@
-//! The real balancers of a run, a process each.
+//! The balancers of a live run, one process each.
 
 use super::discovery::DiscoveryAgent;
 use super::Lab;
@@ -15,7 +15,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A real balancer, by its number in the run.
+/// A balancer process.
 pub(super) struct BalancerProcess {
     pub(super) name: String,
     pub(super) tier: usize,
@@ -24,48 +24,48 @@
     pub(super) agent: Rc<DiscoveryAgent>,
     pub(super) process: Process,
     pub(super) alive: Cell<bool>,
-    /// Connections to it that stand idle.
+    /// Idle connections to it.
     pub(super) idle: RefCell<Vec<Peer>>,
 }
 
 impl Lab {
-    pub(super) fn node(&self, number: usize) -> Rc<BalancerProcess> {
-        Rc::clone(&self.nodes.borrow()[number])
+    pub(super) fn balancer(&self, number: usize) -> Rc<BalancerProcess> {
+        Rc::clone(&self.balancers.borrow()[number])
     }
 
     pub(super) async fn new_upstream_balancer(self: &Rc<Self>, upstream: usize) -> Result<(), String> {
         let stand_in = self.stand_in(upstream);
         let (tier, zone) = (stand_in.model.borrow().tier + 1, stand_in.model.borrow().zone);
         if tier < self.scenario.tier.len() {
-            let node = self.start_balancer(tier, upstream, zone).await?;
-            stand_in.balancer.set(Some(node));
+            let index = self.start_balancer(tier, upstream, zone).await?;
+            stand_in.balancer.set(Some(index));
         }
         Ok(())
     }
 
-    /// Starts a real balancer, and waits until it says where it serves.
+    /// Starts a balancer and waits until it reports its address.
     pub(super) async fn start_balancer(
         self: &Rc<Self>,
         tier: usize,
         number: usize,
         zone: usize,
     ) -> Result<usize, String> {
-        /// Far longer than a start takes, on a busy machine too.
+        /// Well above a normal start, also on a busy machine.
         const START_TIMEOUT: Duration = Duration::from_secs(10);
-        let node = self.nodes.borrow().len();
-        let agent = self.new_agent(node).await?;
-        let up = |n: &usize| {
+        let index = self.balancers.borrow().len();
+        let agent = self.new_agent(index).await?;
+        let is_up = |n: &usize| {
             let stand_in = self.stand_in(*n);
             let model = stand_in.model.borrow();
             model.tier == tier && model.state == State::Up
         };
-        let known: Vec<usize> = (0..self.upstreams.borrow().len()).filter(up).collect();
+        let known: Vec<usize> = (0..self.upstreams.borrow().len()).filter(is_up).collect();
         known
             .iter()
-            .for_each(|n| self.record(&Event::Heard { balancer: node, upstream: *n, told: Told::Ready }));
+            .for_each(|n| self.record(&Event::Heard { balancer: index, upstream: *n, told: Told::Ready }));
         let post = Post { tier, number, instances: self.scenario.instances(tier), zone };
-        let seed = balancer_seed(self.seed, node);
-        let name = format!("b{node}");
+        let seed = balancer_seed(self.seed, index);
+        let name = format!("b{index}");
         let coordinators = self.coordinators.borrow().clone().filter(|_| tier == 0);
         let (file, file_text) = match coordinators {
             Some(coordinators) => {
@@ -90,18 +90,19 @@
             }
         };
         std::fs::write(&file, file_text).map_err(|e| format!("{}: {e}", file.display()))?;
-        let (program, arguments) = self.balancer_command.split_first().ok_or("no program is named")?;
+        let (program, arguments) =
+            self.balancer_command.split_first().ok_or("no balancer program is given")?;
         let mut command = Command::new(program);
         command.args(arguments).arg("--config").arg(&file).stdout(Stdio::null());
-        // Else it would take over from the balancer of that name of another run.
+        // With the default directory it would take over from a balancer of the same name of another run.
         command.env("TMPDIR", &self.folder);
         let process = Process::launch(command).map_err(|e| format!("{program}: {e}"))?;
         let address = process
             .address_after("serving on ", START_TIMEOUT)
             .await
-            .map_err(|why| format!("{program}: {why}"))?;
+            .map_err(|error| format!("{program}: {error}"))?;
         let (alive, idle) = (Cell::new(true), RefCell::default());
-        self.nodes.borrow_mut().push(Rc::new(BalancerProcess {
+        self.balancers.borrow_mut().push(Rc::new(BalancerProcess {
             name,
             tier,
             zone,
@@ -111,15 +112,15 @@
             alive,
             idle,
         }));
-        Ok(node)
+        Ok(index)
     }
 
     pub(super) fn kill_balancer(&self, number: usize) {
-        let node = self.node(number);
-        node.alive.set(false);
+        let balancer = self.balancer(number);
+        balancer.alive.set(false);
         self.record(&Event::BalancerDied { balancer: number });
-        node.agent.serving.abort();
-        node.process.kill();
-        node.idle.borrow_mut().clear();
+        balancer.agent.serving.abort();
+        balancer.process.kill();
+        balancer.idle.borrow_mut().clear();
     }
 }
--- a/crates/fernroute-testbed/src/live/callers.rs
+++ b/crates/fernroute-testbed/src/live/callers.rs
@@ -1,4 +1,4 @@
-//! Callers: requests, their tries, and how each ended.
+//! Callers: requests, their RPCs and retries, and the outcomes.
 
 use super::Lab;
 use crate::demand::Want;
@@ -14,7 +14,7 @@
 use tokio::time::{sleep, timeout, Instant};
 
 impl Lab {
-    /// One request of a caller, over its tries. `asked` is in the scenario's time.
+    /// Runs one request of a caller with its retries. `asked` is in scenario time.
     pub(super) async fn request(self: Rc<Self>, number: u64, want: Want, intended: Instant, asked: Time) {
         let m = &self.scenario.method[want.method];
         self.books.borrow_mut().offered(asked, want.method, m.gain);
@@ -23,28 +23,28 @@
         let calls = want.calls.iter().map(u32::to_string).collect::<Vec<_>>().join(",");
         for n in 0..=self.scenario.load.retries {
             let count = self.first_tier.borrow().len();
-            let place = if n == 0 { want.balancer } else { self.rng.borrow_mut().random_range(0..count) };
-            let mut node = self.first_tier.borrow()[place];
-            if !self.node(node).alive.get() {
-                // Its front deals it to another.
-                let alive = |n: &usize| self.node(*n).alive.get();
+            let position = if n == 0 { want.balancer } else { self.rng.borrow_mut().random_range(0..count) };
+            let mut balancer = self.first_tier.borrow()[position];
+            if !self.balancer(balancer).alive.get() {
+                // The load balancer in front of the first tier picks another live balancer.
+                let alive = |n: &usize| self.balancer(*n).alive.get();
                 let alive: Vec<usize> = self.first_tier.borrow().iter().copied().filter(alive).collect();
                 if alive.is_empty() {
                     break;
                 }
-                node = alive[self.rng.borrow_mut().random_range(0..alive.len())];
+                balancer = alive[self.rng.borrow_mut().random_range(0..alive.len())];
             }
             let rpc: Rc<str> = Rc::from(format!("r{number}.{n}"));
             if hard <= self.now() + 10 {
                 break;
             }
-            let rpc_call = self.send(node, &rpc, want.method, want.tenant, hard, want.work, &calls);
+            let rpc_call = self.send(balancer, &rpc, want.method, want.tenant, hard, want.work, &calls);
             let last = match want.leaves {
                 None => rpc_call.await,
                 Some(share) => {
-                    let stays = duration((millis(m.hard_ms) as f64 * share) as Time);
+                    let patience = duration((millis(m.hard_ms) as f64 * share) as Time);
                     // Dropping the call closes its connection.
-                    timeout(stays, rpc_call).await.unwrap_or(None)
+                    timeout(patience, rpc_call).await.unwrap_or(None)
                 }
             };
             let now = asked + self.now().saturating_sub(from);
@@ -74,7 +74,7 @@
         self.books.borrow_mut().errored(asked);
     }
 
-    /// Puts an RPC before a balancer; none where its connection ended without an answer.
+    /// Sends an RPC to a balancer. `None` if the connection ended without an answer.
     #[allow(clippy::too_many_arguments)]
     pub(super) async fn send(
         &self,
@@ -86,28 +86,28 @@
         work: Time,
         calls: &str,
     ) -> Option<(Final, Option<Duration>)> {
-        let (node, m) = (self.node(number), &self.scenario.method[method]);
-        let ms = hard.saturating_sub(self.now()) / 10;
-        let (verb, key) = match m.effect {
+        let (balancer, m) = (self.balancer(number), &self.scenario.method[method]);
+        let deadline_ms = hard.saturating_sub(self.now()) / 10;
+        let (http_method, key) = match m.effect {
             Effect::Retriable => ("GET", String::new()),
             Effect::Deduped => ("POST", format!("Idempotency-Key: k-{rpc}\r\nContent-Length: 0\r\n")),
             Effect::NonRetriable => ("POST", "Content-Length: 0\r\n".to_owned()),
         };
         let name = &m.name;
-        let whom = tenant.map(|tenant| format!("Req-Owner: {}\r\n", self.scenario.tenant[tenant].name));
-        let whom = whom.unwrap_or_default();
+        let owner = tenant.map(|tenant| format!("Req-Owner: {}\r\n", self.scenario.tenant[tenant].name));
+        let owner = owner.unwrap_or_default();
         let bytes = format!(
-            "{verb} /{name} HTTP/1.1\r\nHost: app.svc\r\nReq-Id: {rpc}\r\nReq-Kind: {name}\r\nReq-Deadline-Ms: {ms}\r\n\
-             Lab-Work: {work}\r\nLab-Calls: {calls}\r\n{whom}{key}\r\n"
+            "{http_method} /{name} HTTP/1.1\r\nHost: app.svc\r\nReq-Id: {rpc}\r\nReq-Kind: {name}\r\nReq-Deadline-Ms: {deadline_ms}\r\n\
+             Lab-Work: {work}\r\nLab-Calls: {calls}\r\n{owner}{key}\r\n"
         );
         self.books.borrow_mut().ends.arrived += 1;
-        let mut end = OutcomeRecorder { lab: self, rpc, last: None, connection_failed: false };
-        let kept = node.idle.borrow_mut().pop();
-        let mut peer = match kept {
+        let mut recorder = OutcomeRecorder { lab: self, rpc, last: None, connection_failed: false };
+        let idle = balancer.idle.borrow_mut().pop();
+        let mut peer = match idle {
             Some(peer) => peer,
             None => {
-                let Ok(stream) = TcpStream::connect(node.address).await else {
-                    end.connection_failed = true;
+                let Ok(stream) = TcpStream::connect(balancer.address).await else {
+                    recorder.connection_failed = true;
                     return None;
                 };
                 Peer::new(stream)
@@ -118,40 +118,40 @@
             rpc: Rc::clone(rpc),
             balancer: number,
             method,
-            hard: self.now() + ms * 10,
+            hard: self.now() + deadline_ms * 10,
             tenant,
         });
         let exchange = async {
             peer.write(bytes.as_bytes()).await.ok()?;
             peer.read().await.ok()?
         };
-        // Beyond any answer that could still count: what does not come by then never does.
+        // One second past the deadline: a later answer no longer counts.
         let answer_timeout = duration(hard.saturating_sub(self.now())) + Duration::from_secs(1);
         let Ok(Some(message)) = timeout(answer_timeout, exchange).await else {
-            end.connection_failed = true;
+            recorder.connection_failed = true;
             return None;
         };
         let last = match message.status() {
-            // Served with what no upstream made is not served.
+            // A 200 whose body is not the one made by an upstream for this RPC counts as an error.
             200 if message.body == rpc.as_bytes() => Final::Completed,
             429 | 503 => Final::Exhausted,
             _ => Final::Errored,
         };
-        end.last = Some(last);
+        recorder.last = Some(last);
         let retry_after = message.number::<f64>("retry-after").filter(|s| s.is_finite() && *s >= 0.0);
-        if !message.closes() && node.alive.get() {
-            node.idle.borrow_mut().push(peer);
+        if !message.closes() && balancer.alive.get() {
+            balancer.idle.borrow_mut().push(peer);
         }
         Some((last, retry_after.map(Duration::from_secs_f64)))
     }
 }
 
-/// Notes an RPC's end, also when its caller leaves and the call is dropped.
+/// Records the outcome of an RPC, also when its caller leaves and the call is dropped.
 struct OutcomeRecorder<'a> {
     lab: &'a Lab,
     rpc: &'a Rc<str>,
     last: Option<Final>,
-    /// The connection ended without an answer.
+    /// Set when the connection ended without an answer.
     connection_failed: bool,
 }
 
@@ -169,7 +169,7 @@
                 }
                 self.lab.record(&Event::Answered { rpc, last });
             }
-            // The referee finds it unanswered, unless its balancer has died.
+            // The referee reports it as unanswered, unless its balancer has died.
             None if self.connection_failed => ends.lost += 1,
             None => {
                 ends.abandoned += 1;
--- a/crates/fernroute-testbed/src/live/discovery.rs
+++ b/crates/fernroute-testbed/src/live/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery as each balancer meets it: an agent of its own, told late and not all at once.
+//! Discovery: one agent for each balancer, each told of changes with its own delay.
 
 use super::balancers::BalancerProcess;
 use super::Lab;
@@ -19,30 +19,30 @@
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::{sleep, timeout};
 
-/// A discovery agent of one balancer: what it has been told, and who waits.
+/// The discovery agent of one balancer, with the changes it was told of.
 pub(super) struct DiscoveryAgent {
     pub(super) address: SocketAddr,
-    /// Each change with its version; the whole list is the last word on each.
+    /// Changes with their versions. A full list has the latest entry of each upstream.
     pub(super) told: RefCell<Vec<(u64, usize, Told, Value)>>,
     pub(super) changed: Notify,
     pub(super) serving: AbortHandle,
 }
 
 impl Lab {
-    pub(super) async fn new_agent(self: &Rc<Self>, node: usize) -> Result<Rc<DiscoveryAgent>, String> {
+    pub(super) async fn new_agent(self: &Rc<Self>, balancer: usize) -> Result<Rc<DiscoveryAgent>, String> {
         let listener = TcpListener::bind("127.0.0.1:0").await.map_err(|e| format!("discovery: {e}"))?;
         let address = listener.local_addr().map_err(|e| format!("discovery: {e}"))?;
         let lab = Rc::clone(self);
         let serving = spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                spawn_local(Rc::clone(&lab).serve_list(node, Peer::new(stream)));
+                spawn_local(Rc::clone(&lab).serve_list(balancer, Peer::new(stream)));
             }
         });
         let (told, changed) = (RefCell::default(), Notify::new());
         Ok(Rc::new(DiscoveryAgent { address, told, changed, serving: serving.abort_handle() }))
     }
 
-    /// Answers one balancer's calls for the list.
+    /// Answers list requests of one balancer.
     pub(super) async fn serve_list(self: Rc<Self>, number: usize, mut peer: Peer) {
         while let Ok(Some(message)) = peer.read().await {
             let query = |name: &str| {
@@ -50,13 +50,13 @@
                 text.split('&')
                     .find_map(|part| part.strip_prefix(name)?.strip_prefix('=')?.parse::<u64>().ok())
             };
-            // It may ask before this laboratory has noted that it serves.
-            let known = || self.nodes.borrow().get(number).cloned();
-            while known().is_none() {
+            // The balancer may ask before it is registered here.
+            let registered = || self.balancers.borrow().get(number).cloned();
+            while registered().is_none() {
                 sleep(Duration::from_millis(5)).await;
             }
-            let Some(node) = known() else { return };
-            let agent = &node.agent;
+            let Some(balancer) = registered() else { return };
+            let agent = &balancer.agent;
             let after = query("index");
             let version = || agent.told.borrow().last().map_or(0, |(version, ..)| *version);
             if let (Some(after), Some(wait)) = (after, query("wait")) {
@@ -65,7 +65,7 @@
                         agent.changed.notified().await;
                     }
                 };
-                // Nothing new is an answer too.
+                // A wait without changes is answered, too.
                 let _ = timeout(Duration::from_millis(wait), updates).await;
             }
             while self.now() < self.list_unavailable_until.get() {
@@ -82,7 +82,8 @@
             if after.is_none() {
                 let upstreams = self.upstreams.borrow();
                 for (n, stand_in) in upstreams.iter().enumerate() {
-                    if stand_in.model.borrow().tier == node.tier && stand_in.model.borrow().state == State::Up
+                    if stand_in.model.borrow().tier == balancer.tier
+                        && stand_in.model.borrow().state == State::Up
                     {
                         self.record(&Event::Heard { balancer: number, upstream: n, told: Told::Ready });
                         entries.insert(n, self.entry(n, Told::Ready));
@@ -122,20 +123,20 @@
             let model = stand_in.model.borrow();
             (model.tier, model.life)
         };
-        let nodes: Vec<Rc<BalancerProcess>> =
-            self.nodes.borrow().iter().filter(|n| n.tier == tier).cloned().collect();
-        for node in nodes.into_iter().filter(|n| n.alive.get()) {
+        let balancers: Vec<Rc<BalancerProcess>> =
+            self.balancers.borrow().iter().filter(|n| n.tier == tier).cloned().collect();
+        for balancer in balancers.into_iter().filter(|n| n.alive.get()) {
             let spread = self.scenario.discovery.spread_ms * self.rng.borrow_mut().random::<f64>();
             let lab = Rc::clone(self);
             spawn_local(async move {
                 sleep(Duration::from_secs_f64((late_ms + spread) / 1000.0)).await;
-                // What is overtaken by a later start or end is not told any more.
+                // Skipped if the upstream has stopped or restarted since.
                 if lab.stand_in(upstream).model.borrow().life == life {
                     let entry = lab.entry(upstream, told);
-                    let mut all = node.agent.told.borrow_mut();
+                    let mut all = balancer.agent.told.borrow_mut();
                     let version = all.last().map_or(0, |(version, ..)| *version) + 1;
                     all.push((version, upstream, told, entry));
-                    node.agent.changed.notify_waiters();
+                    balancer.agent.changed.notify_waiters();
                 }
             });
         }
--- a/crates/fernroute-testbed/src/live/faults.rs
+++ b/crates/fernroute-testbed/src/live/faults.rs
@@ -1,4 +1,4 @@
-//! The faults of a scenario, as they come due.
+//! Injects the faults of a scenario at their times.
 
 use super::Lab;
 use crate::demand::{victims, LINGER};
@@ -13,39 +13,39 @@
 use tokio::time::{sleep, sleep_until};
 
 impl Lab {
-    pub(super) async fn fault(self: Rc<Self>, i: usize, fault: &Fault, from: Time) {
+    pub(super) async fn inject_fault(self: Rc<Self>, i: usize, fault: &Fault, from: Time) {
         let at = |s: f64| self.start + duration(from + seconds(s));
         sleep_until(at(fault.at_s)).await;
         let tier = self.scenario.tier_of(fault);
-        let d = &self.scenario.discovery;
-        let up = |n: &usize| {
+        let discovery = &self.scenario.discovery;
+        let is_up = |n: &usize| {
             let stand_in = self.stand_in(*n);
             let model = stand_in.model.borrow();
             model.tier == tier && model.state == State::Up
         };
-        let all = (0..self.upstreams.borrow().len()).filter(up);
+        let all = (0..self.upstreams.borrow().len()).filter(is_up);
         let all = all.map(|n| (n, self.stand_in(n).model.borrow().zone)).collect();
         let all = victims(fault, i, self.seed, all);
         for n in &all {
-            let afflict = |a| {
+            let apply = |a| {
                 self.stand_in(*n).model.borrow_mut().afflicted.insert(i, a);
             };
             match fault.kind {
                 Kind::Crash => {
                     self.stop_upstream(*n, State::Dead);
-                    self.announce(*n, Told::Gone, d.late_ms);
+                    self.announce(*n, Told::Gone, discovery.late_ms);
                 }
                 Kind::Vanish | Kind::ZoneLoss => {
                     self.stop_upstream(*n, State::Silent);
-                    self.announce(*n, Told::Gone, d.gone_late_ms);
+                    self.announce(*n, Told::Gone, discovery.gone_late_ms);
                 }
                 Kind::Drain => {
                     self.stand_in(*n).model.borrow_mut().state = State::Draining;
-                    self.announce(*n, Told::Drains, d.late_ms);
+                    self.announce(*n, Told::Drains, discovery.late_ms);
                 }
-                Kind::Slow => afflict(Affliction::Slow(fault.size)),
-                Kind::FastErrors => afflict(Affliction::Errors(fault.size)),
-                Kind::Hang => afflict(Affliction::Hang),
+                Kind::Slow => apply(Affliction::Slow(fault.size)),
+                Kind::FastErrors => apply(Affliction::Errors(fault.size)),
+                Kind::Hang => apply(Affliction::Hang),
                 _ => {}
             }
         }
@@ -63,7 +63,7 @@
                 cut = victims(fault, i, self.seed, all);
             }
             Kind::BalancerLoss => {
-                let alive = |n: &usize| self.node(self.first_tier.borrow()[*n]).alive.get();
+                let alive = |n: &usize| self.balancer(self.first_tier.borrow()[*n]).alive.get();
                 let all = (0..self.first_tier.borrow().len()).filter(alive).map(|n| (n, 0)).collect();
                 lost = victims(fault, i, self.seed, all);
                 lost.iter().for_each(|n| self.kill_balancer(self.first_tier.borrow()[*n]));
@@ -94,8 +94,8 @@
                         continue;
                     }
                     self.stand_in(*old).model.borrow_mut().state = State::Draining;
-                    self.announce(*old, Told::Drains, d.late_ms);
-                    let (lab, old, late) = (Rc::clone(&self), *old, d.late_ms);
+                    self.announce(*old, Told::Drains, discovery.late_ms);
+                    let (lab, old, late) = (Rc::clone(&self), *old, discovery.late_ms);
                     spawn_local(async move {
                         sleep(Duration::from_secs_f64(late / 1000.0 + LINGER)).await;
                         lab.stop_upstream(old, State::Dead);
@@ -103,11 +103,11 @@
                     });
                     let new = match self.new_stand_in(tier, zone, cell).await {
                         Ok(new) => self.new_upstream_balancer(new).await.map(|()| new),
-                        Err(why) => Err(why),
+                        Err(error) => Err(error),
                     };
                     match new {
-                        Ok(new) => self.announce(new, Told::Ready, d.late_ms),
-                        Err(why) => drop(self.error.replace(Some(why))),
+                        Ok(new) => self.announce(new, Told::Ready, discovery.late_ms),
+                        Err(error) => drop(self.error.replace(Some(error))),
                     }
                 }
             }
@@ -118,7 +118,7 @@
                         let state = self.stand_in(*u).model.borrow().state;
                         if n.is_multiple_of(2) && state.serves() {
                             self.stop_upstream(*u, State::Dead);
-                            self.announce(*u, Told::Gone, d.late_ms);
+                            self.announce(*u, Told::Gone, discovery.late_ms);
                         } else if !n.is_multiple_of(2) && state == State::Dead {
                             self.restart_upstream(*u).await;
                         }
@@ -137,11 +137,11 @@
                 for n in 0..count {
                     sleep_until(at(fault.at_s + fault.for_s * n as f64 / count as f64)).await;
                     let old = self.first_tier.borrow()[n];
-                    let zone = self.node(old).zone;
+                    let zone = self.balancer(old).zone;
                     self.kill_balancer(old);
                     match self.start_balancer(0, n, zone).await {
-                        Ok(node) => self.first_tier.borrow_mut()[n] = node,
-                        Err(why) => drop(self.error.replace(Some(why))),
+                        Ok(balancer) => self.first_tier.borrow_mut()[n] = balancer,
+                        Err(error) => drop(self.error.replace(Some(error))),
                     }
                 }
             }
@@ -152,13 +152,13 @@
         if let Some(coordinators) = &coordinators {
             cut.iter().for_each(|n| coordinators.cut(*n, false));
             for n in &down {
-                coordinators.restart(*n).unwrap_or_else(|why| drop(self.error.replace(Some(why))));
+                coordinators.restart(*n).unwrap_or_else(|error| drop(self.error.replace(Some(error))));
             }
         }
         for n in lost {
             match self.start_balancer(0, n, n % self.scenario.tier[0].zones).await {
-                Ok(node) => self.first_tier.borrow_mut()[n] = node,
-                Err(why) => drop(self.error.replace(Some(why))),
+                Ok(balancer) => self.first_tier.borrow_mut()[n] = balancer,
+                Err(error) => drop(self.error.replace(Some(error))),
             }
         }
         for n in all {
@@ -170,7 +170,7 @@
                 }
                 Kind::Drain if state == State::Draining => {
                     self.stand_in(n).model.borrow_mut().state = State::Up;
-                    self.announce(n, Told::Ready, d.late_ms);
+                    self.announce(n, Told::Ready, discovery.late_ms);
                 }
                 _ => {}
             }
--- a/crates/fernroute-testbed/src/live/fleet.rs
+++ b/crates/fernroute-testbed/src/live/fleet.rs
@@ -1,5 +1,6 @@
-//! The stewards of a real run, the links that its balancers reach them by, and what a balancer of a fleet is told: a file of
-//! this project's own form, since the platform's names no fleet.
+//! The coordinators of a live run, the links between them and the balancers, and the configuration files
+//! of a fleet's balancers. These files use the project's own format, since the platform's format has no
+//! fleet section.
 
 use crate::player::Post;
 use crate::processes::status;
@@ -16,41 +17,44 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Far longer than an election takes, on a busy machine too.
+/// Well above a normal election, also on a busy machine.
 const ELECTION_TIMEOUT: Duration = Duration::from_secs(10);
 
 pub(super) struct Coordinators {
-    arguments: Vec<String>,
+    command: Vec<String>,
     files: Vec<PathBuf>,
     addresses: Vec<SocketAddr>,
     pub(super) processes: RefCell<Vec<Process>>,
-    /// By the place of a balancer of the first tier: its ways to the stewards.
+    /// Links to the coordinators, by the balancer's position in the first tier.
     links: RefCell<BTreeMap<usize, Vec<Rc<Link>>>>,
 }
 
 impl Coordinators {
-    /// Starts as many as the scenario has, and waits until one leads.
+    /// Starts the scenario's coordinators and waits until one leads.
     pub(super) async fn start(
         scenario: &Scenario,
-        arguments: &[String],
+        command: &[String],
         folder: &Path,
     ) -> Result<Self, String> {
         let f = &scenario.fleet;
         let all = addresses(f.stewards).map_err(|e| e.to_string())?;
-        let mut list = String::new();
+        let mut shared_sections = String::new();
         for (n, at) in all.iter().enumerate() {
-            let _ = writeln!(list, "[[steward]]\nname = \"s{n}\"\naddress = \"{at}\"");
+            let _ = writeln!(shared_sections, "[[steward]]\nname = \"s{n}\"\naddress = \"{at}\"");
         }
         for t in &scenario.tenant {
-            let _ =
-                writeln!(list, "[[budget]]\nname = {:?}\nwhole = {}\nfloors = {}", t.name, t.rate, f.floors);
+            let _ = writeln!(
+                shared_sections,
+                "[[budget]]\nname = {:?}\nwhole = {}\nfloors = {}",
+                t.name, t.rate, f.floors
+            );
         }
         let mut files = Vec::new();
         for n in 0..all.len() {
             let file_text = folder.join(format!("s{n}.toml"));
             let text = format!(
                 "cluster = {:?}\nname = \"s{n}\"\nfolder = {:?}\nmembers = {}\nshares_ms = {}\nbeat_ms = {}\nfloors_s = {}\n\
-                 drift_ppm = {}\n{list}",
+                 drift_ppm = {}\n{shared_sections}",
                 scenario.name,
                 folder.join(format!("s{n}")),
                 scenario.tier[0].balancers,
@@ -63,7 +67,7 @@
             files.push(file_text);
         }
         let coordinators = Coordinators {
-            arguments: arguments.to_vec(),
+            command: command.to_vec(),
             files,
             addresses: all,
             processes: RefCell::default(),
@@ -73,24 +77,26 @@
             let process = coordinators.launch(n)?;
             coordinators.processes.borrow_mut().push(process);
         }
-        let leads = async {
+        let election = async {
             while coordinators.leader().await.is_none() {
                 sleep(Duration::from_millis(20)).await;
             }
         };
-        let led = tokio::time::timeout(ELECTION_TIMEOUT, leads).await;
-        led.map_err(|_| format!("no steward leads: {:?}", coordinators.processes.borrow()[0].log()))?;
+        let elected = tokio::time::timeout(ELECTION_TIMEOUT, election).await;
+        elected.map_err(|_| {
+            format!("no coordinator became leader: {:?}", coordinators.processes.borrow()[0].log())
+        })?;
         Ok(coordinators)
     }
 
     fn launch(&self, n: usize) -> Result<Process, String> {
-        let (program, arguments) = self.arguments.split_first().ok_or("no program is named for stewards")?;
+        let (program, arguments) = self.command.split_first().ok_or("no coordinator program is given")?;
         let mut command = Command::new(program);
         command.args(arguments).arg("--config").arg(&self.files[n]).stdout(Stdio::null());
         Process::launch(command).map_err(|e| format!("{program}: {e}"))
     }
 
-    /// Which one leads, by its own word.
+    /// The coordinator that reports itself leader, if any.
     pub(super) async fn leader(&self) -> Option<usize> {
         for (n, at) in self.addresses.iter().enumerate() {
             let running = self.processes.borrow()[n].is_running();
@@ -105,21 +111,21 @@
         self.processes.borrow()[n].kill();
     }
 
-    /// With its disk.
+    /// Restarts a coordinator with its existing data.
     pub(super) fn restart(&self, n: usize) -> Result<(), String> {
         let process = self.launch(n)?;
         self.processes.borrow_mut()[n] = process;
         Ok(())
     }
 
-    /// Cuts a balancer's ways to all stewards, or opens them again.
-    pub(super) fn cut(&self, place: usize, cut: bool) {
+    /// Cuts the links of a balancer to all coordinators, or restores them.
+    pub(super) fn cut(&self, position: usize, cut: bool) {
         let links = self.links.borrow();
-        let links = links.get(&place).into_iter().flatten();
+        let links = links.get(&position).into_iter().flatten();
         links.for_each(|link| if cut { link.refuse() } else { link.mend() });
     }
 
-    /// What the balancer at this place is told. One that starts again is the same one.
+    /// The configuration file of the balancer at this position. It keeps its identity over a restart.
     pub(super) async fn balancer_file(
         &self,
         scenario: &Scenario,
--- a/crates/fernroute-testbed/src/live/mod.rs
+++ b/crates/fernroute-testbed/src/live/mod.rs
@@ -1,6 +1,6 @@
-//! The same scenario against real processes on loopback: stand-ins for callers, upstreams and discovery in this
-//! process, the real program in as many others as the scenario has balancers. Arrivals are open-loop, and times count
-//! from the intended moment, so that a stall of the laboratory or of the program is not hidden.
+//! Runs a scenario against real processes on loopback. Callers, upstreams and discovery are stand-ins in
+//! this process; each balancer is a separate process of the real program. Arrivals are open-loop and
+//! times count from the intended moment, so that a stall of the testbed or of the program is not hidden.
 
 mod balancers;
 mod callers;
@@ -29,35 +29,36 @@
 use tokio::time::{sleep, sleep_until, Instant};
 use upstreams::StandIn;
 
-/// What a real run brought.
+/// Results of a live run.
 pub struct Report {
     pub books: Books,
     pub breaches: Vec<Breach>,
-    /// Of each cold start that was sent anything, the window that came nearest to its fall.
+    /// For each cold start with any load, the window closest to overload.
     pub cold_starts: Vec<Worst>,
     pub requests: u64,
-    /// Requests that were sent later than they should have been, and by how much the latest.
+    /// Requests sent later than intended, and the largest delay of any request.
     pub sent_late: u64,
     pub max_delay: Duration,
 }
 
 impl Report {
-    /// Why the figures say nothing, if they do not.
+    /// The reason why the results are invalid, if they are.
     pub fn invalid_reason(&self) -> Option<String> {
-        /// One request in a hundred may be sent late before the load is no longer the one that was asked for.
+        /// Up to 1% of the requests may be sent late; beyond that the load is no longer the intended
+        /// one.
         const MAX_LATE_SHARE: f64 = 0.01;
         let share = self.sent_late as f64 / (self.requests as f64).max(1.0);
         (share > MAX_LATE_SHARE).then(|| {
             let (late, all, max_delay) = (self.sent_late, self.requests, self.max_delay.as_millis());
-            format!("the load was not kept: {late} of {all} requests were sent late, by up to {max_delay} ms")
+            format!("load not sustained: {late} of {all} requests were sent late, by up to {max_delay} ms")
         })
     }
 }
 
-/// A request that leaves so much after its moment was sent late.
+/// A request is late when it is sent this long after its intended moment.
 const LATE_THRESHOLD: Duration = Duration::from_millis(10);
 
-/// What the real clock and sockets add to any limit.
+/// Tolerance added to time limits for the real clock and sockets.
 const SLACK_MS: f64 = 50.0;
 
 struct Lab {
@@ -67,16 +68,17 @@
     unix_ms: u64,
     folder: PathBuf,
     balancer_command: Vec<String>,
-    /// Where the scenario has some; set before any balancer starts.
+    /// Set before any balancer starts, if the scenario has coordinators.
     coordinators: RefCell<Option<Rc<Coordinators>>>,
     coordinator_command: Vec<String>,
     referee: RefCell<Referee>,
     books: RefCell<Books>,
-    nodes: RefCell<Vec<Rc<BalancerProcess>>>,
+    balancers: RefCell<Vec<Rc<BalancerProcess>>>,
     first_tier: RefCell<Vec<usize>>,
     upstreams: RefCell<Vec<Rc<StandIn>>>,
     rng: RefCell<ChaCha8Rng>,
-    /// By RPC: which balancer it was put before, how many transmissions of it came. Emptied by its answer.
+    /// By RPC: the balancer it was sent to and the number of attempts received. Removed when the RPC
+    /// ends.
     open_rpcs: RefCell<BTreeMap<Rc<str>, (usize, usize)>>,
     calls: Cell<u64>,
     reports_late: RefCell<BTreeMap<usize, Time>>,
@@ -86,7 +88,8 @@
     error: RefCell<Option<String>>,
 }
 
-/// Plays the scenario in real time; `program` and `steward` are the words that start one of each, but for `--config FILE`.
+/// Runs the scenario in real time. `balancer_command` and `coordinator_command` start one process each
+/// and are followed by `--config FILE`.
 pub fn run(
     scenario: &Scenario,
     seed: u64,
@@ -109,9 +112,9 @@
         coordinator_command: &[String],
         folder: &Path,
     ) -> Result<Report, String> {
-        let mut judged = scenario.clone();
-        judged.rules.answer_slack_ms += SLACK_MS;
-        judged.rules.drain_grace_ms += SLACK_MS;
+        let mut lenient = scenario.clone();
+        lenient.rules.answer_slack_ms += SLACK_MS;
+        lenient.rules.drain_grace_ms += SLACK_MS;
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let lab = Rc::new(Lab {
             scenario: scenario.clone(),
@@ -122,9 +125,9 @@
             balancer_command: balancer_command.to_vec(),
             coordinators: RefCell::default(),
             coordinator_command: coordinator_command.to_vec(),
-            referee: RefCell::new(Referee::new(&judged)),
+            referee: RefCell::new(Referee::new(&lenient)),
             books: RefCell::new(Books::new(scenario)),
-            nodes: RefCell::default(),
+            balancers: RefCell::default(),
             first_tier: RefCell::default(),
             upstreams: RefCell::default(),
             rng: RefCell::new(stream(seed, CHANCE)),
@@ -137,12 +140,12 @@
             error: RefCell::default(),
         });
         let result = lab.clone().run_scenario().await;
-        for node in lab.nodes.borrow().iter() {
-            node.agent.serving.abort();
-            node.process.kill();
-            let log = lab.folder.join(format!("{}.log", node.name));
-            // For whoever looks into the run; it is judged without.
-            let _ = std::fs::write(log, node.process.log().join("\n") + "\n");
+        for balancer in lab.balancers.borrow().iter() {
+            balancer.agent.serving.abort();
+            balancer.process.kill();
+            let log = lab.folder.join(format!("{}.log", balancer.name));
+            // Logs are for diagnosis only; errors on writing them are ignored.
+            let _ = std::fs::write(log, balancer.process.log().join("\n") + "\n");
         }
         let coordinators = lab.coordinators.take();
         for (n, process) in coordinators.iter().flat_map(|s| s.processes.take()).enumerate() {
@@ -154,20 +157,21 @@
     }
 
     async fn run_scenario(self: Rc<Self>) -> Result<Report, String> {
-        let fleet = |kind| matches!(kind, Kind::StewardsDown | Kind::LeaderLoss | Kind::FleetCut);
+        let needs_coordinators =
+            |kind| matches!(kind, Kind::StewardsDown | Kind::LeaderLoss | Kind::FleetCut);
         if self.scenario.fleet.stewards > 0 {
             let coordinators =
                 Coordinators::start(&self.scenario, &self.coordinator_command, &self.folder).await?;
             self.coordinators.replace(Some(Rc::new(coordinators)));
-        } else if let Some(fault) = self.scenario.fault.iter().find(|f| fleet(f.kind)) {
+        } else if let Some(fault) = self.scenario.fault.iter().find(|f| needs_coordinators(f.kind)) {
             return Err(format!(
-                "{:?}: the scenario has no stewards for a real run (fleet.stewards)",
+                "{:?}: the scenario has no coordinators for a live run (fleet.stewards)",
                 fault.kind
             ));
         }
-        for (tier, of) in self.scenario.tier.iter().enumerate() {
-            for place in 0..of.upstreams {
-                self.new_stand_in(tier, place % of.zones, place / of.cell).await?;
+        for (tier, settings) in self.scenario.tier.iter().enumerate() {
+            for place in 0..settings.upstreams {
+                self.new_stand_in(tier, place % settings.zones, place / settings.cell).await?;
             }
         }
         let count = self.upstreams.borrow().len();
@@ -175,15 +179,15 @@
             self.new_upstream_balancer(stand_in).await?;
         }
         for number in 0..self.scenario.tier[0].balancers {
-            let node = self.start_balancer(0, number, number % self.scenario.tier[0].zones).await?;
-            self.first_tier.borrow_mut().push(node);
+            let balancer = self.start_balancer(0, number, number % self.scenario.tier[0].zones).await?;
+            self.first_tier.borrow_mut().push(balancer);
         }
-        // The scenario's time begins once all are ready; a fleet's budgets are divided by then.
+        // Scenario time starts once all processes are ready; by then a fleet's budgets are divided.
         let settle = if self.scenario.fleet.stewards > 0 { 2.0 } else { 0.2 };
         let from = self.now() + seconds(settle);
         for (i, fault) in self.scenario.fault.iter().cloned().enumerate() {
             let lab = Rc::clone(&self);
-            spawn_local(async move { lab.fault(i, &fault, from).await });
+            spawn_local(async move { lab.inject_fault(i, &fault, from).await });
         }
         let mut arrivals = Arrivals::new(&self.scenario, self.seed);
         let mut number = 0;
@@ -198,12 +202,13 @@
             callers.spawn_local(Rc::clone(&self).request(number, want, intended, at));
             number += 1;
             while callers.try_join_next().is_some() {}
-            if let Some(why) = self.error.take() {
-                return Err(why);
+            if let Some(error) = self.error.take() {
+                return Err(error);
             }
         }
         while callers.join_next().await.is_some() {}
-        // Calls of upstreams whose callers were answered otherwise are open for as long as their deadlines, at most.
+        // Calls from upstreams whose callers already have an answer stay open until their deadlines at
+        // most.
         let last = self.now() + self.scenario.longest() + seconds(1.5);
         while !self.open_rpcs.borrow().is_empty() && self.now() < last {
             sleep(Duration::from_millis(20)).await;
@@ -212,7 +217,7 @@
         let mut referee = self.referee.replace(Referee::new(&self.scenario));
         referee.end(self.now());
         let (mut breaches, cold_starts) = (referee.breaches, referee.cold_starts);
-        // In the scenario's time, as everything else.
+        // Convert to scenario time.
         breaches.iter_mut().for_each(|b| b.at = b.at.saturating_sub(from));
         let (sent_late, max_delay) = (self.sent_late.get(), self.max_delay.get());
         Ok(Report { books, breaches, cold_starts, requests: number, sent_late, max_delay })
--- a/crates/fernroute-testbed/src/live/upstreams.rs
+++ b/crates/fernroute-testbed/src/live/upstreams.rs
@@ -1,4 +1,4 @@
-//! Stand-in upstreams: the model of the simulator, in real time.
+//! Stand-in upstreams: the simulator's upstream model, in real time.
 
 use super::Lab;
 use crate::scenario::{millis, seconds};
@@ -21,13 +21,14 @@
 pub(super) struct StandIn {
     pub(super) model: RefCell<Upstream>,
     pub(super) address: Cell<SocketAddr>,
-    pub(super) places: RefCell<Rc<Semaphore>>,
+    pub(super) slots: RefCell<Rc<Semaphore>>,
     pub(super) cores: RefCell<Rc<Semaphore>>,
     pub(super) waiting: Cell<usize>,
     pub(super) balancer: Cell<Option<usize>>,
-    /// Its connections and the listener, and the RPCs in hand. A machine that vanishes ends the latter only.
+    /// Tasks of the listener and the connections, and those of RPCs in progress. When a machine vanishes
+    /// only the latter end.
     pub(super) tasks: RefCell<Vec<AbortHandle>>,
-    pub(super) jobs: RefCell<Vec<AbortHandle>>,
+    pub(super) running_rpcs: RefCell<Vec<AbortHandle>>,
 }
 
 impl Lab {
@@ -41,49 +42,55 @@
         zone: usize,
         cell: usize,
     ) -> Result<usize, String> {
-        let of = &self.scenario.tier[tier];
+        let settings = &self.scenario.tier[tier];
         let number = self.upstreams.borrow().len();
-        let speed = 1.0 + of.unlike * (2.0 * self.rng.borrow_mut().random::<f64>() - 1.0);
+        let speed = 1.0 + settings.unlike * (2.0 * self.rng.borrow_mut().random::<f64>() - 1.0);
         let cold = !self.first_tier.borrow().is_empty();
         let now = self.now();
-        let mut model =
-            Upstream::new(Rc::from(format!("{}-{number}", of.name)), tier, of, (zone, cell), speed, now);
+        let mut model = Upstream::new(
+            Rc::from(format!("{}-{number}", settings.name)),
+            tier,
+            settings,
+            (zone, cell),
+            speed,
+            now,
+        );
         model.cold = cold;
         let stand_in = Rc::new(StandIn {
             model: RefCell::new(model),
             address: Cell::new(SocketAddr::from(([127, 0, 0, 1], 0))),
-            places: RefCell::new(Rc::new(Semaphore::new(0))),
+            slots: RefCell::new(Rc::new(Semaphore::new(0))),
             cores: RefCell::new(Rc::new(Semaphore::new(0))),
             waiting: Cell::new(0),
             balancer: Cell::new(None),
             tasks: RefCell::default(),
-            jobs: RefCell::default(),
+            running_rpcs: RefCell::default(),
         });
         self.upstreams.borrow_mut().push(Rc::clone(&stand_in));
         self.open_stand_in(number).await?;
-        let (lab, period) = (Rc::clone(self), of.report_ms);
+        let (lab, period) = (Rc::clone(self), settings.report_ms);
         spawn_local(async move {
             loop {
                 sleep(Duration::from_secs_f64(period / 1000.0)).await;
                 let stand_in = lab.stand_in(number);
-                let of = &lab.scenario.tier[tier];
-                stand_in.model.borrow_mut().report(lab.now(), millis(period), of.choke.as_ref());
+                let settings = &lab.scenario.tier[tier];
+                stand_in.model.borrow_mut().report(lab.now(), millis(period), settings.choke.as_ref());
             }
         });
         Ok(number)
     }
 
-    /// Starts to listen, each time at a port of its own: an old one may be somebody else's by then.
+    /// Starts to listen, on a new port each time: another process may have taken the old one.
     pub(super) async fn open_stand_in(self: &Rc<Self>, number: usize) -> Result<(), String> {
         let stand_in = self.stand_in(number);
-        let io_error = |e: std::io::Error| format!("a stand-in: {e}");
+        let io_error = |e: std::io::Error| format!("stand-in upstream: {e}");
         let listener = TcpListener::bind("127.0.0.1:0").await.map_err(io_error)?;
         stand_in.address.set(listener.local_addr().map_err(io_error)?);
         let (tier, cores, slots) = {
             let model = stand_in.model.borrow();
             (model.tier, model.cores, model.slots)
         };
-        stand_in.places.replace(Rc::new(Semaphore::new(slots)));
+        stand_in.slots.replace(Rc::new(Semaphore::new(slots)));
         stand_in.cores.replace(Rc::new(Semaphore::new(cores)));
         stand_in.waiting.set(0);
         let lab = Rc::clone(self);
@@ -106,25 +113,26 @@
 
     pub(super) async fn connection(self: Rc<Self>, upstream: usize, mut peer: Peer) {
         while let Ok(Some(message)) = peer.read().await {
-            let gone = Rc::new(Cell::new(false));
-            let handled = Rc::clone(&self).handle(upstream, message, Rc::clone(&gone));
-            // Work goes on when its caller has gone; what still waits may be dropped.
+            let caller_gone = Rc::new(Cell::new(false));
+            let handled = Rc::clone(&self).handle(upstream, message, Rc::clone(&caller_gone));
+            // An RPC that has started continues after its caller has gone; one that waits may be
+            // dropped.
             let mut task = spawn_local(handled);
             let stand_in = self.stand_in(upstream);
             {
-                let mut jobs = stand_in.jobs.borrow_mut();
-                jobs.retain(|t| !t.is_finished());
-                jobs.push(task.abort_handle());
+                let mut running_rpcs = stand_in.running_rpcs.borrow_mut();
+                running_rpcs.retain(|t| !t.is_finished());
+                running_rpcs.push(task.abort_handle());
             }
             let bytes = tokio::select! {
                 bytes = &mut task => bytes,
                 () = peer.closed() => {
-                    gone.set(true);
+                    caller_gone.set(true);
                     return;
                 }
             };
             let Ok(bytes) = bytes else {
-                // The machine has vanished: nothing is heard of it, not even a close.
+                // The machine has vanished: it sends nothing, not even a close.
                 return peer.closed().await;
             };
             if peer.write(&bytes).await.is_err() {
@@ -133,32 +141,32 @@
         }
     }
 
-    /// One transmission, to the bytes of its answer.
+    /// Handles one attempt and returns the bytes of its answer.
     pub(super) async fn handle(
         self: Rc<Self>,
         upstream: usize,
         message: Message,
-        gone: Rc<Cell<bool>>,
+        caller_gone: Rc<Cell<bool>>,
     ) -> Vec<u8> {
-        let begun = self.now();
+        let received = self.now();
         let Some(rpc) = message.header("req-id").map(Rc::<str>::from) else { return answer(404, "", "") };
-        let hard = begun + message.number::<Time>("req-deadline-ms").unwrap_or(0) * 10;
+        let hard = received + message.number::<Time>("req-deadline-ms").unwrap_or(0) * 10;
         let work: Time = message.number("lab-work").unwrap_or(1);
         let calls = message.header("lab-calls").unwrap_or("").to_owned();
         let stand_in = self.stand_in(upstream);
         let tier = stand_in.model.borrow().tier;
-        let of = &self.scenario.tier[tier];
+        let settings = &self.scenario.tier[tier];
         if stand_in.model.borrow().state == State::Silent {
             return std::future::pending().await;
         }
-        let place = self.open_rpcs.borrow_mut().get_mut(&rpc).map(|(node, made)| {
-            *made += 1;
-            (*node, *made - 1)
+        let counted = self.open_rpcs.borrow_mut().get_mut(&rpc).map(|(balancer, attempts)| {
+            *attempts += 1;
+            (*balancer, *attempts - 1)
         });
-        let (balancer, attempt) = place.unwrap_or((usize::MAX, 0));
+        let (balancer, attempt) = counted.unwrap_or((usize::MAX, 0));
         self.books.borrow_mut().transmissions += 1;
-        let means = self.scenario.in_means(work);
-        self.record(&Event::Sent { rpc: Rc::clone(&rpc), attempt, balancer, upstream, work: means });
+        let relative_work = self.scenario.in_means(work);
+        self.record(&Event::Sent { rpc: Rc::clone(&rpc), attempt, balancer, upstream, work: relative_work });
         let ended = |outcome| self.record(&Event::Ended { rpc: Rc::clone(&rpc), attempt, outcome });
         let declined = |load: String| {
             ended(Outcome::Rejected);
@@ -174,25 +182,28 @@
             ended(Outcome::Failed);
             return answer(500, &self.load(upstream), "");
         }
-        let places = Rc::clone(&stand_in.places.borrow());
-        if places.available_permits() == 0 && stand_in.waiting.get() >= of.queue {
+        let slots = Rc::clone(&stand_in.slots.borrow());
+        if slots.available_permits() == 0 && stand_in.waiting.get() >= settings.queue {
             return declined(self.load(upstream));
         }
         stand_in.waiting.set(stand_in.waiting.get() + 1);
-        let held = places.acquire().await;
+        let slot = slots.acquire().await;
         stand_in.waiting.set(stand_in.waiting.get().saturating_sub(1));
-        if held.is_err() || of.drops && (gone.get() || self.now() >= hard) {
+        if slot.is_err() || settings.drops && (caller_gone.get() || self.now() >= hard) {
             return declined(self.load(upstream));
         }
         stand_in.model.borrow_mut().held += 1;
         self.record(&Event::Ran { rpc: Rc::clone(&rpc), attempt });
-        self.work(&stand_in, tier, work as f64 * of.work).await;
+        self.work(&stand_in, tier, work as f64 * settings.work).await;
         let mut outcome = Outcome::Completed;
         let count: u32 = calls.split(',').nth(tier + 1).and_then(|n| n.parse().ok()).unwrap_or(0);
         let method = message.header("req-kind").unwrap_or("").to_owned();
         let method = self.scenario.method.iter().position(|m| m.name == method).unwrap_or(0);
         for _ in 0..count {
-            if gone.get() || self.now() >= hard || !self.call(&stand_in, method, work, &calls, hard).await {
+            if caller_gone.get()
+                || self.now() >= hard
+                || !self.call(&stand_in, method, work, &calls, hard).await
+            {
                 outcome = Outcome::Failed;
                 break;
             }
@@ -209,21 +220,21 @@
         let pause = || stand_in.model.borrow().paused_until.saturating_sub(self.now());
         sleep(duration(pause())).await;
         let rules = &self.scenario.rules;
-        let takes = {
+        let duration_needed = {
             let mut model = stand_in.model.borrow_mut();
             model.account(self.now());
             model.busy += 1;
             let warmth = model.warmth(self.now(), rules.cold_from, seconds(rules.warm_within_s));
             model.takes(work, warmth, self.scenario.tier[tier].choke.as_ref())
         };
-        sleep(duration(takes)).await;
+        sleep(duration(duration_needed)).await;
         sleep(duration(pause())).await;
         let mut model = stand_in.model.borrow_mut();
         model.account(self.now());
         model.busy = model.busy.saturating_sub(1);
     }
 
-    /// One call on the tier below, through the upstream's own balancer.
+    /// Calls the tier below through the upstream's own balancer.
     pub(super) async fn call(
         &self,
         stand_in: &StandIn,
@@ -232,10 +243,10 @@
         calls: &str,
         hard: Time,
     ) -> bool {
-        let Some(node) = stand_in.balancer.get() else { return false };
+        let Some(balancer) = stand_in.balancer.get() else { return false };
         self.calls.set(self.calls.get() + 1);
         let rpc: Rc<str> = Rc::from(format!("c{}", self.calls.get()));
-        let last = self.send(node, &rpc, method, None, hard, work, calls).await;
+        let last = self.send(balancer, &rpc, method, None, hard, work, calls).await;
         matches!(last, Some((Final::Completed, _)))
     }
 
@@ -252,7 +263,7 @@
         }
     }
 
-    /// Its process or its machine ends, and its balancer with it.
+    /// Ends the upstream's process or machine, and its balancer.
     pub(super) fn stop_upstream(&self, upstream: usize, state: State) {
         let stand_in = self.stand_in(upstream);
         {
@@ -260,12 +271,12 @@
             model.end(self.now());
             model.state = state;
         }
-        stand_in.jobs.borrow_mut().drain(..).for_each(|job| job.abort());
+        stand_in.running_rpcs.borrow_mut().drain(..).for_each(|job| job.abort());
         if state != State::Silent {
             stand_in.tasks.borrow_mut().drain(..).for_each(|task| task.abort());
         }
-        if let Some(node) = stand_in.balancer.take() {
-            self.kill_balancer(node);
+        if let Some(balancer) = stand_in.balancer.take() {
+            self.kill_balancer(balancer);
         }
     }
 
@@ -275,11 +286,11 @@
         stand_in.model.borrow_mut().restart(self.now());
         let opened = match self.open_stand_in(upstream).await {
             Ok(()) => self.new_upstream_balancer(upstream).await,
-            Err(why) => Err(why),
+            Err(error) => Err(error),
         };
         match opened {
             Ok(()) => self.announce(upstream, Told::Ready, self.scenario.discovery.late_ms),
-            Err(why) => drop(self.error.replace(Some(why))),
+            Err(error) => drop(self.error.replace(Some(error))),
         }
     }
 }
--- a/crates/fernroute-testbed/src/processes.rs
+++ b/crates/fernroute-testbed/src/processes.rs
@@ -1,5 +1,6 @@
-//! A fleet of real processes on loopback: stewards, balancers, one tenant's load, and a link from each balancer to each
-//! steward that can go wrong. What is judged is what an upstream ran, never what the fleet says of itself.
+//! A fleet of real processes on loopback: coordinators, balancers, load from one tenant, and a link with
+//! fault injection between each balancer and each coordinator. Verdicts are based on what the upstreams
+//! executed, not on what the fleet reports about itself.
 
 pub mod configuration;
 
@@ -23,21 +24,22 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// Far longer than a start takes, on a busy machine too.
-const START: Duration = Duration::from_secs(10);
+/// Well above a normal start, also on a busy machine.
+const START_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A program of the fleet: this crate's own, in one of its roles.
+/// Launches this crate's binary in one of its roles, configured by a file with the given text.
 fn launch(program: &Path, role: &str, folder: &Path, name: &str, text: &str) -> Result<Process, String> {
-    let page = folder.join(format!("{name}.toml"));
-    let trouble = |e: std::io::Error| format!("{}: {e}", page.display());
-    std::fs::write(&page, text).map_err(trouble)?;
+    let path = folder.join(format!("{name}.toml"));
+    let io_error = |e: std::io::Error| format!("{}: {e}", path.display());
+    std::fs::write(&path, text).map_err(io_error)?;
     let mut command = Command::new(program);
-    command.args([role, "--config"]).arg(&page).env("TMPDIR", folder);
+    command.args([role, "--config"]).arg(&path).env("TMPDIR", folder);
     command.env_remove("FERNROUTE_LOG").env_remove("NODE_OPS");
-    Process::launch(command).map_err(trouble)
+    Process::launch(command).map_err(io_error)
 }
 
-/// What the upstream ran, by its own clock; the last eleven seconds of it where nobody judges all.
+/// Execution times of RPCs at the upstreams. A caller that does not need all of them for a final check
+/// may keep only the last eleven seconds, see [`Fleet::discard_old`].
 #[derive(Default)]
 pub struct ExecutionLog(RefCell<Vec<Instant>>);
 
@@ -47,49 +49,51 @@
         executions.iter().rev().take_while(|at| at.elapsed() <= last).count()
     }
 
-    /// The window in which all balancers together ran more than the whole and what they may save up, if there is one: two
-    /// seconds of it, and some RPCs each.
+    /// Describes the first window in which all balancers together exceeded the limit, if any. Two
+    /// seconds of the limit may have been saved up, and each balancer may add four RPCs.
     pub fn limit_violation(&self, limit: usize, balancers: usize) -> Option<String> {
         limit_violation(&self.0.borrow(), limit as f64, 4 * balancers)
     }
 
-    /// Forgets what is older than any window.
+    /// Drops entries older than the longest window.
     fn discard_old(&self) {
         self.0.borrow_mut().retain(|at| at.elapsed() < Duration::from_secs(11));
     }
 }
 
-/// The window in which there was more than a whole, two seconds of it that may be saved up, and some beside it.
-pub fn limit_violation(at: &[Instant], limit: f64, some: usize) -> Option<String> {
+/// Describes the first window of 1 s or 10 s with more events than `limit` per second plus two seconds
+/// of saved-up tokens plus `allowance`, if any.
+pub fn limit_violation(times: &[Instant], limit: f64, allowance: usize) -> Option<String> {
     for window in [1, 10] {
-        let most = (limit * (window + 2) as f64) as usize + some;
-        for (n, from) in at.iter().enumerate() {
+        let max = (limit * (window + 2) as f64) as usize + allowance;
+        for (n, from) in times.iter().enumerate() {
             let until = *from + Duration::from_secs(window);
-            let count = at[n..].iter().take_while(|at| **at < until).count();
-            if count > most {
-                return Some(format!("{count} in {window} s, at most {most} may be"));
+            let count = times[n..].iter().take_while(|at| **at < until).count();
+            if count > max {
+                return Some(format!("{count} in {window} s, at most {max} allowed"));
             }
         }
     }
     None
 }
 
-/// How many of what.
+/// Size and settings of a fleet.
 #[derive(Clone, Debug)]
 pub struct FleetConfig {
     pub coordinators: usize,
     pub balancers: usize,
-    /// The most that the ledger takes: as many as balancers, where those are all.
+    /// Capacity of the ledger. Equals the number of balancers unless other members join.
     pub max_members: usize,
     pub upstreams: usize,
-    /// The tenant's RPCs a second over all balancers.
+    /// The tenant's limit in RPCs per second over all balancers.
     pub limit: usize,
-    /// Transmissions beyond the first, and trials to one upstream, a second over all balancers; none is no budget.
+    /// Fleet-wide limits per second on attempts beyond the first, and on trials to one upstream; `None`
+    /// configures no such budget.
     pub retry_limit: Option<f64>,
     pub trial_limit: Option<f64>,
-    /// Whether balancers go by the configuration of the service `shop`.
+    /// Whether balancers follow the shared configuration of the service `shop`.
     pub follows_configuration: bool,
-    /// What one balancer alone does at a time, under leases of two seconds.
+    /// Duties, each held by one balancer at a time under a lease of two seconds.
     pub duties: Vec<String>,
 }
 
@@ -108,13 +112,13 @@
         }
     }
 
-    /// Budgets and duties as a steward's file names them.
-    fn shared(&self) -> String {
+    /// The budget and duty sections of a coordinator's file.
+    fn shared_sections(&self) -> String {
         let duty = |name: &String| format!("[[duty]]\nname = \"{name}\"\n");
-        self.budgets() + &self.duties.iter().map(duty).collect::<String>()
+        self.budget_sections() + &self.duties.iter().map(duty).collect::<String>()
     }
 
-    fn budgets(&self) -> String {
+    fn budget_sections(&self) -> String {
         let tenant = ("acme", Some(self.limit as f64));
         let all = [tenant, (RETRY_BUDGET, self.retry_limit), (TRIAL_BUDGET, self.trial_limit)];
         let budget = |(name, limit): &(&str, Option<f64>)| {
@@ -123,28 +127,27 @@
         all.iter().filter_map(budget).collect()
     }
 
-    fn divides(&self) -> String {
+    fn divided_budgets(&self) -> String {
         let all = [("\"further\"", self.retry_limit), ("\"trials\"", self.trial_limit)];
         all.iter()
             .filter(|(_, limit)| limit.is_some())
-            .map(|(word, _)| *word)
+            .map(|(name, _)| *name)
             .collect::<Vec<&str>>()
             .join(", ")
     }
 }
 
-/// How an upstream does.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum UpstreamBehavior {
     #[default]
     Healthy,
-    /// Every RPC: the connection ends without an answer.
+    /// Closes the connection of each RPC without an answer.
     Fails,
-    /// Every second transmission, unseen.
+    /// Rejects every second attempt without executing it.
     RejectsHalf,
 }
 
-/// A transmission, as an upstream saw it.
+/// An attempt as received by an upstream.
 #[derive(Clone, Debug)]
 pub struct ReceivedAttempt {
     pub at: Instant,
@@ -152,7 +155,7 @@
     pub rpc: String,
 }
 
-/// Stewards, balancers before upstreams, and a tenant's load.
+/// Coordinators, balancers, upstreams and the load of one tenant.
 pub struct Fleet {
     program: PathBuf,
     pub folder: PathBuf,
@@ -160,58 +163,63 @@
     pub coordinators: Vec<Process>,
     pub coordinator_addresses: Vec<SocketAddr>,
     coordinator_files: Vec<String>,
-    /// From each steward to each other one, by their numbers.
+    /// By the numbers of the sending and the receiving coordinator.
     pub coordinator_links: BTreeMap<(usize, usize), Rc<Link>>,
     pub balancers: Vec<Process>,
     pub addresses: Vec<SocketAddr>,
-    /// Where balancers answer operators.
+    /// Addresses of the balancers' operations servers.
     pub ops_addresses: Vec<SocketAddr>,
-    /// From each balancer to each steward.
+    /// Links of each balancer to each coordinator.
     pub balancer_links: Vec<Vec<Rc<Link>>>,
     balancer_files: Vec<String>,
     pub executions: Rc<ExecutionLog>,
-    /// All transmissions that came, turned away or not.
+    /// All attempts received, rejected ones included.
     pub attempts: Rc<RefCell<Vec<ReceivedAttempt>>>,
-    /// How each upstream does.
     pub behaviors: Rc<Vec<Cell<UpstreamBehavior>>>,
-    /// RPCs a second asked of each balancer.
+    /// RPCs per second sent to each balancer.
     rates: Rc<Vec<Cell<u64>>>,
-    /// Answers that were neither served nor refused.
+    /// Heads of answers with a status other than 200 and 503.
     pub unexpected_answers: Rc<RefCell<Vec<String>>>,
-    /// RPCs that had no answer at all.
+    /// Number of RPCs without any answer.
     pub unanswered: Rc<Cell<usize>>,
     _discovery: Rc<Discovery>,
 }
 
 impl Fleet {
-    /// `program` has the roles of the laboratory's own; `folder` is made, and gone with the fleet.
+    /// `program` is the testbed binary. `folder` is created, and removed when the fleet is dropped.
     pub async fn start(program: &Path, folder: PathBuf, config: FleetConfig) -> Result<Self, String> {
         let FleetConfig { coordinators, balancers, max_members, limit, .. } = config;
-        let trouble = |e: std::io::Error| e.to_string();
-        let any = SocketAddr::from(([127, 0, 0, 1], 0));
-        std::fs::create_dir_all(&folder).map_err(trouble)?;
-        let at = addresses(coordinators).map_err(trouble)?;
+        let io_error = |e: std::io::Error| e.to_string();
+        let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
+        std::fs::create_dir_all(&folder).map_err(io_error)?;
+        let at = addresses(coordinators).map_err(io_error)?;
         let (mut coordinator_links, mut coordinator_files) = (BTreeMap::new(), Vec::new());
         for n in 0..coordinators {
             let mut list = String::new();
-            for (m, own) in at.iter().enumerate() {
+            for (m, target) in at.iter().enumerate() {
                 let at = if m == n {
-                    *own
+                    *target
                 } else {
-                    let link = Link::to(*own).await.map_err(trouble)?;
+                    let link = Link::to(*target).await.map_err(io_error)?;
                     coordinator_links.insert((n, m), Rc::clone(&link));
                     link.address
                 };
                 list += &format!("[[steward]]\nname = \"s{m}\"\naddress = \"{at}\"\n");
             }
-            let disk = folder.join(format!("s{n}"));
+            let data_folder = folder.join(format!("s{n}"));
             coordinator_files.push(format!(
                 "cluster = \"c\"\nname = \"s{n}\"\nfolder = \"{}\"\nmembers = {max_members}\nshares_ms = 3000\nduties_ms = 2000\nfloors_s = 12\n{list}",
-                disk.display()
+                data_folder.display()
             ));
         }
         let start = |(n, text): (usize, &String)| {
-            launch(program, "steward", &folder, &format!("s{n}"), &format!("{text}{}", config.shared()))
+            launch(
+                program,
+                "steward",
+                &folder,
+                &format!("s{n}"),
+                &format!("{text}{}", config.shared_sections()),
+            )
         };
         let coordinators =
             coordinator_files.iter().enumerate().map(start).collect::<Result<Vec<Process>, String>>()?;
@@ -223,8 +231,8 @@
         for n in 0..config.upstreams {
             let (executions, attempts, behaviors) =
                 (Rc::clone(&executions), Rc::clone(&attempts), Rc::clone(&behaviors));
-            let upstream = serve(any, move |asked| {
-                let rpc = asked.header("req-id").unwrap_or_default().to_owned();
+            let upstream = serve(any_port, move |request| {
+                let rpc = request.header("req-id").unwrap_or_default().to_owned();
                 attempts.borrow_mut().push(ReceivedAttempt { at: Instant::now(), upstream: n, rpc });
                 match behaviors[n].get() {
                     UpstreamBehavior::Fails => return Deed::SayAndClose(Vec::new()),
@@ -236,11 +244,11 @@
                 executions.0.borrow_mut().push(Instant::now());
                 ok("whole")
             });
-            let at = upstream.await.map_err(trouble)?;
+            let at = upstream.await.map_err(io_error)?;
             list.push(entry(&format!("u{n}"), at, "a", "SERVING"));
             upstreams.push(format!("[[upstream]]\nid = \"u{n}\"\naddress = \"{at}\"\nzone = \"a\"\n"));
         }
-        let discovery = Discovery::start(any, list.join(",")).await.map_err(trouble)?;
+        let discovery = Discovery::start(any_port, list.join(",")).await.map_err(io_error)?;
         let rates: Rc<Vec<Cell<u64>>> = Rc::new((0..balancers).map(|_| Cell::new(0)).collect());
         let mut fleet = Fleet {
             program: program.to_owned(),
@@ -252,7 +260,7 @@
             coordinator_links,
             balancers: Vec::new(),
             addresses: Vec::new(),
-            ops_addresses: addresses(balancers).map_err(trouble)?,
+            ops_addresses: addresses(balancers).map_err(io_error)?,
             balancer_links: Vec::new(),
             balancer_files: Vec::new(),
             executions,
@@ -264,11 +272,11 @@
             _discovery: discovery,
         };
         for n in 0..balancers {
-            let mut own = Vec::new();
+            let mut links = Vec::new();
             for at in &fleet.coordinator_addresses {
-                own.push(Link::to(*at).await.map_err(trouble)?);
+                links.push(Link::to(*at).await.map_err(io_error)?);
             }
-            let to: Vec<String> = own.iter().map(|link| format!("\"{}\"", link.address)).collect();
+            let to: Vec<String> = links.iter().map(|link| format!("\"{}\"", link.address)).collect();
             let text = format!(
                 "name = \"b{n}\"\nlisten = \"127.0.0.1:0\"\n{}discovery = \"{}\"\n[place]\ninstances = {balancers}\nzone = \"a\"\n\
                  [load]\nrefuse_over_share = true\n[fleet]\ncluster = \"c\"\nstewards = [{}]\nbeat_ms = 200\ndivides = [{}]\n{}\
@@ -279,19 +287,20 @@
                 fleet.ops_line(n),
                 fleet._discovery.address,
                 to.join(", "),
-                fleet.config.divides(),
+                fleet.config.divided_budgets(),
                 if fleet.config.follows_configuration { "service = \"shop\"\n" } else { "" },
                 upstreams.concat()
             );
-            fleet.balancer_links.push(own);
+            fleet.balancer_links.push(links);
             fleet.balancer_files.push(text);
             fleet.start_balancer(n).await?;
         }
         Ok(fleet)
     }
 
-    /// Where a balancer answers operators, as its file says it. Two processes of one balancer can't have it both, as in an
-    /// upgrade: it is there where duties are, whose holders are asked at it.
+    /// The line of a balancer's file that sets its operations server. Set only when there are duties,
+    /// whose tests query the holders there: during an upgrade two processes of one balancer run, and
+    /// both cannot listen on the same address.
     fn ops_line(&self, n: usize) -> String {
         if self.config.duties.is_empty() {
             return String::new();
@@ -299,25 +308,29 @@
         format!("ops = \"{}\"\n", self.ops_addresses[n])
     }
 
-    /// Starts one again, with what is left on its disk.
+    /// Restarts a coordinator with its existing data.
     pub fn start_coordinator(&mut self, n: usize) -> Result<(), String> {
-        let text = format!("{}{}", self.coordinator_files[n], self.config.shared());
+        let text = format!("{}{}", self.coordinator_files[n], self.config.shared_sections());
         self.coordinators[n] = launch(&self.program, "steward", &self.folder, &format!("s{n}"), &text)?;
         Ok(())
     }
 
-    /// A network that falls apart: these stewards and balancers reach each other, and so do all others.
+    /// Partitions the network: the given coordinators and balancers reach only each other, and so do all
+    /// others.
     pub fn partition(&self, coordinators: &[usize], balancers: &[usize]) {
-        let apart = |n: &usize, m: &usize| coordinators.contains(n) != coordinators.contains(m);
-        self.coordinator_links.iter().filter(|((n, m), _)| apart(n, m)).for_each(|(_, link)| link.refuse());
+        let separated = |n: &usize, m: &usize| coordinators.contains(n) != coordinators.contains(m);
+        self.coordinator_links
+            .iter()
+            .filter(|((n, m), _)| separated(n, m))
+            .for_each(|(_, link)| link.refuse());
         for (n, links) in self.balancer_links.iter().enumerate() {
-            let apart =
+            let separated =
                 links.iter().enumerate().filter(|(m, _)| balancers.contains(&n) != coordinators.contains(m));
-            apart.for_each(|(_, link)| link.refuse());
+            separated.for_each(|(_, link)| link.refuse());
         }
     }
 
-    /// All reach all again.
+    /// Restores all links.
     pub fn heal(&self) {
         self.coordinator_links
             .values()
@@ -325,25 +338,26 @@
             .for_each(|link| link.mend());
     }
 
-    /// Another process under the name of this balancer, on another machine as far as it can tell.
+    /// Starts another process with the same balancer name in a folder of its own, as a balancer on
+    /// another machine would be.
     pub async fn start_impostor(&self, n: usize) -> Result<(Process, SocketAddr), String> {
         let folder = self.folder.join(format!("elsewhere{n}"));
         std::fs::create_dir_all(&folder).map_err(|e| e.to_string())?;
         let process = launch(&self.program, "balancer", &folder, &format!("b{n}"), &self.balancer_files[n])?;
-        let at = process.address_after("serving on ", START).await?;
+        let at = process.address_after("serving on ", START_TIMEOUT).await?;
         Ok((process, at))
     }
 
-    /// What this steward says of itself and of the ledger, if it does.
+    /// Status of a coordinator and its ledger, if it answers.
     pub async fn status(&self, coordinator: usize) -> Option<Status> {
         status(self.coordinator_addresses[coordinator]).await
     }
 
-    /// Starts one, for the first time or again, with what is left on its disk.
+    /// Starts or restarts a balancer, with any existing data, and sends load to it.
     pub async fn start_balancer(&mut self, n: usize) -> Result<(), String> {
         let process =
             launch(&self.program, "balancer", &self.folder, &format!("b{n}"), &self.balancer_files[n])?;
-        let at = process.address_after("serving on ", START).await?;
+        let at = process.address_after("serving on ", START_TIMEOUT).await?;
         if n < self.balancers.len() {
             (self.balancers[n], self.addresses[n]) = (process, at);
         } else {
@@ -354,15 +368,16 @@
         Ok(())
     }
 
-    /// Starts a new process of the same balancer beside the old one, which it returns once the new one serves.
+    /// Starts a new process of the same balancer beside the old one. Returns the old one once the new
+    /// one serves.
     pub async fn upgrade(&mut self, n: usize) -> Result<Process, String> {
         let name = format!("b{n}");
         let new = launch(&self.program, "balancer", &self.folder, &name, &self.balancer_files[n])?;
-        new.address_after("serving on ", START).await?;
+        new.address_after("serving on ", START_TIMEOUT).await?;
         Ok(std::mem::replace(&mut self.balancers[n], new))
     }
 
-    /// Open loop: what is slow to be answered keeps no other waiting.
+    /// Sends RPCs in an open loop: slow answers do not delay later requests.
     fn generate_load(&self, n: usize) {
         let (rates, unexpected_answers, at) =
             (Rc::clone(&self.rates), Rc::clone(&self.unexpected_answers), self.addresses[n]);
@@ -380,15 +395,16 @@
                 let (unexpected_answers, unanswered) =
                     (Rc::clone(&unexpected_answers), Rc::clone(&unanswered));
                 spawn_local(async move {
-                    let none = || unanswered.set(unanswered.get() + 1);
-                    let Ok(mut stream) = TcpStream::connect(at).await else { return none() };
-                    let asked = rpc("GET", "/look", "Req-Owner: acme\r\nConnection: close\r\n");
-                    let _ = stream.write_all(asked.as_bytes()).await;
+                    let count_unanswered = || unanswered.set(unanswered.get() + 1);
+                    let Ok(mut stream) = TcpStream::connect(at).await else { return count_unanswered() };
+                    let request = rpc("GET", "/look", "Req-Owner: acme\r\nConnection: close\r\n");
+                    let _ = stream.write_all(request.as_bytes()).await;
                     match timeout(Duration::from_secs(4), read(&mut stream)).await {
                         Ok(Some(answer)) if matches!(answer.status(), 200 | 503) => {}
                         Ok(Some(answer)) => unexpected_answers.borrow_mut().push(answer.head),
-                        // Its balancer was killed, or stands still: that is judged by who did it.
-                        Ok(None) | Err(_) => none(),
+                        // Happens when the balancer was killed or stopped; the test that did so judges
+                        // it.
+                        Ok(None) | Err(_) => count_unanswered(),
                     }
                 });
             }
@@ -396,20 +412,20 @@
     }
 
     pub fn set_rates(&self, rates: &[u64]) {
-        rates.iter().zip(self.rates.iter()).for_each(|(rate, of)| of.set(*rate));
+        rates.iter().zip(self.rates.iter()).for_each(|(rate, target)| target.set(*rate));
     }
 
-    /// Until nearly the whole has run within a second.
+    /// Waits until 95% of the limit was executed within a second.
     pub async fn wait_until_limit_used(&self) {
         self.wait_until_rate(self.config.limit * 19 / 20).await;
     }
 
-    /// Until so many have run within a second.
-    pub async fn wait_until_rate(&self, least: usize) {
-        until(|| self.executions.count_within(Duration::from_secs(1)) >= least).await;
+    /// Waits until at least so many RPCs were executed within a second.
+    pub async fn wait_until_rate(&self, min: usize) {
+        until(|| self.executions.count_within(Duration::from_secs(1)) >= min).await;
     }
 
-    /// Which steward leads by its own word, once one does.
+    /// Waits for a coordinator that reports itself leader.
     pub async fn leader(&self) -> usize {
         loop {
             for n in 0..self.coordinators.len() {
@@ -422,36 +438,36 @@
         }
     }
 
-    /// What all balancers together did not keep, or answered wrongly.
+    /// Describes an exceeded limit or an unexpected answer, if any.
     pub fn violation(&self) -> Option<String> {
         let unexpected_answers = self.unexpected_answers.borrow().first().cloned();
         self.executions.limit_violation(self.config.limit, self.addresses.len()).or(unexpected_answers)
     }
 
-    /// When transmissions came that were not the first of their RPC.
+    /// Arrival times of attempts that were not the first of their RPC.
     pub fn retry_times(&self) -> Vec<Instant> {
         let mut seen = BTreeSet::new();
         let attempts = self.attempts.borrow();
         attempts
             .iter()
-            .filter(|attempts| !seen.insert(attempts.rpc.clone()))
-            .map(|attempts| attempts.at)
+            .filter(|attempt| !seen.insert(attempt.rpc.clone()))
+            .map(|attempt| attempt.at)
             .collect()
     }
 
-    /// What is kept for a judgement of all is not kept any more.
+    /// Drops records older than the longest window, for long runs that are checked as they go.
     pub fn discard_old(&self) {
         self.executions.discard_old();
-        self.attempts.borrow_mut().retain(|attempts| attempts.at.elapsed() < Duration::from_secs(11));
+        self.attempts.borrow_mut().retain(|attempt| attempt.at.elapsed() < Duration::from_secs(11));
     }
 }
 
-/// What the steward there says of itself and of the ledger, if it does.
+/// Status of the coordinator at this address and its ledger, if it answers.
 pub async fn status(at: SocketAddr) -> Option<Status> {
-    let asked = "GET /-/status HTTP/1.1\r\nHost: s\r\nConnection: close\r\n\r\n";
+    let request = "GET /-/status HTTP/1.1\r\nHost: s\r\nConnection: close\r\n\r\n";
     let mut stream = TcpStream::connect(at).await.ok()?;
-    stream.write_all(asked.as_bytes()).await.ok()?;
-    let answer = timeout(START, read(&mut stream)).await.ok()??;
+    stream.write_all(request.as_bytes()).await.ok()?;
+    let answer = timeout(START_TIMEOUT, read(&mut stream)).await.ok()??;
     serde_json::from_slice(&answer.body).ok()
 }
 
