--- a/crates/fernroute-server/src/transport/discovery.rs
+++ b/crates/fernroute-server/src/transport/discovery.rs
@@ -258,13 +258,13 @@
                     Ok(list) => {
                         let is_confirmed =
                             repeated_at.take().is_some_and(|at| at.elapsed() < CONFIRMATION_PERIOD);
-                        let implausible = list.doubtful(version).filter(|_| !is_confirmed);
+                        let implausible = list.reason_to_confirm(version).filter(|_| !is_confirmed);
                         if let Some(reason) = implausible {
                             tracing::warn!(
                                 "endpoint list {} is implausible: {reason}; requesting the whole list",
                                 list.version
                             );
-                            departures = list.leaving(version);
+                            departures = list.departures(version);
                             (version, repeated_at, repeat_retried) = (None, Some(Instant::now()), false);
                             // Polls in progress ask for changes only.
                             polls.in_progress.clear();
--- a/crates/fernroute-server/src/transport/handover.rs
+++ b/crates/fernroute-server/src/transport/handover.rs
@@ -1,7 +1,7 @@
 //! The Unix socket between the old and the new process of a balancer. Messages are lines in both directions; one of them
 //! carries the listening socket.
 
-use crate::protocol::handover::{decode, encode, MOST_LINE};
+use crate::protocol::handover::{decode, encode, MAX_LINE_BYTES};
 use rustix::net::{
     recvmsg, sendmsg, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
     SendAncillaryMessage, SendFlags,
@@ -110,7 +110,7 @@
                     Err(error) => Err(io::Error::new(ErrorKind::InvalidData, error)),
                 };
             }
-            if self.received.borrow().len() > MOST_LINE {
+            if self.received.borrow().len() > MAX_LINE_BYTES {
                 return Err(io::Error::new(ErrorKind::InvalidData, "message line exceeds the limit"));
             }
             let mut buffer = [0; 4096];
