--- a/crates/fernroute-testbed/src/processes.rs
+++ b/crates/fernroute-testbed/src/processes.rs
@@ -1,5 +1,6 @@
-//! A fleet of real processes on loopback: stewards, balancers, one tenant's load, and a link from each balancer to each
-//! steward that can go wrong. What is judged is what an upstream ran, never what the fleet says of itself.
+//! A fleet of real processes on loopback: coordinators, balancers, load from one tenant, and a link with
+//! fault injection between each balancer and each coordinator. Verdicts are based on what the upstreams
+//! executed, not on what the fleet reports about itself.
 
 pub mod configuration;
 
@@ -23,342 +24,363 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// Far longer than a start takes, on a busy machine too.
-const START: Duration = Duration::from_secs(10);
+/// Well above a normal start, also on a busy machine.
+const START_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A program of the fleet: this crate's own, in one of its roles.
+/// Launches this crate's binary in one of its roles, configured by a file with the given text.
 fn launch(program: &Path, role: &str, folder: &Path, name: &str, text: &str) -> Result<Process, String> {
-    let page = folder.join(format!("{name}.toml"));
-    let trouble = |e: std::io::Error| format!("{}: {e}", page.display());
-    std::fs::write(&page, text).map_err(trouble)?;
+    let path = folder.join(format!("{name}.toml"));
+    let io_error = |e: std::io::Error| format!("{}: {e}", path.display());
+    std::fs::write(&path, text).map_err(io_error)?;
     let mut command = Command::new(program);
-    command.args([role, "--config"]).arg(&page).env("TMPDIR", folder);
+    command.args([role, "--config"]).arg(&path).env("TMPDIR", folder);
     command.env_remove("FERNROUTE_LOG").env_remove("NODE_OPS");
-    Process::launch(command).map_err(trouble)
+    Process::launch(command).map_err(io_error)
 }
 
-/// What the upstream ran, by its own clock; the last eleven seconds of it where nobody judges all.
+/// Execution times of RPCs at the upstreams. A caller that does not need all of them for a final check
+/// may keep only the last eleven seconds, see [`Fleet::discard_old`].
 #[derive(Default)]
-pub struct Ran(RefCell<Vec<Instant>>);
+pub struct ExecutionLog(RefCell<Vec<Instant>>);
 
-impl Ran {
-    pub fn within(&self, last: Duration) -> usize {
-        let ran = self.0.borrow();
-        ran.iter().rev().take_while(|at| at.elapsed() <= last).count()
+impl ExecutionLog {
+    pub fn count_within(&self, last: Duration) -> usize {
+        let executions = self.0.borrow();
+        executions.iter().rev().take_while(|at| at.elapsed() <= last).count()
     }
 
-    /// The window in which all balancers together ran more than the whole and what they may save up, if there is one: two
-    /// seconds of it, and some RPCs each.
-    pub fn beyond(&self, whole: usize, balancers: usize) -> Option<String> {
-        beyond(&self.0.borrow(), whole as f64, 4 * balancers)
+    /// Describes the first window in which all balancers together exceeded the limit, if any. Two
+    /// seconds of the limit may have been saved up, and each balancer may add four RPCs.
+    pub fn limit_violation(&self, limit: usize, balancers: usize) -> Option<String> {
+        limit_violation(&self.0.borrow(), limit as f64, 4 * balancers)
     }
 
-    /// Forgets what is older than any window.
-    fn forget(&self) {
+    /// Drops entries older than the longest window.
+    fn discard_old(&self) {
         self.0.borrow_mut().retain(|at| at.elapsed() < Duration::from_secs(11));
     }
 }
 
-/// The window in which there was more than a whole, two seconds of it that may be saved up, and some beside it.
-pub fn beyond(at: &[Instant], whole: f64, some: usize) -> Option<String> {
+/// Describes the first window of 1 s or 10 s with more events than `limit` per second plus two seconds
+/// of saved-up tokens plus `allowance`, if any.
+pub fn limit_violation(times: &[Instant], limit: f64, allowance: usize) -> Option<String> {
     for window in [1, 10] {
-        let most = (whole * (window + 2) as f64) as usize + some;
-        for (n, from) in at.iter().enumerate() {
+        let max = (limit * (window + 2) as f64) as usize + allowance;
+        for (n, from) in times.iter().enumerate() {
             let until = *from + Duration::from_secs(window);
-            let count = at[n..].iter().take_while(|at| **at < until).count();
-            if count > most {
-                return Some(format!("{count} in {window} s, at most {most} may be"));
+            let count = times[n..].iter().take_while(|at| **at < until).count();
+            if count > max {
+                return Some(format!("{count} in {window} s, at most {max} allowed"));
             }
         }
     }
     None
 }
 
-/// How many of what.
+/// Size and settings of a fleet.
 #[derive(Clone, Debug)]
-pub struct Shape {
-    pub stewards: usize,
+pub struct FleetConfig {
+    pub coordinators: usize,
     pub balancers: usize,
-    /// The most that the ledger takes: as many as balancers, where those are all.
-    pub members: usize,
+    /// Capacity of the ledger. Equals the number of balancers unless other members join.
+    pub max_members: usize,
     pub upstreams: usize,
-    /// The tenant's RPCs a second over all balancers.
-    pub whole: usize,
-    /// Transmissions beyond the first, and trials to one upstream, a second over all balancers; none is no budget.
-    pub further: Option<f64>,
-    pub trials: Option<f64>,
-    /// Whether balancers go by the configuration of the service `shop`.
-    pub follows: bool,
-    /// What one balancer alone does at a time, under leases of two seconds.
+    /// The tenant's limit in RPCs per second over all balancers.
+    pub limit: usize,
+    /// Fleet-wide limits per second on attempts beyond the first, and on trials to one upstream; `None`
+    /// configures no such budget.
+    pub retry_limit: Option<f64>,
+    pub trial_limit: Option<f64>,
+    /// Whether balancers follow the shared configuration of the service `shop`.
+    pub follows_configuration: bool,
+    /// Duties, each held by one balancer at a time under a lease of two seconds.
     pub duties: Vec<String>,
 }
 
-impl Shape {
-    pub fn new(stewards: usize, balancers: usize, whole: usize) -> Self {
-        Shape {
-            stewards,
+impl FleetConfig {
+    pub fn new(coordinators: usize, balancers: usize, limit: usize) -> Self {
+        FleetConfig {
+            coordinators,
             balancers,
-            members: balancers,
+            max_members: balancers,
             upstreams: 1,
-            whole,
-            further: None,
-            trials: None,
-            follows: false,
+            limit,
+            retry_limit: None,
+            trial_limit: None,
+            follows_configuration: false,
             duties: Vec::new(),
         }
     }
 
-    /// Budgets and duties as a steward's file names them.
-    fn shared(&self) -> String {
+    /// The budget and duty sections of a coordinator's file.
+    fn shared_sections(&self) -> String {
         let duty = |name: &String| format!("[[duty]]\nname = \"{name}\"\n");
-        self.budgets() + &self.duties.iter().map(duty).collect::<String>()
+        self.budget_sections() + &self.duties.iter().map(duty).collect::<String>()
     }
 
-    fn budgets(&self) -> String {
-        let tenant = ("acme", Some(self.whole as f64));
-        let all = [tenant, (RETRY_BUDGET, self.further), (TRIAL_BUDGET, self.trials)];
-        let budget = |(name, whole): &(&str, Option<f64>)| {
-            whole.map(|whole| format!("[[budget]]\nname = \"{name}\"\nwhole = {whole}\nfloors = 0.1\n"))
+    fn budget_sections(&self) -> String {
+        let tenant = ("acme", Some(self.limit as f64));
+        let all = [tenant, (RETRY_BUDGET, self.retry_limit), (TRIAL_BUDGET, self.trial_limit)];
+        let budget = |(name, limit): &(&str, Option<f64>)| {
+            limit.map(|limit| format!("[[budget]]\nname = \"{name}\"\nwhole = {limit}\nfloors = 0.1\n"))
         };
         all.iter().filter_map(budget).collect()
     }
 
-    fn divides(&self) -> String {
-        let all = [("\"further\"", self.further), ("\"trials\"", self.trials)];
+    fn divided_budgets(&self) -> String {
+        let all = [("\"further\"", self.retry_limit), ("\"trials\"", self.trial_limit)];
         all.iter()
-            .filter(|(_, whole)| whole.is_some())
-            .map(|(word, _)| *word)
+            .filter(|(_, limit)| limit.is_some())
+            .map(|(name, _)| *name)
             .collect::<Vec<&str>>()
             .join(", ")
     }
 }
 
-/// How an upstream does.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Mood {
+pub enum UpstreamBehavior {
     #[default]
-    Well,
-    /// Every RPC: the connection ends without an answer.
+    Healthy,
+    /// Closes the connection of each RPC without an answer.
     Fails,
-    /// Every second transmission, unseen.
-    TurnsAwayHalf,
+    /// Rejects every second attempt without executing it.
+    RejectsHalf,
 }
 
-/// A transmission, as an upstream saw it.
+/// An attempt as received by an upstream.
 #[derive(Clone, Debug)]
-pub struct Came {
+pub struct ReceivedAttempt {
     pub at: Instant,
     pub upstream: usize,
     pub rpc: String,
 }
 
-/// Stewards, balancers before upstreams, and a tenant's load.
+/// Coordinators, balancers, upstreams and the load of one tenant.
 pub struct Fleet {
     program: PathBuf,
     pub folder: PathBuf,
-    pub shape: Shape,
-    pub stewards: Vec<Process>,
-    pub steward_addresses: Vec<SocketAddr>,
-    steward_pages: Vec<String>,
-    /// From each steward to each other one, by their numbers.
-    pub between: BTreeMap<(usize, usize), Rc<Link>>,
+    pub config: FleetConfig,
+    pub coordinators: Vec<Process>,
+    pub coordinator_addresses: Vec<SocketAddr>,
+    coordinator_files: Vec<String>,
+    /// By the numbers of the sending and the receiving coordinator.
+    pub coordinator_links: BTreeMap<(usize, usize), Rc<Link>>,
     pub balancers: Vec<Process>,
     pub addresses: Vec<SocketAddr>,
-    /// Where balancers answer operators.
-    pub doors: Vec<SocketAddr>,
-    /// From each balancer to each steward.
-    pub links: Vec<Vec<Rc<Link>>>,
-    pages: Vec<String>,
-    pub ran: Rc<Ran>,
-    /// All transmissions that came, turned away or not.
-    pub came: Rc<RefCell<Vec<Came>>>,
-    /// How each upstream does.
-    pub moods: Rc<Vec<Cell<Mood>>>,
-    /// RPCs a second asked of each balancer.
+    /// Addresses of the balancers' operations servers.
+    pub ops_addresses: Vec<SocketAddr>,
+    /// Links of each balancer to each coordinator.
+    pub balancer_links: Vec<Vec<Rc<Link>>>,
+    balancer_files: Vec<String>,
+    pub executions: Rc<ExecutionLog>,
+    /// All attempts received, rejected ones included.
+    pub attempts: Rc<RefCell<Vec<ReceivedAttempt>>>,
+    pub behaviors: Rc<Vec<Cell<UpstreamBehavior>>>,
+    /// RPCs per second sent to each balancer.
     rates: Rc<Vec<Cell<u64>>>,
-    /// Answers that were neither served nor refused.
-    pub wrong: Rc<RefCell<Vec<String>>>,
-    /// RPCs that had no answer at all.
+    /// Heads of answers with a status other than 200 and 503.
+    pub unexpected_answers: Rc<RefCell<Vec<String>>>,
+    /// Number of RPCs without any answer.
     pub unanswered: Rc<Cell<usize>>,
     _discovery: Rc<Discovery>,
 }
 
 impl Fleet {
-    /// `program` has the roles of the laboratory's own; `folder` is made, and gone with the fleet.
-    pub async fn start(program: &Path, folder: PathBuf, shape: Shape) -> Result<Self, String> {
-        let Shape { stewards, balancers, members, whole, .. } = shape;
-        let trouble = |e: std::io::Error| e.to_string();
-        let any = SocketAddr::from(([127, 0, 0, 1], 0));
-        std::fs::create_dir_all(&folder).map_err(trouble)?;
-        let at = addresses(stewards).map_err(trouble)?;
-        let (mut between, mut steward_pages) = (BTreeMap::new(), Vec::new());
-        for n in 0..stewards {
+    /// `program` is the testbed binary. `folder` is created, and removed when the fleet is dropped.
+    pub async fn start(program: &Path, folder: PathBuf, config: FleetConfig) -> Result<Self, String> {
+        let FleetConfig { coordinators, balancers, max_members, limit, .. } = config;
+        let io_error = |e: std::io::Error| e.to_string();
+        let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
+        std::fs::create_dir_all(&folder).map_err(io_error)?;
+        let at = addresses(coordinators).map_err(io_error)?;
+        let (mut coordinator_links, mut coordinator_files) = (BTreeMap::new(), Vec::new());
+        for n in 0..coordinators {
             let mut list = String::new();
-            for (m, own) in at.iter().enumerate() {
+            for (m, target) in at.iter().enumerate() {
                 let at = if m == n {
-                    *own
+                    *target
                 } else {
-                    let link = Link::to(*own).await.map_err(trouble)?;
-                    between.insert((n, m), Rc::clone(&link));
+                    let link = Link::to(*target).await.map_err(io_error)?;
+                    coordinator_links.insert((n, m), Rc::clone(&link));
                     link.address
                 };
                 list += &format!("[[steward]]\nname = \"s{m}\"\naddress = \"{at}\"\n");
             }
-            let disk = folder.join(format!("s{n}"));
-            steward_pages.push(format!(
-                "cluster = \"c\"\nname = \"s{n}\"\nfolder = \"{}\"\nmembers = {members}\nshares_ms = 3000\nduties_ms = 2000\nfloors_s = 12\n{list}",
-                disk.display()
+            let data_folder = folder.join(format!("s{n}"));
+            coordinator_files.push(format!(
+                "cluster = \"c\"\nname = \"s{n}\"\nfolder = \"{}\"\nmembers = {max_members}\nshares_ms = 3000\nduties_ms = 2000\nfloors_s = 12\n{list}",
+                data_folder.display()
             ));
         }
         let start = |(n, text): (usize, &String)| {
-            launch(program, "steward", &folder, &format!("s{n}"), &format!("{text}{}", shape.shared()))
+            launch(
+                program,
+                "steward",
+                &folder,
+                &format!("s{n}"),
+                &format!("{text}{}", config.shared_sections()),
+            )
         };
-        let stewards =
-            steward_pages.iter().enumerate().map(start).collect::<Result<Vec<Process>, String>>()?;
-        let ran = Rc::new(Ran::default());
-        let came: Rc<RefCell<Vec<Came>>> = Rc::default();
-        let moods: Rc<Vec<Cell<Mood>>> = Rc::new((0..shape.upstreams).map(|_| Cell::default()).collect());
+        let coordinators =
+            coordinator_files.iter().enumerate().map(start).collect::<Result<Vec<Process>, String>>()?;
+        let executions = Rc::new(ExecutionLog::default());
+        let attempts: Rc<RefCell<Vec<ReceivedAttempt>>> = Rc::default();
+        let behaviors: Rc<Vec<Cell<UpstreamBehavior>>> =
+            Rc::new((0..config.upstreams).map(|_| Cell::default()).collect());
         let (mut upstreams, mut list) = (Vec::new(), Vec::new());
-        for n in 0..shape.upstreams {
-            let (ran, came, moods) = (Rc::clone(&ran), Rc::clone(&came), Rc::clone(&moods));
-            let upstream = serve(any, move |asked| {
-                let rpc = asked.header("req-id").unwrap_or_default().to_owned();
-                came.borrow_mut().push(Came { at: Instant::now(), upstream: n, rpc });
-                match moods[n].get() {
-                    Mood::Fails => return Deed::SayAndClose(Vec::new()),
-                    Mood::TurnsAwayHalf if came.borrow().len() % 2 == 0 => {
+        for n in 0..config.upstreams {
+            let (executions, attempts, behaviors) =
+                (Rc::clone(&executions), Rc::clone(&attempts), Rc::clone(&behaviors));
+            let upstream = serve(any_port, move |request| {
+                let rpc = request.header("req-id").unwrap_or_default().to_owned();
+                attempts.borrow_mut().push(ReceivedAttempt { at: Instant::now(), upstream: n, rpc });
+                match behaviors[n].get() {
+                    UpstreamBehavior::Fails => return Deed::SayAndClose(Vec::new()),
+                    UpstreamBehavior::RejectsHalf if attempts.borrow().len() % 2 == 0 => {
                         return Deed::Say(answer(503, "Srv-Declined: 1\r\n", ""));
                     }
-                    Mood::Well | Mood::TurnsAwayHalf => {}
+                    UpstreamBehavior::Healthy | UpstreamBehavior::RejectsHalf => {}
                 }
-                ran.0.borrow_mut().push(Instant::now());
+                executions.0.borrow_mut().push(Instant::now());
                 ok("whole")
             });
-            let at = upstream.await.map_err(trouble)?;
+            let at = upstream.await.map_err(io_error)?;
             list.push(entry(&format!("u{n}"), at, "a", "SERVING"));
             upstreams.push(format!("[[upstream]]\nid = \"u{n}\"\naddress = \"{at}\"\nzone = \"a\"\n"));
         }
-        let discovery = Discovery::start(any, list.join(",")).await.map_err(trouble)?;
+        let discovery = Discovery::start(any_port, list.join(",")).await.map_err(io_error)?;
         let rates: Rc<Vec<Cell<u64>>> = Rc::new((0..balancers).map(|_| Cell::new(0)).collect());
         let mut fleet = Fleet {
             program: program.to_owned(),
             folder,
-            shape,
-            stewards,
-            steward_addresses: at,
-            steward_pages,
-            between,
+            config,
+            coordinators,
+            coordinator_addresses: at,
+            coordinator_files,
+            coordinator_links,
             balancers: Vec::new(),
             addresses: Vec::new(),
-            doors: addresses(balancers).map_err(trouble)?,
-            links: Vec::new(),
-            pages: Vec::new(),
-            ran,
-            came,
-            moods,
+            ops_addresses: addresses(balancers).map_err(io_error)?,
+            balancer_links: Vec::new(),
+            balancer_files: Vec::new(),
+            executions,
+            attempts,
+            behaviors,
             rates,
-            wrong: Rc::default(),
+            unexpected_answers: Rc::default(),
             unanswered: Rc::default(),
             _discovery: discovery,
         };
         for n in 0..balancers {
-            let mut own = Vec::new();
-            for at in &fleet.steward_addresses {
-                own.push(Link::to(*at).await.map_err(trouble)?);
+            let mut links = Vec::new();
+            for at in &fleet.coordinator_addresses {
+                links.push(Link::to(*at).await.map_err(io_error)?);
             }
-            let to: Vec<String> = own.iter().map(|link| format!("\"{}\"", link.address)).collect();
+            let to: Vec<String> = links.iter().map(|link| format!("\"{}\"", link.address)).collect();
             let text = format!(
                 "name = \"b{n}\"\nlisten = \"127.0.0.1:0\"\n{}discovery = \"{}\"\n[place]\ninstances = {balancers}\nzone = \"a\"\n\
                  [load]\nrefuse_over_share = true\n[fleet]\ncluster = \"c\"\nstewards = [{}]\nbeat_ms = 200\ndivides = [{}]\n{}\
                  [rules]\ncold_from = 0.3\nwarm_within_s = 10\ncold_multiple = 3\ncold_window_s = 2\n\
                  [[method]]\nname = \"look\"\neffect = \"retriable\"\nsoft_ms = 1000\nhard_ms = 3000\n\
-                 [[tenant]]\nname = \"acme\"\nrate = {whole}\n\
+                 [[tenant]]\nname = \"acme\"\nrate = {limit}\n\
                  [limits]\ntransmissions = 4\n{}",
-                fleet.door(n),
+                fleet.ops_line(n),
                 fleet._discovery.address,
                 to.join(", "),
-                fleet.shape.divides(),
-                if fleet.shape.follows { "service = \"shop\"\n" } else { "" },
+                fleet.config.divided_budgets(),
+                if fleet.config.follows_configuration { "service = \"shop\"\n" } else { "" },
                 upstreams.concat()
             );
-            fleet.links.push(own);
-            fleet.pages.push(text);
+            fleet.balancer_links.push(links);
+            fleet.balancer_files.push(text);
             fleet.start_balancer(n).await?;
         }
         Ok(fleet)
     }
 
-    /// Where a balancer answers operators, as its file says it. Two processes of one balancer can't have it both, as in an
-    /// upgrade: it is there where duties are, whose holders are asked at it.
-    fn door(&self, n: usize) -> String {
-        if self.shape.duties.is_empty() {
+    /// The line of a balancer's file that sets its operations server. Set only when there are duties,
+    /// whose tests query the holders there: during an upgrade two processes of one balancer run, and
+    /// both cannot listen on the same address.
+    fn ops_line(&self, n: usize) -> String {
+        if self.config.duties.is_empty() {
             return String::new();
         }
-        format!("ops = \"{}\"\n", self.doors[n])
+        format!("ops = \"{}\"\n", self.ops_addresses[n])
     }
 
-    /// Starts one again, with what is left on its disk.
-    pub fn start_steward(&mut self, n: usize) -> Result<(), String> {
-        let text = format!("{}{}", self.steward_pages[n], self.shape.shared());
-        self.stewards[n] = launch(&self.program, "steward", &self.folder, &format!("s{n}"), &text)?;
+    /// Restarts a coordinator with its existing data.
+    pub fn start_coordinator(&mut self, n: usize) -> Result<(), String> {
+        let text = format!("{}{}", self.coordinator_files[n], self.config.shared_sections());
+        self.coordinators[n] = launch(&self.program, "steward", &self.folder, &format!("s{n}"), &text)?;
         Ok(())
     }
 
-    /// A network that falls apart: these stewards and balancers reach each other, and so do all others.
-    pub fn part(&self, stewards: &[usize], balancers: &[usize]) {
-        let apart = |n: &usize, m: &usize| stewards.contains(n) != stewards.contains(m);
-        self.between.iter().filter(|((n, m), _)| apart(n, m)).for_each(|(_, link)| link.refuse());
-        for (n, links) in self.links.iter().enumerate() {
-            let apart =
-                links.iter().enumerate().filter(|(m, _)| balancers.contains(&n) != stewards.contains(m));
-            apart.for_each(|(_, link)| link.refuse());
+    /// Partitions the network: the given coordinators and balancers reach only each other, and so do all
+    /// others.
+    pub fn partition(&self, coordinators: &[usize], balancers: &[usize]) {
+        let separated = |n: &usize, m: &usize| coordinators.contains(n) != coordinators.contains(m);
+        self.coordinator_links
+            .iter()
+            .filter(|((n, m), _)| separated(n, m))
+            .for_each(|(_, link)| link.refuse());
+        for (n, links) in self.balancer_links.iter().enumerate() {
+            let separated =
+                links.iter().enumerate().filter(|(m, _)| balancers.contains(&n) != coordinators.contains(m));
+            separated.for_each(|(_, link)| link.refuse());
         }
     }
 
-    /// All reach all again.
+    /// Restores all links.
     pub fn heal(&self) {
-        self.between.values().chain(self.links.iter().flatten()).for_each(|link| link.mend());
+        self.coordinator_links
+            .values()
+            .chain(self.balancer_links.iter().flatten())
+            .for_each(|link| link.mend());
     }
 
-    /// Another process under the name of this balancer, on another machine as far as it can tell.
-    pub async fn stranger(&self, n: usize) -> Result<(Process, SocketAddr), String> {
+    /// Starts another process with the same balancer name in a folder of its own, as a balancer on
+    /// another machine would be.
+    pub async fn start_impostor(&self, n: usize) -> Result<(Process, SocketAddr), String> {
         let folder = self.folder.join(format!("elsewhere{n}"));
         std::fs::create_dir_all(&folder).map_err(|e| e.to_string())?;
-        let process = launch(&self.program, "balancer", &folder, &format!("b{n}"), &self.pages[n])?;
-        let at = process.address_after("serving on ", START).await?;
+        let process = launch(&self.program, "balancer", &folder, &format!("b{n}"), &self.balancer_files[n])?;
+        let at = process.address_after("serving on ", START_TIMEOUT).await?;
         Ok((process, at))
     }
 
-    /// What this steward says of itself and of the ledger, if it does.
-    pub async fn status(&self, steward: usize) -> Option<Status> {
-        status(self.steward_addresses[steward]).await
+    /// Status of a coordinator and its ledger, if it answers.
+    pub async fn status(&self, coordinator: usize) -> Option<Status> {
+        status(self.coordinator_addresses[coordinator]).await
     }
 
-    /// Starts one, for the first time or again, with what is left on its disk.
+    /// Starts or restarts a balancer, with any existing data, and sends load to it.
     pub async fn start_balancer(&mut self, n: usize) -> Result<(), String> {
-        let process = launch(&self.program, "balancer", &self.folder, &format!("b{n}"), &self.pages[n])?;
-        let at = process.address_after("serving on ", START).await?;
+        let process =
+            launch(&self.program, "balancer", &self.folder, &format!("b{n}"), &self.balancer_files[n])?;
+        let at = process.address_after("serving on ", START_TIMEOUT).await?;
         if n < self.balancers.len() {
             (self.balancers[n], self.addresses[n]) = (process, at);
         } else {
             self.balancers.push(process);
             self.addresses.push(at);
         }
-        self.ask_for_ever(n);
+        self.generate_load(n);
         Ok(())
     }
 
-    /// Starts a new process of the same balancer beside the old one, which it returns once the new one serves.
+    /// Starts a new process of the same balancer beside the old one. Returns the old one once the new
+    /// one serves.
     pub async fn upgrade(&mut self, n: usize) -> Result<Process, String> {
         let name = format!("b{n}");
-        let new = launch(&self.program, "balancer", &self.folder, &name, &self.pages[n])?;
-        new.address_after("serving on ", START).await?;
+        let new = launch(&self.program, "balancer", &self.folder, &name, &self.balancer_files[n])?;
+        new.address_after("serving on ", START_TIMEOUT).await?;
         Ok(std::mem::replace(&mut self.balancers[n], new))
     }
 
-    /// Open loop: what is slow to be answered keeps no other waiting.
-    fn ask_for_ever(&self, n: usize) {
-        let (rates, wrong, at) = (Rc::clone(&self.rates), Rc::clone(&self.wrong), self.addresses[n]);
+    /// Sends RPCs in an open loop: slow answers do not delay later requests.
+    fn generate_load(&self, n: usize) {
+        let (rates, unexpected_answers, at) =
+            (Rc::clone(&self.rates), Rc::clone(&self.unexpected_answers), self.addresses[n]);
         let unanswered = Rc::clone(&self.unanswered);
         spawn_local(async move {
             let (mut due, mut from) = (0.0, Instant::now());
@@ -370,42 +392,44 @@
                     continue;
                 }
                 due -= 1.0;
-                let (wrong, unanswered) = (Rc::clone(&wrong), Rc::clone(&unanswered));
+                let (unexpected_answers, unanswered) =
+                    (Rc::clone(&unexpected_answers), Rc::clone(&unanswered));
                 spawn_local(async move {
-                    let none = || unanswered.set(unanswered.get() + 1);
-                    let Ok(mut stream) = TcpStream::connect(at).await else { return none() };
-                    let asked = rpc("GET", "/look", "Req-Owner: acme\r\nConnection: close\r\n");
-                    let _ = stream.write_all(asked.as_bytes()).await;
+                    let count_unanswered = || unanswered.set(unanswered.get() + 1);
+                    let Ok(mut stream) = TcpStream::connect(at).await else { return count_unanswered() };
+                    let request = rpc("GET", "/look", "Req-Owner: acme\r\nConnection: close\r\n");
+                    let _ = stream.write_all(request.as_bytes()).await;
                     match timeout(Duration::from_secs(4), read(&mut stream)).await {
                         Ok(Some(answer)) if matches!(answer.status(), 200 | 503) => {}
-                        Ok(Some(answer)) => wrong.borrow_mut().push(answer.head),
-                        // Its balancer was killed, or stands still: that is judged by who did it.
-                        Ok(None) | Err(_) => none(),
+                        Ok(Some(answer)) => unexpected_answers.borrow_mut().push(answer.head),
+                        // Happens when the balancer was killed or stopped; the test that did so judges
+                        // it.
+                        Ok(None) | Err(_) => count_unanswered(),
                     }
                 });
             }
         });
     }
 
-    pub fn rates(&self, rates: &[u64]) {
-        rates.iter().zip(self.rates.iter()).for_each(|(rate, of)| of.set(*rate));
+    pub fn set_rates(&self, rates: &[u64]) {
+        rates.iter().zip(self.rates.iter()).for_each(|(rate, target)| target.set(*rate));
     }
 
-    /// Until nearly the whole has run within a second.
-    pub async fn until_used(&self) {
-        self.until_runs(self.shape.whole * 19 / 20).await;
+    /// Waits until 95% of the limit was executed within a second.
+    pub async fn wait_until_limit_used(&self) {
+        self.wait_until_rate(self.config.limit * 19 / 20).await;
     }
 
-    /// Until so many have run within a second.
-    pub async fn until_runs(&self, least: usize) {
-        until(|| self.ran.within(Duration::from_secs(1)) >= least).await;
+    /// Waits until at least so many RPCs were executed within a second.
+    pub async fn wait_until_rate(&self, min: usize) {
+        until(|| self.executions.count_within(Duration::from_secs(1)) >= min).await;
     }
 
-    /// Which steward leads by its own word, once one does.
+    /// Waits for a coordinator that reports itself leader.
     pub async fn leader(&self) -> usize {
         loop {
-            for n in 0..self.stewards.len() {
-                let running = self.stewards[n].is_running();
+            for n in 0..self.coordinators.len() {
+                let running = self.coordinators[n].is_running();
                 if running && self.status(n).await.is_some_and(|s| s.state == "leader") {
                     return n;
                 }
@@ -414,38 +438,42 @@
         }
     }
 
-    /// What all balancers together did not keep, or answered wrongly.
-    pub fn broken(&self) -> Option<String> {
-        let wrong = self.wrong.borrow().first().cloned();
-        self.ran.beyond(self.shape.whole, self.addresses.len()).or(wrong)
+    /// Describes an exceeded limit or an unexpected answer, if any.
+    pub fn violation(&self) -> Option<String> {
+        let unexpected_answers = self.unexpected_answers.borrow().first().cloned();
+        self.executions.limit_violation(self.config.limit, self.addresses.len()).or(unexpected_answers)
     }
 
-    /// When transmissions came that were not the first of their RPC.
-    pub fn further(&self) -> Vec<Instant> {
+    /// Arrival times of attempts that were not the first of their RPC.
+    pub fn retry_times(&self) -> Vec<Instant> {
         let mut seen = BTreeSet::new();
-        let came = self.came.borrow();
-        came.iter().filter(|came| !seen.insert(came.rpc.clone())).map(|came| came.at).collect()
+        let attempts = self.attempts.borrow();
+        attempts
+            .iter()
+            .filter(|attempt| !seen.insert(attempt.rpc.clone()))
+            .map(|attempt| attempt.at)
+            .collect()
     }
 
-    /// What is kept for a judgement of all is not kept any more.
-    pub fn forget(&self) {
-        self.ran.forget();
-        self.came.borrow_mut().retain(|came| came.at.elapsed() < Duration::from_secs(11));
+    /// Drops records older than the longest window, for long runs that are checked as they go.
+    pub fn discard_old(&self) {
+        self.executions.discard_old();
+        self.attempts.borrow_mut().retain(|attempt| attempt.at.elapsed() < Duration::from_secs(11));
     }
 }
 
-/// What the steward there says of itself and of the ledger, if it does.
+/// Status of the coordinator at this address and its ledger, if it answers.
 pub async fn status(at: SocketAddr) -> Option<Status> {
-    let asked = "GET /-/status HTTP/1.1\r\nHost: s\r\nConnection: close\r\n\r\n";
+    let request = "GET /-/status HTTP/1.1\r\nHost: s\r\nConnection: close\r\n\r\n";
     let mut stream = TcpStream::connect(at).await.ok()?;
-    stream.write_all(asked.as_bytes()).await.ok()?;
-    let answer = timeout(START, read(&mut stream)).await.ok()??;
+    stream.write_all(request.as_bytes()).await.ok()?;
+    let answer = timeout(START_TIMEOUT, read(&mut stream)).await.ok()??;
     serde_json::from_slice(&answer.body).ok()
 }
 
 impl Drop for Fleet {
     fn drop(&mut self) {
-        self.stewards.clear();
+        self.coordinators.clear();
         self.balancers.clear();
         let _ = std::fs::remove_dir_all(&self.folder);
     }
