--- a/crates/fernroute-server/src/program/successor.rs
+++ b/crates/fernroute-server/src/program/successor.rs
@@ -7,7 +7,7 @@
 
 use super::predecessor::REPLY_TIMEOUT;
 use super::running::RunningInstance;
-use crate::protocol::handover::{FromNew, FromOld};
+use crate::protocol::handover::{PredecessorMessage, SuccessorMessage};
 use crate::transport::handover::{HandoverConnection, HandoverListener};
 use futures_util::future::{select, Either};
 use std::pin::pin;
@@ -34,7 +34,7 @@
     loop {
         let connection = accept(&listener).await;
         if let Some(connection) = hand_over_exclusively(running, &listener, connection).await {
-            running.board.phase_change(|phase, now| phase.hand_over(now));
+            running.board.update_phase(|phase, now| phase.hand_over(now));
             running.server.set_accepting(false);
             running.update_quota(|quota| quota.handed_over = true);
             tracing::info!("a successor serves");
@@ -62,7 +62,7 @@
     let end = report_until_drained(running, connection).await;
     if end == DrainEnd::SuccessorEnded {
         tracing::warn!("the successor has ended, serving again");
-        running.board.phase_change(|phase, _| phase.take_back());
+        running.board.update_phase(|phase, _| phase.cancel_hand_over());
         running.server.set_accepting(true);
         reclaim(running);
     }
@@ -95,7 +95,7 @@
         match listener.accept().await {
             Ok(connection) => {
                 // Closing a socket with an unread message would discard the reply.
-                let _ = timeout(REPLY_TIMEOUT, connection.receive::<FromNew>()).await;
+                let _ = timeout(REPLY_TIMEOUT, connection.receive::<SuccessorMessage>()).await;
                 reject(connection, "another process takes over already", false).await;
             }
             Err(_) => actix_rt::time::sleep(ACCEPT_BACKOFF).await,
@@ -104,7 +104,7 @@
 }
 
 async fn reject(mut connection: HandoverConnection, reason: &str, ending: bool) {
-    let message = FromOld::Refused { why: reason.to_owned(), ending };
+    let message = PredecessorMessage::Refused { why: reason.to_owned(), ending };
     // The other process may have ended.
     let _ = timeout(REPLY_TIMEOUT, connection.send(&message)).await;
 }
@@ -114,8 +114,8 @@
     running: &RunningInstance,
     mut connection: HandoverConnection,
 ) -> Option<HandoverConnection> {
-    let version_is_known = match timeout(REPLY_TIMEOUT, connection.receive::<FromNew>()).await {
-        Ok(Ok(Some((message @ FromNew::Take { .. }, _)))) => message.is_known(),
+    let version_is_known = match timeout(REPLY_TIMEOUT, connection.receive::<SuccessorMessage>()).await {
+        Ok(Ok(Some((message @ SuccessorMessage::Take { .. }, _)))) => message.is_supported_version(),
         other => {
             tracing::warn!("unexpected message from a successor: {other:?}");
             return None;
@@ -134,8 +134,8 @@
         Ok(Ok(())) => {}
         _ => return None,
     }
-    match connection.receive::<FromNew>().await {
-        Ok(Some((FromNew::Ready, _))) => Some(connection),
+    match connection.receive::<SuccessorMessage>().await {
+        Ok(Some((SuccessorMessage::Ready, _))) => Some(connection),
         _ => {
             tracing::warn!("the successor ended before it could serve");
             None
@@ -144,27 +144,27 @@
 }
 
 /// Shrinks the quota of this process and builds the handover message for the successor.
-fn prepare_handover(running: &RunningInstance) -> FromOld {
+fn prepare_handover(running: &RunningInstance) -> PredecessorMessage {
     running.update_quota(|quota| quota.shrink_for_successor(running.connections()));
     let descriptors = running.quota().available_to_successor(running.connections());
     tracing::info!("a successor connected, it gets {descriptors} descriptors");
     let handover = running.fleet_member().and_then(|member| member.hand_over());
-    FromOld::given(running.endpoint_list(), descriptors, handover)
+    PredecessorMessage::given(running.endpoint_list(), descriptors, handover)
 }
 
 /// Reports free descriptors to the successor as connections end, until none is open or the successor has ended.
 async fn report_until_drained(running: &RunningInstance, mut connection: HandoverConnection) -> DrainEnd {
-    if connection.send(&FromOld::Yours).await.is_err() {
+    if connection.send(&PredecessorMessage::Yours).await.is_err() {
         return DrainEnd::SuccessorEnded;
     }
     let mut reported = 0;
     while running.server.connections() > 0 {
         let descriptors = running.quota().available_to_successor(running.connections());
-        if descriptors != reported && connection.send(&FromOld::Left { descriptors }).await.is_err() {
+        if descriptors != reported && connection.send(&PredecessorMessage::Left { descriptors }).await.is_err() {
             return DrainEnd::SuccessorEnded;
         }
         reported = descriptors;
-        if let Ok(Ok(None) | Err(_)) = timeout(REPORT_INTERVAL, connection.receive::<FromNew>()).await {
+        if let Ok(Ok(None) | Err(_)) = timeout(REPORT_INTERVAL, connection.receive::<SuccessorMessage>()).await {
             return DrainEnd::SuccessorEnded;
         }
     }
--- a/crates/fernroute-server/src/program/upgrade.rs
+++ b/crates/fernroute-server/src/program/upgrade.rs
@@ -11,7 +11,7 @@
 use super::running::RunningInstance;
 use super::start_error::StartError;
 use super::successor::{serve_successors, DrainEnd};
-use crate::protocol::handover::{FromNew, FromOld};
+use crate::protocol::handover::{PredecessorMessage, SuccessorMessage};
 use crate::transport::handover::{HandoverConnection, HandoverListener};
 use futures_util::future::{join, select, Either};
 use std::future::Future;
@@ -93,7 +93,7 @@
 
 /// Starts to serve, except in a process that is shutting down already.
 async fn start_serving_unless_stopping(running: &RunningInstance) -> Result<(), StartError> {
-    if running.board.phase.get().is_leaving() {
+    if running.board.phase.get().is_shutting_down() {
         return std::future::pending().await;
     }
     running.start_serving()
@@ -103,7 +103,7 @@
 /// upstreams that drain.
 async fn wait_for_discovery(running: &RunningInstance) {
     let started_at = Instant::now();
-    while !running.board.heard.get() && started_at.elapsed() < DISCOVERY_TIMEOUT {
+    while !running.board.discovery_answered.get() && started_at.elapsed() < DISCOVERY_TIMEOUT {
         actix_rt::time::sleep(POLL_INTERVAL).await;
     }
 }
@@ -117,11 +117,11 @@
     let descriptors = running.quota().assigned;
     tracing::info!("taking over from the process that serves, {descriptors} descriptors at the start");
     wait_until_prepared(running, &connection, configuration_current).await;
-    if running.board.phase.get().is_leaving() {
+    if running.board.phase.get().is_shutting_down() {
         return std::future::pending().await;
     }
     // Sent before this process accepts connections. A failure means that the predecessor has ended.
-    let sent = connection.send(&FromNew::Ready).await;
+    let sent = connection.send(&SuccessorMessage::Ready).await;
     start_serving_unless_stopping(running).await?;
     if sent.is_err() {
         reclaim_from_predecessor(running);
@@ -146,7 +146,7 @@
             actix_rt::time::sleep(POLL_INTERVAL).await;
         }
     });
-    if let Either::Right((message, _)) = select(prepared, pin!(connection.receive::<FromOld>())).await {
+    if let Either::Right((message, _)) = select(prepared, pin!(connection.receive::<PredecessorMessage>())).await {
         tracing::warn!("the old process ended the handover early: {message:?}");
     }
 }
@@ -157,10 +157,12 @@
     connection: HandoverConnection,
     may_hand_over: Rc<Notify>,
 ) {
-    while let Ok(Some((message, _))) = connection.receive::<FromOld>().await {
+    while let Ok(Some((message, _))) = connection.receive::<PredecessorMessage>().await {
         match message {
-            FromOld::Left { descriptors } => running.update_quota(|quota| quota.assigned = descriptors),
-            FromOld::Yours => may_hand_over.notify_one(),
+            PredecessorMessage::Left { descriptors } => {
+                running.update_quota(|quota| quota.assigned = descriptors)
+            }
+            PredecessorMessage::Yours => may_hand_over.notify_one(),
             other => tracing::warn!("unexpected message from the old process: {other:?}"),
         }
     }
--- a/crates/fernroute-server/tests/schedules.rs
+++ b/crates/fernroute-server/tests/schedules.rs
@@ -1,8 +1,8 @@
 //! Random orders of what callers, upstreams, the list and the settings do, against a small model of what is owed. Each
 //! schedule runs on real sockets; a failing one is shrunk. What is checked holds in whichever way a crossing ends.
 //!
-//! Seen to fail with each of these taken out: the look whether a caller has left (`take_in.rs`), the bar on first bytes to
-//! upstreams that left (`call_off_to_those_that_left`), the rest of kept connections (`REST`). What needs a connection held
+//! Seen to fail with each of these taken out: the look whether a caller has left (`receive.rs`), the bar on first bytes to
+//! upstreams that left (`cancel_attempts_to_removed_upstreams`), the rest of kept connections (`REST`). What needs a connection held
 //! back while it comes up, or two things in one turn, is forced in `endings.rs`: schedules do not meet it.
 
 mod common;
@@ -202,7 +202,7 @@
 
     /// All that was written has come.
     async fn settle(&self) {
-        let written = || self.b.board.figures().transmissions as usize;
+        let written = || self.b.board.metrics().attempts as usize;
         until(|| written() <= self.ledger.arrivals.borrow().len()).await;
     }
 
@@ -213,7 +213,7 @@
             false,
             &[entry(&format!("s-{upstream}"), self.addresses[upstream], "z", state)],
         );
-        self.b.board.take_list(&list, true);
+        self.b.board.apply_list(&list, true);
         self.ledger.drains[upstream].set(state != "SERVING");
     }
 
@@ -385,7 +385,7 @@
         let board = &self.b.board;
         let clear = || {
             board.open.borrow().is_empty()
-                && board.figures().outstanding == 0
+                && board.metrics().outstanding == 0
                 && board.timers.count() == 0
                 && self.b.server.connections() == 0
         };
