--- a/crates/fernroute-server/src/program/successor.rs
+++ b/crates/fernroute-server/src/program/successor.rs
@@ -160,11 +160,15 @@
     let mut reported = 0;
     while running.server.connections() > 0 {
         let descriptors = running.quota().available_to_successor(running.connections());
-        if descriptors != reported && connection.send(&PredecessorMessage::Left { descriptors }).await.is_err() {
+        if descriptors != reported
+            && connection.send(&PredecessorMessage::Left { descriptors }).await.is_err()
+        {
             return DrainEnd::SuccessorEnded;
         }
         reported = descriptors;
-        if let Ok(Ok(None) | Err(_)) = timeout(REPORT_INTERVAL, connection.receive::<SuccessorMessage>()).await {
+        if let Ok(Ok(None) | Err(_)) =
+            timeout(REPORT_INTERVAL, connection.receive::<SuccessorMessage>()).await
+        {
             return DrainEnd::SuccessorEnded;
         }
     }
--- a/crates/fernroute-server/src/program/upgrade.rs
+++ b/crates/fernroute-server/src/program/upgrade.rs
@@ -146,7 +146,9 @@
             actix_rt::time::sleep(POLL_INTERVAL).await;
         }
     });
-    if let Either::Right((message, _)) = select(prepared, pin!(connection.receive::<PredecessorMessage>())).await {
+    if let Either::Right((message, _)) =
+        select(prepared, pin!(connection.receive::<PredecessorMessage>())).await
+    {
         tracing::warn!("the old process ended the handover early: {message:?}");
     }
 }
