--- a/crates/fernroute-testbed/src/live/callers.rs
+++ b/crates/fernroute-testbed/src/live/callers.rs
@@ -6,7 +6,7 @@
 use crate::trace::{Event, Final};
 use fernroute::Time;
 use fernroute_server::routing::clock::{duration, tenths};
-use fernroute_test_support::http::Peer;
+use fernroute_test_support::http::Connection;
 use rand::RngExt as _;
 use std::rc::Rc;
 use std::time::Duration;
@@ -110,7 +110,7 @@
                     recorder.connection_failed = true;
                     return None;
                 };
-                Peer::new(stream)
+                Connection::new(stream)
             }
         };
         self.open_rpcs.borrow_mut().insert(Rc::clone(rpc), (number, 0));
@@ -138,8 +138,8 @@
             _ => Final::Errored,
         };
         recorder.last = Some(last);
-        let retry_after = message.number::<f64>("retry-after").filter(|s| s.is_finite() && *s >= 0.0);
-        if !message.closes() && balancer.alive.get() {
+        let retry_after = message.header_number::<f64>("retry-after").filter(|s| s.is_finite() && *s >= 0.0);
+        if !message.closes_connection() && balancer.alive.get() {
             balancer.idle.borrow_mut().push(peer);
         }
         Some((last, retry_after.map(Duration::from_secs_f64)))
--- a/crates/fernroute-testbed/src/live/upstreams.rs
+++ b/crates/fernroute-testbed/src/live/upstreams.rs
@@ -6,7 +6,7 @@
 use crate::upstream::{State, Upstream};
 use fernroute::{Outcome, Time};
 use fernroute_server::routing::clock::duration;
-use fernroute_test_support::http::{answer, Message, Peer};
+use fernroute_test_support::http::{response, Connection, Message};
 use rand::RngExt as _;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -96,7 +96,7 @@
         let lab = Rc::clone(self);
         let accept = spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                let task = spawn_local(Rc::clone(&lab).connection(number, Peer::new(stream)));
+                let task = spawn_local(Rc::clone(&lab).connection(number, Connection::new(stream)));
                 let stand_in = lab.stand_in(number);
                 let mut tasks = stand_in.tasks.borrow_mut();
                 tasks.retain(|t| !t.is_finished());
@@ -111,7 +111,7 @@
         Ok(())
     }
 
-    pub(super) async fn connection(self: Rc<Self>, upstream: usize, mut peer: Peer) {
+    pub(super) async fn connection(self: Rc<Self>, upstream: usize, mut peer: Connection) {
         while let Ok(Some(message)) = peer.read().await {
             let caller_gone = Rc::new(Cell::new(false));
             let handled = Rc::clone(&self).handle(upstream, message, Rc::clone(&caller_gone));
@@ -126,16 +126,16 @@
             }
             let bytes = tokio::select! {
                 bytes = &mut task => bytes,
-                () = peer.closed() => {
+                () = peer.wait_for_close() => {
                     caller_gone.set(true);
                     return;
                 }
             };
-            let Ok(bytes) = bytes else {
+            let Ok(to_bytes) = bytes else {
                 // The machine has vanished: it sends nothing, not even a close.
-                return peer.closed().await;
+                return peer.wait_for_close().await;
             };
-            if peer.write(&bytes).await.is_err() {
+            if peer.write(&to_bytes).await.is_err() {
                 return;
             }
         }
@@ -149,9 +149,9 @@
         caller_gone: Rc<Cell<bool>>,
     ) -> Vec<u8> {
         let received = self.now();
-        let Some(rpc) = message.header("req-id").map(Rc::<str>::from) else { return answer(404, "", "") };
-        let hard = received + message.number::<Time>("req-deadline-ms").unwrap_or(0) * 10;
-        let work: Time = message.number("lab-work").unwrap_or(1);
+        let Some(rpc) = message.header("req-id").map(Rc::<str>::from) else { return response(404, "", "") };
+        let hard = received + message.header_number::<Time>("req-deadline-ms").unwrap_or(0) * 10;
+        let work: Time = message.header_number("lab-work").unwrap_or(1);
         let calls = message.header("lab-calls").unwrap_or("").to_owned();
         let stand_in = self.stand_in(upstream);
         let tier = stand_in.model.borrow().tier;
@@ -170,7 +170,7 @@
         let ended = |outcome| self.record(&Event::Ended { rpc: Rc::clone(&rpc), attempt, outcome });
         let declined = |load: String| {
             ended(Outcome::Rejected);
-            answer(503, &format!("Srv-Declined: 1\r\n{load}"), "")
+            response(503, &format!("Srv-Declined: 1\r\n{load}"), "")
         };
         if stand_in.model.borrow().hangs() {
             self.record(&Event::Ran { rpc: Rc::clone(&rpc), attempt });
@@ -180,7 +180,7 @@
         if errors > 0.0 && self.rng.borrow_mut().random::<f64>() < errors {
             self.record(&Event::Ran { rpc: Rc::clone(&rpc), attempt });
             ended(Outcome::Failed);
-            return answer(500, &self.load(upstream), "");
+            return response(500, &self.load(upstream), "");
         }
         let slots = Rc::clone(&stand_in.slots.borrow());
         if slots.available_permits() == 0 && stand_in.waiting.get() >= settings.queue {
@@ -211,7 +211,7 @@
         stand_in.model.borrow_mut().held -= 1;
         ended(outcome);
         let status = if outcome == Outcome::Completed { 200 } else { 500 };
-        answer(status, &self.load(upstream), &rpc)
+        response(status, &self.load(upstream), &rpc)
     }
 
     pub(super) async fn work(&self, stand_in: &Rc<StandIn>, tier: usize, work: f64) {
--- a/crates/fernroute-testbed/src/scale/stand_in.rs
+++ b/crates/fernroute-testbed/src/scale/stand_in.rs
@@ -2,9 +2,9 @@
 //! to do.
 
 use super::limit::LimitChecker;
-use fernroute_test_support::http::{answer, Message, Peer};
-use fernroute_test_support::stand_in::{entry, serve, Deed, Discovery};
-use fernroute_test_support::Counted;
+use fernroute_test_support::http::{response, Connection, Message};
+use fernroute_test_support::stub::{list_entry, serve_stub, Reply, StubDiscovery};
+use fernroute_test_support::Traffic;
 use serde::{Deserialize, Serialize};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -76,16 +76,16 @@
 
 type StartedStandIn = std::io::Result<(BTreeMap<String, SocketAddr>, SocketAddr)>;
 
-fn json_response(what: &impl Serialize) -> Deed {
+fn json_response(what: &impl Serialize) -> Reply {
     let text = serde_json::to_string(what);
-    Deed::Say(text.map_or_else(|e| answer(500, "", &e.to_string()), |text| answer(200, "", &text)))
+    Reply::Send(text.map_or_else(|e| response(500, "", &e.to_string()), |text| response(200, "", &text)))
 }
 
 /// A list, its upstreams as discovery tells them, and whether its last one drains.
 struct FaultResult {
     entries: [String; 2],
     drains: bool,
-    servers: Vec<(String, Rc<Discovery>)>,
+    servers: Vec<(String, Rc<StubDiscovery>)>,
 }
 
 async fn discovery(
@@ -100,34 +100,34 @@
             let count = list.upstreams.len();
             let each = list.upstreams.iter().enumerate().map(|(n, (id, zone))| {
                 let state = if n + 1 == count { last } else { "SERVING" };
-                entry(id, places.get(id).copied().unwrap_or(unused), zone, state)
+                list_entry(id, places.get(id).copied().unwrap_or(unused), zone, state)
             });
             each.collect::<Vec<String>>().join(",")
         };
         let entries = [entries("SERVING"), entries("DRAINING")];
         let mut servers = Vec::new();
         for kind in list.kinds {
-            let one = Discovery::start(any, entries[0].clone()).await?;
+            let one = StubDiscovery::start(any, entries[0].clone()).await?;
             out.insert(format!("{name} {kind}"), one.address);
             servers.push((kind, one));
         }
         all.insert(name, RefCell::new(FaultResult { entries, drains: false, servers }));
     }
-    let control_address = serve(any, move |asked: &Message| {
+    let control_address = serve_stub(any, move |asked: &Message| {
         if let Some(name) = asked.target.strip_prefix("/tell/") {
             // Its last upstream drains, or serves again: all who watch it get the list anew.
-            let Some(list) = all.get(name) else { return Deed::Say(answer(404, "", "")) };
+            let Some(list) = all.get(name) else { return Reply::Send(response(404, "", "")) };
             let list = &mut *list.borrow_mut();
             list.drains = !list.drains;
             let entries = &list.entries[usize::from(list.drains)];
-            list.servers.iter().for_each(|(_, one)| one.tell(entries.clone()));
-            return Deed::Say(answer(200, "", ""));
+            list.servers.iter().for_each(|(_, one)| one.publish(entries.clone()));
+            return Reply::Send(response(200, "", ""));
         }
         let mut asked = TrafficByKind::new();
         for list in all.values() {
             for (kind, one) in &list.borrow().servers {
-                let (sum, Counted { bytes, messages }) =
-                    (asked.entry(kind.clone()).or_default(), one.counted());
+                let (sum, Traffic { bytes, messages }) =
+                    (asked.entry(kind.clone()).or_default(), one.traffic());
                 *sum = (sum.0 + bytes, sum.1 + messages);
             }
         }
@@ -157,8 +157,8 @@
             while let Ok((stream, _)) = listener.accept().await {
                 let ran = Rc::clone(&ran);
                 spawn_local(async move {
-                    let mut peer = Peer::new(stream);
-                    let said = answer(200, "Srv-Load: util=0.10\r\n", "whole");
+                    let mut peer = Connection::new(stream);
+                    let said = response(200, "Srv-Load: util=0.10\r\n", "whole");
                     while let Ok(Some(asked)) = peer.read().await {
                         record_attempt(&mut ran.borrow_mut(), &asked, from.elapsed());
                         if peer.write(&said).await.is_err() {
@@ -169,7 +169,7 @@
             }
         });
     }
-    let control_address = serve(any, move |_: &Message| {
+    let control_address = serve_stub(any, move |_: &Message| {
         let (count, whole) = &*ran.borrow();
         json_response(&ExecutionCounts { beyond: whole.violations(), ..count.clone() })
     });
--- a/crates/fernroute-testbed/tests/configuration.rs
+++ b/crates/fernroute-testbed/tests/configuration.rs
@@ -1,9 +1,9 @@
 //! Configuration of a fleet of real balancers and real stewards on loopback: what reaches whom, through all that goes wrong.
 
 use fernroute_fleet::configuration::rollout::RolloutState;
-use fernroute_test_support::link::Way;
+use fernroute_test_support::link::LinkMode;
 use fernroute_test_support::process::Process;
-use fernroute_test_support::until;
+use fernroute_test_support::wait_until;
 use fernroute_testbed::processes::{Fleet, FleetConfig};
 use std::future::Future;
 use std::path::Path;
@@ -93,12 +93,12 @@
         let fleet = start("stopped", 3).await;
         let first = fleet.put_configuration(SHOP, &methods(&["first"])).await;
         fleet.wait_until_active(first, &ALL).await;
-        fleet.balancers[0].stop();
+        fleet.balancers[0].pause();
         let second = fleet.put_configuration(SHOP, &methods(&["second"])).await;
         fleet.wait_until_active(second, &[1, 2]).await;
         let third = fleet.put_configuration(SHOP, &methods(&["third"])).await;
         fleet.wait_until_active(third, &[1, 2]).await;
-        fleet.balancers[0].go_on();
+        fleet.balancers[0].resume();
         fleet.wait_until_active(third, &ALL).await;
         let answers = (fleet.request_status(0, "second").await, fleet.request_status(0, "third").await);
         assert_eq!(answers, (Some(404), Some(200)));
@@ -117,7 +117,7 @@
         for n in [0, 2] {
             fleet.edit_file(n, "[rules]", "[list]\nask_within_s = 2\n[rules]");
             fleet.reload(n);
-            until(|| fleet.balancers[n].says("reloaded")).await;
+            wait_until(|| fleet.balancers[n].log_contains("reloaded")).await;
         }
         let first = fleet.put_configuration(SHOP, &methods(&["first"])).await;
         fleet.wait_until_active(first, &ALL).await;
@@ -134,7 +134,7 @@
         let third = fleet.put_configuration(SHOP, &methods(&["third"])).await;
         fleet.wait_until_active(third, &ALL).await;
         assert_eq!(fleet.request_status(1, "third").await, Some(200));
-        assert_eq!(fleet.balancers[1].times("was rejected"), 1);
+        assert_eq!(fleet.balancers[1].log_count("was rejected"), 1);
         end(&fleet);
     });
 }
@@ -145,16 +145,16 @@
     run(async {
         let fleet = start("cut", 3).await;
         fleet.set_rates(&[20, 20, 20]);
-        let ways = [(Way::Passes, Way::Silent), (Way::Silent, Way::Passes)];
+        let ways = [(LinkMode::Forward, LinkMode::Stall), (LinkMode::Stall, LinkMode::Forward)];
         for (n, (there, back)) in ways.into_iter().enumerate() {
-            fleet.balancer_links[0].iter().for_each(|link| link.set(there, back));
+            fleet.balancer_links[0].iter().for_each(|link| link.set_modes(there, back));
             let name = format!("m{n}");
             let version = fleet.put_configuration(SHOP, &methods(&[&name])).await;
             fleet.wait_until_active(version, &[1, 2]).await;
             // It serves on by what it has.
             assert_eq!(fleet.request_status(0, &name).await, Some(404));
             assert_eq!(fleet.request_status(1, &name).await, Some(200));
-            fleet.balancer_links[0].iter().for_each(|link| link.mend());
+            fleet.balancer_links[0].iter().for_each(|link| link.restore());
             fleet.wait_until_active(version, &ALL).await;
             assert_eq!(fleet.request_status(0, &name).await, Some(200));
         }
@@ -170,11 +170,11 @@
         for n in 0..3 {
             let leader = fleet.leader().await;
             // No balancer hears of it from this leader.
-            fleet.balancer_links.iter().for_each(|links| links[leader].refuse());
+            fleet.balancer_links.iter().for_each(|links| links[leader].refuse_connections());
             let name = format!("m{n}");
             let version = fleet.put_configuration(SHOP, &methods(&[&name])).await;
             fleet.coordinators[leader].kill();
-            fleet.balancer_links.iter().for_each(|links| links[leader].mend());
+            fleet.balancer_links.iter().for_each(|links| links[leader].restore());
             fleet.wait_until_active(version, &ALL).await;
             for n in ALL {
                 assert_eq!(fleet.request_status(n, &name).await, Some(200));
@@ -205,7 +205,7 @@
         }
         assert_eq!(fleet.request_status(1, "kept").await, Some(404));
         assert!(
-            fleet.balancers[1].says("cached configuration ignored: damaged"),
+            fleet.balancers[1].log_contains("cached configuration ignored: damaged"),
             "{:?}",
             fleet.balancers[1].log()
         );
@@ -214,7 +214,7 @@
         }
         fleet.wait_until_active(version, &ALL).await;
         until_answers(&fleet, 1, "kept", 200).await;
-        assert_eq!(fleet.balancers[0].times(&format!("configuration {version} is in force")), 1);
+        assert_eq!(fleet.balancers[0].log_count(&format!("configuration {version} is in force")), 1);
     });
 }
 
@@ -234,7 +234,12 @@
             fleet.wait_until_active(last, &ALL).await;
             assert_eq!(fleet.request_status(0, name).await, Some(200));
         }
-        assert_eq!(fleet.balancers[0].times("in force but not cached"), 1, "{:?}", fleet.balancers[0].log());
+        assert_eq!(
+            fleet.balancers[0].log_count("in force but not cached"),
+            1,
+            "{:?}",
+            fleet.balancers[0].log()
+        );
         assert_eq!(std::fs::read(fleet.cached_configuration(0)).expect("it is kept"), before);
         // With room again it is told what it missed, before it serves.
         fleet.restart_without_load(0).await.expect("it serves");
@@ -268,7 +273,7 @@
         let zone = (1..=n).rev().find(|n| n % 3 == 2).expect("one");
         for balancer in ALL {
             assert_eq!(fleet.request_status(balancer, &format!("m{zone}")).await, Some(200));
-            assert!(!fleet.balancers[balancer].says("nothing has changed"));
+            assert!(!fleet.balancers[balancer].log_contains("nothing has changed"));
         }
         // As many as are asked still run, each one served; the last ones' answers are on their way for a moment.
         fleet.wait_until_rate(60).await;
