--- a/crates/fernroute-server/src/program/predecessor.rs
+++ b/crates/fernroute-server/src/program/predecessor.rs
@@ -1,8 +1,8 @@
-//! Finds the process that serves at this balancer's address, if there is one, and asks it to hand over.
+//! Finds a process that serves at this balancer's address and requests a handover from it.
 
 use super::fleet::ReceivedHandover;
 use super::start_error::StartError;
-use crate::protocol::handover::{FromNew, FromOld, Known};
+use crate::protocol::handover::{HandoverList, PredecessorMessage, SuccessorMessage};
 use crate::transport::handover::{socket_path as handover_path, HandoverConnection};
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
@@ -13,23 +13,23 @@
 use tokio::net::TcpListener;
 use tokio::time::timeout;
 
-/// A message of the other process arrives within this time, or none is waited for: a new process has to be ready within
-/// six seconds, whatever the old one does.
+/// The time-out for messages of the other process: a new process must be ready within six seconds, whatever the old one
+/// does.
 pub(super) const REPLY_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A predecessor that was told to stop has ended after this time and has freed the operators' address.
-const MAX_ENDING_TIME: Duration = Duration::from_secs(5);
+/// How long to wait for a predecessor that is shutting down, which then has ended and released the operators' address.
+const MAX_PREDECESSOR_SHUTDOWN: Duration = Duration::from_secs(5);
 
-/// How often a predecessor that is ending is asked again.
-const ENDING_POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// The interval between requests to a predecessor that is shutting down.
+const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The process that was there before this one.
+/// The process of this balancer before this one.
 pub enum Predecessor {
-    /// Nobody serves at the address.
+    /// There is no such process.
     Absent,
-    /// It hands over.
+    /// It serves and hands over.
     Serving(Box<ServingPredecessor>),
-    /// A process may be there, and does not hand over.
+    /// There may be a process, but it does not hand over.
     Unresponsive,
 }
 
@@ -42,7 +42,7 @@
         }
     }
 
-    /// The same, to take from it what it handed over.
+    /// Mutable access, for taking what was handed over.
     pub fn serving_mut(&mut self) -> Option<&mut ServingPredecessor> {
         match self {
             Predecessor::Serving(serving) => Some(serving),
@@ -51,25 +51,25 @@
     }
 }
 
-/// A process that hands over, with what it gave.
+/// A process that hands over, with what it handed over.
 pub struct ServingPredecessor {
     /// The connection to it.
-    pub(super) link: HandoverConnection,
-    /// The callers' socket; taken as this process starts.
+    pub(super) connection: HandoverConnection,
+    /// The listening socket for callers; taken when this process starts.
     pub listener: Option<TcpListener>,
     /// Its endpoint list.
-    pub list: Known,
-    /// How many descriptors this process may have open for a start.
+    pub list: HandoverList,
+    /// How many descriptors this process may have open at the start.
     pub descriptors: usize,
-    /// Its half of a fleet's budgets, if it gave one; taken as this process starts.
+    /// Half of its part of the fleet's budgets, if handed over; taken when this process starts.
     pub member: Option<ReceivedHandover>,
 }
 
-/// Asks the process that serves at this address, if there is one, to hand over, and waits for one that is ending. Guards
-/// against a restart that fails because its predecessor still answers the last callers.
+/// Requests a handover from a process that serves at this address. Waits for a process that is shutting down, so that a
+/// restart does not fail because its predecessor still answers the last callers.
 ///
 /// # Errors
-/// When that process rejects the takeover.
+/// When that process rejects the handover.
 pub async fn find(name: &str, listen: SocketAddr) -> Result<Predecessor, StartError> {
     let started_at = Instant::now();
     loop {
@@ -79,86 +79,86 @@
             Ok(HandoverReply::Rejected { reason }) => {
                 return Err(StartError::HandoverRejected { address: listen, reason });
             }
-            Ok(HandoverReply::Ending) => {}
+            Ok(HandoverReply::ShuttingDown) => {}
             Err(error) => {
-                tracing::warn!("no process hands over, starting as if alone: {error}");
+                tracing::warn!("no handover, starting without a predecessor: {error}");
                 return Ok(Predecessor::Unresponsive);
             }
         }
-        if started_at.elapsed() >= MAX_ENDING_TIME {
-            tracing::warn!("the process before is still ending, starting all the same");
+        if started_at.elapsed() >= MAX_PREDECESSOR_SHUTDOWN {
+            tracing::warn!("the predecessor is still shutting down, starting anyway");
             return Ok(Predecessor::Absent);
         }
-        actix_rt::time::sleep(ENDING_POLL_INTERVAL).await;
+        actix_rt::time::sleep(SHUTDOWN_POLL_INTERVAL).await;
     }
 }
 
-/// The outcome of one request to hand over.
+/// The result of one handover request.
 enum HandoverReply {
     Absent,
     Given(Box<ServingPredecessor>),
     Rejected {
         reason: String,
     },
-    /// The process has been told to stop and serves no more.
-    Ending,
+    /// The process is shutting down and does not serve any more.
+    ShuttingDown,
 }
 
-/// Why it is unknown whether there is a process that serves.
+/// Why it is unknown whether a process serves at the address.
 #[derive(Debug, Error)]
 enum HandoverError {
     #[error("{0}")]
     Path(String),
     #[error("{}: {source}", .path.display())]
     Connect { path: PathBuf, source: io::Error },
-    #[error("no answer")]
+    #[error("no reply")]
     TimedOut,
     #[error("{0}")]
     Io(#[from] io::Error),
-    #[error("{0:?} without the socket")]
-    UnexpectedMessage(Box<FromOld>),
-    #[error("it ended")]
+    #[error("unexpected message, or the socket is missing: {0:?}")]
+    UnexpectedMessage(Box<PredecessorMessage>),
+    #[error("the connection was closed")]
     Closed,
-    #[error("its socket is another")]
+    #[error("the received socket can't be used for the address")]
     OtherSocket,
 }
 
 async fn request_handover(name: &str, listen: SocketAddr) -> Result<HandoverReply, HandoverError> {
     let path = handover_path(name, listen).map_err(HandoverError::Path)?;
-    let link = match HandoverConnection::connect(&path).await {
-        Ok(Some(link)) => link,
+    let connection = match HandoverConnection::connect(&path).await {
+        Ok(Some(connection)) => connection,
         Ok(None) => return Ok(HandoverReply::Absent),
-        // Its process was killed, and the file is still there.
+        // The process was killed and could not remove the socket file.
         Err(error) if error.kind() == ErrorKind::ConnectionRefused => {
-            tracing::warn!("{}: left by a process that is no more", path.display());
+            tracing::warn!("{}: left by a process that has ended", path.display());
             return Ok(HandoverReply::Absent);
         }
         Err(source) => return Err(HandoverError::Connect { path, source }),
     };
-    timeout(REPLY_TIMEOUT, receive_handover(link, listen)).await.map_err(|_| HandoverError::TimedOut)?
+    timeout(REPLY_TIMEOUT, receive_handover(connection, listen)).await.map_err(|_| HandoverError::TimedOut)?
 }
 
 async fn receive_handover(
-    mut link: HandoverConnection,
+    mut connection: HandoverConnection,
     listen: SocketAddr,
 ) -> Result<HandoverReply, HandoverError> {
     let requested_at = Instant::now();
-    link.send(&FromNew::take()).await?;
-    let Some((message, socket)) = link.receive().await? else { return Err(HandoverError::Closed) };
+    connection.send(&SuccessorMessage::take()).await?;
+    let Some((message, socket)) = connection.receive().await? else { return Err(HandoverError::Closed) };
     let (list, descriptors, handover, socket) = match (message, socket) {
-        (FromOld::Given { list, descriptors, member, .. }, Some(socket)) => {
+        (PredecessorMessage::Given { list, descriptors, member, .. }, Some(socket)) => {
             (list, descriptors, member, socket)
         }
-        (FromOld::Refused { ending: true, .. }, _) => return Ok(HandoverReply::Ending),
-        (FromOld::Refused { why, .. }, _) => return Ok(HandoverReply::Rejected { reason: why }),
+        (PredecessorMessage::Refused { ending: true, .. }, _) => return Ok(HandoverReply::ShuttingDown),
+        (PredecessorMessage::Refused { why, .. }, _) => return Ok(HandoverReply::Rejected { reason: why }),
         (other, _) => return Err(HandoverError::UnexpectedMessage(Box::new(other))),
     };
     let listener = Some(into_listener(socket, listen)?);
     let member = handover.map(|handover| ReceivedHandover { handover, requested_at });
-    Ok(HandoverReply::Given(Box::new(ServingPredecessor { link, listener, list, descriptors, member })))
+    Ok(HandoverReply::Given(Box::new(ServingPredecessor { connection, listener, list, descriptors, member })))
 }
 
-/// Checks that the socket listens at this address.
+/// Converts the socket into a listener, after checking that it has this address.
 fn into_listener(socket: OwnedFd, listen: SocketAddr) -> Result<TcpListener, HandoverError> {
     let listener = std::net::TcpListener::from(socket);
     let is_same = listener.local_addr().is_ok_and(|address| address == listen || listen.port() == 0);
--- a/crates/fernroute-server/tests/departures.rs
+++ b/crates/fernroute-server/tests/departures.rs
@@ -104,7 +104,7 @@
 
 async fn nothing_left(b: &RunningInstance) {
     wait_until(|| b.board.open.borrow().is_empty()).await;
-    assert_eq!(b.board.figures().outstanding, 0);
+    assert_eq!(b.board.metrics().outstanding, 0);
     wait_until(|| b.board.timers.count() == 0).await;
     wait_until(|| b.server.connections() == 0).await;
 }
@@ -210,7 +210,7 @@
                 let half = leave(caller, how);
                 yield_now().await;
                 std::thread::sleep(TURN);
-                b.board.take_list(&list(8, true, &[list_entry("s-0", up.address, "z", "SERVING")]), true);
+                b.board.apply_list(&list(8, true, &[list_entry("s-0", up.address, "z", "SERVING")]), true);
                 nothing_left(&b).await;
                 assert!(up.received.borrow().is_empty() && up.connections.get() == 0, "{how:?}");
                 assert_eq!(send_and_read(b.address, rpc_head("GET", "/look", "")).await.status(), 200);
@@ -231,7 +231,7 @@
                 let held = FullBacklog::new().await.expect("a full queue");
                 let b = balancer_at(&[held.address], &late).await;
                 let caller = send(b.address, whole).await;
-                wait_until(|| b.board.open.borrow().values().any(|rpc| rpc.out.len() == 1)).await;
+                wait_until(|| b.board.open.borrow().values().any(|rpc| rpc.attempts.len() == 1)).await;
                 tokio::time::sleep(Duration::from_millis(100)).await;
                 let half = leave(caller, how);
                 yield_now().await;
@@ -257,11 +257,11 @@
             let other = start_stub(|_, _| ok("whole")).await;
             let b = balancer_at(&[held.address], &[]).await;
             let caller = send(b.address, long()).await;
-            wait_until(|| b.board.open.borrow().values().any(|rpc| rpc.out.len() == 1)).await;
+            wait_until(|| b.board.open.borrow().values().any(|rpc| rpc.attempts.len() == 1)).await;
             tokio::time::sleep(Duration::from_millis(60)).await;
             let both = [held.address, other.address];
             let both = [0, 1].map(|n| list_entry(&format!("s-{n}"), both[n], "z", "SERVING"));
-            b.board.take_list(&list(8, true, &both), true);
+            b.board.apply_list(&list(8, true, &both), true);
             let half = leave(caller, how);
             yield_now().await;
             // The first one's time is over by then.
--- a/crates/fernroute-server/tests/program.rs
+++ b/crates/fernroute-server/tests/program.rs
@@ -11,7 +11,7 @@
 use fernroute_server::program::instance::InstanceConfig;
 use fernroute_server::program::{serve, shutdown};
 use fernroute_server::protocol::list::{self as lists, State};
-use fernroute_server::protocol::load::{self, Gauges};
+use fernroute_server::protocol::load::{self, LoadFields};
 use process::{folder, Program};
 use std::net::TcpListener;
 use std::process::Command;
@@ -169,7 +169,7 @@
         let text = format!(r#"{{"version":1,"full":true,"servers":[{},{}]}}"#, entry(first), entry(second));
         let list = lists::decode(&serde_json::from_str(&text).expect("it is JSON")).expect("a list");
         let states: Vec<State> = list.entries.iter().map(|e| e.state).collect();
-        assert_eq!(states, [if first == "DELETED" { State::Gone } else { State::Drains }]);
+        assert_eq!(states, [if first == "DELETED" { State::Removed } else { State::Draining }]);
     }
 }
 
@@ -252,7 +252,7 @@
         wait_until(|| up.received.borrow().len() == 2).await;
         let (board, server, from) = (b.board.clone(), b.server.clone(), Instant::now());
         let end = actix_rt::spawn(async move { shutdown::shut_down(&board, &server).await });
-        wait_until(|| b.board.phase.get().is_leaving()).await;
+        wait_until(|| b.board.phase.get().is_shutting_down()).await;
         assert_eq!(send_and_read(b.address, READY).await.status(), 503);
         let late = send_and_read(b.address, rpc_head("GET", "/look", "")).await;
         assert!(late.status() == 200 && late.header("connection").is_none(), "{}", late.head);
@@ -383,7 +383,7 @@
 
 #[test]
 fn load_reports_are_read_by_name() {
-    let gauges = Gauges(vec!["service_time".to_owned(), "errors".to_owned(), "utilisation".to_owned()]);
+    let gauges = LoadFields(vec!["service_time".to_owned(), "errors".to_owned(), "utilisation".to_owned()]);
     let loads = load::decode("inflight=7, util=0.61,latency_ms=much,queue,eps=2", &gauges);
     assert!(loads[0].is_nan());
     assert_eq!(&loads[1..], [2.0, 0.61]);
@@ -572,19 +572,19 @@
             assert_eq!(status("GET", "/other", "").await, 404, "turn {turn}");
             let after = moved(&ups, agent.address);
             program.reload(&after);
-            wait_until(|| program.log_count("new settings from now on") == 2 * turn + 1).await;
+            wait_until(|| program.log_count("new settings are in effect") == 2 * turn + 1).await;
             assert_eq!(status("GET", "/other", "").await, 200, "turn {turn}");
             assert_eq!(status("POST", "/put", put).await, 404, "turn {turn}");
             // Half a file, and one that contradicts itself.
             program.reload(&before[..before.len() / 2]);
-            wait_until(|| program.log_count("not taken over") == 2 * turn + 1).await;
+            wait_until(|| program.log_count("nothing has changed") == 2 * turn + 1).await;
             program.reload(&after.replace(r#""cold-from":0.3"#, r#""cold-from":3"#));
             wait_until(|| program.log_count("out of range contract.cold-from") == turn + 1).await;
             assert_eq!(status("GET", "/other", "").await, 200, "turn {turn}");
             // Two in quick succession: the last counts.
             program.reload(&after);
             program.reload(&before);
-            wait_until(|| program.log_count("new settings from now on") == 2 * turn + 2).await;
+            wait_until(|| program.log_count("new settings are in effect") == 2 * turn + 2).await;
         }
         stop.set(true);
         let mut ends = Vec::new();
