--- a/crates/fernroute-test-support/src/caller.rs
+++ b/crates/fernroute-test-support/src/caller.rs
@@ -1,4 +1,4 @@
-//! Callers that write plain bytes, and a load of them.
+//! Test callers that write raw HTTP bytes, and a load generator built from them.
 
 use crate::http::{read_message, Message};
 use crate::wait_until;
@@ -11,7 +11,7 @@
 use tokio::net::TcpStream;
 use tokio::task::spawn_local;
 
-/// The head of an RPC with a new id.
+/// Builds the request head of an RPC with a unique id.
 pub fn rpc_head(verb: &str, path: &str, more: &str) -> String {
     static IDS: AtomicUsize = AtomicUsize::new(0);
     let id = IDS.fetch_add(1, Ordering::Relaxed);
@@ -23,22 +23,22 @@
 }
 
 pub async fn connect(address: SocketAddr) -> TcpStream {
-    TcpStream::connect(address).await.expect("it accepts")
+    TcpStream::connect(address).await.expect("the server accepts the connection")
 }
 
-/// Sends bytes on a connection of their own.
+/// Sends bytes on a new connection.
 pub async fn send(address: SocketAddr, bytes: impl AsRef<[u8]>) -> TcpStream {
     let mut stream = connect(address).await;
-    stream.write_all(bytes.as_ref()).await.expect("it reads");
+    stream.write_all(bytes.as_ref()).await.expect("the server reads the request");
     stream
 }
 
-/// The same, and reads the answer.
+/// Sends bytes on a new connection and reads one response.
 pub async fn send_and_read(address: SocketAddr, bytes: impl AsRef<[u8]>) -> Message {
-    read_message(&mut send(address, bytes).await).await.expect("an answer")
+    read_message(&mut send(address, bytes).await).await.expect("a complete response")
 }
 
-/// The status of the answer to a call without a body, at an operators' door say.
+/// Sends a request without a body, for example to the operations port, and returns the response status.
 pub async fn request_status(at: SocketAddr, verb: &str, path: &str) -> u16 {
     send_and_read(at, format!("{verb} {path} HTTP/1.1\r\nHost: n0\r\n\r\n")).await.status()
 }
@@ -53,16 +53,16 @@
     }
 }
 
-/// Callers that ask one non-retriable RPC after another on kept connections, for as long as they are told to.
+/// A closed-loop load: each caller sends one non-retriable RPC after another on a persistent connection until stopped.
 #[derive(Default)]
 pub struct CallerLoad {
     stop: Cell<bool>,
     pub answered: Cell<usize>,
-    /// Connections that were closed as an RPC was written to them; it is sent once more, as callers do.
+    /// Idle connections that the server closed while an RPC was being written. The caller sends again on a new one.
     pub closed_on_write: Cell<usize>,
     pub failures: RefCell<Vec<String>>,
     running: Cell<usize>,
-    /// How many RPCs of each caller have ended, however.
+    /// Finished RPCs of each caller, whatever the outcome.
     ended: RefCell<Vec<usize>>,
 }
 
@@ -86,7 +86,7 @@
     }
 
     async fn one(&self, at: SocketAddr, kept: Option<TcpStream>) -> Option<TcpStream> {
-        let fail = |what: String| self.failures.borrow_mut().push(what);
+        let fail = |failure: String| self.failures.borrow_mut().push(failure);
         let request = rpc_head("POST", "/pay", "Content-Length: 0\r\n");
         let again = kept.is_some();
         let mut stream = match kept {
@@ -117,19 +117,19 @@
                 None
             }
             None => {
-                fail("a fresh connection ended with no whole answer".to_owned());
+                fail("a new connection ended without a complete response".to_owned());
                 None
             }
         }
     }
 
-    /// Waits for so many more answers.
+    /// Waits until this many further RPCs have been answered, or one has failed.
     pub async fn wait_for_answers(&self, answers: usize) {
         let goal = self.answered.get() + answers;
         wait_until(|| self.answered.get() >= goal || !self.failures.borrow().is_empty()).await;
     }
 
-    /// Waits until what is out now has ended, at each caller: what ends after that was begun after this call.
+    /// Waits until each caller has finished the RPC it has in flight; any later result belongs to an RPC sent after this call.
     pub async fn wait_for_in_flight(&self) {
         let before = self.ended.borrow().clone();
         wait_until(|| self.ended.borrow().iter().zip(&before).all(|(now, before)| now > before)).await;
--- a/crates/fernroute-test-support/src/http.rs
+++ b/crates/fernroute-test-support/src/http.rs
@@ -1,14 +1,14 @@
-//! As much of HTTP/1.1 as the stand-ins need: messages of stated length on kept connections.
+//! The subset of HTTP/1.1 that the stubs need: messages with Content-Length on persistent connections.
 
 use std::io;
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 use tokio::net::TcpStream;
 
-/// One message: its head as it came, and its body.
+/// A request or response: the head as received, and the body.
 #[derive(Clone, Debug, Default)]
 pub struct Message {
     pub head: String,
-    /// Of a request; empty for an answer.
+    /// Request target; empty for a response.
     pub target: String,
     status: u16,
     headers: Vec<(String, String)>,
@@ -24,22 +24,22 @@
         self.header(name)?.parse().ok()
     }
 
-    /// Of an answer; 0 for a request.
+    /// Response status; 0 for a request.
     pub fn status(&self) -> u16 {
         self.status
     }
 
-    /// Whether the connection ends with this message.
+    /// Whether the message carries `Connection: close`.
     pub fn closes_connection(&self) -> bool {
         self.header("connection").is_some_and(|c| c.eq_ignore_ascii_case("close"))
     }
 
-    /// The message as it goes over a connection.
+    /// The message as sent on the wire.
     pub fn to_bytes(&self) -> Vec<u8> {
         [self.head.as_bytes(), &self.body].concat()
     }
 
-    /// The head that these bytes begin with, and its length; none while it is not whole.
+    /// Parses the head at the start of these bytes. Returns it with its length, or `None` if it is incomplete.
     fn decode_head(bytes: &[u8]) -> io::Result<Option<(Message, usize)>> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut message = Message::default();
@@ -68,14 +68,14 @@
     }
 }
 
-/// A connection and what has come of the next message.
+/// A connection with its read buffer.
 pub struct Connection {
     pub stream: TcpStream,
     buffer: Vec<u8>,
 }
 
 const MAX_HEADERS: usize = 32;
-/// As much as the longest message between stewards.
+/// The longest message that coordinators send each other.
 const MAX_MESSAGE_BYTES: usize = 16 << 20;
 
 fn invalid_data(why: &str) -> io::Error {
@@ -84,7 +84,7 @@
 
 impl Connection {
     pub fn new(stream: TcpStream) -> Self {
-        // Only makes it quicker.
+        // Affects latency only, so a failure is ignored.
         let _ = stream.set_nodelay(true);
         Connection { stream, buffer: Vec::new() }
     }
@@ -93,7 +93,7 @@
         self.stream.write_all(bytes).await
     }
 
-    /// The next message; none where the connection ends between two.
+    /// Reads the next message. `None` if the connection ends between messages.
     pub async fn read(&mut self) -> io::Result<Option<Message>> {
         loop {
             if let Some((message, length)) = parse_message(&self.buffer)? {
@@ -109,27 +109,31 @@
         }
     }
 
-    /// Waits for the other side to close; what it sends meanwhile is kept.
+    /// Waits until the peer closes the connection. Data that arrives meanwhile stays in the buffer.
     pub async fn wait_for_close(&mut self) {
         while self.stream.read_buf(&mut self.buffer).await.is_ok_and(|n| n > 0) {}
     }
 }
 
-/// The whole message that these bytes begin with, and its length; none while it is not whole.
+/// Parses the message at the start of these bytes. Returns it with its length, or `None` if it is incomplete.
 pub fn parse_message(bytes: &[u8]) -> io::Result<Option<(Message, usize)>> {
     let Some((mut message, head)) = Message::decode_head(bytes)? else {
-        return if bytes.len() > MAX_MESSAGE_BYTES { Err(invalid_data("too long")) } else { Ok(None) };
+        return if bytes.len() > MAX_MESSAGE_BYTES {
+            Err(invalid_data("message too long"))
+        } else {
+            Ok(None)
+        };
     };
     let length = message.length();
     if length > MAX_MESSAGE_BYTES {
-        return Err(invalid_data("too long"));
+        return Err(invalid_data("message too long"));
     }
     let Some(body) = bytes.get(head..head + length) else { return Ok(None) };
     message.body = body.to_vec();
     Ok(Some((message, head + length)))
 }
 
-/// Reads one message of any stated length and nothing after it; none where the connection ends or what comes is none.
+/// Reads exactly one message, without a limit on its length. `None` if the connection ends or the head is invalid.
 pub async fn read_message(stream: &mut TcpStream) -> Option<Message> {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
@@ -141,7 +145,7 @@
     Some(message)
 }
 
-/// An answer's bytes.
+/// The bytes of a response.
 pub fn response(status: u16, headers: &str, body: &str) -> Vec<u8> {
     format!("HTTP/1.1 {status} .\r\nContent-Length: {}\r\n{headers}\r\n{body}", body.len()).into_bytes()
 }
--- a/crates/fernroute-test-support/src/lib.rs
+++ b/crates/fernroute-test-support/src/lib.rs
@@ -1,8 +1,8 @@
-//! What tests and the laboratory need of several real processes on loopback: the processes themselves and what may
-//! happen to them (`process`), stand-ins for whoever talks to them (`stub`, `caller`), and links between them that
-//! go wrong (`link`). Everything listens on port 0 of the loopback address and is a task of a `tokio` `LocalSet`.
+//! Support for tests and the testbed that run several processes on loopback: process control (`process`), stub servers
+//! and callers (`stub`, `caller`), and fault injection on the connections between them (`link`). The stubs and links
+//! listen on port 0 of the loopback address and run as tasks of a `tokio` `LocalSet`.
 //!
-//! Wait for states, not for times: [`until`] looks until something is so, and whoever runs a test ends it in time.
+//! Tests wait for conditions, not for fixed times: [`wait_until`] polls a condition, and the test runner sets the time-out.
 
 pub mod caller;
 pub mod http;
@@ -13,14 +13,14 @@
 use std::ops::{Add, AddAssign, Sub};
 use std::time::Duration;
 
-/// Comes true, or never returns: the caller bounds the time of the whole.
+/// Polls until the condition holds. Without a time-out of its own: the caller sets one.
 pub async fn wait_until(mut what: impl FnMut() -> bool) {
     while !what() {
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
 }
 
-/// Bytes and messages of HTTP that went over some connections, both ways together.
+/// HTTP bytes and messages on a set of connections, both directions added up.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
     pub bytes: u64,
@@ -41,7 +41,7 @@
     }
 }
 
-/// Since an earlier count.
+/// The traffic since an earlier count.
 impl Sub for Traffic {
     type Output = Self;
 
--- a/crates/fernroute-test-support/src/link.rs
+++ b/crates/fernroute-test-support/src/link.rs
@@ -1,7 +1,7 @@
-//! A link between two processes that goes wrong: whoever is to meet trouble on the way connects to it instead.
+//! A proxy that injects network faults between two processes: the client connects to the link instead of the target.
 //!
-//! Messages are passed whole, as they come; what is in the way holds for open connections and for new ones. Nothing is
-//! dropped on the way but by [`Link::refuse_connections`] and [`LinkMode::ResetMidMessage`], as on a network: what waits comes late.
+//! Messages are forwarded one by one, each complete. A fault applies to open and to new connections. Only
+//! [`Link::refuse_connections`] and [`LinkMode::ResetMidMessage`] lose data; otherwise, as on a network, it arrives late.
 
 use crate::http::{parse_message, Connection, Message};
 use crate::Traffic;
@@ -17,44 +17,44 @@
 use tokio::sync::Notify;
 use tokio::task::{spawn_local, AbortHandle};
 
-/// What one direction does.
+/// How one direction of the link treats messages.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LinkMode {
     #[default]
     Forward,
-    /// Connections stay open and nothing comes through: a cut of this direction alone, where the other passes.
+    /// Connections stay open and nothing is forwarded: a one-way partition if the other direction forwards.
     Stall,
-    /// Each message waits so long.
+    /// Delays each message by this time.
     Delay(Duration),
-    /// So many bytes at a time, with this wait between them.
+    /// Forwards at most this many bytes at a time, with this pause between them.
     Throttle(usize, Duration),
-    /// Half of the next message, then both sides are reset.
+    /// Forwards half of the next message, then resets all connections of the link.
     ResetMidMessage,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Direction {
-    There,
-    Back,
+    ToTarget,
+    ToCaller,
 }
 
-/// Requests that passed, kept to be delivered again: the last ones.
-const KEPT: usize = 64;
+/// How many forwarded requests are kept for [`Link::replay`].
+const REPLAY_CAPACITY: usize = 64;
 
 pub struct Link {
-    /// Where to connect instead.
+    /// The address to connect to instead of the target.
     pub address: SocketAddr,
     target: Cell<SocketAddr>,
-    there: Cell<LinkMode>,
-    back: Cell<LinkMode>,
-    refuses: Cell<bool>,
+    to_target: Cell<LinkMode>,
+    to_caller: Cell<LinkMode>,
+    refusing: Cell<bool>,
     changed: Notify,
-    /// Emptied as connections end, and when they are cut.
-    open: RefCell<Vec<AbortHandle>>,
-    /// The next request whose head holds this text is held back.
+    /// Tasks of open connections. Finished ones are removed at the next accept, all of them when connections are reset.
+    connections: RefCell<Vec<AbortHandle>>,
+    /// The next request whose head contains this text is held back.
     hold_filter: RefCell<Option<String>>,
     held: RefCell<Option<Message>>,
-    passed: RefCell<VecDeque<Message>>,
+    forwarded: RefCell<VecDeque<Message>>,
     traffic: Cell<Traffic>,
 }
 
@@ -64,25 +64,25 @@
         let link = Rc::new(Link {
             address: listener.local_addr()?,
             target: Cell::new(target),
-            there: Cell::default(),
-            back: Cell::default(),
-            refuses: Cell::default(),
+            to_target: Cell::default(),
+            to_caller: Cell::default(),
+            refusing: Cell::default(),
             changed: Notify::new(),
-            open: RefCell::default(),
+            connections: RefCell::default(),
             hold_filter: RefCell::default(),
             held: RefCell::default(),
-            passed: RefCell::default(),
+            forwarded: RefCell::default(),
             traffic: Cell::default(),
         });
-        let serving = Rc::clone(&link);
+        let server = Rc::clone(&link);
         spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                if serving.refuses.get() {
+                if server.refusing.get() {
                     reset(stream);
                     continue;
                 }
-                let task = spawn_local(Rc::clone(&serving).join(stream));
-                let mut open = serving.open.borrow_mut();
+                let task = spawn_local(Rc::clone(&server).serve_connection(stream));
+                let mut open = server.connections.borrow_mut();
                 open.retain(|task| !task.is_finished());
                 open.push(task.abort_handle());
             }
@@ -90,34 +90,34 @@
         Ok(link)
     }
 
-    /// What came into the link since it was made, both ways together.
+    /// Traffic received by the link since its start, both directions added up.
     pub fn traffic(&self) -> Traffic {
         self.traffic.get()
     }
 
-    /// The other side has started again elsewhere.
+    /// Changes the target, for example after it restarted at another address.
     pub fn set_target(&self, target: SocketAddr) {
         self.target.set(target);
     }
 
-    pub fn set_modes(&self, there: LinkMode, back: LinkMode) {
-        self.there.set(there);
-        self.back.set(back);
+    pub fn set_modes(&self, to_target: LinkMode, to_caller: LinkMode) {
+        self.to_target.set(to_target);
+        self.to_caller.set(to_caller);
         self.changed.notify_waiters();
     }
 
-    /// Open connections end and new ones are reset, until [`Link::restore`].
+    /// Aborts open connections and resets new ones until [`Link::restore`].
     pub fn refuse_connections(&self) {
-        self.refuses.set(true);
-        self.open.borrow_mut().drain(..).for_each(|task| task.abort());
+        self.refusing.set(true);
+        self.connections.borrow_mut().drain(..).for_each(|task| task.abort());
     }
 
     pub fn restore(&self) {
-        self.refuses.set(false);
+        self.refusing.set(false);
         self.set_modes(LinkMode::Forward, LinkMode::Forward);
     }
 
-    /// Holds back the next request whose head holds this text: its caller hears nothing.
+    /// Holds back the next request whose head contains this text. Its connection gets no response.
     pub fn hold_next(&self, text: &str) {
         self.hold_filter.replace(Some(text.to_owned()));
     }
@@ -126,7 +126,7 @@
         self.held.borrow().is_some()
     }
 
-    /// Delivers what was held back, late; its answer, if there is one.
+    /// Delivers the held request on a new connection and returns the response, if there is one.
     pub async fn release_held(&self) -> io::Result<Option<Message>> {
         let held = self.held.take();
         match held {
@@ -135,10 +135,10 @@
         }
     }
 
-    /// Delivers once more the request that passed so many before the last one with this text in its head.
+    /// Sends a recorded request again: of those whose head contains this text, the one `before` places before the last.
     pub async fn replay(&self, text: &str, before: usize) -> io::Result<Option<Message>> {
         let message =
-            self.passed.borrow().iter().rev().filter(|m| m.head.contains(text)).nth(before).cloned();
+            self.forwarded.borrow().iter().rev().filter(|m| m.head.contains(text)).nth(before).cloned();
         match message {
             Some(message) => self.deliver(&message).await,
             None => Ok(None),
@@ -151,18 +151,18 @@
         connection.read().await
     }
 
-    async fn join(self: Rc<Self>, near: TcpStream) {
-        let Ok(far) = TcpStream::connect(self.target.get()).await else { return reset(near) };
-        // Only makes it quicker.
-        let _ = (near.set_nodelay(true), far.set_nodelay(true));
-        // A reset of either side takes the other with it.
-        let _ = (near.set_zero_linger(), far.set_zero_linger());
-        let (near_reads, near_writes) = near.into_split();
-        let (far_reads, far_writes) = far.into_split();
-        let there = self.pump(Direction::There, near_reads, far_writes);
-        let back = self.pump(Direction::Back, far_reads, near_writes);
-        // The end of one way is not the end of the other: an answer may still come.
-        let _ = tokio::join!(there, back);
+    async fn serve_connection(self: Rc<Self>, caller: TcpStream) {
+        let Ok(target) = TcpStream::connect(self.target.get()).await else { return reset(caller) };
+        // Affects latency only, so a failure is ignored.
+        let _ = (caller.set_nodelay(true), target.set_nodelay(true));
+        // With a zero linger time a dropped socket is reset, so that a reset of one side reaches the other.
+        let _ = (caller.set_zero_linger(), target.set_zero_linger());
+        let (caller_reader, caller_writer) = caller.into_split();
+        let (target_reader, target_writer) = target.into_split();
+        let to_target = self.pump(Direction::ToTarget, caller_reader, target_writer);
+        let to_caller = self.pump(Direction::ToCaller, target_reader, caller_writer);
+        // The directions end independently: a response may follow after the request direction is shut down.
+        let _ = tokio::join!(to_target, to_caller);
     }
 
     async fn pump(
@@ -171,30 +171,30 @@
         mut from: OwnedReadHalf,
         mut to: OwnedWriteHalf,
     ) -> io::Result<()> {
-        let mut heard = Vec::new();
+        let mut buffer = Vec::new();
         loop {
-            while let Some((message, length)) = parse_message(&heard)? {
+            while let Some((message, length)) = parse_message(&buffer)? {
                 self.traffic.set(self.traffic.get() + Traffic { bytes: 0, messages: 1 });
-                let bytes: Vec<u8> = heard.drain(..length).collect();
-                if direction == Direction::There {
+                let bytes: Vec<u8> = buffer.drain(..length).collect();
+                if direction == Direction::ToTarget {
                     if self.should_hold(&message) {
                         self.held.replace(Some(message));
-                        // Nothing more of this connection gets through, and nothing of it is answered.
+                        // Nothing more is forwarded on this connection, and it gets no response.
                         return std::future::pending().await;
                     }
-                    let mut passed = self.passed.borrow_mut();
-                    if passed.len() == KEPT {
-                        passed.pop_front();
+                    let mut forwarded = self.forwarded.borrow_mut();
+                    if forwarded.len() == REPLAY_CAPACITY {
+                        forwarded.pop_front();
                     }
-                    passed.push_back(message);
+                    forwarded.push_back(message);
                 }
-                self.pass(direction, &bytes, &mut to).await?;
+                self.forward(direction, &bytes, &mut to).await?;
             }
-            let came = from.read_buf(&mut heard).await?;
-            self.traffic.set(self.traffic.get() + Traffic { bytes: came as u64, messages: 0 });
-            if came == 0 {
-                self.clear(direction).await;
-                to.write_all(&heard).await?;
+            let received = from.read_buf(&mut buffer).await?;
+            self.traffic.set(self.traffic.get() + Traffic { bytes: received as u64, messages: 0 });
+            if received == 0 {
+                self.wait_while_stalled(direction).await;
+                to.write_all(&buffer).await?;
                 return to.shutdown().await;
             }
         }
@@ -205,37 +205,37 @@
         hold_filter.take_if(|text| message.head.contains(text.as_str())).is_some()
     }
 
-    fn way(&self, direction: Direction) -> LinkMode {
+    fn mode(&self, direction: Direction) -> LinkMode {
         match direction {
-            Direction::There => self.there.get(),
-            Direction::Back => self.back.get(),
+            Direction::ToTarget => self.to_target.get(),
+            Direction::ToCaller => self.to_caller.get(),
         }
     }
 
-    /// Waits for as long as nothing comes through.
-    async fn clear(&self, direction: Direction) {
+    /// Waits while the direction is stalled.
+    async fn wait_while_stalled(&self, direction: Direction) {
         loop {
             let changed = self.changed.notified();
-            if self.way(direction) != LinkMode::Stall {
+            if self.mode(direction) != LinkMode::Stall {
                 return;
             }
             changed.await;
         }
     }
 
-    async fn pass(&self, direction: Direction, bytes: &[u8], to: &mut OwnedWriteHalf) -> io::Result<()> {
-        self.clear(direction).await;
-        match self.way(direction) {
+    async fn forward(&self, direction: Direction, bytes: &[u8], to: &mut OwnedWriteHalf) -> io::Result<()> {
+        self.wait_while_stalled(direction).await;
+        match self.mode(direction) {
             LinkMode::Forward | LinkMode::Stall => to.write_all(bytes).await,
             LinkMode::Delay(time) => {
                 tokio::time::sleep(time).await;
-                // It may have been cut meanwhile.
-                self.clear(direction).await;
+                // The direction may have been stalled meanwhile.
+                self.wait_while_stalled(direction).await;
                 to.write_all(bytes).await
             }
-            LinkMode::Throttle(most, pause) => {
-                for piece in bytes.chunks(most.max(1)) {
-                    self.clear(direction).await;
+            LinkMode::Throttle(chunk, pause) => {
+                for piece in bytes.chunks(chunk.max(1)) {
+                    self.wait_while_stalled(direction).await;
                     to.write_all(piece).await?;
                     tokio::time::sleep(pause).await;
                 }
@@ -243,12 +243,12 @@
             }
             LinkMode::ResetMidMessage => {
                 to.write_all(&bytes[..bytes.len() / 2]).await?;
-                // Once only: whoever tries again gets through.
+                // Resets once only, so that a retry succeeds.
                 match direction {
-                    Direction::There => self.there.set(LinkMode::Forward),
-                    Direction::Back => self.back.set(LinkMode::Forward),
+                    Direction::ToTarget => self.to_target.set(LinkMode::Forward),
+                    Direction::ToCaller => self.to_caller.set(LinkMode::Forward),
                 }
-                let ends: Vec<AbortHandle> = self.open.borrow_mut().drain(..).collect();
+                let ends: Vec<AbortHandle> = self.connections.borrow_mut().drain(..).collect();
                 ends.iter().for_each(AbortHandle::abort);
                 std::future::pending().await
             }
@@ -257,6 +257,6 @@
 }
 
 fn reset(stream: TcpStream) {
-    // Without it the other side sees an orderly end.
+    // With a zero linger time the close sends RST instead of FIN.
     let _ = stream.set_zero_linger();
 }
--- a/crates/fernroute-test-support/src/process.rs
+++ b/crates/fernroute-test-support/src/process.rs
@@ -1,4 +1,4 @@
-//! Real processes: started, stopped for a while, killed, started again with a disk of one's choice.
+//! Child processes for tests: start, pause, resume, kill, resource limits, and the folders that they keep over restarts.
 
 use crate::wait_until;
 use rustix::process::{kill_process, prlimit, Pid, Resource, Rlimit, Signal};
@@ -12,7 +12,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// A running program, and all that it has said on standard error.
+/// A child process and the lines it has written to standard error.
 pub struct Process {
     child: RefCell<Child>,
     log: Arc<Mutex<Vec<String>>>,
@@ -32,7 +32,7 @@
         Ok(Process { child: RefCell::new(child), log })
     }
 
-    /// Its number, for as long as it has not been waited for.
+    /// The process id; valid until the process has been waited for.
     pub fn id(&self) -> u32 {
         self.child.borrow().id()
     }
@@ -45,27 +45,27 @@
         self.log_count(what) > 0
     }
 
-    /// How many lines say this.
+    /// Number of log lines that contain this text.
     pub fn log_count(&self, what: &str) -> usize {
         let log = self.log.lock().unwrap_or_else(PoisonError::into_inner);
         log.iter().filter(|line| line.contains(what)).count()
     }
 
-    /// The address that stands after these words in its log; an error is why it will never be there.
+    /// Waits for a log line with this text and returns the address after it. Fails if the process ends or the time is up.
     pub async fn logged_address(&self, what: &str, within: Duration) -> Result<SocketAddr, String> {
         let of = |line: &String| line.split_once(what)?.1.split(',').next()?.parse().ok();
         let from = Instant::now();
         loop {
-            // Looked at before the log is: what it said last is in there, or comes a moment later.
+            // Checked before the log is read, so that the last lines of an ended process are seen here or in the next rounds.
             let ended = !self.is_running();
             if let Some(address) = self.log().iter().find_map(of) {
                 return Ok(address);
             }
             if ended && from.elapsed() > Duration::from_millis(100) {
-                return Err(format!("it ended before it said \"{what}\": {}", self.log().join("; ")));
+                return Err(format!("process ended before it logged \"{what}\": {}", self.log().join("; ")));
             }
             if from.elapsed() > within {
-                return Err(format!("it does not say \"{what}\": {}", self.log().join("; ")));
+                return Err(format!("process did not log \"{what}\" in time: {}", self.log().join("; ")));
             }
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
@@ -75,9 +75,9 @@
         self.child.borrow_mut().try_wait().is_ok_and(|ended| ended.is_none())
     }
 
-    /// One that has ended by itself gets none.
+    /// Sends a signal, unless the process has ended.
     pub fn signal(&self, signal: Signal) {
-        // Asked first: once it has been waited for, its number may be another's.
+        // Checked first: once the process has been waited for, its id may be in use again.
         if self.is_running() {
             if let Some(pid) = Pid::from_raw(self.child.borrow_mut().id() as i32) {
                 let _ = kill_process(pid, signal);
@@ -85,13 +85,13 @@
         }
     }
 
-    /// At once, and waits for its end.
+    /// Kills the process with SIGKILL and waits for its end.
     pub fn kill(&self) {
         let _ = self.child.borrow_mut().kill();
         let _ = self.child.borrow_mut().wait();
     }
 
-    /// Stands still as on a machine that is paused; its connections stay open.
+    /// Suspends the process as on a paused machine. Its connections stay open.
     pub fn pause(&self) {
         self.signal(Signal::STOP);
     }
@@ -100,15 +100,16 @@
         self.signal(Signal::CONT);
     }
 
-    /// Milliseconds of a processor that it has used so far, to a hundredth of a second.
+    /// CPU time used so far in milliseconds, with a resolution of 10 ms.
     pub fn cpu_ms(&self) -> u64 {
         let stat = fs::read_to_string(format!("/proc/{}/stat", self.child.borrow().id())).unwrap_or_default();
-        // After the name, which may hold anything: user's and system's time are the 12th and 13th, in hundredths.
+        // The fields follow the process name, which may contain anything: utime and stime are the 12th and 13th after it, in
+        // hundredths of a second.
         let fields = stat.rsplit(')').next().unwrap_or_default().split_whitespace().skip(11);
         fields.take(2).filter_map(|ticks| ticks.parse::<u64>().ok()).sum::<u64>() * 10
     }
 
-    /// What it holds of the machine's memory.
+    /// Resident memory in kB.
     pub fn memory_kb(&self) -> u64 {
         let status =
             fs::read_to_string(format!("/proc/{}/status", self.child.borrow().id())).unwrap_or_default();
@@ -116,28 +117,28 @@
         line.and_then(|line| line.trim().trim_end_matches(" kB").parse().ok()).unwrap_or(0)
     }
 
-    /// How many descriptors it holds.
+    /// Number of open file descriptors.
     pub fn open_descriptors(&self) -> usize {
         fs::read_dir(format!("/proc/{}/fd", self.child.borrow().id())).map_or(0, |all| all.count())
     }
 
-    /// From here on it may hold no more than so many, whatever it holds now.
+    /// Limits the number of open file descriptors from now on, however many are open.
     pub fn limit_descriptors(&self, most: u64) -> io::Result<()> {
         let id = Pid::from_raw(self.child.borrow_mut().id() as i32);
         let limit = Rlimit { current: Some(most), maximum: Some(most) };
         prlimit(id, Resource::Nofile, limit).map(|_| ()).map_err(io::Error::from)
     }
 
-    /// From here on none of its writes to files succeeds, as on a disk that is full or read-only; it has to ignore the signal
-    /// that tells of it, as [`ignoring_file_size_signal`] has it.
+    /// Makes all further writes to files fail, as on a full or read-only disk. The process must ignore SIGXFSZ; see
+    /// [`ignoring_file_size_signal`].
     pub fn fill_disk(&self) -> io::Result<()> {
         let id = Pid::from_raw(self.child.borrow_mut().id() as i32);
-        // Not none: what is at the very begin of a file no test relies on.
+        // One byte, not zero: no test depends on the first byte of a file.
         let none = Rlimit { current: Some(1), maximum: None };
         prlimit(id, Resource::Fsize, none).map(|_| ()).map_err(io::Error::from)
     }
 
-    /// Its code, or none where a signal ended it.
+    /// Waits for the end of the process and returns the exit code, `None` if a signal ended it.
     pub async fn wait_for_exit(&self) -> Option<i32> {
         let mut status = None;
         wait_until(|| {
@@ -149,7 +150,7 @@
     }
 }
 
-/// The same program, which is told of a limit on its files by errors alone.
+/// The same command with SIGXFSZ ignored, so that a write beyond the file size limit fails with an error.
 pub fn ignoring_file_size_signal(command: &Command) -> Command {
     let mut other = Command::new("sh");
     other
@@ -169,7 +170,7 @@
     command
 }
 
-/// The same program, which may hold no more descriptors than so many.
+/// The same command with a limit on open file descriptors.
 pub fn with_descriptor_limit(command: &Command, most: usize) -> Command {
     let mut other = Command::new("sh");
     other
@@ -180,28 +181,28 @@
     with_environment(other, command)
 }
 
-/// A run that fails leaves nothing behind that runs.
+/// Kills the process, so that a failed test leaves none behind.
 impl Drop for Process {
     fn drop(&mut self) {
         self.kill();
     }
 }
 
-/// Addresses for processes that have to be told of each other before they start, and come back where they were. Below the
-/// ports that the machine gives to whoever asks for any: one of those could be taken by a connection while nobody listens.
+/// Free addresses for processes that need to know each other before they start and keep their address over restarts.
+/// Below the ephemeral port range: the kernel could assign a port of that range to a connection while no process listens.
 pub fn free_addresses(count: usize) -> io::Result<Vec<SocketAddr>> {
-    const FIRST: usize = 12_000;
-    const MANY: usize = 18_000;
+    const FIRST_PORT: usize = 12_000;
+    const PORT_COUNT: usize = 18_000;
     static NEXT: AtomicUsize = AtomicUsize::new(0);
     let mut found = Vec::new();
-    // Processes that run beside this one begin elsewhere.
+    // Concurrent test processes start at different ports.
     let begin = std::process::id() as usize * 61;
     while found.len() < count {
         let n = NEXT.fetch_add(1, Ordering::Relaxed);
-        if n > MANY {
-            return Err(io::Error::new(io::ErrorKind::AddrInUse, "no port is free"));
+        if n > PORT_COUNT {
+            return Err(io::Error::new(io::ErrorKind::AddrInUse, "no free port"));
         }
-        let at = SocketAddr::from(([127, 0, 0, 1], (FIRST + (begin + n) % MANY) as u16));
+        let at = SocketAddr::from(([127, 0, 0, 1], (FIRST_PORT + (begin + n) % PORT_COUNT) as u16));
         if TcpListener::bind(at).is_ok() {
             found.push(at);
         }
@@ -209,7 +210,7 @@
     Ok(found)
 }
 
-/// What a process keeps over its starts: a folder that can be lost, brought back as it once was, or changed for another's.
+/// The folder that a process keeps over restarts. It can be wiped, restored from a copy or replaced by that of another process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Disk {
     pub folder: PathBuf,
@@ -221,20 +222,20 @@
         Ok(Disk { folder })
     }
 
-    /// All is lost.
+    /// Deletes the contents.
     pub fn wipe(&self) -> io::Result<()> {
         fs::remove_dir_all(&self.folder)?;
         fs::create_dir(&self.folder)
     }
 
-    /// A copy as it is now, of a process that does not run or stands still.
+    /// Copies the folder; its process must be stopped or paused.
     pub fn copy(&self, to: PathBuf) -> io::Result<Disk> {
         let copy = Disk::new(to)?;
         copy.replace_with(self)?;
         Ok(copy)
     }
 
-    /// What is here is replaced by what the other holds: an older copy, or another process's.
+    /// Replaces the contents by those of another folder: an older copy, or that of another process.
     pub fn replace_with(&self, other: &Disk) -> io::Result<()> {
         self.wipe()?;
         copy_all(&other.folder, &self.folder)
--- a/crates/fernroute-test-support/src/stub.rs
+++ b/crates/fernroute-test-support/src/stub.rs
@@ -1,4 +1,4 @@
-//! Stand-ins that follow a script.
+//! Stub servers with scripted replies.
 
 use crate::http::{read_message, response, Connection, Message};
 use crate::Traffic;
@@ -13,11 +13,11 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-/// What a stand-in does with one message.
+/// What a stub does on a message.
 pub enum Reply {
     Send(Vec<u8>),
     SendAndClose(Vec<u8>),
-    /// Nothing, and it notes when the other side has closed.
+    /// Sends nothing and leaves the connection open until the peer closes it.
     NoReply,
 }
 
@@ -29,7 +29,7 @@
     Reply::Send(format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n").into_bytes())
 }
 
-/// A stand-in's address and what it saw.
+/// A stub server: its address and what it has received.
 pub struct StubServer {
     pub address: SocketAddr,
     pub received: RefCell<Vec<Message>>,
@@ -37,7 +37,7 @@
     pub closed: Cell<usize>,
 }
 
-/// Answers messages as the script says, which is told how many came before.
+/// Starts a stub that replies to messages by the script, which gets the number of messages received before.
 pub async fn start_stub(script: impl Fn(usize, &Message) -> Reply + 'static) -> Rc<StubServer> {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -55,26 +55,26 @@
         connections: Cell::new(0),
         closed: Cell::new(0),
     });
-    let (stand, script) = (Rc::clone(&this), Rc::new(script));
+    let (stub, script) = (Rc::clone(&this), Rc::new(script));
     spawn_local(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            let (stand, script) = (Rc::clone(&stand), Rc::clone(&script));
-            stand.connections.set(stand.connections.get() + 1);
+            let (stub, script) = (Rc::clone(&stub), Rc::clone(&script));
+            stub.connections.set(stub.connections.get() + 1);
             spawn_local(async move {
                 let answer = |message: Message| {
-                    let deed = script(stand.received.borrow().len(), &message);
-                    stand.received.borrow_mut().push(message);
-                    deed
+                    let reply = script(stub.received.borrow().len(), &message);
+                    stub.received.borrow_mut().push(message);
+                    reply
                 };
                 answer_all(stream, answer).await;
-                stand.closed.set(stand.closed.get() + 1);
+                stub.closed.set(stub.closed.get() + 1);
             });
         }
     });
     this
 }
 
-/// The same at an address, or at port 0 of one's own choice; nothing is kept of what came.
+/// Starts a stub at this address and returns the bound one. It does not record messages.
 pub async fn serve_stub(
     at: SocketAddr,
     script: impl Fn(&Message) -> Reply + 'static,
@@ -100,12 +100,12 @@
     }
 }
 
-/// One upstream of a list, as discovery tells it.
+/// The JSON entry of an upstream in a discovery list.
 pub fn list_entry(id: &str, at: SocketAddr, zone: &str, state: &str) -> String {
     format!(r#"{{"id":"{id}","addr":"{at}","zone":"{zone}","cell":0,"state":"{state}","started_ms":0}}"#)
 }
 
-/// StubDiscovery that has one list, and says it; a watch waits for the next one.
+/// A stub of the discovery service with a single list. A watch waits for the next version.
 pub struct StubDiscovery {
     pub address: SocketAddr,
     list: RefCell<(u64, String)>,
@@ -114,7 +114,7 @@
 }
 
 impl StubDiscovery {
-    /// `entries` as in the list's own form, without its brackets.
+    /// `entries` are the JSON entries, separated by commas and without the enclosing brackets.
     pub async fn start(at: SocketAddr, entries: String) -> io::Result<Rc<Self>> {
         let listener = TcpListener::bind(at).await?;
         let (address, list) = (listener.local_addr()?, RefCell::new((1, entries)));
@@ -128,12 +128,12 @@
         Ok(this)
     }
 
-    /// What was asked and answered since the start.
+    /// Traffic of requests and responses since the start.
     pub fn traffic(&self) -> Traffic {
         self.traffic.get()
     }
 
-    /// Tells all who wait.
+    /// Publishes a new version of the list and wakes all watches.
     pub fn publish(&self, entries: String) {
         let version = self.list.borrow().0 + 1;
         self.list.replace((version, entries));
@@ -147,20 +147,20 @@
                 text.split('&').find_map(|p| p.strip_prefix(name)?.strip_prefix('=')?.parse::<u64>().ok())
             };
             if let (Some(after), Some(wait)) = (query("index"), query("wait")) {
-                let news = async {
+                let next_version = async {
                     while self.list.borrow().0 <= after {
                         self.changed.notified().await;
                     }
                 };
-                // Nothing new is an answer too.
-                let _ = timeout(Duration::from_millis(wait), news).await;
+                // A watch that times out gets an empty update.
+                let _ = timeout(Duration::from_millis(wait), next_version).await;
             }
             let list = {
                 let (version, entries) = &*self.list.borrow();
-                // What changed since is not kept: the whole list says it too, but only where something did.
-                let news = query("index").is_none_or(|after| after < *version);
-                let entries = if news { entries } else { "" };
-                format!(r#"{{"version":{version},"full":{news},"servers":[{entries}]}}"#)
+                // Single changes are not kept: a watch gets the full list if the version is new, otherwise an empty update.
+                let changed = query("index").is_none_or(|after| after < *version);
+                let entries = if changed { entries } else { "" };
+                format!(r#"{{"version":{version},"full":{changed},"servers":[{entries}]}}"#)
             };
             let answer = response(200, "", &list);
             let bytes = (message.head.len() + message.body.len() + answer.len()) as u64;
@@ -172,31 +172,31 @@
     }
 }
 
-/// An address whose connections do not come up: its queue is full, and nobody is taken from it.
+/// A listening address on which connection attempts hang: the accept queue is full and nothing accepts.
 pub struct FullBacklog {
     pub address: SocketAddr,
     listener: TcpListener,
-    /// What fills the queue.
+    /// The connections that fill the queue.
     fill: Vec<TcpStream>,
 }
 
 impl FullBacklog {
     pub async fn new() -> io::Result<Self> {
-        /// A connection to this machine that the queue has room for comes up in far less.
-        const FULL: Duration = Duration::from_millis(200);
+        /// Well above the time of a connect on loopback while the queue has room.
+        const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
         let socket = TcpSocket::new_v4()?;
         socket.bind(SocketAddr::from(([127, 0, 0, 1], 0)))?;
         let listener = socket.listen(0)?;
         let address = listener.local_addr()?;
         let mut fill = Vec::new();
-        while let Ok(stream) = timeout(FULL, TcpStream::connect(address)).await {
+        while let Ok(stream) = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
             fill.push(stream?);
         }
         Ok(FullBacklog { address, listener, fill })
     }
 
-    /// Whoever still tries to connect comes up at its machine's next try, a second after its first, and is answered as the
-    /// script says.
+    /// Empties the queue and serves by the script. Pending connects succeed at the next SYN retransmission, one second after
+    /// the first.
     pub fn release(self, script: impl Fn(usize, &Message) -> Reply + 'static) -> Rc<StubServer> {
         drop(self.fill);
         serve_on(self.listener, self.address, script)
--- a/crates/fernroute-test-support/tests/link.rs
+++ b/crates/fernroute-test-support/tests/link.rs
@@ -1,4 +1,4 @@
-//! Each trouble that a link can make, seen from both of its ends.
+//! Each fault of a link, observed from the caller and from the target.
 
 use fernroute_test_support::caller::{rpc_head, send, send_and_read};
 use fernroute_test_support::http::read_message;
@@ -18,119 +18,121 @@
     local.block_on(&runtime, async { timeout(Duration::from_secs(20), test).await.expect("the test ends") });
 }
 
-async fn both() -> (Rc<StubServer>, Rc<Link>) {
-    let far = start_stub(
-        |n, message| if message.head.contains("/silent") { Reply::NoReply } else { ok(&n.to_string()) },
-    );
-    let far = far.await;
-    let link = Link::start(far.address).await.expect("a link");
-    (far, link)
+async fn linked_stub() -> (Rc<StubServer>, Rc<Link>) {
+    let target =
+        start_stub(
+            |n, message| if message.head.contains("/silent") { Reply::NoReply } else { ok(&n.to_string()) },
+        );
+    let target = target.await;
+    let link = Link::start(target.address).await.expect("a link");
+    (target, link)
 }
 
-fn look() -> String {
+fn look_request() -> String {
     rpc_head("GET", "/look", "")
 }
 
 #[test]
-fn messages_pass_whole_both_ways_on_kept_connections() {
+fn complete_messages_are_forwarded_both_ways_on_persistent_connections() {
     run(async {
-        let (far, link) = both().await;
+        let (target, link) = linked_stub().await;
         let mut stream =
-            send(link.address, look() + &rpc_head("POST", "/put", "Content-Length: 3\r\n") + "abc").await;
+            send(link.address, look_request() + &rpc_head("POST", "/put", "Content-Length: 3\r\n") + "abc")
+                .await;
         let answers = [read_message(&mut stream).await, read_message(&mut stream).await];
         assert_eq!(answers.map(|a| a.map(|a| a.body)), [Some(b"0".to_vec()), Some(b"1".to_vec())]);
-        assert_eq!((far.connections.get(), &far.received.borrow()[1].body[..]), (1, &b"abc"[..]));
+        assert_eq!((target.connections.get(), &target.received.borrow()[1].body[..]), (1, &b"abc"[..]));
         drop(stream);
-        wait_until(|| far.closed.get() == 1).await;
+        wait_until(|| target.closed.get() == 1).await;
     });
 }
 
-/// One way cut: what is asked runs, and its answer is not heard; or it is not even heard of.
+/// One-way partitions: the request runs and its response is stalled, or the request itself is stalled.
 #[test]
-fn a_cut_of_one_way_lets_the_other_pass_and_what_waited_comes_late() {
+fn a_one_way_partition_stalls_one_direction_and_delivers_late() {
     run(async {
-        let (far, link) = both().await;
+        let (target, link) = linked_stub().await;
         link.set_modes(LinkMode::Forward, LinkMode::Stall);
-        let mut stream = send(link.address, look()).await;
-        wait_until(|| far.received.borrow().len() == 1).await;
+        let mut stream = send(link.address, look_request()).await;
+        wait_until(|| target.received.borrow().len() == 1).await;
         assert!(timeout(Duration::from_millis(50), stream.read_u8()).await.is_err());
         link.restore();
         assert_eq!(read_message(&mut stream).await.map(|a| a.status()), Some(200));
         link.set_modes(LinkMode::Stall, LinkMode::Forward);
-        let mut stream = send(link.address, look()).await;
+        let mut stream = send(link.address, look_request()).await;
         assert!(timeout(Duration::from_millis(50), stream.read_u8()).await.is_err());
-        assert_eq!(far.received.borrow().len(), 1);
+        assert_eq!(target.received.borrow().len(), 1);
         link.restore();
         assert_eq!(read_message(&mut stream).await.map(|a| a.status()), Some(200));
     });
 }
 
 #[test]
-fn a_refused_link_ends_what_is_open_and_takes_nobody_until_it_is_mended() {
+fn a_refusing_link_resets_open_and_new_connections_until_restored() {
     run(async {
-        let (far, link) = both().await;
+        let (target, link) = linked_stub().await;
         let mut open = send(link.address, rpc_head("GET", "/silent", "")).await;
-        wait_until(|| far.received.borrow().len() == 1).await;
+        wait_until(|| target.received.borrow().len() == 1).await;
         link.refuse_connections();
         assert!(read_message(&mut open).await.is_none());
-        let mut refused = send(link.address, look()).await;
+        let mut refused = send(link.address, look_request()).await;
         assert!(read_message(&mut refused).await.is_none());
-        assert_eq!(far.received.borrow().len(), 1);
+        assert_eq!(target.received.borrow().len(), 1);
         link.restore();
-        assert_eq!(send_and_read(link.address, look()).await.status(), 200);
+        assert_eq!(send_and_read(link.address, look_request()).await.status(), 200);
     });
 }
 
 #[test]
-fn a_reset_inside_a_message_leaves_half_of_it_and_hits_once() {
+fn a_reset_mid_message_delivers_half_of_it_and_happens_once() {
     run(async {
-        let (far, link) = both().await;
+        let (target, link) = linked_stub().await;
         link.set_modes(LinkMode::ResetMidMessage, LinkMode::Forward);
-        assert!(read_message(&mut send(link.address, look()).await).await.is_none());
-        // The far side has seen a connection, and no whole message.
-        wait_until(|| far.closed.get() == 1).await;
-        assert_eq!((far.connections.get(), far.received.borrow().len()), (1, 0));
-        assert_eq!(send_and_read(link.address, look()).await.status(), 200);
+        assert!(read_message(&mut send(link.address, look_request()).await).await.is_none());
+        // The target has seen a connection, but no complete message.
+        wait_until(|| target.closed.get() == 1).await;
+        assert_eq!((target.connections.get(), target.received.borrow().len()), (1, 0));
+        assert_eq!(send_and_read(link.address, look_request()).await.status(), 200);
         link.set_modes(LinkMode::Forward, LinkMode::ResetMidMessage);
-        assert!(read_message(&mut send(link.address, look()).await).await.is_none());
-        assert_eq!(far.received.borrow().len(), 2);
-        assert_eq!(send_and_read(link.address, look()).await.status(), 200);
+        assert!(read_message(&mut send(link.address, look_request()).await).await.is_none());
+        assert_eq!(target.received.borrow().len(), 2);
+        assert_eq!(send_and_read(link.address, look_request()).await.status(), 200);
     });
 }
 
 #[test]
-fn delays_and_trickles_bring_the_same_bytes() {
+fn delays_and_throttling_deliver_the_same_bytes() {
     run(async {
-        let (_far, link) = both().await;
+        let (_far, link) = linked_stub().await;
         for way in
             [LinkMode::Delay(Duration::from_millis(20)), LinkMode::Throttle(7, Duration::from_millis(1))]
         {
             link.set_modes(way, way);
-            assert_eq!(send_and_read(link.address, look()).await.status(), 200);
+            assert_eq!(send_and_read(link.address, look_request()).await.status(), 200);
         }
     });
 }
 
-/// A message that comes after a later one, and one that comes twice.
+/// A message that arrives after a later one, and one that arrives twice.
 #[test]
-fn one_message_is_held_back_and_comes_late_and_an_old_one_comes_again() {
+fn a_held_message_is_delivered_late_and_a_recorded_one_again() {
     run(async {
-        let (far, link) = both().await;
+        let (target, link) = linked_stub().await;
         link.hold_next("/put");
         let held = send(link.address, rpc_head("POST", "/put", "Content-Length: 0\r\n")).await;
         wait_until(|| link.has_held()).await;
-        assert_eq!(send_and_read(link.address, look()).await.status(), 200);
+        assert_eq!(send_and_read(link.address, look_request()).await.status(), 200);
         drop(held);
-        let late = link.release_held().await.expect("it is there").expect("an answer");
-        assert_eq!((late.status(), far.received.borrow().len(), link.has_held()), (200, 2, false));
-        assert!(far.received.borrow()[1].head.contains("/put"));
-        assert!(link.replay("/look", 0).await.expect("it is there").is_some());
-        assert_eq!(far.received.borrow()[2].head, far.received.borrow()[0].head);
-        assert!(link.replay("/look", 1).await.expect("it is there").is_none());
-        // The other side comes back elsewhere.
-        let (other, _) = both().await;
+        let late = link.release_held().await.expect("the target is reachable").expect("a response");
+        assert_eq!((late.status(), target.received.borrow().len(), link.has_held()), (200, 2, false));
+        assert!(target.received.borrow()[1].head.contains("/put"));
+        assert!(link.replay("/look", 0).await.expect("the target is reachable").is_some());
+        assert_eq!(target.received.borrow()[2].head, target.received.borrow()[0].head);
+        assert!(link.replay("/look", 1).await.expect("the target is reachable").is_none());
+        // The target restarts at another address.
+        let (other, _) = linked_stub().await;
         link.set_target(other.address);
-        assert_eq!(send_and_read(link.address, look()).await.status(), 200);
-        assert_eq!((other.received.borrow().len(), far.received.borrow().len()), (1, 3));
+        assert_eq!(send_and_read(link.address, look_request()).await.status(), 200);
+        assert_eq!((other.received.borrow().len(), target.received.borrow().len()), (1, 3));
     });
 }
