--- a/crates/fernroute-testbed/src/beside.rs
+++ b/crates/fernroute-testbed/src/beside.rs
@@ -1,5 +1,5 @@
-//! One balancer on this machine with all that it needs beside it: stand-ins for the upstreams and the discovery that
-//! its file names, at the addresses that it names.
+//! Runs one balancer on this machine with stubs for the upstreams and the discovery service that its file names, at the
+//! addresses given there.
 
 use crate::processes::{Fleet, FleetConfig};
 use fernroute_server::program::instance::InstanceConfig;
@@ -12,7 +12,7 @@
 use tokio::task::LocalSet;
 use tokio::time::sleep;
 
-/// Runs until the balancer ends, by itself or because this program is told to; the balancer's exit code.
+/// Runs until the balancer exits, by itself or after a signal to this program. Returns the balancer's exit code.
 pub fn run(config: &Path, program: &[String]) -> Result<u8, String> {
     let station = InstanceConfig::read(config)?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
@@ -20,8 +20,8 @@
     LocalSet::new().block_on(&runtime, async { play(&station, config, program).await })
 }
 
-/// Three stewards, four balancers, a load that moves from one to the next every five seconds, and the ledger's word of it
-/// all every two; until Ctrl-C.
+/// Runs three coordinators and four balancers under a load that moves to the next balancer every five seconds, and prints
+/// the ledger's status every two seconds until Ctrl-C.
 pub fn run_fleet(program: &Path) -> Result<(), String> {
     const WHOLE: usize = 200;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
@@ -76,10 +76,10 @@
     let discovery = StubDiscovery::start(station.discovery, list.join(",")).await;
     discovery.map_err(|e| format!("a stand-in for discovery at {}: {e}", station.discovery))?;
     eprintln!("a stand-in for discovery serves on {}", station.discovery);
-    // From here on neither ends this program: the balancer is to answer what it has taken.
-    let trouble = |e| format!("signals: {e}");
-    let mut term = signal(SignalKind::terminate()).map_err(trouble)?;
-    let mut int = signal(SignalKind::interrupt()).map_err(trouble)?;
+    // From now on the signals no longer end this program, so that the balancer can answer the RPCs it has accepted.
+    let signal_error = |e| format!("signals: {e}");
+    let mut term = signal(SignalKind::terminate()).map_err(signal_error)?;
+    let mut int = signal(SignalKind::interrupt()).map_err(signal_error)?;
     let (word, words) = program.split_first().ok_or("no program is named")?;
     let mut command = Command::new(word);
     command.args(words).arg("--config").arg(config);
@@ -88,21 +88,21 @@
     loop {
         match child.try_wait() {
             Ok(None) => {}
-            // Without a code a signal ended it.
+            // A process ended by a signal has no exit code.
             Ok(Some(status)) => return Ok(status.code().map_or(1, |code| code as u8)),
             Err(e) => return Err(format!("{word}: {e}")),
         }
-        let told = async {
+        let signalled = async {
             tokio::select! {
                 _ = term.recv() => {}
                 _ = int.recv() => {}
             }
         };
         tokio::select! {
-            () = told => {
-                // A terminal tells both; twice is as once.
-                let tell = |id| rustix::process::kill_process(id, rustix::process::Signal::TERM);
-                let _ = id.map(tell);
+            () = signalled => {
+                // A terminal signals both processes; a second SIGTERM has no further effect.
+                let terminate = |id| rustix::process::kill_process(id, rustix::process::Signal::TERM);
+                let _ = id.map(terminate);
             }
             () = sleep(Duration::from_millis(50)) => {}
         }
--- a/crates/fernroute-testbed/src/charts.rs
+++ b/crates/fernroute-testbed/src/charts.rs
@@ -1,4 +1,4 @@
-//! Results as pictures.
+//! SVG charts of experiment results.
 
 use crate::experiment::{Experiment, Row, Summary};
 use crate::policy::Variant;
@@ -38,7 +38,7 @@
 
 type Drawn = Result<(), Box<dyn std::error::Error>>;
 
-/// Service by the second, over three seconds and all seeds, with the faults' times shaded.
+/// Plots the service over time, as a mean over three seconds and all seeds, with the time of each fault shaded.
 fn course(experiment: &Experiment, rows: &[&Row], faults: &[(f64, f64)], path: &Path) -> Drawn {
     let length = rows.iter().map(|r| r.service_by_second.len()).max().unwrap_or(1);
     let root = SVGBackend::new(path, SIZE).into_drawing_area();
@@ -69,7 +69,7 @@
     Ok(())
 }
 
-/// How long answers took, by the share of them, over all seeds.
+/// Plots the latency percentiles, as a mean over all seeds.
 fn times(experiment: &Experiment, rows: &[&Row], path: &Path) -> Drawn {
     let most = rows.iter().flat_map(|r| &r.latency_percentiles).map(|(_, ms)| *ms).fold(1.0, f64::max);
     let root = SVGBackend::new(path, SIZE).into_drawing_area();
@@ -94,7 +94,7 @@
     Ok(())
 }
 
-/// Service of each variant on each scenario, with its interval.
+/// Plots the service of each variant on each scenario with its confidence interval.
 fn comparison(experiment: &Experiment, summaries: &[Summary], path: &Path) -> Drawn {
     let names: Vec<&str> = experiment.scenarios.iter().map(|(s, _)| s.name.as_str()).collect();
     let root = SVGBackend::new(path, (SIZE.0.max(140 * names.len() as u32), SIZE.1)).into_drawing_area();
@@ -148,7 +148,7 @@
     Ok(())
 }
 
-/// A line for each variant, drawn through the points that its runs make.
+/// Draws a line for each variant through the points computed from its rows.
 fn lines<'a, X, Y>(
     experiment: &Experiment,
     rows: &[&Row],
--- a/crates/fernroute-testbed/src/demand.rs
+++ b/crates/fernroute-testbed/src/demand.rs
@@ -1,4 +1,5 @@
-//! What callers want, drawn by chance: the same for the simulator and for real processes, and whoever decides.
+//! Random demand: arrivals and requests of callers. Equal seeds give equal demand in the simulator and in live runs, and
+//! for every policy.
 
 use crate::scenario::{millis, seconds, Fault, FaultKind, Scenario, Spread};
 use fernroute::Time;
@@ -8,7 +9,7 @@
 use rand_distr::{Distribution as _, Exp1, StandardNormal};
 use std::rc::Rc;
 
-/// Where the streams of chance come apart; that of request `n` is `FIRST_REQUEST_STREAM + n`.
+/// Numbers of the independent random streams of a seed; request `n` has the stream `FIRST_REQUEST_STREAM + n`.
 pub const ARRIVAL_STREAM: u64 = 1;
 pub const SIMULATION_STREAM: u64 = 2;
 const FIRST_REQUEST_STREAM: u64 = 1 << 32;
@@ -19,15 +20,15 @@
     rng
 }
 
-/// A drained upstream ends when it has been told for so long, in seconds: longer than most RPCs take.
+/// Time in seconds from the drain update to the exit of a drained upstream: longer than most RPCs take.
 pub const DRAINED_EXIT_DELAY_S: f64 = 6.0;
 
-/// What a run's balancer starts its own chance from.
+/// The random seed of a balancer.
 pub fn balancer_seed(seed: u64, node: usize) -> u64 {
     seed ^ (node as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15)
 }
 
-/// Whom fault `i` hits, of these upstreams and their zones. It does not depend on who decides.
+/// Selects the targets of fault `i` among these upstreams and zones, independently of the policy.
 pub fn fault_targets(fault: &Fault, i: usize, seed: u64, mut up: Vec<(usize, usize)>) -> Vec<usize> {
     if fault.kind == FaultKind::ZoneLoss {
         up.retain(|(_, zone)| *zone == fault.size as usize);
@@ -38,23 +39,23 @@
     up.into_iter().map(|(n, _)| n).collect()
 }
 
-/// One request of a caller, over all its tries.
+/// A caller's request, with all its retries.
 #[derive(Clone, Debug)]
 pub struct RequestSpec {
     pub method: usize,
-    /// Work of one core over all tiers, and calls on each tier for one of the tier above.
+    /// Work on one core over all tiers, and calls to each tier for one RPC of the tier above.
     pub work: Time,
     pub calls: Rc<[u32]>,
-    /// After which share of its time the caller leaves, if it does.
+    /// Share of the hard deadline after which the caller leaves, if it does.
     pub leaves_after: Option<f64>,
-    /// Which balancer of the first tier it comes to, of as many as there are.
+    /// Index of the first-tier balancer that receives the first RPC.
     pub balancer: usize,
-    /// Whom it is for, where there are tenants.
+    /// The tenant, if the scenario has any.
     pub tenant: Option<usize>,
 }
 
 impl RequestSpec {
-    /// All that chance has to say of a request comes from a stream of its own.
+    /// Draws a request from its own random stream.
     pub fn generate(scenario: &Scenario, seed: u64, number: u64) -> Self {
         let mut rng = rng_stream(seed, FIRST_REQUEST_STREAM + number);
         let methods = &scenario.method;
@@ -82,7 +83,7 @@
         let impatient = rng.random::<f64>() < scenario.load.impatient;
         let leaves = impatient.then(|| 0.5 * rng.random::<f64>());
         let balancers = scenario.tier[0].balancers;
-        // A front deals connections out evenly.
+        // The front end distributes connections evenly.
         let mut balancer = rng.random_range(0..balancers);
         let tenants = &scenario.tenant;
         let mut at = rng.random::<f64>() * tenants.iter().map(|t| t.share).sum::<f64>();
@@ -108,7 +109,7 @@
     }
 }
 
-/// When requests come: at random, at a rate that follows the surges. None is after `end`.
+/// Poisson arrivals of requests before `end`, at a rate that follows the surges.
 pub struct Arrivals {
     rng: ChaCha8Rng,
     now: Time,
@@ -125,7 +126,7 @@
             f.kind == FaultKind::Surge && (seconds(f.at_s)..seconds(f.at_s + f.for_s)).contains(&self.now)
         };
         let surge: f64 = scenario.fault.iter().filter(on).map(|f| f.size).product();
-        // Where a surge takes all load away, it is looked for again at some time.
+        // A minimum rate, so that arrivals continue after a surge of size 0.
         let rate = (scenario.load.rate * surge).max(0.01);
         let wait: f64 = Exp1.sample(&mut self.rng);
         self.now += ((wait * seconds(1.0) as f64 / rate).round() as Time).max(1);
--- a/crates/fernroute-testbed/src/experiment.rs
+++ b/crates/fernroute-testbed/src/experiment.rs
@@ -1,4 +1,4 @@
-//! Scenarios × variants × seeds. Variants are paired by seed: what chance draws for the callers is the same for all.
+//! Experiments: scenarios × variants × seeds. Variants are paired by seed: with equal seeds, all get the same demand.
 
 pub mod cold;
 pub mod depth;
@@ -15,13 +15,13 @@
 use std::fmt::Write as _;
 use std::path::{Path, PathBuf};
 
-/// A file as it is written; scenarios by their path from there.
+/// An experiment file. Paths of scenarios are relative to it.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ExperimentFile {
     pub name: String,
     pub scenarios: Vec<PathBuf>,
-    /// The first is the one that the others are held against.
+    /// The others are compared with the first one.
     pub variants: Vec<String>,
     pub seeds: Vec<u64>,
 }
@@ -35,33 +35,38 @@
 
 impl Experiment {
     pub fn read(path: &Path) -> Result<Self, String> {
-        let place = |why: String| format!("{}: {}", path.display(), why.replace('\n', " "));
-        let text = std::fs::read_to_string(path).map_err(|e| place(e.to_string()))?;
-        let page: ExperimentFile = toml::from_str(&text).map_err(|e| place(e.message().to_owned()))?;
-        if page.scenarios.is_empty() || page.variants.is_empty() || page.seeds.is_empty() {
-            return Err(place(
+        let error_at = |why: String| format!("{}: {}", path.display(), why.replace('\n', " "));
+        let text = std::fs::read_to_string(path).map_err(|e| error_at(e.to_string()))?;
+        let file: ExperimentFile = toml::from_str(&text).map_err(|e| error_at(e.message().to_owned()))?;
+        if file.scenarios.is_empty() || file.variants.is_empty() || file.seeds.is_empty() {
+            return Err(error_at(
                 "scenarios, variants and seeds: there must be one of each at the least".to_owned(),
             ));
         }
-        if page.seeds.iter().collect::<BTreeSet<_>>().len() < page.seeds.len() {
-            return Err(place("seeds: one is there twice".to_owned()));
+        if file.seeds.iter().collect::<BTreeSet<_>>().len() < file.seeds.len() {
+            return Err(error_at("seeds: one is there twice".to_owned()));
         }
         let variants: Result<Vec<Variant>, String> =
-            page.variants.iter().map(|v| Variant::from_name(v)).collect();
+            file.variants.iter().map(|v| Variant::from_name(v)).collect();
         let folder = path.parent().unwrap_or(Path::new(""));
         let mut scenarios: Vec<(Scenario, String)> = Vec::new();
-        for file in &page.scenarios {
-            let file = folder.join(file);
-            let (scenario, text) = Scenario::read_with_text(&file)?;
+        for scenario_file in &file.scenarios {
+            let path = folder.join(scenario_file);
+            let (scenario, text) = Scenario::read_with_text(&path)?;
             if scenarios.iter().any(|(other, _)| other.name == scenario.name) {
-                return Err(place(format!("scenarios: {} is there twice", scenario.name)));
+                return Err(error_at(format!("scenarios: {} is there twice", scenario.name)));
             }
             scenarios.push((scenario, text));
         }
-        Ok(Experiment { name: page.name, scenarios, variants: variants.map_err(place)?, seeds: page.seeds })
+        Ok(Experiment {
+            name: file.name,
+            scenarios,
+            variants: variants.map_err(error_at)?,
+            seeds: file.seeds,
+        })
     }
 
-    /// All runs, side by side; their order does not depend on which ends first.
+    /// Executes all runs in parallel. The order of the rows is deterministic.
     pub fn run(&self) -> Vec<Row> {
         let all: Vec<(usize, Variant, u64)> = (0..self.scenarios.len())
             .flat_map(|s| self.variants.iter().map(move |v| (s, *v)))
@@ -75,7 +80,7 @@
     }
 }
 
-/// One run's figures.
+/// The results of one run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Row {
     pub scenario: String,
@@ -83,7 +88,7 @@
     pub seed: u64,
     pub service: f64,
     pub worst_ten: f64,
-    /// Of what could be used of tenants' wholes, where there are tenants.
+    /// Mean utilization of the tenants' budgets, in scenarios with tenants.
     pub utilization: Option<f64>,
     pub requests: u64,
     pub attempts: u64,
@@ -92,14 +97,14 @@
     pub late: u64,
     pub lost: u64,
     pub never_answered: u64,
-    /// By method, served over offered.
+    /// Served relative to offered requests, by method.
     pub methods: Vec<(String, f64)>,
     /// In milliseconds.
     pub p50: f64,
     pub p99: f64,
-    /// Percentiles of 1 to 99 and 99.9, for the chart.
+    /// Latencies in milliseconds at the percentiles 1 to 99 and 99.9, for the chart.
     pub latency_percentiles: Vec<(f64, f64)>,
-    /// Served and offered gain by the second.
+    /// Served and offered gain of each second.
     pub service_by_second: Vec<(f64, f64)>,
     pub violations: BTreeMap<Rule, usize>,
 }
@@ -140,11 +145,11 @@
     }
 }
 
-/// A mean and how far chance may have moved it, at 95 in 100.
+/// A mean with its 95% confidence interval.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Estimate {
     pub mean: f64,
-    /// Half the interval; no number where there is but one value.
+    /// Half width of the interval; NaN for a single value.
     pub half_width: f64,
 }
 
@@ -158,13 +163,13 @@
         Estimate { mean, half_width: if values.len() < 2 { f64::NAN } else { half } }
     }
 
-    /// Whether the interval leaves out zero.
+    /// Whether the interval excludes zero.
     pub fn is_significant(self) -> bool {
         self.half_width.is_finite() && self.mean.abs() > self.half_width
     }
 }
 
-/// One variant on one scenario, over all seeds.
+/// The results of one variant on one scenario, over all seeds.
 #[derive(Clone, Debug)]
 pub struct Summary {
     pub scenario: String,
@@ -172,9 +177,9 @@
     pub service: Estimate,
     pub worst_ten: Estimate,
     pub utilization: Option<Estimate>,
-    /// The first variant's use of tenants' wholes less this one's, paired by seed.
+    /// Budget utilization of the first variant minus that of this one, paired by seed.
     pub utilization_lead: Option<Estimate>,
-    /// The first variant's service less this one's, paired by seed; none for the first.
+    /// Service of the first variant minus that of this one, paired by seed; `None` for the first.
     pub service_lead: Option<Estimate>,
     pub p99: f64,
     pub violations: BTreeMap<Rule, usize>,
@@ -224,7 +229,7 @@
 /// The summary as a Markdown table.
 pub fn table(summaries: &[Summary], seeds: usize) -> String {
     let first = summaries.first().map_or("", |s| s.variant.name());
-    // Where a scenario has tenants, how much of their wholes was used.
+    // Scenarios with tenants have additional columns for budget utilization.
     let tenants = summaries.iter().any(|s| s.utilization.is_some());
     let (head, line) = match tenants {
         true => ("| of tenants' wholes in use | ahead in that by ", " --- | --- |"),
@@ -255,7 +260,7 @@
         let broken: Vec<String> = s.violations.iter().map(|(rule, n)| format!("{rule:?} {n}")).collect();
         let (service, worst) = (number(s.service), number(s.worst_ten));
         let broken = if broken.is_empty() { "none".to_owned() } else { broken.join(", ") };
-        // Writing to a text does not fail.
+        // Writing to a `String` does not fail.
         let _ = writeln!(
             out,
             "| {} | {} | {service} | {worst} | {:.0} | {ahead} | {used}{broken} |",
@@ -267,7 +272,7 @@
     out
 }
 
-/// From which the results can be made again.
+/// The data needed to reproduce the results.
 #[derive(Serialize)]
 struct Manifest<'a> {
     experiment: &'a str,
@@ -278,16 +283,16 @@
     scenarios: Vec<&'a str>,
 }
 
-/// Writes all results to a folder that holds nothing yet.
+/// Writes all results to a new or empty folder.
 pub fn write(experiment: &Experiment, rows: &[Row], folder: &Path, command: &str) -> Result<(), String> {
-    let trouble = |e: std::io::Error| format!("{}: {e}", folder.display());
+    let io_error = |e: std::io::Error| format!("{}: {e}", folder.display());
     create_empty_folder(folder)?;
-    let put = |name: &str, text: &str| std::fs::write(folder.join(name), text).map_err(trouble);
+    let write_file = |name: &str, text: &str| std::fs::write(folder.join(name), text).map_err(io_error);
     let mut csv = csv::Writer::from_writer(Vec::new());
-    let wrong = |e: csv::Error| e.to_string();
+    let csv_error = |e: csv::Error| e.to_string();
     let head = "scenario,variant,seed,service,worst_ten,requests,transmissions,exhausted,errored,late,lost,\
                 never_answered,p50_ms,p99_ms,rules_broken,methods,used";
-    csv.write_record(head.split(',')).map_err(wrong)?;
+    csv.write_record(head.split(',')).map_err(csv_error)?;
     for r in rows {
         let broken: Vec<String> = r.violations.iter().map(|(rule, n)| format!("{rule:?}={n}")).collect();
         let methods: Vec<String> =
@@ -298,10 +303,10 @@
         line.extend(numbers.map(|n| n.to_string()));
         line.extend([format!("{:.1}", r.p50), format!("{:.1}", r.p99), broken.join(" "), methods.join(" ")]);
         line.push(r.utilization.map_or(String::new(), |used| format!("{used:.6}")));
-        csv.write_record(line).map_err(wrong)?;
+        csv.write_record(line).map_err(csv_error)?;
     }
     let csv = csv.into_inner().map_err(|e| e.to_string())?;
-    put("results.csv", &String::from_utf8_lossy(&csv))?;
+    write_file("results.csv", &String::from_utf8_lossy(&csv))?;
     let summaries = summarise(rows);
     let mut text = format!(
         "# {}\n\nSimulated figures: fleets in virtual time, {} seeds for each line, 95% intervals (Student's t), variants paired by \
@@ -315,7 +320,7 @@
         let name = &scenario.name;
         let _ = write!(text, "\n## {name}\n\n![course]({name}-course.svg)\n![times]({name}-times.svg)\n");
     }
-    put("README.md", &text)?;
+    write_file("README.md", &text)?;
     let manifest = Manifest {
         experiment: &experiment.name,
         version: env!("CARGO_PKG_VERSION"),
@@ -324,15 +329,15 @@
         seeds: &experiment.seeds,
         scenarios: experiment.scenarios.iter().map(|(_, text)| text.as_str()).collect(),
     };
-    put("manifest.json", &serde_json::to_string_pretty(&manifest).map_err(|e| e.to_string())?)?;
+    write_file("manifest.json", &serde_json::to_string_pretty(&manifest).map_err(|e| e.to_string())?)?;
     crate::charts::draw(experiment, rows, &summaries, folder)
 }
 
-/// Makes the folder; results that are there already are not overwritten.
+/// Creates the folder. Fails if it has any contents, so that results are never overwritten.
 pub fn create_empty_folder(folder: &Path) -> Result<(), String> {
-    let trouble = |e: std::io::Error| format!("{}: {e}", folder.display());
-    std::fs::create_dir_all(folder).map_err(trouble)?;
-    match std::fs::read_dir(folder).map_err(trouble)?.next() {
+    let io_error = |e: std::io::Error| format!("{}: {e}", folder.display());
+    std::fs::create_dir_all(folder).map_err(io_error)?;
+    match std::fs::read_dir(folder).map_err(io_error)?.next() {
         None => Ok(()),
         Some(_) => Err(format!("{}: holds something already", folder.display())),
     }
--- a/crates/fernroute-testbed/src/experiment/cold.rs
+++ b/crates/fernroute-testbed/src/experiment/cold.rs
@@ -1,5 +1,5 @@
-//! How near cold upstreams come to their fall: fleets of several sizes, even traffic and uneven, many seeds. The load
-//! and what an upstream can do stay the same, so that more balancers means less for each.
+//! How close cold upstreams come to overload, with fleets of several sizes, even and uneven traffic, and many seeds. Load
+//! and upstream capacity stay constant, so that with more balancers each one has a smaller share.
 
 use crate::policy::Variant;
 use crate::referee::cold::{fall_threshold, ColdWindow};
@@ -10,7 +10,7 @@
 use std::fmt::Write as _;
 use std::path::{Path, PathBuf};
 
-/// A file as it is written; scenarios by their path from there.
+/// An experiment file. Paths of scenarios are relative to it.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct ExperimentFile {
@@ -23,27 +23,27 @@
 
 pub struct Experiment {
     pub scenarios: Vec<Scenario>,
-    /// How many balancers, and how many times the mean one of them gets.
+    /// Number of balancers, and the load of the busiest one as a multiple of the mean.
     pub fleets: Vec<(usize, f64)>,
     pub seeds: u64,
 }
 
-/// What one scenario came to with one fleet, over all seeds.
+/// The results of one scenario with one fleet, over all seeds.
 pub struct Row {
     pub scenario: String,
     pub balancers: usize,
     pub busiest: f64,
     pub seeds: u64,
-    /// Cold starts that were sent anything.
+    /// Cold starts that received an RPC.
     pub starts: usize,
-    /// Those that fell, and those of them that break the rule.
+    /// Cold starts that ended in overload; `violating` counts those of them that break the rule.
     pub fell: usize,
     pub violating: usize,
-    /// Those that fell with more RPCs than are allowed: the others met a heavy RPC or two, which nobody can foretell.
+    /// Overloads with more RPCs than allowed. The others were caused by one or two heavy RPCs, which no balancer can predict.
     pub fell_by_count: usize,
-    /// Other rules broken, over all runs.
+    /// Violations of other rules, over all runs.
     pub other_violations: usize,
-    /// Of the bound, what one in a hundred cold starts came to or more.
+    /// 99th percentile of the work relative to the overload threshold.
     pub p99_load_ratio: f64,
     pub worst: ColdWindow,
     pub service: f64,
@@ -51,25 +51,25 @@
 
 impl Experiment {
     pub fn read(path: &Path) -> Result<Self, String> {
-        let place = |why: String| format!("{}: {}", path.display(), why.replace('\n', " "));
-        let text = std::fs::read_to_string(path).map_err(|e| place(e.to_string()))?;
-        let page: ExperimentFile = toml::from_str(&text).map_err(|e| place(e.message().to_owned()))?;
+        let error_at = |why: String| format!("{}: {}", path.display(), why.replace('\n', " "));
+        let text = std::fs::read_to_string(path).map_err(|e| error_at(e.to_string()))?;
+        let file: ExperimentFile = toml::from_str(&text).map_err(|e| error_at(e.message().to_owned()))?;
         let folder = path.parent().unwrap_or(Path::new(""));
-        let scenarios = page.scenarios.iter().map(|file| Scenario::read(&folder.join(file)));
+        let scenarios = file.scenarios.iter().map(|file| Scenario::read(&folder.join(file)));
         let scenarios = scenarios.collect::<Result<Vec<Scenario>, String>>()?;
-        let fleets = page.fleets;
-        if scenarios.is_empty() || fleets.is_empty() || page.seeds == 0 {
-            return Err(place("scenarios, fleets and seeds: one of each at the least".to_owned()));
+        let fleets = file.fleets;
+        if scenarios.is_empty() || fleets.is_empty() || file.seeds == 0 {
+            return Err(error_at("scenarios, fleets and seeds: one of each at the least".to_owned()));
         }
         if let Some((n, times)) =
             fleets.iter().find(|(n, times)| *n == 0 || !(0.0..=*n as f64).contains(times))
         {
-            return Err(place(format!("{n} balancers, one at {times} times the mean: that can't be")));
+            return Err(error_at(format!("{n} balancers, one at {times} times the mean: that can't be")));
         }
-        Ok(Experiment { scenarios, fleets, seeds: page.seeds })
+        Ok(Experiment { scenarios, fleets, seeds: file.seeds })
     }
 
-    /// All runs, side by side; their order does not depend on which ends first.
+    /// Executes all runs. The order of the rows is deterministic.
     pub fn run(&self) -> Vec<Row> {
         let fleets =
             |s: &Scenario| self.fleets.iter().map(|of| with_balancers(s, *of)).collect::<Vec<Scenario>>();
@@ -78,9 +78,9 @@
     }
 }
 
-/// The scenario with so many balancers, one of which gets so many times the mean.
+/// Returns the scenario with this number of balancers, one of which gets `busiest` times the mean load.
 pub fn with_balancers(scenario: &Scenario, (balancers, busiest): (usize, f64)) -> Scenario {
-    /// A budget that nobody reaches.
+    /// A budget that is never exhausted.
     const ENDLESS: f64 = 1e6;
     let mut scenario = scenario.clone();
     scenario.tier[0].balancers = balancers;
@@ -114,7 +114,7 @@
     }
 }
 
-/// As a Markdown table.
+/// Formats the rows as a Markdown table.
 pub fn table(rows: &[Row]) -> String {
     let mut out = String::from(
         "| scenario | balancers | traffic | cold starts | fell | with more than N RPCs | rule broken | others broken | 99 in 100 stay under, of the \
@@ -123,7 +123,7 @@
     for r in rows {
         let traffic = if r.busiest == 1.0 { "even".to_owned() } else { format!("one at {}", r.busiest) };
         let w = &r.worst;
-        // Writing to a text does not fail.
+        // Writing to a `String` does not fail.
         let _ = writeln!(
             out,
             "| {} | {} | {traffic} | {} | {} | {} | {} | {} | {:.2} | {:.1} of {:.1} (N {:.1}, {} RPCs) | {:.3} |",
--- a/crates/fernroute-testbed/src/experiment/depth.rs
+++ b/crates/fernroute-testbed/src/experiment/depth.rs
@@ -1,4 +1,4 @@
-//! What many tiers one below another add to an RPC, where some of the last one's answers are errors.
+//! What a chain of many tiers adds to an RPC when part of the last tier's answers are errors.
 
 use super::Estimate;
 use crate::metrics::RunMetrics;
@@ -8,10 +8,10 @@
 use rayon::prelude::*;
 use std::fmt::Write as _;
 
-/// Of the last tier's answers, as shares.
+/// Shares of errors among the last tier's answers.
 const ERRORS: [f64; 3] = [0.0, 0.01, 0.05];
 
-/// The scenario with such a share of errors at its last tier.
+/// Returns the scenario with this share of errors at its last tier.
 pub fn with_errors(scenario: &Scenario, share: f64) -> Scenario {
     let mut scenario = scenario.clone();
     let last = scenario.tier.len() - 1;
@@ -24,12 +24,12 @@
     scenario
 }
 
-/// Milliseconds of a sum over so many.
+/// Mean in milliseconds of a sum in tenths of a millisecond.
 fn mean_ms(sum: u128, count: u64) -> f64 {
     sum as f64 / (count as f64).max(1.0) / 10.0
 }
 
-/// Transmissions of one tier for each try of a caller.
+/// Attempts in one tier for each RPC of a caller.
 pub fn attempts_per_rpc(metrics: &RunMetrics, tier: usize) -> f64 {
     metrics.tiers[tier].attempts as f64 / (metrics.tiers[0].rpcs as f64).max(1.0)
 }
@@ -43,7 +43,7 @@
     }
 }
 
-/// Two Markdown tables: of the whole, and of each tier with the most errors.
+/// Formats two Markdown tables: the whole chain, and each tier at the highest share of errors.
 pub fn table(scenario: &Scenario, seeds: u64) -> String {
     let last = scenario.tier.len() - 1;
     let work = |tier: usize| scenario.method[0].work_ms * scenario.tier[tier].work;
@@ -61,7 +61,7 @@
         let metrics = (1..=seeds).into_par_iter().map(|seed| run::run(&of, Variant::Fernroute, seed).metrics);
         let metrics: Vec<RunMetrics> = metrics.collect();
         let took = |b: &RunMetrics| mean_ms(b.tiers[0].total_latency, b.tiers[0].completed);
-        // Writing to a text does not fail.
+        // Writing to a `String` does not fail.
         let _ = writeln!(
             out,
             "| {:.0}% | {} | {} | {} | {} | {} | {} | {} | {} |",
--- a/crates/fernroute-testbed/src/experiment/figures.rs
+++ b/crates/fernroute-testbed/src/experiment/figures.rs
@@ -1,5 +1,5 @@
-//! The figures of scenarios in virtual time, as lines of text that are held against a file: they depend on the decisions and
-//! the simulator alone, so a change that is to leave behaviour as it is leaves every line as it is.
+//! Regression figures of simulated scenarios, as lines of text that are compared with a file. They depend only on the
+//! balancer's decisions and the simulator, so a change without an effect on behaviour leaves every line unchanged.
 
 use crate::policy::Variant;
 use crate::run::run;
@@ -7,10 +7,10 @@
 use rayon::prelude::*;
 use std::path::{Path, PathBuf};
 
-/// The seeds that each scenario is played with.
+/// The seeds of each scenario's runs.
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=3;
 
-/// One scenario played by one variant with one seed.
+/// One run: a scenario with one variant and one seed.
 struct Play {
     file: String,
     scenario: Scenario,
@@ -18,7 +18,7 @@
     seed: u64,
 }
 
-/// The figures of all scenarios of a folder, a line for each play, ordered by file, variant and seed.
+/// Returns the figures of all scenarios in a folder, one line per run, ordered by file, variant and seed.
 pub fn figures_of_folder(folder: &Path) -> Result<Vec<String>, String> {
     let mut plays = Vec::new();
     for path in scenario_files(folder)? {
@@ -27,7 +27,7 @@
     Ok(plays.par_iter().map(line).collect())
 }
 
-/// The lines that differ, as `- expected` and `+ found`.
+/// Returns the lines that differ, as `- expected` and `+ found`.
 pub fn differences(expected: &[String], found: &[String]) -> Vec<String> {
     let missing = expected.iter().filter(|line| !found.contains(line)).map(|line| format!("- {line}"));
     let new = found.iter().filter(|line| !expected.contains(line)).map(|line| format!("+ {line}"));
@@ -45,7 +45,7 @@
     Ok(files)
 }
 
-/// Scenarios with tenants are played with a fleet's shared budgets too.
+/// The runs of a scenario. Those with tenants also run with budgets shared by the fleet.
 fn plays_of(path: &Path) -> Result<Vec<Play>, String> {
     let scenario = Scenario::read(path)?;
     let file = path.file_name().map(|name| name.to_string_lossy().into_owned()).unwrap_or_default();
--- a/crates/fernroute-testbed/src/fleet.rs
+++ b/crates/fernroute-testbed/src/fleet.rs
@@ -1,5 +1,5 @@
-//! The fleet of a run in virtual time: stewards as one ledger with one leader, and the members of the first tier. All
-//! read one clock here; clocks that differ are the fleet crate's own tests'.
+//! The fleet of a simulated run: the coordinators as one ledger with one leader, and the members of the first tier. All
+//! share one clock; the tests of the fleet crate cover clock drift.
 
 use crate::scenario::{millis, seconds, Scenario};
 use fernroute::Time;
@@ -15,98 +15,110 @@
 
 struct Balancer {
     member: Member,
-    /// What each tenant asks for here.
-    asked: Vec<DemandMeter>,
+    /// Demand of each tenant at this balancer.
+    demand: Vec<DemandMeter>,
 }
 
-/// What a tenant has here: two rates, each until a time.
-pub type Granted = (String, [(f64, Time); 2]);
+/// A tenant's budget at a balancer: two rates with their expiry times.
+pub type BudgetGrant = (String, [(f64, Time); 2]);
 
 pub struct Fleet {
-    names: Vec<String>,
+    tenants: Vec<String>,
     ledger: Ledger,
     leader: Option<Leader>,
-    entering: Option<LedgerTransition>,
+    pending: Option<LedgerTransition>,
     shares: Lease,
     floors: Lease,
-    most: usize,
-    /// By node; one that has died is not heard of any more.
+    max_members: usize,
+    /// Members by balancer index; a dead one sends no heartbeats.
     members: BTreeMap<usize, Balancer>,
 }
 
 impl Fleet {
     pub fn new(scenario: &Scenario) -> Self {
         let f = &scenario.fleet;
-        let most = scenario.tier[0].balancers;
+        let max_members = scenario.tier[0].balancers;
         let lease = |length| Lease { duration: length, drift_ppm: f.drift_ppm };
         let (shares, floors) = (lease(millis(f.shares_for_ms)), lease(seconds(f.floors_for_s)));
         let mut ledger = Ledger::default();
-        let budgets =
-            scenario.tenant.iter().map(|t| (t.name.clone(), Budget::new(t.rate, f.floors, most))).collect();
+        let budgets = scenario
+            .tenant
+            .iter()
+            .map(|t| (t.name.clone(), Budget::new(t.rate, f.floors, max_members)))
+            .collect();
         if let Err(why) = ledger.apply(&Entry::Budgets(budgets)) {
-            unreachable!("budgets are always taken: {why:?}");
+            unreachable!("a new ledger accepts any budgets: {why:?}");
+        }
+        let leader = Some(Leader::new(0, &ledger, shares, floors, max_members));
+        let tenants = scenario.tenant.iter().map(|t| t.name.clone()).collect();
+        Fleet {
+            tenants,
+            ledger,
+            leader,
+            pending: None,
+            shares,
+            floors,
+            max_members,
+            members: BTreeMap::new(),
         }
-        let leader = Some(Leader::new(0, &ledger, shares, floors, most));
-        let names = scenario.tenant.iter().map(|t| t.name.clone()).collect();
-        Fleet { names, ledger, leader, entering: None, shares, floors, most, members: BTreeMap::new() }
     }
 
-    /// A balancer that starts again finds the identity that the one before it left.
+    /// Adds a member. A restarted balancer keeps the identity of its predecessor.
     pub fn join(&mut self, node: usize, number: usize, now: Time) {
         let identity = number as u64 + 1;
         self.members.retain(|_, b| b.member.identity() != identity);
         let member = Member::new(&format!("b{number}"), identity, now << 16);
-        let asked = self.names.iter().map(|_| DemandMeter::new(now)).collect();
-        self.members.insert(node, Balancer { member, asked });
+        let demand = self.tenants.iter().map(|_| DemandMeter::new(now)).collect();
+        self.members.insert(node, Balancer { member, demand });
     }
 
-    pub fn asked(&mut self, node: usize, now: Time, tenant: usize) {
-        self.members.get_mut(&node).into_iter().for_each(|b| b.asked[tenant].count(now));
+    pub fn record_demand(&mut self, node: usize, now: Time, tenant: usize) {
+        self.members.get_mut(&node).into_iter().for_each(|b| b.demand[tenant].count(now));
     }
 
-    pub fn beat(&mut self, node: usize, now: Time) -> Option<Heartbeat> {
+    pub fn heartbeat(&mut self, node: usize, now: Time) -> Option<Heartbeat> {
         let b = self.members.get_mut(&node)?;
-        let wants = b.asked.iter_mut().map(|meter| meter.demand(now));
-        let wants: BudgetAmounts = self.names.iter().cloned().zip(wants).collect();
-        Some(b.member.heartbeat(now, wants))
+        let demands = b.demand.iter_mut().map(|meter| meter.demand(now));
+        let demands: BudgetAmounts = self.tenants.iter().cloned().zip(demands).collect();
+        Some(b.member.heartbeat(now, demands))
     }
 
-    pub fn hear(&mut self, now: Time, beat: &Heartbeat) -> Option<HeartbeatReply> {
+    pub fn on_heartbeat(&mut self, now: Time, heartbeat: &Heartbeat) -> Option<HeartbeatReply> {
         let leader = self.leader.as_mut()?;
-        leader.on_heartbeat(now, beat, &self.ledger).ok()?;
-        if self.entering.is_none() {
-            self.entering = leader.next_transition(now, &self.ledger);
+        leader.on_heartbeat(now, heartbeat, &self.ledger).ok()?;
+        if self.pending.is_none() {
+            self.pending = leader.next_transition(now, &self.ledger);
         }
-        leader.reply(beat, &self.ledger, &Register::default()).ok()
+        leader.reply(heartbeat, &self.ledger, &Register::default()).ok()
     }
 
-    /// What was due a moment ago is entered.
-    pub fn enter(&mut self, now: Time) {
+    /// Applies the pending transition and prepares the next one.
+    pub fn commit_transition(&mut self, now: Time) {
         let Some(leader) = &mut self.leader else { return };
-        if let Some(step) = self.entering.take() {
+        if let Some(step) = self.pending.take() {
             if let Err(why) = self.ledger.apply(&Entry::Transition(step)) {
-                unreachable!("one leader, and nobody else enters anything: {why:?}");
+                unreachable!("the only leader made this transition: {why:?}");
             }
             leader.transition_done();
-            self.entering = leader.next_transition(now, &self.ledger);
+            self.pending = leader.next_transition(now, &self.ledger);
         }
     }
 
-    pub fn told(&mut self, node: usize, now: Time, answer: &HeartbeatReply) -> Option<Vec<Granted>> {
+    pub fn on_reply(&mut self, node: usize, now: Time, reply: &HeartbeatReply) -> Option<Vec<BudgetGrant>> {
         let member = &mut self.members.get_mut(&node)?.member;
-        if matches!(member.on_reply(now, answer), ReplyStatus::Stale | ReplyStatus::OlderEpoch) {
+        if matches!(member.on_reply(now, reply), ReplyStatus::Stale | ReplyStatus::OlderEpoch) {
             return None;
         }
-        Some(self.names.iter().map(|name| (name.clone(), member.rates(name))).collect())
+        Some(self.tenants.iter().map(|name| (name.clone(), member.rates(name))).collect())
     }
 
-    /// No steward answers any more.
-    pub fn down(&mut self) {
-        (self.leader, self.entering) = (None, None);
+    /// Stops all coordinators.
+    pub fn stop_coordinators(&mut self) {
+        (self.leader, self.pending) = (None, None);
     }
 
-    /// They are back, and another one leads.
-    pub fn up(&mut self, now: Time) {
-        self.leader = Some(Leader::new(now, &self.ledger, self.shares, self.floors, self.most));
+    /// Restarts the coordinators under a new leader.
+    pub fn start_coordinators(&mut self, now: Time) {
+        self.leader = Some(Leader::new(now, &self.ledger, self.shares, self.floors, self.max_members));
     }
 }
--- a/crates/fernroute-testbed/src/lib.rs
+++ b/crates/fernroute-testbed/src/lib.rs
@@ -1,5 +1,5 @@
-//! A laboratory for fernroute: fleets of real balancers in virtual time, a referee who judges the rules from what
-//! happened, plain rules to compare with, and experiments over scenarios, variants and seeds.
+//! A testbed for fernroute: fleets of real balancers in virtual time, a referee that checks the rules against the recorded
+//! events, baseline policies for comparison, and experiments over scenarios, variants and seeds.
 
 pub mod beside;
 pub mod charts;
--- a/crates/fernroute-testbed/src/main.rs
+++ b/crates/fernroute-testbed/src/main.rs
@@ -17,7 +17,7 @@
 
 const NAME: &str = "fernroute-testbed";
 
-/// Plays fleets of fernroute balancers in virtual time.
+/// Simulates fleets of fernroute balancers in virtual time.
 #[derive(FromArgs)]
 struct Line {
     #[argh(subcommand)]
@@ -47,7 +47,7 @@
     StewardChange(ChangeStewards),
 }
 
-/// Read scenarios and say whether they will do.
+/// Validate scenario files.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "check")]
 struct Check {
@@ -56,20 +56,20 @@
     scenarios: Vec<PathBuf>,
 }
 
-/// Play one scenario and print its figures; ends with 1 where a rule was broken.
+/// Simulate one scenario and print its figures; exits with 1 if a rule was broken.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "run")]
 struct RunOne {
     /// scenario file
     #[argh(positional)]
     scenario: PathBuf,
-    /// who decides: fernroute (the default), fleet, random, round-robin, least-outstanding, two-choices
+    /// balancing policy: fernroute (the default), fleet, random, round-robin, least-outstanding, two-choices
     #[argh(option, default = "String::from(\"fernroute\")")]
     variant: String,
-    /// what chance starts from (default: 1)
+    /// random seed (default: 1)
     #[argh(option, default = "1")]
     seed: u64,
-    /// write all that happened to this file, a line for each event
+    /// write all events to this file, one per line
     #[argh(option)]
     trace: Option<PathBuf>,
 }
@@ -86,7 +86,8 @@
     out: PathBuf,
 }
 
-/// Play scenarios with fleets of several sizes, and say how near cold upstreams come to a fall; ends with 1 where one fell.
+/// Simulate scenarios with fleets of several sizes and print how close cold upstreams come to overload; exits with 1 if the
+/// rule on cold upstreams was broken.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "cold")]
 struct CountCold {
@@ -95,19 +96,19 @@
     experiment: PathBuf,
 }
 
-/// Play a scenario of many tiers, of whose last some share errs, and say what each hop adds.
+/// Simulate a scenario of many tiers with errors at the last one and print what each tier adds.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "depth")]
 struct MeasureDepth {
     /// scenario file
     #[argh(positional)]
     scenario: PathBuf,
-    /// how many seeds (default: 10)
+    /// number of seeds (default: 10)
     #[argh(option, default = "10")]
     seeds: u64,
 }
 
-/// Play all scenarios in virtual time and print the figures that differ from those of a file; ends with 1 where any does.
+/// Simulate all scenarios and print the figures that differ from those in a file; exits with 1 if any differ.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "figures")]
 struct CompareFigures {
@@ -122,138 +123,138 @@
     write: bool,
 }
 
-/// Play one scenario against real processes on loopback, in real time; ends with 1 where a rule was broken, with 3
-/// where the load was not kept.
+/// Run one scenario against real processes on loopback, in real time; exits with 1 if a rule was broken, with 3 if the
+/// load was not sustained.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "live")]
 struct Live {
     /// scenario file
     #[argh(positional)]
     scenario: PathBuf,
-    /// what chance starts from (default: 1)
+    /// random seed (default: 1)
     #[argh(option, default = "1")]
     seed: u64,
-    /// words that start a balancer, but for --config FILE (default: this program's own)
+    /// command that starts a balancer, without --config FILE (default: this program)
     #[argh(option)]
     program: Option<String>,
-    /// words that start a steward, but for --config FILE (default: this program's own)
+    /// command that starts a coordinator, without --config FILE (default: this program)
     #[argh(option)]
     steward: Option<String>,
-    /// folder that is to keep the balancers' configurations and logs; it must hold nothing
+    /// folder in which to keep the balancers' configurations and logs; must be empty
     #[argh(option)]
     keep: Option<PathBuf>,
 }
 
-/// Serve as a real balancer, as `fernroute serve` does.
+/// Run as a real balancer, as `fernroute serve` does.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "balancer")]
 struct RealOne {
-    /// file that tells the balancer its place and terms
+    /// configuration file of the balancer
     #[argh(option)]
     config: String,
 }
 
-/// Start a balancer, and beside it stand-ins for the upstreams and the discovery that its file names; until Ctrl-C.
+/// Start a balancer with stubs for the upstreams and the discovery service that its file names; runs until Ctrl-C.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "beside")]
 struct Beside {
-    /// file that tells the balancer its place and terms
+    /// configuration file of the balancer
     #[argh(option)]
     config: PathBuf,
-    /// words that start a balancer, but for --config FILE (default: this program's own)
+    /// command that starts a balancer, without --config FILE (default: this program)
     #[argh(option)]
     program: Option<String>,
 }
 
-/// Serve as a real steward, as `fernroute-coordinator serve --first` does.
+/// Run as a real coordinator, as `fernroute-coordinator serve --first` does.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "steward")]
 struct RealSteward {
-    /// file that says who this steward is
+    /// configuration file of the coordinator
     #[argh(option)]
     config: String,
 }
 
-/// Print what a steward knows, as `fernroute-coordinator status` does.
+/// Print the status of a coordinator, as `fernroute-coordinator status` does.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "steward-status")]
 struct AskSteward {
-    /// address of a steward
+    /// address of a coordinator
     #[argh(positional)]
     at: String,
 }
 
-/// Start three stewards, four balancers, stand-ins and a load on this machine, and print the ledger's status until Ctrl-C.
+/// Start three coordinators, four balancers, stubs and a load on this machine, and print the ledger's status until Ctrl-C.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "fleet")]
 struct RunFleet {}
 
-/// Measure what a fleet costs and how long it takes to get over a loss: real processes on this machine, some minutes.
+/// Measure the cost of a fleet and its recovery time after a loss, with real processes on this machine; takes some minutes.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "fleet-measure")]
 struct MeasureFleet {
-    /// only the leader's decisions, in virtual time: by members and budgets
+    /// only measure the leader's decisions in virtual time, by members and budgets
     #[argh(switch)]
     leader: bool,
 }
 
-/// Run hollow balancers, real ones and stewards at the size that a file says, and measure what they cost. Ends with 1 where
-/// something was lost or beyond the whole, with 2 for a file that will not do, with 3 where the load was not kept.
+/// Run hollow balancers, real ones and coordinators at the size given in a file, and measure their cost. Exits with 1 if
+/// something was lost or a budget was exceeded, with 2 for an invalid file, with 3 if the load was not sustained.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "scale")]
 struct RunScale {
-    /// file of the run
+    /// scale run file
     #[argh(positional)]
     file: PathBuf,
-    /// how large, in parts of what the file says (default: 1)
+    /// size relative to the file (default: 1)
     #[argh(option, default = "1.0")]
     factor: f64,
-    /// write what was measured to this file, one object of JSON
+    /// write the measurements to this file as one JSON object
     #[argh(option)]
     json: Option<PathBuf>,
 }
 
-/// Fit how each figure of scale runs grows with the number of balancers; four sizes at least.
+/// Fit the growth of each figure of scale runs with the number of balancers; needs at least four sizes.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "scale-fit")]
 struct FitScale {
-    /// what runs wrote with --json
+    /// files written by runs with --json
     #[argh(positional)]
     files: Vec<PathBuf>,
-    /// work all out for so many balancers: four times those measured at the most
+    /// extrapolate to this number of balancers, at most four times the largest measured one
     #[argh(option)]
     at: Option<f64>,
 }
 
-/// Serve as several balancers that nobody asks: part of `scale`.
+/// Run as several balancers without load: part of `scale`.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "hollow")]
 struct Hollow {
-    /// folder of the balancers' files
+    /// folder of the balancers' configuration files
     #[argh(option)]
     folder: PathBuf,
 }
 
-/// Stand in for discovery or for upstreams: part of `scale`.
+/// Run stubs for discovery or for upstreams: part of `scale`.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "scale-stand")]
 struct ScaleStand {
-    /// file that says what to be
+    /// configuration file of the stubs
     #[argh(option)]
     config: PathBuf,
 }
 
-/// Change which stewards there are, as `fernroute-coordinator change` does.
+/// Change the set of coordinators, as `fernroute-coordinator change` does.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "steward-change")]
 struct ChangeStewards {
-    /// a steward's file
+    /// configuration file of a coordinator
     #[argh(option)]
     config: String,
 }
 
 fn own_program() -> Result<PathBuf, String> {
-    std::env::current_exe().map_err(|e| format!("this program does not know its place: {e}"))
+    std::env::current_exe().map_err(|e| format!("path of this program: {e}"))
 }
 
 fn main() -> ExitCode {
@@ -276,7 +277,7 @@
         Command::Experiment(compare) => {
             let command = format!("{NAME} {}", arguments[1..].join(" "));
             Experiment::read(&compare.experiment).and_then(|experiment| {
-                // Before the work, not after it.
+                // Checked before the runs, which take long.
                 experiment::create_empty_folder(&compare.out)?;
                 let rows = experiment.run();
                 experiment::write(&experiment, &rows, &compare.out, &command)?;
@@ -363,10 +364,10 @@
     Ok(if differences.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-/// Tells whether all rules were kept.
+/// Returns whether all rules were kept.
 fn play(one: &RunOne) -> Result<bool, String> {
     let (scenario, variant) = (Scenario::read(&one.scenario)?, Variant::from_name(&one.variant)?);
-    let make = |s: &Scenario, post, desk, now, seed| variant.policy(s, post, desk, now, seed);
+    let make = |s: &Scenario, position, desk, now, seed| variant.policy(s, position, desk, now, seed);
     let result = match &one.trace {
         None => run::run(&scenario, variant, one.seed),
         Some(path) => {
@@ -405,7 +406,7 @@
     }
 }
 
-/// What starts a balancer: these words, or this program's own.
+/// The command that starts a balancer: the given one, or this program.
 fn balancer_words(named: Option<&str>) -> Result<Vec<String>, String> {
     if let Some(words) = named {
         return Ok(words.split_whitespace().map(str::to_owned).collect());
@@ -413,7 +414,7 @@
     Ok(vec![own_program()?.display().to_string(), "balancer".to_owned()])
 }
 
-/// The exit code.
+/// Returns the exit code.
 fn play_live(one: &Live) -> Result<u8, String> {
     let scenario = Scenario::read(&one.scenario)?;
     let program = balancer_words(one.program.as_deref())?;
@@ -428,7 +429,7 @@
     };
     let report = live::run(&scenario, one.seed, &program, &steward, &folder);
     if one.keep.is_none() {
-        // What is left of it does no harm.
+        // A leftover folder does no harm.
         let _ = std::fs::remove_dir_all(&folder);
     }
     let report = report?;
@@ -449,19 +450,19 @@
     })
 }
 
-/// The exit code.
+/// Returns the exit code.
 fn play_scale(one: &RunScale) -> Result<u8, String> {
     let layout = scale::prepare(&one.file, one.factor)?;
-    // Short: sockets' paths are made of it.
+    // Kept short, because the length of socket paths is limited.
     let folder = std::env::temp_dir().join(format!("fernroute-scale-{}", std::process::id()));
     experiment::create_empty_folder(&folder)?;
     let report = scale::run(layout, one.factor, &own_program()?, &folder);
-    // What is left of it does no harm.
+    // A leftover folder does no harm.
     let _ = std::fs::remove_dir_all(&folder);
     let report = match report {
         Ok(report) => report,
         Err(error) => {
-            eprintln!("{NAME}: it did not come to its end: {}", error.reason);
+            eprintln!("{NAME}: run aborted: {}", error.reason);
             return Ok(error.exit_code);
         }
     };
--- a/crates/fernroute-testbed/src/measure.rs
+++ b/crates/fernroute-testbed/src/measure.rs
@@ -1,5 +1,5 @@
-//! What a fleet costs, and how long it takes to get over a loss: real processes on this machine, and ledgers of many members
-//! and budgets in virtual time. Printed, for `docs/fleet.md`; not part of any test.
+//! Measures the cost of a fleet and its recovery time after a loss: with real processes on this machine, and in virtual time
+//! for ledgers with many members and budgets. Prints the figures for `docs/fleet.md`; not part of any test.
 
 use crate::processes::{Fleet, FleetConfig};
 use fernroute::host::SECOND;
@@ -22,7 +22,7 @@
 
 const ROUNDS: usize = 10;
 
-/// As many as each of the three takes of a beat.
+/// The heartbeat interval.
 const BEAT_EVERY: Duration = Duration::from_millis(250);
 
 pub fn run(program: &Path) -> Result<(), String> {
@@ -42,7 +42,7 @@
     println!("{what}: median {:.3}, from {:.3} to {:.3}, {} times", at(0.5), at(0.0), at(1.0), of.len());
 }
 
-/// Time to a new leader, and to the use of a dead balancer's part by the others.
+/// Measures the time to a new leader, and the time until other balancers use the share of a killed one.
 async fn losses(program: &Path) -> Result<(), String> {
     const WHOLE: usize = 120;
     let folder = std::env::temp_dir().join(format!("fernroute-measure-{}", std::process::id()));
@@ -76,8 +76,8 @@
         fleet.set_rates(&rates);
         fleet.balancers[dead].kill();
         let from = Instant::now();
-        // What ran before its death is out of sight; then as of the begin of the half second in which as much runs as the
-        // whole is.
+        // Waits until RPCs from before the kill have left the window; the recovery time is the start of the first half second
+        // in which 95% of the budget is in use.
         sleep(Duration::from_millis(600)).await;
         while fleet.executions.count_within(Duration::from_millis(500)) * 2 * 20 < WHOLE * 19 {
             sleep(Duration::from_millis(5)).await;
@@ -90,13 +90,13 @@
     Ok(())
 }
 
-/// One that beats over a connection of its own.
+/// A member that sends heartbeats on its own connection.
 async fn beats(n: usize, to: Rc<Cell<std::net::SocketAddr>>, bytes: Rc<Cell<(u64, u64)>>) -> Option<()> {
     let mut member = Member::new(&format!("n{n}"), n as u64 + 1, 0);
     let mut peer = Connection::new(TcpStream::connect(to.get()).await.ok()?);
     sleep(BEAT_EVERY.mul_f64(n as f64 / 300.0 % 1.0)).await;
     for turn in 0u64.. {
-        // One in thirty asks for ten times what the others do, and which ones changes every four seconds.
+        // One member in thirty requests ten times as much as the others; which one changes every four seconds.
         let wants = 800 + 7_200 * ((turn / 16 + n as u64) % 30 / 29);
         let beat = member.heartbeat(now(), BudgetAmounts::from([("acme".to_owned(), wants as MilliUnits)]));
         let envelope =
@@ -134,7 +134,7 @@
             *ended.borrow_mut() += 1;
         });
     }
-    // All have joined, and the first divisions are over.
+    // Waits until all members have joined and the first allocations are done.
     while fleet.status(leader).await.is_none_or(|status| status.members.len() < count) {
         sleep(Duration::from_millis(100)).await;
     }
@@ -160,8 +160,8 @@
     Ok(())
 }
 
-/// In virtual time, one process: the decisions of the leader alone, and what messages weigh, for a fleet of the size that is
-/// coming: as many budgets as it has services, of which each member names one; and, where it names all, what that is apart from.
+/// Measures the leader's decisions and the size of messages in virtual time, for a fleet of the planned size: one budget per
+/// service, with each member naming one of them, and for comparison with each member naming all of them.
 pub fn measure_leader() {
     const MEMBERS: u64 = 1_200;
     for budgets in [1, 10, 50, 190] {
@@ -170,18 +170,18 @@
     for members in [150, 300, 600] {
         decisions(members, 190, false, 60);
     }
-    // Longer ones would not end.
+    // Shorter runs, because these cases would take too long.
     for (budgets, seconds) in [(10, 20), (50, 6)] {
         decisions(MEMBERS, budgets, true, seconds);
     }
 }
 
-/// Members beat every quarter of a second for so many seconds, and each names all of the budgets, or one of them.
+/// Members send heartbeats every quarter of a second for this many seconds; each names all budgets or one of them.
 fn decisions(members: u64, budgets: u64, all_named: bool, seconds: u64) {
     const EVERY: u64 = SECOND / 4;
     let names: Vec<String> = (0..budgets).map(|n| format!("service{n}")).collect();
     let mut ledger = Ledger::default();
-    // Ten RPCs a second for each member that names it.
+    // Ten RPCs per second for each member that names the budget.
     let naming = if all_named { members } else { members.div_ceil(budgets) };
     let whole = Budget::new(10.0 * naming as f64, 0.2, naming as usize);
     let all = names.iter().map(|name| (name.clone(), whole.clone())).collect();
--- a/crates/fernroute-testbed/src/metrics.rs
+++ b/crates/fernroute-testbed/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What a run was worth to its callers: service, answers, times.
+//! Metrics of a run: service, final answers, latencies.
 
 use crate::scenario::{seconds, Scenario};
 use fernroute::Time;
@@ -13,14 +13,14 @@
     pub late: u64,
 }
 
-/// RPCs of callers and calls between tiers alike: each arrival has exactly one end.
+/// Counts of how RPCs ended, for those of callers and calls between tiers: each arrival has exactly one end.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EndCounts {
     pub arrived: u64,
     pub completed: u64,
     pub exhausted: u64,
     pub errored: u64,
-    /// Their caller left, or the balancer that held them died.
+    /// The caller left; `lost` counts RPCs whose balancer died.
     pub abandoned: u64,
     pub lost: u64,
     pub open: u64,
@@ -32,7 +32,7 @@
     }
 }
 
-/// One method's requests, by their first tries.
+/// Requests of one method.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct MethodMetrics {
     pub name: String,
@@ -40,7 +40,7 @@
     pub served: u64,
 }
 
-/// One tenant's requests by the second of their first try: asked, and answered whole.
+/// Requests of one tenant by second of arrival: offered, and answered completely.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TenantMetrics {
     pub name: String,
@@ -49,7 +49,7 @@
 }
 
 impl TenantMetrics {
-    /// Of what could have been used of the whole, second by second, what was.
+    /// Utilization of the budget: completed requests relative to the offered ones, capped second by second at the budget.
     pub fn utilization(&self) -> f64 {
         let could: f64 = self.seconds.iter().map(|(asked, _)| (*asked as f64).min(self.rate)).sum();
         let used: f64 = self.seconds.iter().map(|(_, served)| *served as f64).sum();
@@ -57,15 +57,15 @@
     }
 }
 
-/// What went through one tier, by its balancers: callers' tries in the first, calls in those below.
+/// RPCs through the balancers of one tier: those of callers in the first tier, calls in the tiers below.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct TierMetrics {
     pub rpcs: u64,
     pub attempts: u64,
     pub completed: u64,
-    /// From arrival to the whole answer, summed over those.
+    /// Sum of the times from arrival to the complete answer, over completed RPCs.
     pub total_latency: u128,
-    /// What RPCs had left of their callers' time when they came, summed; and the least.
+    /// Sum of the time left until the hard deadline on arrival; `min_time_left` is the minimum.
     pub total_time_left: u128,
     pub min_time_left: Option<Time>,
 }
@@ -84,22 +84,22 @@
 }
 
 pub struct RunMetrics {
-    /// Each hop of an RPC's way, where tiers call on tiers.
+    /// One entry for each tier that an RPC passes.
     pub tiers: Vec<TierMetrics>,
     pub tenants: Vec<TenantMetrics>,
     pub seconds: Vec<SecondMetrics>,
     pub methods: Vec<MethodMetrics>,
-    /// From the first try's arrival to the whole answer, in tenths of a millisecond.
+    /// Time from the first arrival to the complete answer, in tenths of a millisecond.
     pub latencies: Histogram<u64>,
     pub ends: EndCounts,
     pub attempts: u64,
-    /// Time that RPCs of callers spent in the first tier, summed.
+    /// Sum of the time that RPCs of callers spent in the first tier.
     pub time_in_system: u128,
 }
 
 impl RunMetrics {
     pub fn new(scenario: &Scenario) -> Self {
-        /// Three digits: a tenth of a percent, in some tens of kilobytes.
+        /// Three significant digits: a resolution of 0.1% in some tens of kilobytes.
         const DIGITS: u8 = 3;
         let name =
             |m: &crate::scenario::Method| MethodMetrics { name: m.name.clone(), ..MethodMetrics::default() };
@@ -132,7 +132,7 @@
         self.methods[method].offered += 1;
     }
 
-    /// A request answered whole; it counts in the second in which it was first asked.
+    /// Records a completely answered request in the second of its first arrival.
     pub fn record_completed(&mut self, asked: Time, now: Time, method: usize, gain: f64, soft: Time) {
         self.latencies.saturating_record((now - asked).max(1));
         if now <= asked + soft {
@@ -143,7 +143,7 @@
         }
     }
 
-    /// What a request for a tenant came to, once it has ended.
+    /// Records the end of a tenant's request.
     pub fn record_tenant(&mut self, asked: Time, tenant: Option<usize>, served: bool) {
         let Some(of) = tenant.and_then(|tenant| self.tenants.get_mut(tenant)) else { return };
         let last = of.seconds.len() - 1;
@@ -151,7 +151,7 @@
         *second = (second.0 + 1, second.1 + u64::from(served));
     }
 
-    /// The mean over tenants of what is used of what could be; none where there are none.
+    /// Mean budget utilization over all tenants; `None` without tenants.
     pub fn utilization(&self) -> Option<f64> {
         let sum: f64 = self.tenants.iter().map(TenantMetrics::utilization).sum();
         (!self.tenants.is_empty()).then(|| sum / self.tenants.len() as f64)
@@ -165,7 +165,7 @@
         self.second(asked).errored += 1;
     }
 
-    /// Gain served in time over gain asked for.
+    /// Gain of the requests answered before the soft deadline, relative to the offered gain.
     pub fn service(&self) -> f64 {
         let (served, offered) =
             self.seconds.iter().fold((0.0, 0.0), |(s, o), x| (s + x.served, o + x.offered));
@@ -176,7 +176,7 @@
         }
     }
 
-    /// The same over the worst ten seconds, or all of a shorter run.
+    /// The service in the worst ten consecutive seconds, or in the whole of a shorter run.
     pub fn worst_ten(&self) -> f64 {
         let part = |w: &[SecondMetrics]| {
             let offered: f64 = w.iter().map(|s| s.offered).sum();
--- a/crates/fernroute-testbed/src/policy.rs
+++ b/crates/fernroute-testbed/src/policy.rs
@@ -1,4 +1,5 @@
-//! Whoever decides in a run: the real balancer, or a plain rule to compare it with. Baselines never enter the program.
+//! Load-balancing policies of a run: the real balancer, and baselines to compare it with. Baselines are not part of the
+//! shipped program.
 
 use crate::scenario::{seconds, zone_name, Effect, Group, Scenario};
 use crate::trace::EndpointState;
@@ -10,14 +11,14 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// One line of a list.
+/// An endpoint in a discovery update.
 #[derive(Clone, Debug)]
 pub struct EndpointUpdate {
     pub name: Rc<str>,
     pub zone: usize,
     pub cell: usize,
     pub started: Time,
-    pub told: EndpointState,
+    pub state: EndpointState,
 }
 
 pub trait Policy {
@@ -36,7 +37,7 @@
     );
     fn rpc_abandoned(&mut self, now: Time, rpc: &str);
     fn timer_fired(&mut self, now: Time, timer: &Timer);
-    /// What the fleet grants; a plain rule knows of no tenants.
+    /// Applies budgets granted by the fleet. Baselines ignore tenants.
     fn set_budget_rates(&mut self, _: Time, _: &[(&str, [(f64, Time); 2])]) {}
 }
 
@@ -44,7 +45,7 @@
     fn update_endpoints(&mut self, now: Time, full: bool, entries: &[EndpointUpdate]) {
         self.snapshot_started(now, full);
         for e in entries {
-            match e.told {
+            match e.state {
                 EndpointState::Ready => {
                     self.upstream_ready(&e.name, &zone_name(e.zone), &e.cell.to_string(), "", e.started)
                 }
@@ -58,8 +59,8 @@
         Balancer::rpc_arrived(self, now, rpc, method, tenant, "", time_left);
     }
     fn set_budget_rates(&mut self, now: Time, of: &[(&str, [(f64, Time); 2])]) {
-        if let Err(bad) = Balancer::set_budget_rates(self, now, of) {
-            unreachable!("the grants of a run name its tenants: {bad}");
+        if let Err(error) = Balancer::set_budget_rates(self, now, of) {
+            unreachable!("grants only name tenants of the scenario: {error}");
         }
     }
     fn attempt_ended(
@@ -82,11 +83,11 @@
     }
 }
 
-/// How a run's balancers decide.
+/// The policy that the balancers of a run use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Variant {
     Fernroute,
-    /// The same, with tenants' shares divided by the fleet.
+    /// The real balancer, with tenants' budgets divided by the fleet.
     Fleet,
     Random,
     RoundRobin,
@@ -122,7 +123,7 @@
     }
 }
 
-/// Where a balancer of a run stands.
+/// The position of a balancer in the scenario.
 #[derive(Clone, Copy, Debug)]
 pub struct BalancerPosition {
     pub tier: usize,
@@ -131,7 +132,7 @@
     pub zone: usize,
 }
 
-/// Makes the balancers of a run.
+/// Creates the policies of a run.
 pub type PolicyFactory<'a> =
     dyn Fn(&Scenario, BalancerPosition, ActionQueue, Time, u64) -> Box<dyn Policy> + 'a;
 
@@ -139,45 +140,45 @@
     pub fn policy(
         self,
         scenario: &Scenario,
-        post: BalancerPosition,
-        desk: ActionQueue,
+        position: BalancerPosition,
+        actions: ActionQueue,
         now: Time,
         seed: u64,
     ) -> Box<dyn Policy> {
         if !matches!(self, Variant::Fernroute | Variant::Fleet) {
-            return Box::new(Baseline::new(scenario, self, desk, seed));
+            return Box::new(Baseline::new(scenario, self, actions, seed));
         }
-        let terms = settings::decode(&scenario.settings(post));
-        match Balancer::new(desk, now, seed, &terms) {
+        let settings = settings::decode(&scenario.settings(position));
+        match Balancer::new(actions, now, seed, &settings) {
             Ok(balancer) => Box::new(balancer),
-            Err(missing) => unreachable!("a scenario that was checked gives all terms: {missing}"),
+            Err(missing) => unreachable!("a validated scenario has all settings: {missing}"),
         }
     }
 }
 
-struct Known {
+struct KnownEndpoint {
     entry: EndpointUpdate,
-    out: usize,
+    outstanding: usize,
 }
 
 struct Rpc {
     method: usize,
     hard: Time,
-    /// Where each transmission went, when, and how it ended.
-    txs: Vec<(Rc<str>, Time, Option<Outcome>)>,
+    /// Upstream, start and outcome of each attempt.
+    attempts: Vec<(Rc<str>, Time, Option<Outcome>)>,
 }
 
-/// Sends each RPC by one rule, and again as the methods allow, for as long as there is time.
+/// Selects upstreams by one simple rule, and retries as the methods allow until the hard deadline.
 pub struct Baseline {
     rule: Variant,
     host: ActionQueue,
     rng: ChaCha8Rng,
     methods: Vec<(String, Effect, Group, Time)>,
-    most: usize,
-    turn: usize,
-    /// Emptied by the list.
-    upstreams: BTreeMap<Rc<str>, Known>,
-    /// Emptied by final answers.
+    max_attempts: usize,
+    next_index: usize,
+    /// Entries are removed by discovery updates.
+    upstreams: BTreeMap<Rc<str>, KnownEndpoint>,
+    /// Entries are removed by final answers.
     rpcs: BTreeMap<Rc<str>, Rpc>,
 }
 
@@ -189,8 +190,8 @@
             host,
             rng: ChaCha8Rng::seed_from_u64(seed),
             methods: scenario.method.iter().map(method).collect(),
-            most: scenario.rules.max_transmissions,
-            turn: seed as usize % 1000,
+            max_attempts: scenario.rules.max_transmissions,
+            next_index: seed as usize % 1000,
             upstreams: BTreeMap::new(),
             rpcs: BTreeMap::new(),
         }
@@ -198,7 +199,7 @@
 
     fn pick(&mut self, now: Time, rpc: &Rpc) -> Option<Rc<str>> {
         let (_, effect, group, window) = &self.methods[rpc.method];
-        let first = rpc.txs.iter().find(|(_, _, end)| !end.is_some_and(Outcome::never_ran));
+        let first = rpc.attempts.iter().find(|(_, _, end)| !end.is_some_and(Outcome::never_ran));
         let first = first.map(|(name, sent, _)| (self.upstreams.get(name).map(|k| k.entry.clone()), *sent));
         let fits = |e: &EndpointUpdate| match (&first, effect) {
             (None, _) | (_, Effect::Retriable) => true,
@@ -212,29 +213,29 @@
                 same && now < sent + window
             }
         };
-        let usable = |k: &&Known| k.entry.told == EndpointState::Ready && fits(&k.entry);
-        let all: Vec<&Known> = self.upstreams.values().filter(usable).collect();
+        let usable = |k: &&KnownEndpoint| k.entry.state == EndpointState::Ready && fits(&k.entry);
+        let all: Vec<&KnownEndpoint> = self.upstreams.values().filter(usable).collect();
         if all.is_empty() {
             return None;
         }
         let any = self.rng.random_range(0..all.len());
         let chosen = match self.rule {
             Variant::RoundRobin => {
-                self.turn += 1;
-                all[self.turn % all.len()]
+                self.next_index += 1;
+                all[self.next_index % all.len()]
             }
             Variant::TwoChoices => {
                 let other = all[self.rng.random_range(0..all.len())];
-                if other.out < all[any].out {
+                if other.outstanding < all[any].outstanding {
                     other
                 } else {
                     all[any]
                 }
             }
             Variant::LeastOutstanding => {
-                // Ties by chance: all balancers would turn to the same one.
-                let turned = all[any..].iter().chain(&all[..any]);
-                turned.min_by_key(|k| k.out).copied().unwrap_or(all[any])
+                // Breaks ties at random; otherwise all balancers would choose the same upstream.
+                let rotated = all[any..].iter().chain(&all[..any]);
+                rotated.min_by_key(|k| k.outstanding).copied().unwrap_or(all[any])
             }
             Variant::Random | Variant::Fernroute | Variant::Fleet => all[any],
         };
@@ -243,11 +244,15 @@
 
     fn send(&mut self, now: Time, id: &str) -> bool {
         let Some((id, rpc)) = self.rpcs.remove_entry(id) else { return false };
-        let to = if rpc.txs.len() < self.most && now < rpc.hard { self.pick(now, &rpc) } else { None };
+        let to = if rpc.attempts.len() < self.max_attempts && now < rpc.hard {
+            self.pick(now, &rpc)
+        } else {
+            None
+        };
         let (hard, rpc) = (rpc.hard, self.rpcs.entry(Rc::clone(&id)).or_insert(rpc));
         let Some(to) = to else { return false };
-        rpc.txs.push((Rc::clone(&to), now, None));
-        self.upstreams.get_mut(&to).into_iter().for_each(|k| k.out += 1);
+        rpc.attempts.push((Rc::clone(&to), now, None));
+        self.upstreams.get_mut(&to).into_iter().for_each(|k| k.outstanding += 1);
         self.host.start_attempt(&id, &to, hard - now, None);
         true
     }
@@ -255,8 +260,8 @@
     fn finish(&mut self, id: &str) {
         let Some(rpc) = self.rpcs.remove(id) else { return };
         let (_, effect, group, _) = self.methods[rpc.method];
-        let harmless = effect == Effect::Retriable || effect == Effect::Deduped && group == Group::All;
-        if harmless || rpc.txs.iter().all(|(_, _, end)| end.is_some_and(Outcome::never_ran)) {
+        let safe_to_retry = effect == Effect::Retriable || effect == Effect::Deduped && group == Group::All;
+        if safe_to_retry || rpc.attempts.iter().all(|(_, _, end)| end.is_some_and(Outcome::never_ran)) {
             self.host.reject(id, 0);
         } else {
             self.host.fail(id);
@@ -270,12 +275,13 @@
             self.upstreams.retain(|name, _| entries.iter().any(|e| e.name == *name));
         }
         for entry in entries {
-            if entry.told == EndpointState::Gone {
+            if entry.state == EndpointState::Gone {
                 self.upstreams.remove(&entry.name);
                 continue;
             }
-            let out = self.upstreams.get(&entry.name).map_or(0, |k| k.out);
-            self.upstreams.insert(Rc::clone(&entry.name), Known { entry: entry.clone(), out });
+            let outstanding = self.upstreams.get(&entry.name).map_or(0, |k| k.outstanding);
+            self.upstreams
+                .insert(Rc::clone(&entry.name), KnownEndpoint { entry: entry.clone(), outstanding });
         }
     }
 
@@ -283,7 +289,7 @@
         let Some(method) = self.methods.iter().position(|m| m.0 == method) else {
             return self.host.reject(rpc, 0);
         };
-        self.rpcs.insert(Rc::from(rpc), Rpc { method, hard: now + time_left, txs: Vec::new() });
+        self.rpcs.insert(Rc::from(rpc), Rpc { method, hard: now + time_left, attempts: Vec::new() });
         if !self.send(now, rpc) {
             self.finish(rpc);
         }
@@ -300,10 +306,10 @@
         _: f64,
     ) {
         let Some(open) = self.rpcs.get_mut(rpc) else { return };
-        if let Some((to, _, ended)) = open.txs.get_mut(attempt) {
+        if let Some((to, _, ended)) = open.attempts.get_mut(attempt) {
             *ended = Some(end);
             let known = self.upstreams.get_mut(to);
-            known.into_iter().for_each(|k| k.out = k.out.saturating_sub(1));
+            known.into_iter().for_each(|k| k.outstanding = k.outstanding.saturating_sub(1));
         }
         if over {
             self.rpcs.remove(rpc);
@@ -314,9 +320,12 @@
 
     fn rpc_abandoned(&mut self, _: Time, rpc: &str) {
         let Some(open) = self.rpcs.remove(rpc) else { return };
-        for (n, (to, _, end)) in open.txs.iter().enumerate() {
+        for (n, (to, _, end)) in open.attempts.iter().enumerate() {
             if end.is_none() {
-                self.upstreams.get_mut(to).into_iter().for_each(|k| k.out = k.out.saturating_sub(1));
+                self.upstreams
+                    .get_mut(to)
+                    .into_iter()
+                    .for_each(|k| k.outstanding = k.outstanding.saturating_sub(1));
                 self.host.cancel_attempt(rpc, n);
             }
         }
--- a/crates/fernroute-testbed/src/run.rs
+++ b/crates/fernroute-testbed/src/run.rs
@@ -1,4 +1,4 @@
-//! One scenario, one variant, one seed.
+//! Runs one scenario with one variant and one seed.
 
 use crate::metrics::RunMetrics;
 use crate::policy::{PolicyFactory, Variant};
@@ -12,13 +12,13 @@
 pub struct RunResult {
     pub metrics: RunMetrics,
     pub violations: Vec<Violation>,
-    /// Of each cold start that was sent anything, the window that came nearest to its fall.
+    /// The window closest to the overload threshold, for each cold start that received an RPC.
     pub cold_starts: Vec<ColdWindow>,
-    /// The most events, jobs and requests held at a time.
+    /// The largest number of events, jobs and requests held at once.
     pub max_held: usize,
 }
 
-/// The referee, and whoever else looks on.
+/// Passes events to the referee and a second observer.
 struct Both<'a>(&'a mut Referee, &'a mut dyn Observer);
 
 impl Observer for Both<'_> {
@@ -28,7 +28,7 @@
     }
 }
 
-/// Keeps nothing.
+/// An observer that ignores all events.
 pub struct NoObserver;
 
 impl Observer for NoObserver {
@@ -36,11 +36,12 @@
 }
 
 pub fn run(scenario: &Scenario, variant: Variant, seed: u64) -> RunResult {
-    let make: &PolicyFactory<'_> = &|s, post, desk, now, seed| variant.policy(s, post, desk, now, seed);
+    let make: &PolicyFactory<'_> =
+        &|s, position, desk, now, seed| variant.policy(s, position, desk, now, seed);
     run_with_options(scenario, seed, make, variant == Variant::Fleet, &mut NoObserver)
 }
 
-/// The same with balancers of one's own, and somebody who looks on.
+/// Runs a scenario with custom policies and an observer.
 pub fn run_with_policy(
     scenario: &Scenario,
     seed: u64,
@@ -50,7 +51,7 @@
     run_with_options(scenario, seed, make, false, onlooker)
 }
 
-/// `fleet`: the first tier's balancers share tenants' budgets by a ledger.
+/// As [`run_with_policy`]; with `fleet`, the first tier's balancers share tenants' budgets through a ledger.
 pub fn run_with_options(
     scenario: &Scenario,
     seed: u64,
--- a/crates/fernroute-testbed/src/scenario.rs
+++ b/crates/fernroute-testbed/src/scenario.rs
@@ -1,4 +1,4 @@
-//! What a scenario file says, checked whole before anything runs: the fleet, the load, the methods, the faults.
+//! The scenario file: fleet, load, methods and faults. It is validated as a whole before a run.
 
 use crate::policy::BalancerPosition;
 use fernroute::Time;
@@ -6,17 +6,17 @@
 use serde_json::{json, Value};
 use std::path::Path;
 
-/// A file as it is written; unknown names are refused.
+/// The contents of a scenario file. Unknown keys are rejected.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
     pub name: String,
-    /// For how long RPCs arrive; what is open then is played to its end.
+    /// How long RPCs arrive; those open afterwards run to their end.
     pub seconds: f64,
     pub load: Load,
     pub method: Vec<Method>,
     pub tier: Vec<Tier>,
-    /// Whom RPCs are asked for, where that counts: what goes beyond a tenant's rate is refused.
+    /// Tenants, if RPCs belong to any: RPCs beyond a tenant's rate are rejected.
     #[serde(default)]
     pub tenant: Vec<Tenant>,
     #[serde(default)]
@@ -34,14 +34,14 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
-    /// First tries a second, over all balancers of the first tier.
+    /// Requests per second over all balancers of the first tier, without retries.
     pub rate: f64,
-    /// How often a caller asks again after it was turned away, and how long it waits where it is told no time.
+    /// Retries of a caller after a rejection, and the back-off if the answer names no time.
     #[serde(default)]
     pub retries: u32,
     #[serde(default = "backoff")]
     pub backoff_ms: f64,
-    /// The share of callers that leave before half of their time is up.
+    /// Share of callers that leave before half of their deadline has passed.
     #[serde(default)]
     pub impatient: f64,
 }
@@ -86,11 +86,11 @@
     #[serde(default = "window")]
     pub window_s: f64,
     pub share: f64,
-    /// Work of one core over all tiers, on the mean.
+    /// Mean work on one core, over all tiers.
     pub work_ms: f64,
     #[serde(default)]
     pub spread: Spread,
-    /// Standard deviation over mean, where the spread is lognormal.
+    /// Coefficient of variation of a lognormal distribution.
     #[serde(default = "half")]
     pub cv: f64,
     pub soft_ms: f64,
@@ -111,27 +111,27 @@
     1.0
 }
 
-/// A tier below the first has a balancer for each upstream of the tier above.
+/// A tier of upstreams. A tier below the first has one balancer for each upstream of the tier above.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tier {
     pub name: String,
     pub upstreams: usize,
-    /// Of the first tier only.
+    /// Number of balancers; first tier only.
     #[serde(default)]
     pub balancers: usize,
     pub cores: usize,
-    /// RPCs in hand, also while they wait for the tier below; and those that wait for a place.
+    /// RPCs in progress, including those that wait for the tier below. `queue` is the number that may wait for a slot.
     pub slots: usize,
     #[serde(default)]
     pub queue: usize,
-    /// The part of a method's work that is done here.
+    /// Share of a method's work that is done in this tier.
     #[serde(default = "one")]
     pub work: f64,
-    /// Calls on this tier for each RPC of the tier above, one after another.
+    /// Sequential calls to this tier for each RPC of the tier above.
     #[serde(default = "one")]
     pub calls: f64,
-    /// Speeds differ by up to this share, either way.
+    /// Relative deviation of upstream speeds, up to this share in either direction.
     #[serde(default)]
     pub unlike: f64,
     #[serde(default = "one_zone")]
@@ -142,7 +142,7 @@
     pub report_ms: f64,
     #[serde(default)]
     pub report_late_ms: f64,
-    /// Waiting work whose caller has given up is dropped.
+    /// Whether queued work is dropped once its caller has given up.
     #[serde(default = "yes")]
     pub drops: bool,
     #[serde(default)]
@@ -153,29 +153,29 @@
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
     pub name: String,
-    /// Its budget: RPCs a second over all balancers of the first tier.
+    /// The tenant's budget: RPCs per second over all balancers of the first tier.
     pub rate: f64,
-    /// Of all requests, against the other tenants.
+    /// Weight of this tenant among all requests.
     pub share: f64,
-    /// One balancer gets so many times the mean of its requests, the others share the rest: which one goes by the
-    /// tenant's place in the file.
+    /// One balancer gets this multiple of the mean number of the tenant's requests, the others share the rest. The
+    /// tenant's position in the file selects the balancer.
     #[serde(default = "one")]
     pub busiest: f64,
 }
 
-/// How balancers of the first tier share budgets, where the variant has them do so.
+/// How balancers of the first tier share budgets, in variants that share them.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Fleet {
-    /// In a real run: so many stewards, one process each, and balancers of the first tier that ask them; none where it is 0.
+    /// Number of coordinator processes in a live run, to which the balancers of the first tier connect; 0 for none.
     pub stewards: usize,
     pub beat_ms: f64,
     pub shares_for_ms: f64,
     pub floors_for_s: f64,
-    /// The part of a whole that all floors together are.
+    /// Share of a budget that all floors together make up.
     pub floors: f64,
     pub drift_ppm: u32,
-    /// What the ledger takes to make sure that it leads, or to enter a step.
+    /// Time that the ledger needs to confirm its leadership or to commit a transition.
     pub confirm_ms: f64,
 }
 
@@ -193,15 +193,15 @@
     }
 }
 
-/// A slowdown that outlives its load.
+/// A metastable slowdown: it lasts longer than the load that caused it.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Choke {
-    /// RPCs in hand for each core, held for so long, turn an upstream so many times slower …
+    /// More than `at` RPCs in progress per core for `over_s` make an upstream `slower` times slower ...
     pub at: f64,
     pub over_s: f64,
     pub slower: f64,
-    /// … until it has been this little busy for so long.
+    /// ... until its utilization has been under `below` for `rest_s`.
     pub below: f64,
     pub rest_s: f64,
 }
@@ -227,7 +227,7 @@
 pub struct Network {
     pub same_zone_ms: f64,
     pub cross_zone_ms: f64,
-    /// Up to so much more, as a share.
+    /// Additional delay, uniformly distributed up to this share.
     pub jitter: f64,
 }
 
@@ -240,7 +240,8 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Discovery {
-    /// From a start or a drain until it is told, and from a silent end; each balancer is told up to `spread_ms` later.
+    /// Delay of updates on a start or a drain; `gone_late_ms` on a silent end. Each balancer gets them up to `spread_ms`
+    /// later.
     pub late_ms: f64,
     pub gone_late_ms: f64,
     pub spread_ms: f64,
@@ -259,10 +260,10 @@
     pub answer_slack_ms: f64,
     pub max_transmissions: usize,
     pub max_stay_away_ms: f64,
-    /// An upstream starts at this share of what it can do, and has warmed evenly after so long.
+    /// An upstream starts at this share of its capacity and warms up linearly within `warm_within_s`.
     pub cold_from: f64,
     pub warm_within_s: f64,
-    /// Sent more than so many times what it can do, for so long, a cold upstream falls over.
+    /// A cold upstream that is sent more than this multiple of its capacity over the window fails from overload.
     pub cold_multiple: f64,
     pub cold_window_s: f64,
 }
@@ -285,41 +286,42 @@
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
-    /// Processes die, and come back cold when the fault ends.
+    /// Processes crash and restart cold when the fault ends.
     Crash,
-    /// Machines vanish: nothing is heard of them, and they come back cold.
+    /// Machines disappear without closing their connections and come back cold.
     Vanish,
-    /// The same for all of zone `size` (0 is the first).
+    /// As `Vanish`, for all upstreams of zone `size` (0 is the first).
     ZoneLoss,
     /// `size` times slower.
     Slow,
-    /// Takes RPCs and answers none.
+    /// Accepts RPCs and never answers.
     Hang,
-    /// The share `size` of RPCs errors at once.
+    /// The share `size` of RPCs fails immediately.
     FastErrors,
-    /// Stands still for `size` seconds, every `every_s`.
+    /// Pauses for `size` seconds, every `every_s`.
     Pauses,
-    /// Dies and returns, every `every_s`.
+    /// Crashes and restarts alternately, every `every_s`.
     Flap,
-    /// Drained evenly over the fault's time, each replaced by a new, cold one at once.
+    /// Drained one after another over the fault's duration, each replaced at once by a new, cold one.
     Replace,
-    /// Drained at the fault's start, and back at its end.
+    /// Drained at the start of the fault, ready again at its end.
     Drain,
-    /// `size` times the load.
+    /// Multiplies the load by `size`.
     Surge,
-    /// Load reports `size` seconds later.
+    /// Delays load reports by `size` seconds.
     ReportsLate,
-    /// Nothing is told while it lasts.
+    /// Discovery delivers no updates during the fault.
     ListDown,
-    /// Balancers of the first tier start anew, one after another over the fault's time.
+    /// The balancers of the first tier restart, one after another over the fault's duration.
     BalancerRestart,
-    /// The share `part` of the first tier's balancers die, and start again when the fault ends.
+    /// The share `part` of the first tier's balancers crashes; they restart when the fault ends.
     BalancerLoss,
-    /// No steward answers; another leads when it ends.
+    /// No coordinator answers; when the fault ends, another one leads.
     StewardsDown,
-    /// The leading steward dies, and comes back with its disk when the fault ends. In virtual time another leads at once.
+    /// The leading coordinator crashes and restarts with its disk when the fault ends. In virtual time another one leads at
+    /// once.
     LeaderLoss,
-    /// The share `part` of the first tier's balancers reach no steward.
+    /// The share `part` of the first tier's balancers reaches no coordinator.
     FleetCut,
 }
 
@@ -329,10 +331,10 @@
     pub kind: FaultKind,
     pub at_s: f64,
     pub for_s: f64,
-    /// The name of a tier; the first where none is named.
+    /// Name of the affected tier; the first tier by default.
     #[serde(default)]
     pub tier: Option<String>,
-    /// The share of the tier's upstreams.
+    /// Share of the tier's upstreams that are affected.
     #[serde(default = "one")]
     pub part: f64,
     #[serde(default)]
@@ -341,7 +343,7 @@
     pub every_s: f64,
 }
 
-/// Seconds and milliseconds of a file, as the decisions count time.
+/// Converts seconds to the time unit of the balancer (0.1 ms).
 pub fn seconds(s: f64) -> Time {
     (s * 10_000.0).round() as Time
 }
@@ -355,14 +357,14 @@
         Scenario::read_with_text(path).map(|(scenario, _)| scenario)
     }
 
-    /// The file's text beside what it says, for whoever keeps it.
+    /// Reads a scenario and returns it with the text of its file.
     pub fn read_with_text(path: &Path) -> Result<(Self, String), String> {
         let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
         let scenario = Scenario::decode(&text).map_err(|why| format!("{}: {why}", path.display()))?;
         Ok((scenario, text))
     }
 
-    /// The first thing that will not do, with its place.
+    /// Parses and validates a scenario. The error names the first fault with its line or key.
     pub fn decode(text: &str) -> Result<Self, String> {
         let scenario: Scenario = toml::from_str(text).map_err(|e| {
             let line = e.span().map_or(0, |span| text[..span.start].matches('\n').count() + 1);
@@ -373,7 +375,7 @@
     }
 
     fn check(&self) -> Result<(), String> {
-        /// A number that must be finite and within these bounds.
+        /// Checks that a number is finite and within these bounds.
         fn within(place: &str, value: f64, least: f64, most: f64) -> Result<(), String> {
             if value.is_finite() && (least..=most).contains(&value) {
                 return Ok(());
@@ -501,7 +503,7 @@
         name.and_then(|name| self.tier.iter().position(|t| t.name == *name)).unwrap_or(0)
     }
 
-    /// How many balancers call on a tier.
+    /// Number of balancers that call a tier.
     pub fn balancer_count(&self, tier: usize) -> usize {
         match tier {
             0 => self.tier[0].balancers,
@@ -509,30 +511,30 @@
         }
     }
 
-    /// What a warm upstream of this tier and speed can do, RPCs a second.
+    /// Capacity of a warm upstream of this tier and speed, in RPCs per second.
     pub fn warm_rate(&self, tier: usize, speed: f64) -> f64 {
         let of = &self.tier[tier];
         of.cores as f64 * speed / (self.mean_work_ms() * of.work) * 1000.0
     }
 
-    /// Over all methods and tiers.
+    /// Mean work of an RPC over all methods and tiers.
     fn mean_work_ms(&self) -> f64 {
         let shares: f64 = self.method.iter().map(|m| m.share).sum();
         self.method.iter().map(|m| m.share * m.work_ms).sum::<f64>() / shares
     }
 
-    /// So much work over all tiers, in RPCs of mean work.
+    /// Converts work over all tiers to a number of RPCs of mean work.
     pub fn in_mean_rpcs(&self, work: Time) -> f64 {
         work as f64 / 10.0 / self.mean_work_ms()
     }
 
-    /// The longest that any RPC may take.
+    /// The longest hard deadline of any method.
     pub fn longest_hard_deadline(&self) -> Time {
         self.method.iter().map(|m| millis(m.hard_ms)).max().unwrap_or(0)
     }
 
-    /// The platform's settings of a balancer, with its names and units.
-    pub fn settings(&self, post: BalancerPosition) -> Value {
+    /// The settings of a balancer, with the keys and units of the platform.
+    pub fn settings(&self, position: BalancerPosition) -> Value {
         let r = &self.rules;
         let methods: Vec<Value> = self
             .method
@@ -552,12 +554,12 @@
                     "soft-deadline-s": m.soft_ms / 1000.0, "hard-deadline-s": m.hard_ms / 1000.0, "gain": m.gain})
             })
             .collect();
-        // Only the first tier knows whom RPCs are for.
-        let tenants = self.tenant.iter().filter(|_| post.tier == 0);
+        // Only RPCs of the first tier carry a tenant.
+        let tenants = self.tenant.iter().filter(|_| position.tier == 0);
         let tenants: Vec<Value> = tenants.map(|t| json!({"name": t.name, "quota-per-s": t.rate})).collect();
         json!({
             "orgs": tenants, "refuse-beyond-share": true,
-            "n-instances": post.instances, "me": post.number, "layer": post.tier, "zone": zone_name(post.zone), "quantum-s": 0.0001,
+            "n-instances": position.instances, "me": position.number, "layer": position.tier, "zone": zone_name(position.zone), "quantum-s": 0.0001,
             "methods": methods, "feedback": {"names": ["cpu"]}, "membership-mode": "automatic",
             "ceilings": {"max-transmissions": r.max_transmissions, "cancel": true, "connect-timeout-s": 0.25,
                 "keepalive-s": 30, "retry-after": true, "max-retry-after-s": r.max_stay_away_ms / 1000.0},
--- a/crates/fernroute-testbed/src/trace.rs
+++ b/crates/fernroute-testbed/src/trace.rs
@@ -1,9 +1,9 @@
-//! What happened, told as it happens. The referee and the books read this and nothing else.
+//! Events of a run. The referee works from these alone.
 
 use fernroute::{Outcome, Time};
 use std::rc::Rc;
 
-/// How an RPC ended for its caller.
+/// The final answer of an RPC to its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalAnswer {
     Completed,
@@ -11,7 +11,7 @@
     Errored,
 }
 
-/// What a balancer was told of an upstream.
+/// The state of an upstream in a discovery update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
     Ready,
@@ -19,7 +19,7 @@
     Gone,
 }
 
-/// Upstreams and balancers go by their number in the run; a replaced one's number is not used again.
+/// Upstreams and balancers are identified by their number in the run. Numbers are not reused.
 #[derive(Clone, Debug)]
 pub enum Event {
     Arrived {
@@ -27,7 +27,7 @@
         balancer: usize,
         method: usize,
         hard: Time,
-        /// Whom it is for, where it comes from a caller and there are tenants.
+        /// The tenant, for RPCs of callers in scenarios with tenants.
         tenant: Option<usize>,
     },
     Sent {
@@ -35,10 +35,10 @@
         attempt: usize,
         balancer: usize,
         upstream: usize,
-        /// Its work there, in RPCs of mean work.
+        /// Work at the upstream, in RPCs of mean work.
         work: f64,
     },
-    /// It began at the upstream: from here on it has had its effect.
+    /// The attempt started at the upstream: from now on it may have had its effect.
     Ran {
         rpc: Rc<str>,
         attempt: usize,
@@ -60,7 +60,7 @@
         upstream: usize,
         told: EndpointState,
     },
-    /// `rate` is what it can do when warm, RPCs a second.
+    /// `rate` is the capacity when warm, in RPCs per second.
     Started {
         upstream: usize,
         zone: usize,
@@ -73,7 +73,7 @@
     },
 }
 
-/// Takes in the events in the order in which they happen.
+/// Receives the events in the order in which they happen.
 pub trait Observer {
     fn observe(&mut self, at: Time, event: &Event);
 }
--- a/crates/fernroute-testbed/src/upstream.rs
+++ b/crates/fernroute-testbed/src/upstream.rs
@@ -1,4 +1,4 @@
-//! One simulated upstream: its places, cores, warmth, afflictions and reports. No I/O, no clock of its own.
+//! Model of one upstream: slots, cores, warm-up, faults and load reports. It has no I/O and no clock of its own.
 
 use crate::scenario::{self, seconds, Choke};
 use fernroute::Time;
@@ -8,11 +8,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
     Up,
-    /// Finishes what it has, and is told as draining.
+    /// Finishes the RPCs that it has; discovery lists it as draining.
     Draining,
-    /// Its process is gone: connections to it are refused.
+    /// The process is gone: connections are refused.
     Dead,
-    /// Its machine is gone: nothing is heard of it.
+    /// The machine is gone: packets get no answer.
     Silent,
 }
 
@@ -22,10 +22,10 @@
     }
 }
 
-/// Reports are kept for as long as the latest fault may delay them.
+/// How long reports are kept, in seconds: as long as a fault may delay them.
 pub const REPORT_RETENTION_S: f64 = 60.0;
 
-/// One transmission, as the upstream has it.
+/// An attempt at its upstream.
 #[derive(Clone, Debug)]
 pub struct Job {
     pub rpc: Rc<str>,
@@ -33,17 +33,17 @@
     /// The balancer that sent it.
     pub node: usize,
     pub method: usize,
-    /// Work of one core over all tiers, and calls on each tier, as drawn with the request.
+    /// Work on one core over all tiers, and calls to each tier, as drawn for the request.
     pub work: Time,
     pub calls: Rc<[u32]>,
     pub hard: Time,
-    /// Calls on the tier below that are still to be made.
+    /// Remaining calls to the tier below.
     pub calls_left: u32,
-    /// Its caller has given up.
+    /// The caller has given up.
     pub cancelled: bool,
 }
 
-/// What befalls an upstream, by the number of the fault; taken off by its end.
+/// The effect of an active fault on an upstream.
 #[derive(Clone, Copy, Debug)]
 pub enum FaultEffect {
     Slow(f64),
@@ -63,22 +63,22 @@
     pub state: State,
     pub started: Time,
     pub cold: bool,
-    /// Counts lives: what was going on in an earlier one comes to nothing.
+    /// Increases with each termination, so that pending events of an earlier process are ignored.
     pub incarnation: u32,
-    /// Its own balancer for the tier below.
+    /// The upstream's own balancer for the tier below.
     pub balancer: Option<usize>,
     pub fault_effects: BTreeMap<usize, FaultEffect>,
     pub paused_until: Time,
-    /// In a place, waiting for one, waiting for a core.
+    /// Jobs that occupy a slot; `waiting` ones wait for a slot, `ready` ones for a core.
     pub occupied_slots: usize,
     pub waiting: VecDeque<u64>,
     pub ready: VecDeque<u64>,
     pub busy: usize,
-    /// Core time used up to `as_of`, and up to the last report.
+    /// Core time used up to `as_of`; `used_at_report` is the value at the last report.
     pub used: u128,
     pub used_at_report: u128,
     pub as_of: Time,
-    /// Past reports, as old as the latest delay at most.
+    /// Past reports, for up to [`REPORT_RETENTION_S`].
     pub reports: VecDeque<(Time, f64)>,
     pub choked: bool,
     over_for: Time,
@@ -124,14 +124,14 @@
         }
     }
 
-    /// Starts again from nothing, cold.
+    /// Restarts cold and without any jobs; active faults remain.
     pub fn restart(&mut self, now: Time) {
         let fault_effects = std::mem::take(&mut self.fault_effects);
         self.terminate(now);
         (self.fault_effects, self.state, self.started, self.cold) = (fault_effects, State::Up, now, true);
     }
 
-    /// All that it had is gone.
+    /// Drops all jobs and reports.
     pub fn terminate(&mut self, now: Time) {
         self.account(now);
         self.incarnation += 1;
@@ -162,7 +162,7 @@
         (from + (1.0 - from) * (now - self.started) as f64 / within.max(1) as f64).min(1.0)
     }
 
-    /// How long a core takes for this much work, if it begins now.
+    /// Time that a core needs for this work if it starts now.
     pub fn service_time(&self, work: f64, warmth: f64, choke: Option<&Choke>) -> Time {
         let slow = |a: &FaultEffect| if let FaultEffect::Slow(times) = a { *times } else { 1.0 };
         let slower: f64 = self.fault_effects.values().map(slow).product();
@@ -170,7 +170,7 @@
         (work * slower * choked / (self.speed * warmth)).round().max(1.0) as Time
     }
 
-    /// Makes a report, and judges by it whether the upstream chokes or has recovered.
+    /// Adds a load report and updates whether the upstream is choked.
     pub fn report(&mut self, now: Time, period: Time, choke: Option<&Choke>) {
         self.account(now);
         let used = (self.used - self.used_at_report) as f64 / (period as f64 * self.cores as f64);
@@ -180,8 +180,8 @@
             self.reports.pop_front();
         }
         let Some(c) = choke else { return };
-        let hands = (self.occupied_slots + self.waiting.len()) as f64;
-        self.over_for = if hands > c.at * self.cores as f64 { self.over_for + period } else { 0 };
+        let in_progress = (self.occupied_slots + self.waiting.len()) as f64;
+        self.over_for = if in_progress > c.at * self.cores as f64 { self.over_for + period } else { 0 };
         self.rest_for = if used < c.below { self.rest_for + period } else { 0 };
         if self.over_for > seconds(c.over_s) {
             self.choked = true;
@@ -190,7 +190,7 @@
         }
     }
 
-    /// The newest report that is at least this old; no number before the first.
+    /// The newest report that is at least `late` old; NaN before the first one.
     pub fn reported(&self, now: Time, late: Time) -> f64 {
         let old = self.reports.iter().rev().find(|(at, _)| at + late <= now);
         old.map_or(f64::NAN, |(_, used)| *used)
--- a/crates/fernroute-testbed/tests/cold.rs
+++ b/crates/fernroute-testbed/tests/cold.rs
@@ -1,4 +1,4 @@
-//! Cold upstreams: the referee's bound, some seeds of the experiment, and twenty real balancers before cold upstreams.
+//! Cold upstreams: the referee's overload threshold, some seeds of the experiment, and a live run with twenty balancers.
 
 mod common;
 
@@ -13,11 +13,11 @@
 use std::rc::Rc;
 
 fn scenario(name: &str) -> Scenario {
-    Scenario::read(&folder().join(format!("{name}.toml"))).expect("the scenario will do")
+    Scenario::read(&folder().join(format!("{name}.toml"))).expect("a valid scenario")
 }
 
-/// Upstream 7 starts cold at 10 s; so many RPCs of this work come half a second later, some of them from balancer 1, which
-/// has been told. What the referee says, and whether it counts a fall.
+/// Upstream 7 starts cold at 10 s. Half a second later it receives `rpcs` RPCs of this work, `told` of them from balancer 1,
+/// which knows of the start. Returns the referee's violations and the worst window.
 fn judged(rpcs: usize, told: usize, work: f64) -> (Vec<Rule>, Option<ColdWindow>) {
     let scenario = scenario("cold-join-short");
     let (mut referee, began) = (Referee::new(&scenario), seconds(10.0));
@@ -39,35 +39,37 @@
     (rules, referee.cold_starts.first().copied())
 }
 
-/// Guards against a referee that lets fall what the operators' page says falls, or blames who did not know.
+/// Guards against a referee that misses an overload as the operators define it, or blames balancers that were not told of
+/// the start.
 #[test]
 fn a_cold_upstream_falls_beyond_what_is_allowed_and_two_roots_and_two() {
-    // At the window's middle it has 13% and a quarter of a second of 87% in 24 s: N is 2.78, and 8.1 are borne.
+    // In the middle of the window the capacity is 13% plus a quarter of a second of a 24 s ramp over 87%: N is 2.78, and the
+    // threshold is 8.1.
     let allowed = 4.0 * 5.0 * (0.13 + 0.87 * 0.25 / 24.0);
     assert!((8.0..9.0).contains(&fall_threshold(allowed)), "{}", fall_threshold(allowed));
     let (rules, worst) = judged(8, 8, 1.0);
     assert_eq!(rules, []);
-    let worst = worst.expect("it was sent something");
+    let worst = worst.expect("the upstream received RPCs");
     assert!((worst.allowed - allowed).abs() < 1e-9 && worst.rpcs == 8 && !worst.fell(), "{worst:?}");
-    assert_eq!(judged(9, 9, 1.0).0, [Rule::ColdSpared], "told once, at the fall");
-    assert_eq!(judged(20, 20, 1.0).0, [Rule::ColdSpared], "and not again");
-    // Heavier RPCs count for more, lighter ones for less.
+    assert_eq!(judged(9, 9, 1.0).0, [Rule::ColdSpared], "reported once, at the overload");
+    assert_eq!(judged(20, 20, 1.0).0, [Rule::ColdSpared], "not reported again");
+    // RPCs count by their work.
     assert_eq!(judged(5, 5, 2.0).0, [Rule::ColdSpared]);
     assert_eq!(judged(16, 16, 0.5).0, []);
-    // Six of nine are two thirds, and not over it: it falls, and no rule is broken.
+    // Six of nine are exactly two thirds: an overload, but no violation.
     let (rules, worst) = judged(9, 6, 1.0);
     assert!(rules.is_empty() && worst.is_some_and(|w| w.fell()), "{worst:?}");
     assert_eq!(judged(9, 7, 1.0).0, [Rule::ColdSpared]);
 }
 
-/// Guards against budgets of many balancers that add up beyond what a cold upstream bears, above all where others are full or
-/// dead. The whole, with fifty seeds, is `docs/lab/cold.md`.
+/// Guards against shares of many balancers that together overload a cold upstream, above all while others are full or dead.
+/// `docs/lab/cold.md` has the full experiment with fifty seeds.
 #[test]
 fn no_cold_upstream_falls_under_four_twenty_or_thirty_balancers() {
     for name in ["cold-join-short", "cold-return-short", "cold-last-short", "cold-last-long"] {
         for fleet in [(4, 1.0), (20, 1.0), (20, 5.0), (30, 1.0), (30, 5.0)] {
             let mut scenario = with_balancers(&scenario(name), fleet);
-            // Of even work: what one heavy RPC does, no balancer can foretell.
+            // Constant work: no balancer can predict the effect of a single heavy RPC.
             scenario.method.iter_mut().for_each(|m| m.cv = 0.0);
             let row = run_scenario(&scenario, 2);
             assert!(row.starts >= 16 && row.other_violations == 0, "{name} {fleet:?}");
@@ -76,8 +78,8 @@
     }
 }
 
-/// Guards against a sum over real processes that virtual time does not show: twenty balancers, each of which has but a part of
-/// what eight of ten upstreams, back cold at once, may be sent.
+/// Guards against overload by real processes that the simulation does not show: twenty balancers share the load that eight
+/// of ten upstreams may receive after they restart cold at the same time.
 #[test]
 fn twenty_real_balancers_push_no_cold_upstream_over() {
     let files = Folder::new("cold-live");
@@ -107,7 +109,7 @@
             fall_threshold(w.allowed)
         );
     }
-    // All came back, and all were used.
+    // All of them restarted and received RPCs.
     assert!(starts.len() == 8 && starts.iter().all(|w| w.rpcs > 0 && !w.fell()), "{starts:?}");
-    assert!(starts.iter().all(|w| w.allowed < 30.0), "little for each of twenty: {starts:?}");
+    assert!(starts.iter().all(|w| w.allowed < 30.0), "small share for each of twenty balancers: {starts:?}");
 }
--- a/crates/fernroute-testbed/tests/common/mod.rs
+++ b/crates/fernroute-testbed/tests/common/mod.rs
@@ -1,10 +1,10 @@
-//! Scenarios of the tests' own, and where the shipped ones are.
+//! Scenarios for tests, and access to the shipped ones.
 #![allow(dead_code)]
 
 use fernroute_testbed::scenario::Scenario;
 use std::path::PathBuf;
 
-/// One tier behind one balancer or more; no delays, no early ends.
+/// One upstream behind one balancer, without network delays and with deadlines that are never reached.
 pub fn queue(rate: f64, work_ms: f64, cores: usize, seconds: f64) -> Scenario {
     decode(&format!(
         r#"name = "queue"
@@ -27,7 +27,7 @@
     ))
 }
 
-/// Four upstreams, a method of each kind, and these faults.
+/// Four upstreams, one method of each kind, and these faults.
 pub fn small(faults: &str) -> Scenario {
     let method = |name: &str, effect: &str| {
         format!(
@@ -43,7 +43,7 @@
     ))
 }
 
-/// A folder of a test's own, gone with it.
+/// A temporary folder that is removed on drop.
 pub struct Folder(pub PathBuf);
 
 impl Folder {
@@ -67,17 +67,17 @@
 }
 
 pub fn decode(text: &str) -> Scenario {
-    Scenario::decode(text).expect("the scenario will do")
+    Scenario::decode(text).expect("a valid scenario")
 }
 
 pub fn folder() -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../lab/scenarios")
 }
 
-/// Every scenario that ships.
+/// All shipped scenarios.
 pub fn shipped() -> Vec<Scenario> {
     let files = std::fs::read_dir(folder()).expect("the folder of scenarios");
     let mut paths: Vec<PathBuf> = files.map(|f| f.expect("a file").path()).collect();
     paths.sort();
-    paths.iter().map(|p| Scenario::read(p).expect("the scenario will do")).collect()
+    paths.iter().map(|p| Scenario::read(p).expect("a valid scenario")).collect()
 }
--- a/crates/fernroute-testbed/tests/depth.rs
+++ b/crates/fernroute-testbed/tests/depth.rs
@@ -1,4 +1,4 @@
-//! Many tiers one below another.
+//! A chain of many tiers.
 
 mod common;
 
@@ -8,10 +8,10 @@
 use fernroute_testbed::run::run;
 use fernroute_testbed::scenario::Scenario;
 
-/// Guards against further transmissions that multiply from tier to tier, and against a deadline that is not handed down.
+/// Guards against retries that multiply from tier to tier, and against a deadline that is not passed on.
 #[test]
 fn errors_at_the_last_of_thirteen_tiers_do_not_multiply() {
-    let mut scenario = Scenario::read(&folder().join("thirteen-deep.toml")).expect("the scenario will do");
+    let mut scenario = Scenario::read(&folder().join("thirteen-deep.toml")).expect("a valid scenario");
     scenario.seconds = 12.0;
     for (share, most) in [(0.0, 1.1), (0.05, 1.5)] {
         let result = run(&with_errors(&scenario, share), Variant::Fernroute, 1);
@@ -21,7 +21,7 @@
         assert!(metrics.tiers[0].rpcs > 500, "{:?}", metrics.tiers[0]);
         let at_last = attempts_per_rpc(metrics, 12);
         assert!((0.8..most).contains(&at_last), "{at_last} with {share}");
-        // Each tier has less left than the one above it.
+        // Each tier has less time left than the one above it.
         let left = |tier: usize| metrics.tiers[tier].total_time_left / u128::from(metrics.tiers[tier].rpcs);
         assert!((1..13).all(|tier| left(tier) < left(tier - 1)), "{:?}", metrics.tiers);
         let sum: u64 = metrics.tiers.iter().map(|t| t.attempts).sum();
--- a/crates/fernroute-testbed/tests/figures.rs
+++ b/crates/fernroute-testbed/tests/figures.rs
@@ -1,5 +1,5 @@
-//! The decisions decide as they did: all scenarios give the very figures that stand in `lab/figures.txt`. `make figures` says the
-//! same, and which lines differ.
+//! Regression test of the decisions: all scenarios give the figures in `lab/figures.txt`. `make figures` runs the same
+//! comparison and prints the lines that differ.
 
 use fernroute_testbed::experiment::figures;
 use std::path::Path;
--- a/crates/fernroute-testbed/tests/files.rs
+++ b/crates/fernroute-testbed/tests/files.rs
@@ -1,4 +1,4 @@
-//! Scenarios and experiments that will not do, and results that are there already.
+//! Invalid scenario and experiment files, and result folders that already have contents.
 
 mod common;
 
@@ -103,7 +103,7 @@
 }
 
 impl Quiet for Output {
-    /// Files that are fine are said to be before the first that is not.
+    /// `check` reports valid files before the first invalid one.
     fn clone_without_output(mut self) -> Output {
         self.stdout.clear();
         self
@@ -128,7 +128,7 @@
     }
     let results = text(&out, "results.csv");
     assert_eq!(results.lines().count(), 7, "{results}");
-    // Two upstreams that are idle most of the time: nothing tells the two apart.
+    // Two upstreams that are mostly idle: the variants do not differ measurably.
     assert!(text(&out, "README.md").contains("no difference shown"), "{}", text(&out, "README.md"));
     let manifest: serde_json::Value = serde_json::from_str(&text(&out, "manifest.json")).expect("it is JSON");
     assert_eq!(manifest["seeds"], serde_json::json!([1, 2, 3]));
--- a/crates/fernroute-testbed/tests/referee.rs
+++ b/crates/fernroute-testbed/tests/referee.rs
@@ -1,4 +1,4 @@
-//! Balancers that are broken on purpose: each is caught, by the rule and the moment.
+//! Policies with deliberate faults: the referee reports each with the right rule and time.
 
 mod common;
 
@@ -27,12 +27,12 @@
     SendsAfterItsAnswer,
 }
 
-/// Sends each RPC to the next upstream, once; errors what does not complete. But for its one fault.
+/// Sends each RPC once, to the next upstream, and fails those that do not complete, apart from its deliberate fault.
 struct Plain {
     how: Rogue,
     host: ActionQueue,
     upstreams: BTreeMap<Rc<str>, EndpointUpdate>,
-    /// Method, hard deadline, upstreams so far.
+    /// Method, hard deadline, and the upstreams tried so far.
     rpcs: BTreeMap<String, (String, Time, Vec<Rc<str>>)>,
     turn: usize,
 }
@@ -41,8 +41,9 @@
     fn next(&mut self, not: &[Rc<str>]) -> Option<Rc<str>> {
         self.turn += 1;
         let drains = self.how == Rogue::SendsIntoDrains;
-        let usable =
-            |e: &&EndpointUpdate| e.told == EndpointState::Ready || drains && e.told == EndpointState::Drains;
+        let usable = |e: &&EndpointUpdate| {
+            e.state == EndpointState::Ready || drains && e.state == EndpointState::Drains
+        };
         let all: Vec<&EndpointUpdate> =
             self.upstreams.values().filter(usable).filter(|e| !not.contains(&e.name)).collect();
         let cold = all.iter().find(|e| self.how == Rogue::FloodsTheCold && e.started > 0);
@@ -65,7 +66,7 @@
         for e in entries {
             self.upstreams.insert(Rc::clone(&e.name), e.clone());
         }
-        self.upstreams.retain(|_, e| e.told != EndpointState::Gone);
+        self.upstreams.retain(|_, e| e.state != EndpointState::Gone);
     }
     fn rpc_arrived(&mut self, now: Time, rpc: &str, method: &str, _: &str, time_left: Time) {
         self.rpcs.insert(rpc.to_owned(), (method.to_owned(), now + time_left, Vec::new()));
@@ -125,14 +126,14 @@
     for (how, faults, rule, from, to) in [
         (Rogue::AnswersTwice, "", Rule::OneAnswer, 0.0, 1.0),
         (Rogue::SendsAfterItsAnswer, "", Rule::OneAnswer, 0.0, 1.0),
-        // Two seconds later than a second after the first one is swallowed.
+        // The first RPC hangs at 4 s; its deadline is a second later, and the time-out is two seconds too long.
         (Rogue::AnswersLate, HANG, Rule::OneAnswer, 7.0, 7.5),
         (Rogue::ResendsWhatMayHaveRun, ERRORS, Rule::NoSecondEffect, 4.0, 5.0),
         (Rogue::ExhaustsWhatMayHaveRun, ERRORS, Rule::NoSecondEffect, 4.0, 5.0),
         (Rogue::LeavesTheGroup, ERRORS, Rule::NoSecondEffect, 4.0, 5.0),
-        // Told a second later, and 0.3 s of grace.
+        // Discovery delivers the update a second later; the grace period is 0.3 s.
         (Rogue::SendsIntoDrains, DRAIN, Rule::DrainsKept, 5.3, 6.0),
-        // Back at 5 s, told a second later.
+        // The upstream restarts at 5 s; discovery delivers the update a second later.
         (Rogue::FloodsTheCold, RETURN, Rule::ColdSpared, 6.0, 8.5),
     ] {
         let mut scenario = small(faults);
@@ -141,7 +142,7 @@
         let first = found.first().unwrap_or_else(|| panic!("{how:?} was not caught"));
         assert!(found.iter().all(|b| b.rule == rule), "{how:?}: {found:?}");
         assert!((seconds(from)..=seconds(to)).contains(&first.at), "{how:?}: {first:?}");
-        // The same day, and nothing to blame: neither the plain one without its fault nor the balancer.
+        // In the same scenario, neither the policy without its fault nor the real balancer breaks a rule.
         assert_eq!(judged(&small(faults), Rogue::Honest), [], "{how:?}");
         assert_eq!(run(&scenario, Variant::Fernroute, 1).violations, [], "{how:?}");
     }
--- a/crates/fernroute-testbed/tests/simulator.rs
+++ b/crates/fernroute-testbed/tests/simulator.rs
@@ -1,4 +1,4 @@
-//! The simulator against what is known: waiting times, Little's law, conservation, one seed one result.
+//! Checks the simulator against theory: waiting times, Little's law, conservation of RPCs, reproducibility by seed.
 
 mod common;
 
@@ -12,7 +12,7 @@
 use fernroute_testbed::scenario::Scenario;
 use fernroute_testbed::trace::{Event, Observer};
 
-/// Erlang's formula: the mean time in an M/M/c system, by the arrivals and the work of one.
+/// Mean time in an M/M/c system by Erlang's C formula, from the arrival rate and the mean service time.
 fn time_in_system(rate: f64, work: f64, cores: usize) -> f64 {
     let load = rate * work;
     let (mut term, mut sum) = (1.0, 0.0);
@@ -27,7 +27,7 @@
 
 #[test]
 fn erlangs_formula_itself_is_right_where_the_answer_is_plain() {
-    // One server: work over the free share. Two: 1 / (1 - load²/4) works.
+    // One server: work / (1 - load). Two servers: work / (1 - load²/4).
     assert!((time_in_system(5.0, 0.1, 1) - 0.2).abs() < 1e-12);
     assert!((time_in_system(10.0, 0.1, 2) - 0.1 / 0.75).abs() < 1e-12);
 }
@@ -44,7 +44,7 @@
         };
         let seen = Estimate::of(&(1..=12).map(mean).collect::<Vec<f64>>());
         let known = time_in_system(rate, work_ms / 1000.0, cores) * 1000.0;
-        // The interval must also be narrow enough to say something.
+        // The interval must also be narrow enough for the comparison to be meaningful.
         assert!(seen.half_width < 0.08 * known, "{cores} cores: {} ± {} ms", seen.mean, seen.half_width);
         assert!(
             (seen.mean - known).abs() <= seen.half_width,
@@ -55,7 +55,7 @@
     }
 }
 
-/// Integrates over time how many RPCs are in the system.
+/// Integrates the number of RPCs in the system over time.
 #[derive(Default)]
 struct InSystem {
     now: u64,
@@ -84,7 +84,7 @@
     let metrics = run_with_policy(&scenario, 3, &make, &mut seen).metrics;
     let long = seen.last as f64;
     let (mean_number, rate) = (seen.area as f64 / long, seen.arrived as f64 / long);
-    // The histogram keeps three digits.
+    // The histogram keeps three significant digits.
     let mean_time = metrics.latencies.mean();
     assert!((mean_number / (rate * mean_time) - 1.0).abs() < 0.002, "{mean_number}, {rate} × {mean_time}");
 }
@@ -108,7 +108,7 @@
         for seed in [1, 2] {
             let result = run(scenario, Variant::Fernroute, seed);
             assert_eq!(result.violations, [], "{} seed {seed}", scenario.name);
-            // Where N is not as small as can be, nothing need be put down to chance but one RPC.
+            // Except in the scenarios with the smallest allowed numbers, the excess is at most one RPC.
             let few = |w: &&ColdWindow| scenario.name.starts_with("cold-") || w.excess <= 1.0;
             assert!(
                 result.cold_starts.iter().all(|w| few(&w)),
@@ -154,7 +154,7 @@
     }
 }
 
-/// What callers ask for does not depend on who decides: variants are paired.
+/// Demand does not depend on the variant: comparisons are paired by seed.
 #[test]
 fn callers_ask_the_same_of_every_variant() {
     #[derive(Default)]
@@ -180,7 +180,7 @@
 
 #[test]
 fn what_is_held_does_not_grow_with_the_rpcs_that_were_played() {
-    // A time-out stays set down until it is due: short ones let a short run reach the bound.
+    // Time-outs stay scheduled until they are due; short ones let a short run reach the steady state.
     let mut quick = queue(200.0, 5.0, 2, 20.0);
     quick.method[0].soft_ms = 500.0;
     quick.method[0].hard_ms = 1000.0;
@@ -190,7 +190,7 @@
     assert!(held(&longer) < 1.5 * held(&quick), "{} after {}", held(&longer), held(&quick));
 }
 
-/// Callers that leave, RPCs that are open as the run ends, and a load beyond all capacity.
+/// Guards against RPCs counted twice or not at all: callers that leave, RPCs open at the end of the run, and overload.
 #[test]
 fn odd_ends_are_counted_once() {
     let mut scenario = small("[[fault]]\nkind = \"surge\"\nat_s = 1\nfor_s = 11\nsize = 30\n");
@@ -201,7 +201,7 @@
         let ends = run.metrics.ends;
         assert_eq!((ends.arrived, ends.open), (ends.sum(), 0), "{}", variant.name());
         assert!(ends.abandoned > 0 && ends.exhausted + ends.errored > 0, "{}: {ends:?}", variant.name());
-        // Also where an answer and the caller's leaving fall on one instant.
+        // Also when an answer and the caller's leaving happen at the same instant.
         let wrong: Vec<_> = run.violations.iter().filter(|b| b.rule == Rule::OneAnswer).collect();
         assert!(wrong.is_empty(), "{}: {wrong:?}", variant.name());
         let offered: u64 = run.metrics.methods.iter().map(|m| m.offered).sum();
