--- a/crates/fernroute-testbed/src/live/balancers.rs
+++ b/crates/fernroute-testbed/src/live/balancers.rs
@@ -3,8 +3,8 @@
 use super::discovery::DiscoveryAgent;
 use super::Lab;
 use crate::demand::balancer_seed;
-use crate::player::Post;
-use crate::trace::{Event, Told};
+use crate::policy::BalancerPosition;
+use crate::trace::{EndpointState, Event};
 use crate::upstream::State;
 use fernroute_test_support::http::Connection;
 use fernroute_test_support::process::Process;
@@ -60,10 +60,10 @@
             model.tier == tier && model.state == State::Up
         };
         let known: Vec<usize> = (0..self.upstreams.borrow().len()).filter(is_up).collect();
-        known
-            .iter()
-            .for_each(|n| self.record(&Event::Heard { balancer: index, upstream: *n, told: Told::Ready }));
-        let post = Post { tier, number, instances: self.scenario.instances(tier), zone };
+        known.iter().for_each(|n| {
+            self.record(&Event::Heard { balancer: index, upstream: *n, told: EndpointState::Ready })
+        });
+        let post = BalancerPosition { tier, number, instances: self.scenario.balancer_count(tier), zone };
         let seed = balancer_seed(self.seed, index);
         let name = format!("b{index}");
         let coordinators = self.coordinators.borrow().clone().filter(|_| tier == 0);
@@ -80,7 +80,8 @@
                 (self.folder.join(format!("{name}.toml")), file_text)
             }
             None => {
-                let known: Vec<Value> = known.into_iter().map(|n| self.entry(n, Told::Ready)).collect();
+                let known: Vec<Value> =
+                    known.into_iter().map(|n| self.entry(n, EndpointState::Ready)).collect();
                 let file_text = json!({
                     "name": name, "listen": "127.0.0.1:0", "discovery": agent.address, "seed": format!("{seed:016x}"),
                     "limits": {"sockets": 1024}, "known": {"version": 0, "full": true, "servers": known},
--- a/crates/fernroute-testbed/src/live/fleet.rs
+++ b/crates/fernroute-testbed/src/live/fleet.rs
@@ -2,7 +2,7 @@
 //! of a fleet's balancers. These files use the project's own format, since the platform's format has no
 //! fleet section.
 
-use crate::player::Post;
+use crate::policy::BalancerPosition;
 use crate::processes::status;
 use crate::scenario::{zone_name, Effect, Group, Scenario};
 use fernroute_test_support::link::Link;
@@ -129,7 +129,7 @@
     pub(super) async fn balancer_file(
         &self,
         scenario: &Scenario,
-        post: Post,
+        post: BalancerPosition,
         discovery: SocketAddr,
         seed: u64,
         known: &[(String, SocketAddr, usize, usize)],
