--- a/crates/fernroute-testbed/src/scale/changes.rs
+++ b/crates/fernroute-testbed/src/scale/changes.rs
@@ -1,5 +1,5 @@
-//! Changes of configuration while a run is measured: entered at the stewards for one service after another, and in force once every
-//! balancer of it that beats says so.
+//! Configuration changes during a scale run: put at the coordinators for one service after another, and
+//! complete once every balancer of the service reports the version as active.
 
 use super::fleet::Fleet;
 use super::layout::CLUSTER;
@@ -13,13 +13,13 @@
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
-/// How often it is looked where all are: what is told of a change is exact to that.
+/// Poll interval, and so the resolution of the measured times.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A change that is not in force everywhere by then counts as one that is not.
+/// A change that is not active everywhere by then counts as incomplete.
 const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What came of them; none is what was not measured.
+/// Results of the changes; `None` is not measured.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct ChangeStats {
     pub made: Option<u64>,
@@ -37,18 +37,18 @@
         };
     }
 
-    /// Whether one was made that is not in force everywhere.
+    /// Whether any change did not become active everywhere.
     pub fn has_incomplete(&self) -> bool {
         self.made != self.in_force_everywhere
     }
 }
 
-/// The steward there enters a change for this service; its version.
+/// Puts a change for this service at a coordinator and returns its version.
 pub async fn put_change(at: SocketAddr, service: &str, number: u64) -> Option<Version> {
     let scope: Scope = format!("service/{service}").parse().ok()?;
     let latest: Result<LatestEntry, RequestError> = request(CLUSTER, at, GET_PATH, &scope).await?;
     let base = latest.ok()?.entry.map_or(0, |part| part.version);
-    // The one method as it is, but for the time by which an answer is worth all.
+    // Changes only the soft deadline of the service's one method.
     let content = format!(
         "[[method]]\nname = \"look\"\neffect = \"retriable\"\nsoft_ms = {}\nhard_ms = 3000\n",
         1000 + number % 1000
@@ -64,15 +64,15 @@
     result.ok()
 }
 
-/// How many balancers of this service go by this version or a later one, by the word of the steward there; none where it does not
-/// lead.
+/// Number of balancers of this service that use this version or a later one, as reported by a
+/// coordinator. `None` if it does not lead.
 async fn count_active(at: SocketAddr, service: &str, version: Version) -> Option<usize> {
     let status: Result<ConfigurationStatus, RequestError> = request(CLUSTER, at, STATUS_PATH, ()).await?;
     let members = status.ok()?.members;
     Some(members.iter().filter(|m| m.service == service && m.active >= version).count())
 }
 
-/// How long after `from` all balancers of this service went by this version; none where they never did.
+/// Seconds from `since` until all balancers of this service use this version, or `None` on a time-out.
 pub async fn wait_until_active(
     fleet: &Fleet,
     service: &str,
@@ -96,12 +96,12 @@
     None
 }
 
-/// Makes so many, one after another, for one service after another.
+/// Makes `count` changes, one at a time, for one service after another.
 pub async fn make_changes(fleet: &Fleet, count: usize, every: Duration) -> Result<ChangeStats, String> {
     let (mut stats, services) = (ChangeStats::default(), &fleet.layout.services);
     for number in 0..count {
         let since = Instant::now();
-        // Large ones and small ones.
+        // The step of 7 mixes large and small services.
         let service = &services[number * 7 % services.len()].name;
         let (leader, _) = fleet.leader().await?;
         let version = put_change(fleet.coordinator_addresses[leader], service, number as u64).await;
--- a/crates/fernroute-testbed/src/scale/faults.rs
+++ b/crates/fernroute-testbed/src/scale/faults.rs
@@ -1,4 +1,4 @@
-//! What goes wrong at full size, and how long until all balancers are answered by a leader again.
+//! Faults of a scale run, and the time until one leader answers all balancers again.
 
 use super::changes::{put_change, wait_until_active};
 use super::figures::Sample;
@@ -16,48 +16,50 @@
 use std::time::{Duration, Instant};
 use tokio::time::{sleep, timeout};
 
-/// One fault, and what came of it; what was not measured, or never came, is none.
+/// Result of one fault. `None` is not measured or never reached.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct FaultResult {
     pub kind: String,
-    /// From the fault, or from its end where it is one that lasts, until the begin of the first second in which all balancers
-    /// were answered by the one leader.
+    /// Seconds from the fault, or from the end of a lasting one, to the start of the first second in
+    /// which one leader answered all balancers.
     pub settled_s: Option<f64>,
-    /// The same for those on the larger side while a network is cut.
+    /// The same for the balancers on the larger side of a partition while it lasts.
     pub cut_settled_s: Option<f64>,
-    /// From the end of a cut until the change that was made on the larger side meanwhile was in force everywhere.
+    /// Seconds from the end of a partition until the change made on the larger side meanwhile was active
+    /// everywhere.
     pub change_in_force_s: Option<f64>,
-    /// Whether a change was entered on the other side meanwhile: there is no majority.
+    /// Whether the smaller side, which has no majority, accepted a change meanwhile.
     pub entered_without_majority: Option<bool>,
-    /// Of the worst second until then: bytes of all balancers together, and processor time of all stewards, in percent of one.
+    /// Worst second up to then: bytes of all balancers together, and CPU time of all coordinators in
+    /// percent of one processor.
     pub worst_second_bytes: Option<f64>,
     pub worst_second_processor_percent: Option<f64>,
 }
 
-/// What faults are done to, and by what it is judged.
+/// Injects faults into a fleet and measures their effect.
 pub struct FaultRunner<'a> {
     pub fleet: &'a Rc<Fleet>,
     pub load: &'a Load,
-    pub seconds: &'a RefCell<Vec<Sample>>,
-    /// Messages a second between one member and its leader, as measured before any fault.
+    pub samples: &'a RefCell<Vec<Sample>>,
+    /// Messages per second between one member and the leader, as measured before any fault.
     pub rate: f64,
 }
 
-/// Beats that come may be so many fewer than usual on a busy machine.
+/// Share of the usual heartbeat rate that counts as settled; a busy machine sends fewer.
 const MIN_RATE_SHARE: f64 = 0.9;
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(60);
-/// Numbers of changes that no other change of a run has.
+/// A change number that no other change of a run uses.
 const CUT_CHANGE_NUMBER: u64 = 900;
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 impl FaultRunner<'_> {
     pub async fn run(&self, fault: &Fault) -> Result<FaultResult, String> {
-        let first = self.seconds.borrow().len();
+        let first = self.samples.borrow().len();
         let kind = fault.kind.name().to_owned();
         let mut result = self.inject(fault).await?;
-        // The last second is told of a moment later.
+        // The sample of the last second arrives a moment later.
         sleep(Duration::from_secs(2)).await;
-        let seconds = self.seconds.borrow();
+        let seconds = self.samples.borrow();
         let worst = |of: &dyn Fn(&Sample) -> f64| {
             seconds.iter().skip(first).map(|s| of(s) / s.seconds).max_by(f64::total_cmp)
         };
@@ -72,28 +74,29 @@
         let duration = Duration::from_secs_f64(fault.for_s);
         let all = fleet.layout.members.len();
         let (leader, _) = fleet.leader().await?;
-        let settled = |settled_s| FaultResult { settled_s, ..FaultResult::default() };
+        let result_of = |settled_s| FaultResult { settled_s, ..FaultResult::default() };
         match fault.kind {
             Kind::LeaderKilled => {
                 let from = Instant::now();
                 fleet.coordinators.borrow()[leader].kill();
-                let result = settled(self.settle_time_since(from, all, &BTreeSet::new()).await);
+                let result = result_of(self.settle_time_since(from, all, &BTreeSet::new()).await);
                 self.start_coordinator(leader)?;
                 Ok(result)
             }
             Kind::CoordinatorRestarted => {
-                // All come again at once.
+                // All members reconnect at once.
                 let from = Instant::now();
                 fleet.coordinators.borrow()[leader].kill();
                 self.start_coordinator(leader)?;
-                Ok(settled(self.settle_time_since(from, all, &BTreeSet::new()).await))
+                Ok(result_of(self.settle_time_since(from, all, &BTreeSet::new()).await))
             }
             Kind::CoordinatorLost => {
                 let lost = (leader + 1) % fleet.coordinator_addresses.len();
                 fleet.coordinators.borrow()[lost].kill();
-                let disk = fleet.coordinator_folder(lost);
-                std::fs::remove_dir_all(&disk).map_err(|e| format!("{}: {e}", disk.display()))?;
-                let result = settled(self.settle_time(all).await);
+                let data_folder = fleet.coordinator_folder(lost);
+                std::fs::remove_dir_all(&data_folder)
+                    .map_err(|e| format!("{}: {e}", data_folder.display()))?;
+                let result = result_of(self.settle_time(all).await);
                 sleep(duration).await;
                 self.start_coordinator(lost)?;
                 self.readmit(lost).await?;
@@ -109,7 +112,7 @@
                 let real = |n: &usize| fleet.layout.members[*n].zone == zone;
                 let real: BTreeSet<usize> = fleet.real.borrow().keys().copied().filter(real).collect();
                 let coordinator = fleet.layout.plan.coordinators.iter().position(|of| *of == zone);
-                // With one steward alone nothing would be left to settle.
+                // With a single coordinator nothing would be left to settle.
                 let coordinator = coordinator.filter(|_| fleet.coordinator_addresses.len() > 1);
                 coordinator.iter().for_each(|n| fleet.coordinators.borrow()[*n].kill());
                 self.kill(&hollow, &real);
@@ -117,10 +120,10 @@
                 coordinator.map_or(Ok(()), |n| self.start_coordinator(n))?;
                 let from = Instant::now();
                 self.start(&hollow, &real).await?;
-                Ok(settled(self.settle_time_since(from, all, &BTreeSet::new()).await))
+                Ok(result_of(self.settle_time_since(from, all, &BTreeSet::new()).await))
             }
             Kind::TenthRestarted => {
-                // Whole processes, of all zones: the first ones that make up a tenth.
+                // Whole processes of all zones, until a tenth of the members is reached.
                 let (mut hollow, mut count) = (Vec::new(), 0);
                 let most = fleet.layout.hollow.len();
                 for n in 0..most {
@@ -136,22 +139,22 @@
                 self.kill(&hollow, &BTreeSet::new());
                 let from = Instant::now();
                 self.start(&hollow, &BTreeSet::new()).await?;
-                Ok(settled(self.settle_time_since(from, all, &BTreeSet::new()).await))
+                Ok(result_of(self.settle_time_since(from, all, &BTreeSet::new()).await))
             }
             Kind::RegionsCut => self.cut(duration).await,
             Kind::BalancerSilent => {
-                let Some(place) = fleet.real.borrow().keys().next_back().copied() else {
-                    return Ok(settled(None));
+                let Some(member) = fleet.real.borrow().keys().next_back().copied() else {
+                    return Ok(result_of(None));
                 };
                 let number = fleet.real.borrow().len() - 1;
                 let at = fleet.wait_for_real().await?[number];
                 self.load.remove_balancer(number);
-                fleet.real.borrow()[&place].stop();
+                fleet.real.borrow()[&member].stop();
                 sleep(duration).await;
-                // The others are answered all the while.
+                // The others are answered meanwhile.
                 let others = self.settle_time(all - 1).await;
-                fleet.real.borrow()[&place].go_on();
-                let result = settled(self.settle_time(all).await);
+                fleet.real.borrow()[&member].go_on();
+                let result = result_of(self.settle_time(all).await);
                 self.load.add_balancer(number, at);
                 Ok(FaultResult { cut_settled_s: others, ..result })
             }
@@ -172,7 +175,7 @@
             (0..links.len()).filter(apart).map(|n| &links[n])
         });
         let cut: Vec<_> = coordinator_links.map(|(_, link)| link).chain(member_links).collect();
-        // The side with most stewards goes on.
+        // The side with most coordinators continues.
         let mut count = vec![0; fleet.layout.plan.region.len()];
         (0..fleet.coordinator_addresses.len()).for_each(|n| count[region_of_coordinator(n)] += 1);
         let larger = (0..count.len()).max_by_key(|n| count[*n]).unwrap_or(0);
@@ -182,9 +185,9 @@
         cut.iter().for_each(|link| link.refuse());
         let from = Instant::now();
         let cut_settled_s = self.settle_time_since(from, reachable, &outside).await;
-        // Changes on both sides: one is entered, the other has no majority.
+        // One change on each side: the larger side accepts it, the other has no majority.
         let service = &fleet.layout.services[0].name;
-        let (mut version, mut split) = (None, None);
+        let (mut version, mut accepted_by_minority) = (None, None);
         if fleet.layout.plan.changes.is_some() {
             if let (Some(leader), _) = self.current_leader(&outside).await {
                 version = put_change(fleet.coordinator_addresses[leader], service, CUT_CHANGE_NUMBER).await;
@@ -192,29 +195,29 @@
             for n in &outside {
                 let entered =
                     put_change(fleet.coordinator_addresses[*n], service, CUT_CHANGE_NUMBER + 1).await;
-                split = Some(split.unwrap_or(false) || entered.is_some());
+                accepted_by_minority = Some(accepted_by_minority.unwrap_or(false) || entered.is_some());
             }
         }
         sleep(duration.saturating_sub(from.elapsed())).await;
         cut.iter().for_each(|link| link.mend());
-        let healed = Instant::now();
-        let settled_s = self.settle_time_since(healed, fleet.layout.members.len(), &BTreeSet::new()).await;
+        let restored = Instant::now();
+        let settled_s = self.settle_time_since(restored, fleet.layout.members.len(), &BTreeSet::new()).await;
         let change_in_force_s = match version {
-            Some(version) => wait_until_active(fleet, service, version, healed).await,
+            Some(version) => wait_until_active(fleet, service, version, restored).await,
             None => None,
         };
         Ok(FaultResult {
             settled_s,
             cut_settled_s,
             change_in_force_s,
-            entered_without_majority: split,
+            entered_without_majority: accepted_by_minority,
             ..FaultResult::default()
         })
     }
 
     fn kill(&self, hollow: &[usize], real: &BTreeSet<usize>) {
-        for (n, place) in self.fleet.real.borrow().keys().enumerate() {
-            if real.contains(place) {
+        for (n, member) in self.fleet.real.borrow().keys().enumerate() {
+            if real.contains(member) {
                 self.load.remove_balancer(n);
             }
         }
@@ -233,8 +236,8 @@
         }
         self.fleet.wait_for_hollow(hollow).await?;
         let at = self.fleet.wait_for_real().await?;
-        for (n, place) in self.fleet.real.borrow().keys().enumerate() {
-            if real.contains(place) {
+        for (n, member) in self.fleet.real.borrow().keys().enumerate() {
+            if real.contains(member) {
                 self.load.add_balancer(n, at[n]);
             }
         }
@@ -247,31 +250,31 @@
         Ok(())
     }
 
-    /// Has the others take in a steward whose disk was lost.
+    /// Has the other coordinators readmit one whose data was lost.
     async fn readmit(&self, lost: usize) -> Result<(), String> {
-        let page = self.fleet.coordinator_file(lost)?;
+        let file = self.fleet.coordinator_file(lost)?;
         let program = std::env::current_exe().map_err(|e| e.to_string())?;
         let from = Instant::now();
         loop {
             let mut child = Command::new(&program)
                 .args(["steward-change", "--config"])
-                .arg(&page)
+                .arg(&file)
                 .stdout(std::process::Stdio::null())
                 .stderr(std::process::Stdio::null())
                 .spawn()
                 .map_err(|e| format!("{}: {e}", program.display()))?;
-            // Not waited for: this thread carries the links that it needs.
-            let done = loop {
+            // Polled instead of waited for: this thread runs the links that the child needs.
+            let succeeded = loop {
                 match child.try_wait().map_err(|e| e.to_string())? {
                     Some(status) => break status.success(),
                     None => sleep(POLL_INTERVAL).await,
                 }
             };
-            if done {
+            if succeeded {
                 return Ok(());
             }
             if from.elapsed() > SETTLE_TIMEOUT {
-                return Err("a steward whose disk was lost is not taken in again".to_owned());
+                return Err("a coordinator whose data was lost was not readmitted within 60 s".to_owned());
             }
             sleep(5 * POLL_INTERVAL).await;
         }
@@ -281,7 +284,8 @@
         self.settle_time_since(Instant::now(), members, &BTreeSet::new()).await
     }
 
-    /// Until so many members are answered by one that leads, for a second: the begin of that second.
+    /// Seconds from `from` to the start of the first second in which one leader answered this many
+    /// members.
     async fn settle_time_since(
         &self,
         from: Instant,
@@ -290,41 +294,42 @@
     ) -> Option<f64> {
         const WINDOW: Duration = Duration::from_secs(1);
         let fleet = self.fleet;
-        let mut samples: VecDeque<(Instant, Vec<Counted>)> = VecDeque::new();
-        // Since when one leads by its own word. Guards against calls that followers turn away: they are counted, too.
+        let mut polls: VecDeque<(Instant, Vec<Counted>)> = VecDeque::new();
+        // The leader that the polls refer to. They restart when it changes: calls that followers reject
+        // are counted, too, and must not pass for answers.
         let mut leads: Option<usize> = None;
         while from.elapsed() < SETTLE_TIMEOUT {
-            let (reported, there) = self.current_leader(outside).await;
+            let (reported, known_members) = self.current_leader(outside).await;
             if reported != leads || reported.is_none() {
-                (leads, samples) = (reported, VecDeque::new());
+                (leads, polls) = (reported, VecDeque::new());
             }
             let (now, counted) = (Instant::now(), fleet.member_traffic());
-            while samples.len() > 1 && samples[1].0 + WINDOW <= now {
-                samples.pop_front();
+            while polls.len() > 1 && polls[1].0 + WINDOW <= now {
+                polls.pop_front();
             }
-            if let Some((n, (at, before))) = leads.zip(samples.front().filter(|(at, _)| *at + WINDOW <= now))
-            {
+            if let Some((n, (at, before))) = leads.zip(polls.front().filter(|(at, _)| *at + WINDOW <= now)) {
                 let rate = (counted[n] - before[n]).messages as f64 / (now - *at).as_secs_f64();
-                if there >= members && rate >= MIN_RATE_SHARE * self.rate * members as f64 {
+                if known_members >= members && rate >= MIN_RATE_SHARE * self.rate * members as f64 {
                     return Some(at.saturating_duration_since(from).as_secs_f64());
                 }
             }
-            samples.push_back((now, counted));
+            polls.push_back((now, counted));
             sleep(POLL_INTERVAL).await;
         }
         None
     }
 
-    /// Who leads by its own word at this moment, and how many balancers it knows.
+    /// The coordinator that reports itself leader now, and the number of balancers it knows.
     async fn current_leader(&self, outside: &BTreeSet<usize>) -> (Option<usize>, usize) {
         let fleet = self.fleet;
         for n in (0..fleet.coordinator_addresses.len()).filter(|n| !outside.contains(n)) {
             if !fleet.coordinators.borrow()[n].is_running() {
                 continue;
             }
-            let result = timeout(POLL_INTERVAL, status(fleet.coordinator_addresses[n])).await.ok().flatten();
-            if let Some(result) = result.filter(|result| result.state == "leader") {
-                return (Some(n), result.members.len());
+            let status_reply =
+                timeout(POLL_INTERVAL, status(fleet.coordinator_addresses[n])).await.ok().flatten();
+            if let Some(status_reply) = status_reply.filter(|status_reply| status_reply.state == "leader") {
+                return (Some(n), status_reply.members.len());
             }
         }
         (None, 0)
--- a/crates/fernroute-testbed/src/scale/figures.rs
+++ b/crates/fernroute-testbed/src/scale/figures.rs
@@ -1,4 +1,4 @@
-//! What each role costs, a line for each second: processor from `/proc`, bytes and messages from where connections end.
+//! Costs of each role, sampled every second: CPU time from `/proc`, bytes and messages from the links.
 
 use fernroute_test_support::Counted;
 use serde::Serialize;
@@ -6,7 +6,7 @@
 use std::fs;
 use std::ops::AddAssign;
 
-/// What was spent in some time.
+/// Resources used in some period.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Cost {
     pub cpu_ns: u64,
@@ -20,7 +20,7 @@
     }
 }
 
-/// One second of a run, or nearly.
+/// Costs of about one second of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Sample {
     pub seconds: f64,
@@ -28,22 +28,22 @@
     pub real: Cost,
     pub coordinators: Vec<Cost>,
     pub discovery: Cost,
-    /// The steward that most was said to.
+    /// The coordinator that received most messages.
     pub leader: usize,
 }
 
-/// Means of one process of a role; what was not measured is none.
+/// Means per process of a role; `None` is not measured.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Figures {
     pub processor_percent: Option<f64>,
     pub memory_kb: Option<u64>,
     pub bytes_per_s: Option<f64>,
     pub messages_per_s: Option<f64>,
-    /// Bytes in the worst second of the whole run, faults and all.
+    /// Bytes in the worst second of the whole run, faults included.
     pub worst_second_bytes: Option<f64>,
 }
 
-/// Of `count` processes of a role; `of` is what they spent together.
+/// Figures per process of `count` processes of a role; `of` gives their total cost.
 pub fn summarize(
     seconds: &[Sample],
     all: &[Sample],
@@ -70,7 +70,7 @@
     }
 }
 
-/// Processor time of a process since its start, over all its threads; 0 once it is gone.
+/// CPU time of a process since its start, over all its threads; 0 after it has ended.
 pub fn cpu_ns(id: u32) -> u64 {
     let Ok(threads) = fs::read_dir(format!("/proc/{id}/task")) else { return 0 };
     let of = |thread: fs::DirEntry| {
@@ -80,20 +80,20 @@
     threads.filter_map(Result::ok).filter_map(of).sum()
 }
 
-/// The machine's memory.
+/// Total memory of the machine.
 pub fn machine_kb() -> Result<u64, String> {
     let text = fs::read_to_string("/proc/meminfo").map_err(|e| format!("/proc/meminfo: {e}"))?;
     let line = text.lines().find_map(|line| line.strip_prefix("MemTotal:"));
     line.and_then(|line| line.trim().trim_end_matches(" kB").parse().ok())
-        .ok_or("/proc/meminfo: no total".to_owned())
+        .ok_or("/proc/meminfo: no MemTotal".to_owned())
 }
 
-/// Processor time by process since the last look.
+/// CPU time of each process at its last reading.
 #[derive(Debug, Default)]
 pub struct CpuTimes(BTreeMap<u32, u64>);
 
 impl CpuTimes {
-    /// A process that is new has spent all of it since.
+    /// CPU time since the last reading; all of it for a new process.
     pub fn since_last(&mut self, id: u32) -> u64 {
         let now = cpu_ns(id);
         let before = self.0.insert(id, now).unwrap_or(0);
--- a/crates/fernroute-testbed/src/scale/file.rs
+++ b/crates/fernroute-testbed/src/scale/file.rs
@@ -1,38 +1,39 @@
-//! The file of a scale run: TOML, checked whole; a file that will not do is told in one line, with its place.
+//! The plan file of a scale run: TOML, checked completely. An invalid file gives a one-line error with
+//! the position.
 
 use serde::Deserialize;
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
 
-/// A file as it is written.
+/// Contents of a plan file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
     pub name: String,
-    /// How often balancers beat.
+    /// Heartbeat interval of balancers.
     #[serde(default = "beat")]
     pub beat_ms: u64,
-    /// How many tenants' budgets the ledger has, and the size of each: RPCs a second over all balancers.
+    /// Number of tenant budgets, and the limit of each in RPCs per second over all balancers.
     #[serde(default = "one")]
     pub budgets: usize,
     #[serde(default = "whole")]
     pub whole: f64,
     #[serde(default = "floors")]
     pub floors: f64,
-    /// Hollow balancers that share a process, at the most.
+    /// Most hollow balancers in one process.
     #[serde(default = "ten")]
     pub per_process: usize,
-    /// How many of all balancers are real, at full size; all others are hollow.
+    /// Number of real balancers at full size; all others are hollow.
     pub real: usize,
-    /// How often operators ask each balancer for its figures.
+    /// Interval at which each balancer's metrics are polled.
     #[serde(default = "ten_seconds")]
     pub operators_s: f64,
-    /// After the start, until anything is measured; and how long it is measured.
+    /// Time from the start until measuring begins, and the duration of measuring.
     #[serde(default = "ten_seconds")]
     pub settle_s: f64,
     #[serde(default = "measure")]
     pub measure_s: f64,
-    /// The zone of each steward.
+    /// The zone of each coordinator.
     #[serde(rename = "stewards")]
     pub coordinators: Vec<String>,
     pub load: Load,
@@ -69,12 +70,12 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
-    /// RPCs a second at each real balancer, of no tenant.
+    /// RPCs per second at each real balancer, without a tenant.
     pub rate: f64,
-    /// One real balancer and one upstream directly also get so many times that, for as long as is measured.
+    /// Rate multiplier for one real balancer and one direct upstream, for another measuring period.
     #[serde(default)]
     pub times: Option<f64>,
-    /// What tenants ask for, in parts of the whole of each budget; beyond 1 some is refused.
+    /// Rate of each tenant as a multiple of its limit; above 1 some RPCs are rejected.
     #[serde(default)]
     pub tenants: f64,
 }
@@ -86,18 +87,18 @@
     pub zones: Vec<String>,
 }
 
-/// Services that are alike.
+/// A group of identical services.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
     pub name: String,
-    /// How many there are: the first is called `NAME`, the others `NAME-1` and so on.
+    /// Number of services: the first is called `NAME`, the others `NAME-1` and so on.
     #[serde(default = "one")]
     pub count: usize,
-    /// Upstreams of each, and balancers, one beside each upstream.
+    /// Upstreams of each service, and its balancers, one beside each upstream.
     pub size: usize,
-    /// Names of those whose upstreams its balancers choose among; `NAME` of some that are alike means the one of the same
-    /// number, wrapped round.
+    /// Names of the groups whose upstreams its balancers use. Service n calls service n of the group,
+    /// modulo the size of the group.
     pub calls: Vec<String>,
 }
 
@@ -133,10 +134,10 @@
 #[serde(deny_unknown_fields)]
 pub struct Fault {
     pub kind: Kind,
-    /// How long it lasts, where it is one that lasts.
+    /// Duration of a lasting fault.
     #[serde(default = "three_seconds")]
     pub for_s: f64,
-    /// The zone that is lost.
+    /// The zone to lose.
     #[serde(default)]
     pub zone: Option<String>,
 }
@@ -145,7 +146,7 @@
     3.0
 }
 
-/// Changes of configuration while it is measured.
+/// Configuration changes during the run.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Changes {
@@ -153,8 +154,8 @@
     pub every_s: f64,
 }
 
-/// A service of one's own size or more is made smaller by a factor; of smaller ones there are fewer.
-const LARGE: usize = 20;
+/// From this size a service is scaled in size; of smaller services there are fewer.
+const MIN_SCALED_SIZE: usize = 20;
 
 fn scaled(count: usize, factor: f64) -> usize {
     ((count as f64 * factor).round() as usize).max(1)
@@ -163,7 +164,7 @@
 impl Plan {
     pub fn read(path: &Path) -> Result<Self, String> {
         let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
-        Plan::parse(&text).map_err(|why| format!("{}: {why}", path.display()))
+        Plan::parse(&text).map_err(|reason| format!("{}: {reason}", path.display()))
     }
 
     pub fn parse(text: &str) -> Result<Self, String> {
@@ -171,91 +172,109 @@
             let line = e.span().map_or(0, |span| text[..span.start].matches('\n').count() + 1);
             format!("line {line}: {}", e.message().replace('\n', " "))
         })?;
-        let faults = plan.faults();
-        if faults.is_empty() {
+        let problems = plan.problems();
+        if problems.is_empty() {
             return Ok(plan);
         }
-        let told = faults.iter().map(|(place, why)| format!("line {}: {place}: {why}", line(text, place)));
-        Err(told.collect::<Vec<String>>().join("; "))
+        let messages = problems
+            .iter()
+            .map(|(field, reason)| format!("line {}: {field}: {reason}", line_of(text, field)));
+        Err(messages.collect::<Vec<String>>().join("; "))
     }
 
-    fn faults(&self) -> Vec<(String, String)> {
-        let mut faults: Vec<(String, String)> = Vec::new();
-        let mut within = |place: &str, value: f64, least: f64, most: f64| {
+    fn problems(&self) -> Vec<(String, String)> {
+        let mut problems: Vec<(String, String)> = Vec::new();
+        let mut check_range = |field: &str, value: f64, least: f64, most: f64| {
             if !(least..=most).contains(&value) {
-                faults.push((place.to_owned(), format!("{value} is not between {least} and {most}")));
+                problems.push((field.to_owned(), format!("{value} is not between {least} and {most}")));
             }
         };
-        within("beat_ms", self.beat_ms as f64, 50.0, 10_000.0);
-        within("budgets", self.budgets as f64, 1.0, 1_000.0);
-        within("whole", self.whole, 0.001, 1e9);
-        within("floors", self.floors, 0.0, 1.0);
-        within("per_process", self.per_process as f64, 1.0, 200.0);
-        within("operators_s", self.operators_s, 0.1, 3_600.0);
-        within("settle_s", self.settle_s, 0.0, 3_600.0);
-        within("measure_s", self.measure_s, 1.0, 3_600.0);
-        within("load.rate", self.load.rate, 0.0, 100_000.0);
-        within("load.times", self.load.times.unwrap_or(1.0), 1.0, 100.0);
-        within("load.tenants", self.load.tenants, 0.0, 100.0);
+        check_range("beat_ms", self.beat_ms as f64, 50.0, 10_000.0);
+        check_range("budgets", self.budgets as f64, 1.0, 1_000.0);
+        check_range("whole", self.whole, 0.001, 1e9);
+        check_range("floors", self.floors, 0.0, 1.0);
+        check_range("per_process", self.per_process as f64, 1.0, 200.0);
+        check_range("operators_s", self.operators_s, 0.1, 3_600.0);
+        check_range("settle_s", self.settle_s, 0.0, 3_600.0);
+        check_range("measure_s", self.measure_s, 1.0, 3_600.0);
+        check_range("load.rate", self.load.rate, 0.0, 100_000.0);
+        check_range("load.times", self.load.times.unwrap_or(1.0), 1.0, 100.0);
+        check_range("load.tenants", self.load.tenants, 0.0, 100.0);
         for (n, s) in self.service.iter().enumerate() {
-            within(&format!("service[{n}].count"), s.count as f64, 1.0, 10_000.0);
-            within(&format!("service[{n}].size"), s.size as f64, 1.0, 10_000.0);
+            check_range(&format!("service[{n}].count"), s.count as f64, 1.0, 10_000.0);
+            check_range(&format!("service[{n}].size"), s.size as f64, 1.0, 10_000.0);
         }
         for (n, f) in self.fault.iter().enumerate() {
-            within(&format!("fault[{n}].for_s"), f.for_s, 0.0, 600.0);
+            check_range(&format!("fault[{n}].for_s"), f.for_s, 0.0, 600.0);
         }
         if let Some(changes) = &self.changes {
-            within("changes.count", changes.count as f64, 1.0, 100_000.0);
-            within("changes.every_s", changes.every_s, 0.01, 600.0);
+            check_range("changes.count", changes.count as f64, 1.0, 100_000.0);
+            check_range("changes.every_s", changes.every_s, 0.01, 600.0);
         }
-        let mut ask =
-            |holds: bool, place: String, why: String| faults.extend((!holds).then_some((place, why)));
+        let mut check =
+            |holds: bool, field: String, reason: String| problems.extend((!holds).then_some((field, reason)));
         let all: usize = self.service.iter().map(|s| s.count * s.size).sum();
-        ask(self.real <= all, "real".to_owned(), format!("{} of {all} balancers", self.real));
+        check(self.real <= all, "real".to_owned(), format!("{} of {all} balancers", self.real));
         let count = self.coordinators.len();
-        ask(matches!(count, 1 | 3 | 5 | 7), "stewards".to_owned(), format!("{count}, and not 1, 3, 5 or 7"));
+        check(
+            matches!(count, 1 | 3 | 5 | 7),
+            "stewards".to_owned(),
+            format!("{count}, and not 1, 3, 5 or 7"),
+        );
         let mut zones = BTreeSet::new();
         for (n, region) in self.region.iter().enumerate() {
-            ask(!region.zones.is_empty(), format!("region[{n}].zones"), "none is named".to_owned());
+            check(!region.zones.is_empty(), format!("region[{n}].zones"), "must not be empty".to_owned());
             for zone in &region.zones {
-                let plain = !zone.is_empty() && zone.chars().all(|c| c.is_ascii_alphanumeric() || c == '-');
-                ask(plain, format!("region[{n}].zones"), format!("\"{zone}\" is no plain word"));
-                ask(zones.insert(zone), format!("region[{n}].zones"), format!("{zone} is there twice"));
+                let valid = !zone.is_empty() && zone.chars().all(|c| c.is_ascii_alphanumeric() || c == '-');
+                check(
+                    valid,
+                    format!("region[{n}].zones"),
+                    format!("\"{zone}\" may only have ASCII letters, digits and hyphens"),
+                );
+                check(zones.insert(zone), format!("region[{n}].zones"), format!("{zone} is listed twice"));
             }
         }
         for zone in &self.coordinators {
-            ask(zones.contains(zone), "stewards".to_owned(), format!("no zone is called {zone}"));
+            check(zones.contains(zone), "stewards".to_owned(), format!("unknown zone {zone}"));
         }
         let mut names = BTreeSet::new();
         for (n, s) in self.service.iter().enumerate() {
-            let plain = !s.name.is_empty() && s.name.chars().all(|c| c.is_ascii_alphanumeric());
-            ask(plain, format!("service[{n}].name"), format!("\"{}\" is no plain word", s.name));
-            ask(names.insert(&s.name), format!("service[{n}].name"), format!("{} is there twice", s.name));
-            ask(!s.calls.is_empty(), format!("service[{n}].calls"), "none is named".to_owned());
+            let valid = !s.name.is_empty() && s.name.chars().all(|c| c.is_ascii_alphanumeric());
+            check(
+                valid,
+                format!("service[{n}].name"),
+                format!("\"{}\" may only have ASCII letters and digits", s.name),
+            );
+            check(names.insert(&s.name), format!("service[{n}].name"), format!("{} is listed twice", s.name));
+            check(!s.calls.is_empty(), format!("service[{n}].calls"), "must not be empty".to_owned());
             for called in &s.calls {
                 let known = self.service.iter().any(|other| other.name == *called);
-                ask(known, format!("service[{n}].calls"), format!("no service is called {called}"));
+                check(known, format!("service[{n}].calls"), format!("unknown service {called}"));
             }
         }
         for (n, f) in self.fault.iter().enumerate() {
             let needs = f.kind == Kind::ZoneLost;
             let known = f.zone.as_ref().is_some_and(|zone| zones.contains(zone));
-            ask(needs == f.zone.is_some(), format!("fault[{n}]"), "a zone belongs to zone_lost".to_owned());
-            ask(!needs || known, format!("fault[{n}].zone"), "no such zone".to_owned());
-            let apart = f.kind != Kind::RegionsCut || self.region.len() > 1;
-            ask(apart, format!("fault[{n}].kind"), "there is one region".to_owned());
-            let several = !matches!(f.kind, Kind::CoordinatorLost) || count > 1;
-            ask(several, format!("fault[{n}].kind"), "there is one steward".to_owned());
-            let silent = f.kind != Kind::BalancerSilent || self.real > 0;
-            ask(silent, format!("fault[{n}].kind"), "there is no real balancer".to_owned());
+            check(
+                needs == f.zone.is_some(),
+                format!("fault[{n}]"),
+                "a zone is required for zone_lost, and only there".to_owned(),
+            );
+            check(!needs || known, format!("fault[{n}].zone"), "unknown zone".to_owned());
+            let several_regions = f.kind != Kind::RegionsCut || self.region.len() > 1;
+            check(several_regions, format!("fault[{n}].kind"), "there is only one region".to_owned());
+            let enough = !matches!(f.kind, Kind::CoordinatorLost) || count > 1;
+            check(enough, format!("fault[{n}].kind"), "there is only one coordinator".to_owned());
+            let has_real = f.kind != Kind::BalancerSilent || self.real > 0;
+            check(has_real, format!("fault[{n}].kind"), "there is no real balancer".to_owned());
         }
-        faults
+        problems
     }
 
-    /// All of it so many times as large: services, budgets, real balancers. Stewards, zones and rates stay.
+    /// Scales services, limits and the number of real balancers. Coordinators, zones and rates stay.
     pub fn scaled_by(mut self, factor: f64) -> Self {
         for service in &mut self.service {
-            if service.size >= LARGE {
+            if service.size >= MIN_SCALED_SIZE {
                 service.size = scaled(service.size, factor);
             } else {
                 service.count = scaled(service.count, factor);
@@ -268,18 +287,18 @@
         self
     }
 
-    /// The region of each zone, by its number.
+    /// Region number of each zone.
     pub fn regions(&self) -> BTreeMap<&str, usize> {
         let zones = self.region.iter().enumerate();
         zones.flat_map(|(n, region)| region.zones.iter().map(move |zone| (zone.as_str(), n))).collect()
     }
 }
 
-/// The line of a place such as `service[2].size`: that of its key, or of the table that it would stand in.
-fn line(text: &str, place: &str) -> usize {
-    let (table, key) = place.rsplit_once('.').unwrap_or(match place.ends_with(']') {
-        true => (place, ""),
-        false => ("", place),
+/// Line of a field such as `service[2].size`, or of the table that should contain it.
+fn line_of(text: &str, field: &str) -> usize {
+    let (table, key) = field.rsplit_once('.').unwrap_or(match field.ends_with(']') {
+        true => (field, ""),
+        false => ("", field),
     });
     let (name, nth) = match table.split_once('[') {
         Some((name, nth)) => (name, nth.trim_end_matches(']').parse().unwrap_or(0)),
@@ -290,13 +309,13 @@
         let inner = line.trim_start_matches('[').split(']').next().unwrap_or("").trim();
         line.starts_with('[') && inner == name
     };
-    let begin = if name.is_empty() {
+    let start = if name.is_empty() {
         0
     } else {
         lines.iter().enumerate().filter(|(_, l)| is_header(l)).nth(nth).map_or(0, |(n, _)| n)
     };
     let skip = usize::from(!name.is_empty());
-    let of_table = lines[begin..].iter().skip(skip).take_while(|l| !l.starts_with('['));
+    let of_table = lines[start..].iter().skip(skip).take_while(|l| !l.starts_with('['));
     let is_key = |l: &&str| l.split('=').next().is_some_and(|k| k.trim() == key) && l.contains('=');
-    of_table.into_iter().position(is_key).map_or(begin, |n| begin + skip + n) + 1
+    of_table.into_iter().position(is_key).map_or(start, |n| start + skip + n) + 1
 }
--- a/crates/fernroute-testbed/src/scale/fit.rs
+++ b/crates/fernroute-testbed/src/scale/fit.rs
@@ -1,5 +1,5 @@
-//! How each figure grows with the number of balancers: a straight line and a power, each with its 95% interval, over four sizes at
-//! least.
+//! Growth of each figure with the number of balancers: a linear and a power-law fit, each with a 95%
+//! confidence interval, over at least four sizes.
 
 use serde_json::Value;
 use statrs::distribution::{ContinuousCDF as _, StudentsT};
@@ -7,20 +7,21 @@
 use std::fmt::Write as _;
 use std::path::Path;
 
-/// So many sizes there must be.
+/// Least number of different sizes.
 pub const MIN_SIZES: usize = 4;
 
-/// A power above this is called out: such a figure grows faster than what it is of.
+/// A figure with a larger exponent is reported as growing faster than the fleet.
 pub const MAX_EXPONENT: f64 = 1.1;
 
-/// Nothing is worked out for more balancers than so many times those that were measured.
+/// Extrapolation is limited to this multiple of the largest measured size.
 pub const MAX_EXTRAPOLATION: f64 = 4.0;
 
 const ROLES: [&str; 5] = ["balancer", "balancer_real", "steward_leader", "steward_follower", "discovery"];
 const FIGURES: [&str; 5] =
     ["processor_percent", "memory_kb", "bytes_per_s", "messages_per_s", "worst_second_bytes"];
 
-/// A value and half of its 95% interval; not a number where two points leave nothing to judge by.
+/// A value and the half-width of its 95% confidence interval; NaN for two points, which leave no degrees
+/// of freedom.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Estimate {
     pub value: f64,
@@ -32,7 +33,8 @@
 pub struct LinearFit {
     pub slope: Estimate,
     intercept: f64,
-    /// What a prediction's interval is worked out from: points, their middle and spread, what is left over, and the quantile.
+    /// Inputs of the prediction interval: number of points, mean and sum of squares of x, residual
+    /// variance, and quantile.
     count: f64,
     mean_x: f64,
     sum_sq_x: f64,
@@ -41,7 +43,7 @@
 }
 
 impl LinearFit {
-    /// None where all points are at one place.
+    /// `None` if all points have the same x.
     pub fn through(points: &[(f64, f64)]) -> Option<LinearFit> {
         let count = points.len() as f64;
         let mean = |of: &dyn Fn(&(f64, f64)) -> f64| points.iter().map(of).sum::<f64>() / count;
@@ -67,24 +69,24 @@
         })
     }
 
-    /// What one more run at this place would show.
+    /// Prediction interval of one more run of this size.
     pub fn predict(&self, x: f64) -> Estimate {
-        let of = 1.0 + 1.0 / self.count + (x - self.mean_x).powi(2) / self.sum_sq_x;
+        let variance_factor = 1.0 + 1.0 / self.count + (x - self.mean_x).powi(2) / self.sum_sq_x;
         Estimate {
             value: self.intercept + self.slope.value * x,
-            half_width: self.quantile * (self.residual_variance * of).sqrt(),
+            half_width: self.quantile * (self.residual_variance * variance_factor).sqrt(),
         }
     }
 }
 
-/// One figure over all sizes.
+/// Fits of one figure over all sizes.
 #[derive(Clone, Debug)]
 pub struct Fit {
     pub figure: String,
-    /// Balancers and what was measured.
+    /// Number of balancers and measured value.
     pub points: Vec<(f64, f64)>,
     pub line: Option<LinearFit>,
-    /// Of the number of balancers; none where something was not above nought.
+    /// Exponent of the power law; `None` if any value is not positive.
     pub exponent: Option<Estimate>,
 }
 
@@ -101,23 +103,23 @@
     }
 }
 
-/// The files of runs, read.
+/// Reads the JSON reports of runs.
 pub fn read_reports(paths: &[impl AsRef<Path>]) -> Result<Vec<Value>, String> {
-    let one = |path: &Path| {
+    let read_one = |path: &Path| {
         let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
         serde_json::from_str(&text).map_err(|e| format!("{}: {e}", path.display()))
     };
-    paths.iter().map(|path| one(path.as_ref())).collect()
+    paths.iter().map(|path| read_one(path.as_ref())).collect()
 }
 
 fn size(run: &Value) -> Option<f64> {
     Some(run.get("hollow")?.as_f64()? + run.get("real")?.as_f64()?)
 }
 
-/// Every figure that was measured at enough sizes.
+/// Fits every figure that was measured at enough sizes.
 pub fn fit_all(runs: &[Value]) -> Result<Vec<Fit>, String> {
     let sizes: Option<Vec<f64>> = runs.iter().map(size).collect();
-    let sizes = sizes.ok_or("a file says neither hollow nor real: it is of no scale run")?;
+    let sizes = sizes.ok_or("a file has no fields hollow and real: not a report of a scale run")?;
     let different: BTreeSet<u64> = sizes.iter().map(|n| *n as u64).collect();
     if different.len() < MIN_SIZES {
         return Err(format!("{} sizes, {MIN_SIZES} are needed", different.len()));
@@ -136,8 +138,8 @@
     }
     let mut all = Vec::new();
     for name in names {
-        let of = |run: &Value| lookup(run, &name);
-        let points = runs.iter().zip(&sizes).filter_map(|(run, size)| Some((*size, of(run)?)));
+        let value = |run: &Value| lookup(run, &name);
+        let points = runs.iter().zip(&sizes).filter_map(|(run, size)| Some((*size, value(run)?)));
         let points: Vec<(f64, f64)> = points.collect();
         let sizes_with_value: BTreeSet<u64> = points.iter().map(|p| p.0 as u64).collect();
         if sizes_with_value.len() >= MIN_SIZES {
@@ -147,27 +149,30 @@
     Ok(all)
 }
 
-/// What stands there, by keys; of a list the entry of that kind.
+/// Looks up a value by a dotted path; in a list a key selects the entry of that kind.
 fn lookup(run: &Value, name: &str) -> Option<f64> {
     let mut at = run;
     for key in name.split('.') {
         at = match at {
             Value::Array(list) => list.iter().find(|one| one.get("kind").is_some_and(|kind| kind == key))?,
-            one => one.get(key)?,
+            item => item.get(key)?,
         };
     }
     at.as_f64()
 }
 
-/// A table in Markdown, and below it what grows too fast, by name. `at` is a number of balancers to work all out for.
+/// A Markdown table, followed by the figures that grow too fast. `at` adds predictions for this number
+/// of balancers.
 pub fn table(fits: &[Fit], at: Option<f64>) -> Result<String, String> {
     let largest = fits.iter().flat_map(|fit| &fit.points).map(|p| p.0).fold(0.0, f64::max);
     if let Some(at) = at.filter(|at| !(*at > 0.0 && *at <= largest * MAX_EXTRAPOLATION)) {
-        return Err(format!("--at {at}: {largest} were measured, four times as many may be worked out"));
+        return Err(format!(
+            "--at {at}: {largest} were measured, at most four times as many can be predicted"
+        ));
     }
-    let extra_column = |at: f64| format!(" at {at}, worked out |");
+    let extra_column = |at: f64| format!(" at {at}, predicted |");
     let mut out = format!(
-        "| figure | measured, by balancers | for each 100 more (95%) | power (95%) |{}\n| --- | --- | --- | --- |{}\n",
+        "| figure | measured, by balancers | per 100 more (95%) | power (95%) |{}\n| --- | --- | --- | --- |{}\n",
         at.map_or(String::new(), extra_column),
         at.map_or("", |_| " --- |")
     );
@@ -201,7 +206,7 @@
     what.map_or("-".to_owned(), |w| format!("{} ± {}", three_digits(w.value), three_digits(w.half_width)))
 }
 
-/// Three digits that count, or all before the point.
+/// Formats to three significant digits, or all digits before the decimal point.
 fn three_digits(value: f64) -> String {
     let digits = if value == 0.0 { 0 } else { (2 - value.abs().log10().floor() as i32).max(0) as usize };
     format!("{value:.digits$}")
--- a/crates/fernroute-testbed/src/scale/fleet.rs
+++ b/crates/fernroute-testbed/src/scale/fleet.rs
@@ -1,4 +1,4 @@
-//! The processes of a run, the links between them, and what each second of them costs.
+//! The processes of a scale run, the links between them, and their costs per second.
 
 use super::figures::{Cost, CpuTimes, Sample};
 use super::hollow::{OPS_PREFIX, READY_PREFIX as HOLLOW_READY_PREFIX};
@@ -22,15 +22,14 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-/// Far longer than a start takes, on a busy machine too.
+/// Well above a normal start, also on a busy machine.
 const START_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// How often it is looked at what happens.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// Where the members of one zone and kind reach the stewards.
+/// Links from the members of one zone and kind to the coordinators.
 type MemberLinks = BTreeMap<(String, bool), Vec<Rc<Link>>>;
 
 pub struct Fleet {
@@ -48,13 +47,13 @@
     pub coordinators: RefCell<Vec<Process>>,
     pub coordinator_links: BTreeMap<(usize, usize), Rc<Link>>,
     pub member_links: MemberLinks,
-    /// As the layout has them.
+    /// In the order of the layout.
     pub hollow: RefCell<Vec<Process>>,
-    /// By their places in the layout.
+    /// By position in the layout.
     pub real: RefCell<BTreeMap<usize, Process>>,
-    /// Where operators are answered, by members' names.
+    /// Operations servers, by member name.
     pub ops_addresses: RefCell<BTreeMap<String, SocketAddr>>,
-    /// What operators asked and were answered, by kind.
+    /// Traffic of metrics requests, hollow and real.
     metrics_traffic: Cell<[Counted; 2]>,
 }
 
@@ -62,7 +61,7 @@
     move |e| format!("{}: {e}", at.display())
 }
 
-/// A program of the run: this crate's own, in one of its roles.
+/// Launches this crate's binary in one of its roles.
 fn launch(program: &Path, role: &str, option: &str, at: &Path, folder: &Path) -> Result<Process, String> {
     let mut command = Command::new(program);
     command.args([role, option]).arg(at).env("TMPDIR", folder);
@@ -74,10 +73,10 @@
     program: &Path,
     folder: &Path,
     name: &str,
-    page: &StandInConfig,
+    file: &StandInConfig,
 ) -> Result<(Process, SocketAddr, BTreeMap<String, SocketAddr>), String> {
     let at = folder.join(format!("{name}.json"));
-    fs::write(&at, serde_json::to_string(page).map_err(|e| e.to_string())?).map_err(io_error(&at))?;
+    fs::write(&at, serde_json::to_string(file).map_err(|e| e.to_string())?).map_err(io_error(&at))?;
     let process = launch(program, "scale-stand", "--config", &at, folder)?;
     let address = process.address_after(READY_PREFIX, START_TIMEOUT).await?;
     let out = at.with_extension("out");
@@ -85,7 +84,7 @@
     Ok((process, address, serde_json::from_str(&text).map_err(|e| e.to_string())?))
 }
 
-/// Asks one of the stand-ins.
+/// Sends a request to a stand-in process.
 pub async fn request<A: DeserializeOwned>(at: SocketAddr, path: &str) -> Result<A, String> {
     let response = async {
         let mut peer = Peer::new(TcpStream::connect(at).await?);
@@ -98,7 +97,8 @@
 }
 
 impl Fleet {
-    /// Starts all of it, and returns once all are in the ledger; `folder` is there and empty.
+    /// Starts all processes and returns once all balancers are in the ledger. `folder` exists and is
+    /// empty.
     pub async fn start(layout: Layout, program: &Path, folder: &Path) -> Result<Rc<Self>, String> {
         let of_real: BTreeSet<usize> = layout.members.iter().filter(|m| m.real).map(|m| m.service).collect();
         let ids: BTreeSet<String> = of_real
@@ -106,13 +106,13 @@
             .flat_map(|service| layout.callable_upstreams(*service))
             .map(|(id, _)| id)
             .collect();
-        let page = StandInConfig::Upstreams {
+        let file = StandInConfig::Upstreams {
             ids: ids.into_iter().collect(),
             whole: layout.plan.whole,
             beside: 4 * layout.members.len().min(4 * layout.real_count()),
         };
         let (upstreams, upstreams_control, upstream_addresses) =
-            start_stand_in(program, folder, "upstreams", &page).await?;
+            start_stand_in(program, folder, "upstreams", &file).await?;
         let mut lists: BTreeMap<String, UpstreamList> = BTreeMap::new();
         for m in &layout.members {
             let list = lists.entry(layout.services[m.service].name.clone()).or_insert_with(|| {
@@ -126,9 +126,9 @@
                 list.kinds.push(kind(m.real).to_owned());
             }
         }
-        let page = StandInConfig::Discovery { lists, places: upstream_addresses.clone() };
+        let file = StandInConfig::Discovery { lists, places: upstream_addresses.clone() };
         let (discovery, discovery_control, lists) =
-            start_stand_in(program, folder, "discovery", &page).await?;
+            start_stand_in(program, folder, "discovery", &file).await?;
         let coordinator_addresses = addresses(layout.plan.coordinators.len()).map_err(|e| e.to_string())?;
         let mut coordinator_links = BTreeMap::new();
         for n in 0..coordinator_addresses.len() {
@@ -192,8 +192,8 @@
                 return Ok(Rc::new(fleet));
             }
             if from.elapsed() > START_TIMEOUT {
-                let (there, all) = (status.members.len(), fleet.layout.members.len());
-                return Err(format!("{there} of {all} balancers are in the ledger"));
+                let (joined, all) = (status.members.len(), fleet.layout.members.len());
+                return Err(format!("only {joined} of {all} balancers joined the ledger"));
             }
             sleep(POLL_INTERVAL).await;
         }
@@ -201,16 +201,16 @@
 
     fn write_file(&self, folder: &Path, name: &str, text: &str) -> Result<PathBuf, String> {
         fs::create_dir_all(folder).map_err(io_error(folder))?;
-        let page = folder.join(format!("{name}.toml"));
-        fs::write(&page, text).map_err(io_error(&page))?;
-        Ok(page)
+        let file = folder.join(format!("{name}.toml"));
+        fs::write(&file, text).map_err(io_error(&file))?;
+        Ok(file)
     }
 
     pub fn coordinator_folder(&self, n: usize) -> PathBuf {
         self.folder.join(format!("disk{n}"))
     }
 
-    /// The file of a steward, and of whoever changes which there are.
+    /// Writes the file of a coordinator, also used by the membership command.
     pub fn coordinator_file(&self, n: usize) -> Result<PathBuf, String> {
         let of = |(m, at): (usize, &SocketAddr)| {
             self.coordinator_links.get(&(n, m)).map_or(*at, |link| link.address)
@@ -240,8 +240,8 @@
     }
 
     pub fn launch_real(&self, n: usize) -> Result<Process, String> {
-        let page = self.write_file(&self.folder, &self.layout.members[n].name, &self.balancer_file(n))?;
-        launch(&self.program, "balancer", "--config", &page, &self.folder)
+        let file = self.write_file(&self.folder, &self.layout.members[n].name, &self.balancer_file(n))?;
+        launch(&self.program, "balancer", "--config", &file, &self.folder)
     }
 
     /// Waits until all balancers of these processes serve.
@@ -262,7 +262,7 @@
                     break;
                 }
                 if ended || from.elapsed() > START_TIMEOUT {
-                    return Err(format!("hollow balancers do not serve: {}", log.join("; ")));
+                    return Err(format!("hollow balancers did not start: {}", log.join("; ")));
                 }
                 sleep(POLL_INTERVAL).await;
             }
@@ -270,7 +270,7 @@
         Ok(())
     }
 
-    /// Waits until all real balancers serve; where, by their order.
+    /// Waits until all real balancers serve and returns their addresses in order.
     pub async fn wait_for_real(&self) -> Result<Vec<SocketAddr>, String> {
         let from = Instant::now();
         let mut serve = Vec::new();
@@ -289,7 +289,7 @@
                     match response(process, "serving on ") {
                         Some(at) => serve.push(at),
                         None if !process.is_running() || from.elapsed() > START_TIMEOUT => {
-                            return Err(format!("{name} does not serve: {}", process.log().join("; ")));
+                            return Err(format!("{name} did not start: {}", process.log().join("; ")));
                         }
                         None => break,
                     }
@@ -303,14 +303,14 @@
         }
     }
 
-    /// An upstream that the first real balancer chooses, too.
+    /// An upstream that the first real balancer uses, too.
     pub fn direct(&self) -> Option<SocketAddr> {
         let first = self.layout.members.iter().find(|m| m.real)?;
         let list_traffic = self.layout.callable_upstreams(first.service);
         list_traffic.iter().find_map(|(id, _)| self.upstream_addresses.get(id).copied())
     }
 
-    /// Who leads by its own word, and that word; an error where none does for long.
+    /// The leader and its status; an error if there is none within the time-out.
     pub async fn leader(&self) -> Result<(usize, Status), String> {
         let from = Instant::now();
         loop {
@@ -319,32 +319,32 @@
                 if !running {
                     continue;
                 }
-                let told = timeout(2 * SECOND, status(self.coordinator_addresses[n])).await;
-                if let Some(status) = told.ok().flatten().filter(|status| status.state == "leader") {
+                let reply = timeout(2 * SECOND, status(self.coordinator_addresses[n])).await;
+                if let Some(status) = reply.ok().flatten().filter(|status| status.state == "leader") {
                     return Ok((n, status));
                 }
             }
             if from.elapsed() > START_TIMEOUT {
-                return Err("no steward leads".to_owned());
+                return Err("no coordinator became leader".to_owned());
             }
             sleep(POLL_INTERVAL / 5).await;
         }
     }
 
-    pub async fn ran(&self) -> Result<ExecutionCounts, String> {
+    pub async fn execution_counts(&self) -> Result<ExecutionCounts, String> {
         request(self.upstreams_control, "/").await
     }
 
-    /// The list that the first real balancer watches is told anew.
+    /// Has discovery publish a changed list to the watchers of the first real balancer's list.
     pub async fn republish_list(&self) -> Result<(), String> {
         let Some(first) = self.layout.members.iter().find(|m| m.real) else { return Ok(()) };
         let name = &self.layout.services[first.service].name;
-        // It says nothing.
+        // The answer has no body.
         let _ = request::<serde_json::Value>(self.discovery_control, &format!("/tell/{name}")).await;
         Ok(())
     }
 
-    /// What went over the links to each steward so far, by members alone.
+    /// Traffic from members to each coordinator so far.
     pub fn member_traffic(&self) -> Vec<Counted> {
         let sum =
             |n: usize| self.member_links.values().fold(Counted::default(), |sum, to| sum + to[n].counted());
@@ -353,8 +353,8 @@
 
     fn kind_traffic(&self, real: bool) -> Counted {
         let member_links = self.member_links.iter().filter(|((_, kind), _)| *kind == real);
-        let asked = self.metrics_traffic.get()[usize::from(real)];
-        member_links.flat_map(|(_, links)| links).fold(asked, |sum, link| sum + link.counted())
+        let traffic_by_kind = self.metrics_traffic.get()[usize::from(real)];
+        member_links.flat_map(|(_, links)| links).fold(traffic_by_kind, |sum, link| sum + link.counted())
     }
 
     fn coordinator_traffic(&self, n: usize) -> Counted {
@@ -363,7 +363,8 @@
         coordinator_links.fold(self.member_traffic()[n], |sum, (_, link)| sum + link.counted())
     }
 
-    /// Memory of all processes of a role together, in kB: hollow ones, real ones, a steward each, discovery's stand-in.
+    /// Memory in kB: hollow processes together, real balancers together, each coordinator, and the
+    /// discovery stand-in.
     pub fn memory_kb(&self) -> (u64, u64, Vec<u64>, u64) {
         let hollow = self.hollow.borrow().iter().map(Process::memory_kb).sum();
         let real = self.real.borrow().values().map(Process::memory_kb).sum();
@@ -371,44 +372,44 @@
         (hollow, real, coordinators, self.discovery.memory_kb())
     }
 
-    /// Guards against figures of a run whose stand-ins have ended.
+    /// Figures of a run whose stand-ins have ended are invalid.
     pub fn stand_ins_running(&self) -> bool {
         self.upstreams.is_running() && self.discovery.is_running()
     }
 }
 
-/// Asks each balancer for its figures in turn, as operators' tools do, for as long as it runs.
+/// Polls each balancer's metrics in turn, as monitoring does, for as long as it runs.
 pub async fn poll_metrics(fleet: Rc<Fleet>) {
     let every = Duration::from_secs_f64(fleet.layout.plan.operators_s / fleet.layout.members.len() as f64);
     for m in fleet.layout.members.iter().cycle() {
         sleep(every).await;
         let address = fleet.ops_addresses.borrow().get(&m.name).copied();
         let Some(at) = address else { continue };
-        let asked = format!("GET /-/metrics HTTP/1.1\r\nHost: {}\r\n\r\n", m.name);
+        let request = format!("GET /-/metrics HTTP/1.1\r\nHost: {}\r\n\r\n", m.name);
         let response = async {
             let mut peer = Peer::new(TcpStream::connect(at).await?);
-            peer.write(asked.as_bytes()).await?;
+            peer.write(request.as_bytes()).await?;
             peer.read().await
         };
-        // One that is killed or stands still answers none.
+        // A killed or stopped balancer does not answer.
         let Ok(Ok(Some(response))) = timeout(SECOND, response).await else { continue };
         let mut all = fleet.metrics_traffic.get();
-        let bytes = (asked.len() + response.head.len() + response.body.len()) as u64;
+        let bytes = (request.len() + response.head.len() + response.body.len()) as u64;
         all[usize::from(m.real)] += Counted { bytes, messages: 2 };
         fleet.metrics_traffic.set(all);
     }
 }
 
-/// Looks once a second for as long as it runs; each second goes to `seconds`.
-pub async fn sample_costs(fleet: Rc<Fleet>, seconds: Rc<RefCell<Vec<Sample>>>) {
+/// Samples the costs once a second for as long as it runs.
+pub async fn sample_costs(fleet: Rc<Fleet>, samples: Rc<RefCell<Vec<Sample>>>) {
     let mut cpu_times = CpuTimes::default();
     let mut before: Option<(Instant, Vec<Counted>)> = None;
     let mut next = Instant::now();
     loop {
-        let asked: TrafficByKind = request(fleet.discovery_control, "/").await.unwrap_or_default();
+        let traffic_by_kind: TrafficByKind = request(fleet.discovery_control, "/").await.unwrap_or_default();
         let now = Instant::now();
         let list_traffic = |kind: &str| {
-            let (bytes, messages) = asked.get(kind).copied().unwrap_or_default();
+            let (bytes, messages) = traffic_by_kind.get(kind).copied().unwrap_or_default();
             Counted { bytes, messages }
         };
         let (hollow, real) = (list_traffic(kind(false)), list_traffic(kind(true)));
@@ -429,7 +430,7 @@
             let coordinators: Vec<Cost> = (3..counted.len()).map(cost).collect();
             let leader =
                 (0..coordinators.len()).max_by_key(|n| coordinators[*n].counted.messages).unwrap_or(0);
-            seconds.borrow_mut().push(Sample {
+            samples.borrow_mut().push(Sample {
                 seconds: (now - at).as_secs_f64(),
                 hollow: cost(0),
                 real: cost(1),
--- a/crates/fernroute-testbed/src/scale/hollow.rs
+++ b/crates/fernroute-testbed/src/scale/hollow.rs
@@ -1,21 +1,21 @@
-//! Hollow balancers: the program as it is, started many times on one thread, and asked for no RPC.
+//! Hollow balancers: the real program, started many times on one thread and without RPCs.
 //!
-//! Each is `serve::start_or_take_over` of a file of its own: the same member of the fleet, the same watch of the list, the same configuration,
-//! the same door for operators, over the same sockets as in a process of its own. What is missing are the signals that a
-//! process is told by.
+//! Each runs `serve::start_or_take_over` with a file of its own: the same fleet member, list watch,
+//! configuration and operations server, over the same sockets as in a process of its own. Only signal
+//! handling is missing.
 
 use fernroute_server::program::instance::InstanceConfig;
 use fernroute_server::program::log;
 use fernroute_server::program::serve::start_or_take_over;
 use std::path::{Path, PathBuf};
 
-/// What a process says once all of its balancers serve.
+/// Log prefix once all balancers of the process serve.
 pub const READY_PREFIX: &str = "hollow balancers serve: ";
 
-/// What it says of each, as `NAME ADDRESS`: where operators are answered.
-pub const OPS_PREFIX: &str = "hollow door: ";
+/// Log prefix before `NAME ADDRESS` of each balancer's operations server.
+pub const OPS_PREFIX: &str = "hollow balancer operations server: ";
 
-/// Serves until it is killed; the folder holds the balancers' files, all `*.toml` in it.
+/// Starts a balancer for each `*.toml` in the folder and serves until killed.
 pub fn run(folder: &Path) -> Result<(), String> {
     let io_error = |e: std::io::Error| format!("{}: {e}", folder.display());
     let mut files: Vec<PathBuf> = Vec::new();
--- a/crates/fernroute-testbed/src/scale/layout.rs
+++ b/crates/fernroute-testbed/src/scale/layout.rs
@@ -1,17 +1,17 @@
-//! Who is there: services, their balancers and upstreams, where each stands, and the files that they are told by.
+//! Layout of a scale run: services, their balancers and upstreams, zones, and configuration files.
 
 use super::file::Plan;
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 use std::net::SocketAddr;
 
-/// How many processes a run may have, all told.
+/// Most processes of a run.
 pub const MAX_PROCESSES: usize = 1_024;
 
-/// What a run may take of the machine's memory, at the most.
+/// Largest share of the machine's memory that a run may use.
 pub const MAX_MEMORY_SHARE: f64 = 0.5;
 
-/// What is reckoned for each before the start, in kB: more than was ever measured.
+/// Memory estimates in kB for the check before the start, above any measured value.
 const ESTIMATED_PROCESS_KB: u64 = 24_000;
 const ESTIMATED_HOLLOW_KB: u64 = 2_000;
 const ESTIMATED_COORDINATOR_KB: u64 = 200_000;
@@ -23,7 +23,7 @@
 pub struct Service {
     pub name: String,
     pub size: usize,
-    /// Places of those whose upstreams its balancers choose among.
+    /// Indices of the services whose upstreams its balancers use.
     pub calls: Vec<usize>,
 }
 
@@ -37,18 +37,19 @@
     pub real: bool,
 }
 
-/// A plan worked out.
+/// A plan with its services and members.
 #[derive(Clone, Debug)]
 pub struct Layout {
     pub plan: Plan,
     pub zones: Vec<String>,
     pub services: Vec<Service>,
     pub members: Vec<Member>,
-    /// Members of each hollow process, by their places: of one zone each, so that a zone can be lost.
+    /// Indices of the members of each hollow process. All members of a process are in one zone, so that
+    /// a zone can be lost.
     pub hollow: Vec<Vec<usize>>,
 }
 
-/// Which of the two, where both are counted apart.
+/// Name of the kind where real and hollow balancers are counted separately.
 pub fn kind(real: bool) -> &'static str {
     if real {
         "real"
@@ -83,7 +84,7 @@
             for number in 0..s.size {
                 let at = members.len();
                 let zone = zones[at % zones.len()].clone();
-                // Spread over all: one more wherever another whole one is due.
+                // Spreads the real balancers evenly over all members.
                 let real = (at + 1) * plan.real / all > at * plan.real / all;
                 members.push(Member { name: format!("{}.{number}", s.name), service, number, zone, real });
             }
@@ -102,12 +103,12 @@
         self.members.iter().filter(|m| m.real).count()
     }
 
-    /// Stewards, balancers, and stand-ins for discovery and upstreams.
+    /// Coordinators, balancers, and the stand-ins for discovery and upstreams.
     pub fn process_count(&self) -> usize {
         self.hollow.len() + self.real_count() + self.plan.coordinators.len() + 2
     }
 
-    /// What all of it may take, reckoned high.
+    /// Estimated memory of the run, an upper bound.
     pub fn estimated_memory_kb(&self) -> u64 {
         let hollow = self.members.len() - self.real_count();
         self.process_count() as u64 * ESTIMATED_PROCESS_KB
@@ -115,33 +116,33 @@
             + self.plan.coordinators.len() as u64 * ESTIMATED_COORDINATOR_KB
     }
 
-    /// Why this machine is not to run it, if it is not: said before anything is started.
+    /// The reason why this machine may not run it, if any. Checked before anything is started.
     pub fn rejection_reason(&self, memory_kb: u64) -> Option<String> {
         let processes = self.process_count();
         if processes > MAX_PROCESSES {
             return Some(format!(
-                "per_process: {processes} processes would run, {MAX_PROCESSES} at the most may"
+                "per_process: {processes} processes needed, {MAX_PROCESSES} at the most are allowed"
             ));
         }
         let (needed_mb, allowed_mb) =
             (self.estimated_memory_kb() / 1000, (memory_kb as f64 * MAX_MEMORY_SHARE) as u64 / 1000);
-        (needed_mb > allowed_mb).then(|| {
-            format!("some {needed_mb} MB would be used, half of this machine's memory is {allowed_mb} MB")
-        })
+        (needed_mb > allowed_mb)
+            .then(|| format!("about {needed_mb} MB needed, half of this machine's memory is {allowed_mb} MB"))
     }
 
-    /// Whose upstreams the balancers of this service choose among, as `(id, zone)`.
+    /// The upstreams that the balancers of this service use, as `(id, zone)`.
     pub fn callable_upstreams(&self, service: usize) -> Vec<(String, &str)> {
         let called = &self.services[service].calls;
         let members = self.members.iter().filter(|m| called.contains(&m.service));
         members.map(|m| (format!("u-{}", m.name), m.zone.as_str())).collect()
     }
 
-    /// A balancer's file. `discovery` and `stewards` are where it is to go.
+    /// A balancer's configuration file. `discovery` and `coordinators` are the addresses it connects to.
     pub fn balancer_file(&self, at: usize, discovery: SocketAddr, coordinators: &[SocketAddr]) -> String {
         let (m, s) = (&self.members[at], &self.services[self.members[at].service]);
         let coordinators: Vec<String> = coordinators.iter().map(|at| format!("\"{at}\"")).collect();
-        // Operators' port is the machine's choice, too; a file that names one address twice is refused.
+        // The operations server also gets a free port. It has another IP since a file that names one
+        // address twice is rejected.
         let mut text = format!(
             "name = \"{}\"\nlisten = \"127.0.0.1:0\"\nops = \"127.0.0.2:0\"\ndiscovery = \"{discovery}\"\n\
              [place]\ninstances = {}\nnumber = {}\nzone = \"{}\"\n[load]\nrefuse_over_share = true\n\
@@ -163,9 +164,10 @@
         text
     }
 
-    /// A steward's file; `list` is where it reaches each.
+    /// A coordinator's configuration file. `list` has the address of each coordinator as seen from this
+    /// one.
     pub fn coordinator_file(&self, at: usize, folder: &str, list: &[SocketAddr]) -> String {
-        // As many as there are, and room for those that come again before their time is over.
+        // Capacity for all members, and for those that restart before their old entries expire.
         let mut text = format!(
             "cluster = \"{CLUSTER}\"\nname = \"s{at}\"\nfolder = \"{folder}\"\nmembers = {}\nshares_ms = {}\nfloors_s = 15\nbeat_ms = {}\n",
             self.members.len() + self.members.len() / 8 + 1,
--- a/crates/fernroute-testbed/src/scale/limit.rs
+++ b/crates/fernroute-testbed/src/scale/limit.rs
@@ -1,24 +1,24 @@
-//! Whether all balancers together ran no more of a tenant than its whole, as upstreams see it.
+//! Checks at the upstreams that all balancers together keep each tenant's limit.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A part of a second.
+/// Resolution of the counts.
 const SLOT: Duration = Duration::from_millis(50);
 const SLOTS_PER_SECOND: usize = 20;
 
-/// Windows of one second and of ten.
+/// Window lengths in seconds.
 const WINDOWS_S: [usize; 2] = [1, 10];
 
-/// What may be saved up, in seconds of the whole.
+/// Tokens that may be saved up, in seconds of the limit.
 const BURST_S: usize = 2;
 
 #[derive(Clone, Debug, Default)]
 pub struct LimitChecker {
     limit: f64,
-    /// Some that may run beside it: each balancer may have begun a few.
+    /// Extra RPCs: each balancer may have started a few.
     allowance: usize,
-    /// How many ran in each part of a second since the start. One number for each part for as long as a run lasts.
+    /// Executions in each slot since the start. Grows for as long as a run lasts.
     executed: BTreeMap<String, Vec<u32>>,
 }
 
@@ -39,7 +39,7 @@
         slots[slot] += 1;
     }
 
-    /// Seconds in which a window began that held more than may be.
+    /// Number of seconds in which a window over its limit ended.
     pub fn violations(&self) -> u64 {
         let exceeded = |slots: &Vec<u32>| {
             let mut seconds = std::collections::BTreeSet::new();
--- a/crates/fernroute-testbed/src/scale/load.rs
+++ b/crates/fernroute-testbed/src/scale/load.rs
@@ -1,5 +1,5 @@
-//! Open-loop load: each RPC has a time at which it is due, and is timed from there, however late it leaves or is answered. One
-//! thread says when, another does it.
+//! Open-loop load: each RPC has a due time and its latency counts from there, however late it is sent or
+//! answered. One thread schedules, another sends.
 
 use super::layout::TENANT;
 use fernroute_test_support::http::Peer;
@@ -19,20 +19,20 @@
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::timeout;
 
-/// What is asked meanwhile: each RPC is noted under what was on as it was due.
+/// Phase of a run; an RPC counts for the phase in which it was due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// Nothing is noted.
+    /// Nothing is recorded.
     Idle,
     Mean,
     Times,
-    UpstreamList,
+    List,
     Division,
     Change,
 }
 
 const PHASES: [Phase; 6] =
-    [Phase::Idle, Phase::Mean, Phase::Times, Phase::UpstreamList, Phase::Division, Phase::Change];
+    [Phase::Idle, Phase::Mean, Phase::Times, Phase::List, Phase::Division, Phase::Change];
 
 impl Phase {
     pub fn name(self) -> &'static str {
@@ -40,65 +40,67 @@
             Phase::Idle => "idle",
             Phase::Mean => "mean",
             Phase::Times => "times",
-            Phase::UpstreamList => "list",
+            Phase::List => "list",
             Phase::Division => "division",
             Phase::Change => "change",
         }
     }
 }
 
-/// Sent so long after it was due, an RPC was sent late; one in a hundred may be.
+/// An RPC sent this long after it was due is late.
 const LATE_THRESHOLD: Duration = Duration::from_millis(10);
 const MAX_LATE_SHARE: f64 = 0.01;
 
-/// Connections to one address, at the most: fewer than a balancer has places for callers. An RPC beyond that waits for one, and its
-/// time runs on. Guards against a load that held up and then sent all at once, whose connections are closed for want of places.
+/// Most connections to one address, below the balancer's limit on caller connections. RPCs beyond it
+/// wait, and their time runs on. Guards against a stalled load that then sends everything at once and
+/// has connections closed for lack of capacity.
 const MAX_CONNECTIONS: usize = 256;
 
 /// Longer than any deadline of these RPCs.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// Where a balancer serves, while it does, and how often it has begun to.
+/// Address of a balancer while it serves, and the number of its starts.
 #[derive(Clone, Copy, Debug, Default)]
 struct Target {
-    at: Option<SocketAddr>,
+    address: Option<SocketAddr>,
     generation: u64,
 }
 
-/// Times in microseconds.
+/// Latencies in microseconds.
 pub type Times = Histogram<u64>;
 
 #[derive(Debug, Default)]
 pub struct LoadStats {
-    /// By phase, through a balancer and directly.
+    /// By phase, and whether through a balancer (`true`) or directly.
     pub times: BTreeMap<(Phase, bool), Times>,
     pub sent: u64,
     pub late: u64,
-    pub latest: Duration,
+    pub max_delay: Duration,
     pub refused: u64,
-    /// Kept connections that ended as an RPC was written to them: it was sent once more, on a new one.
+    /// Idle connections that ended as an RPC was written to them; the RPC was sent again on a new
+    /// connection.
     pub crossed: u64,
-    /// What got no whole answer from a balancer that ran all the while.
+    /// RPCs without a complete answer from a balancer that ran all the while.
     pub lost: u64,
     pub loss_reasons: Vec<String>,
 }
 
 impl LoadStats {
-    /// Why the machine did not keep the load, if it did not.
+    /// The reason why the load was not sustained, if it was not.
     pub fn overload_reason(&self) -> Option<String> {
         let share = self.late as f64 / (self.sent as f64).max(1.0);
         (share > MAX_LATE_SHARE).then(|| {
-            let (late, sent, latest) = (self.late, self.sent, self.latest.as_millis());
-            format!("the load was not kept: {late} of {sent} RPCs were sent late, by up to {latest} ms")
+            let (late, sent, max_delay) = (self.late, self.sent, self.max_delay.as_millis());
+            format!("load not sustained: {late} of {sent} RPCs were sent late, by up to {max_delay} ms")
         })
     }
 }
 
 struct Shared {
     phase: AtomicUsize,
-    /// Which balancer the tenants' RPCs go to.
+    /// Balancer that receives the tenants' RPCs.
     tenant_target: AtomicUsize,
-    stop: AtomicBool,
+    stopped: AtomicBool,
     targets: Mutex<Vec<Target>>,
     stats: Mutex<LoadStats>,
 }
@@ -107,14 +109,14 @@
     of.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// What is asked all the while.
+/// A stream of RPCs.
 #[derive(Clone, Debug)]
 struct Stream {
-    /// None is an upstream, directly.
+    /// `None` sends to an upstream directly.
     balancer: Option<usize>,
     tenant: Option<usize>,
     rate: f64,
-    /// In the phase of it.
+    /// Rate multiplier during [`Phase::Times`].
     times: f64,
 }
 
@@ -123,8 +125,8 @@
     threads: Vec<JoinHandle<()>>,
 }
 
-/// How much is asked: RPCs a second at each balancer and directly, how many times that the first balancer and the direct way
-/// get in the phase of it, and what each tenant asks for in all.
+/// Rates of the load: RPCs per second at each balancer and directly, the multiplier of the first
+/// balancer and of the direct stream in [`Phase::Times`], and the rate of each tenant.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadRates {
     pub each: f64,
@@ -135,11 +137,11 @@
 
 impl Load {
     pub fn start(direct: SocketAddr, balancers: &[SocketAddr], rates: LoadRates) -> Result<Self, String> {
-        let target = |at: &SocketAddr| Target { at: Some(*at), generation: 1 };
+        let target = |at: &SocketAddr| Target { address: Some(*at), generation: 1 };
         let shared = Arc::new(Shared {
             phase: AtomicUsize::new(0),
             tenant_target: AtomicUsize::new(0),
-            stop: AtomicBool::new(false),
+            stopped: AtomicBool::new(false),
             targets: Mutex::new(balancers.iter().map(target).collect()),
             stats: Mutex::default(),
         });
@@ -185,20 +187,20 @@
         self.shared.phase.store(phase as usize, Ordering::Relaxed);
     }
 
-    /// The tenants' RPCs go to the next balancer.
+    /// Sends the tenants' RPCs to the next balancer.
     pub fn rotate_tenant_target(&self) {
         self.shared.tenant_target.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Nothing is asked of it from here on, and what is open there may be lost with it.
+    /// Stops sending to a balancer; its open RPCs may be lost.
     pub fn remove_balancer(&self, balancer: usize) {
-        lock(&self.shared.targets)[balancer].at = None;
+        lock(&self.shared.targets)[balancer].address = None;
     }
 
-    /// It serves, anew or again.
+    /// Starts sending to a balancer that serves, after a start or a stop.
     pub fn add_balancer(&self, balancer: usize, at: SocketAddr) {
         let target = &mut lock(&self.shared.targets)[balancer];
-        *target = Target { at: Some(at), generation: target.generation + 1 };
+        *target = Target { address: Some(at), generation: target.generation + 1 };
     }
 
     pub fn with_stats<T>(&self, look: impl FnOnce(&LoadStats) -> T) -> T {
@@ -208,14 +210,14 @@
 
 impl Drop for Load {
     fn drop(&mut self) {
-        self.shared.stop.store(true, Ordering::Relaxed);
+        self.shared.stopped.store(true, Ordering::Relaxed);
         for thread in self.threads.drain(..) {
             let _ = thread.join();
         }
     }
 }
 
-/// Says when each RPC is due; the times between two are drawn, as those of many callers are.
+/// Schedules RPCs with exponential intervals, as from many independent callers.
 fn pace(shared: &Shared, streams: &[Stream], schedule: &UnboundedSender<(usize, Instant, Phase)>) {
     use rand::{RngExt as _, SeedableRng as _};
     let mut rng = rand_chacha::ChaCha8Rng::seed_from_u64(1);
@@ -233,7 +235,7 @@
             std::thread::sleep(left);
         }
         let phase = PHASES[shared.phase.load(Ordering::Relaxed)];
-        if shared.stop.load(Ordering::Relaxed) || schedule.send((stream, at, phase)).is_err() {
+        if shared.stopped.load(Ordering::Relaxed) || schedule.send((stream, at, phase)).is_err() {
             return;
         }
         due.push(Reverse((at + wait(&streams[stream], phase), stream)));
@@ -244,9 +246,9 @@
     shared: Arc<Shared>,
     direct: SocketAddr,
     streams: Vec<Stream>,
-    /// Connections that stand idle, by where they go. Emptied as they end.
+    /// Idle connections by address. Removed as they end.
     idle: RefCell<BTreeMap<SocketAddr, Vec<Peer>>>,
-    /// Room for connections, by where they go: as many as there were balancers, and as often as these began.
+    /// Connection limits by address: at most one entry for each start of a balancer.
     connection_limits: RefCell<BTreeMap<SocketAddr, Rc<Semaphore>>>,
 }
 
@@ -260,8 +262,8 @@
             (balancer, targets[balancer])
         });
         let at = match target {
-            Some((_, Target { at: Some(at), .. })) => at,
-            // It is not there now: its callers have gone elsewhere.
+            Some((_, Target { address: Some(at), .. })) => at,
+            // The balancer is down: its callers have moved elsewhere.
             Some(_) => return,
             None => self.direct,
         };
@@ -269,7 +271,7 @@
             let mut stats = lock(&self.shared.stats);
             stats.sent += 1;
             stats.late += u64::from(late > LATE_THRESHOLD);
-            stats.latest = stats.latest.max(late);
+            stats.max_delay = stats.max_delay.max(late);
         }
         let owner = stream.tenant.map(|n| (format!("{TENANT}{n}."), format!("Req-Owner: {TENANT}{n}\r\n")));
         let (id, owner) = owner.unwrap_or(("r".to_owned(), String::new()));
@@ -281,13 +283,13 @@
         let mut stats = lock(&self.shared.stats);
         match answered {
             Ok(200) => {
-                // Only the first one gets more in the one phase, and a new list in the other.
-                let of_first = matches!(phase, Phase::Times | Phase::UpstreamList);
-                let counts = !of_first || stream.balancer.is_none_or(|n| n == 0);
+                // Only the first balancer gets more load in one phase and a new list in the other.
+                let first_only = matches!(phase, Phase::Times | Phase::List);
+                let counts = !first_only || stream.balancer.is_none_or(|n| n == 0);
                 if phase != Phase::Idle && stream.tenant.is_none() && counts {
-                    let new = || Histogram::new(3).unwrap_or_else(|_| unreachable!("three digits will do"));
+                    let new = || Histogram::new(3).unwrap_or_else(|_| unreachable!("three digits are valid"));
                     let times = stats.times.entry((phase, target.is_some())).or_insert_with(new);
-                    // Grows by itself.
+                    // The histogram resizes automatically.
                     let _ = times.record(took.as_micros() as u64);
                 }
             }
@@ -295,7 +297,7 @@
             other => {
                 let Some((balancer, before)) = target else { return };
                 let now = lock(&self.shared.targets)[balancer];
-                if now.generation == before.generation && now.at.is_some() {
+                if now.generation == before.generation && now.address.is_some() {
                     stats.lost += 1;
                     if stats.loss_reasons.len() < 5 {
                         let after = took.as_millis();
@@ -306,12 +308,13 @@
         }
     }
 
-    /// The status of an answer. A kept connection that ends as it is written to is no loss: it is sent on a new one.
+    /// Sends a request and returns the status of the answer. If an idle connection ends as it is written
+    /// to, a new one is used, and this is no loss.
     async fn send(&self, at: SocketAddr, request: &[u8]) -> std::io::Result<u16> {
         let new = || Rc::new(Semaphore::new(MAX_CONNECTIONS));
-        let connection_limits = Rc::clone(self.connection_limits.borrow_mut().entry(at).or_insert_with(new));
-        // It is never closed.
-        let _place = connection_limits.acquire().await.map_err(std::io::Error::other)?;
+        let limit = Rc::clone(self.connection_limits.borrow_mut().entry(at).or_insert_with(new));
+        // The semaphore is never closed.
+        let _permit = limit.acquire().await.map_err(std::io::Error::other)?;
         let idle = self.idle.borrow_mut().get_mut(&at).and_then(Vec::pop);
         if let Some(peer) = idle {
             if let Ok(status) = self.exchange(at, peer, request).await {
--- a/crates/fernroute-testbed/src/scale/mod.rs
+++ b/crates/fernroute-testbed/src/scale/mod.rs
@@ -1,4 +1,5 @@
-//! Runs at the size of a whole installation: hollow balancers, real ones with load beside them, real stewards, faults.
+//! Scale runs, up to the size of a whole installation: hollow balancers, real balancers under load, real
+//! coordinators, and faults.
 
 pub mod changes;
 mod faults;
@@ -28,29 +29,29 @@
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::sleep;
 
-/// How long is looked at each of the shorter things, in parts of what is measured.
+/// Duration of each of the shorter phases, as a share of the measured time.
 const SHORT_PHASE_SHARE: f64 = 0.5;
 
-/// A plan that this machine may run, or why it will not do: said before anything is started.
+/// Reads and scales a plan. Fails before anything is started if this machine may not run it.
 pub fn prepare(file: &Path, factor: f64) -> Result<Layout, String> {
     if !(0.001..=100.0).contains(&factor) {
         return Err(format!("--factor: {factor} is not between 0.001 and 100"));
     }
     let layout = Layout::new(Plan::read(file)?.scaled_by(factor));
     match layout.rejection_reason(figures::machine_kb()?) {
-        Some(why) => Err(format!("{}: {why}", file.display())),
+        Some(reason) => Err(format!("{}: {reason}", file.display())),
         None => Ok(layout),
     }
 }
 
-/// Why there is no report, and the code to end with: 3 where it did not even start, 1 where it broke off.
+/// Why there is no report, with the exit code: 3 if the run did not start, 1 if it was aborted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RunError {
     pub exit_code: u8,
     pub reason: String,
 }
 
-/// Runs it; `program` has the roles of the laboratory's own, and `folder` holds nothing.
+/// Runs a layout. `program` is the testbed binary, and `folder` is empty.
 pub fn run(layout: Layout, factor: f64, program: &Path, folder: &Path) -> Result<Report, RunError> {
     let failed = |exit_code| move |reason| RunError { exit_code, reason };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
@@ -61,7 +62,7 @@
     })
 }
 
-/// Seconds that are looked at as they come.
+/// Cost samples, appended while the run goes on.
 type Samples = Rc<RefCell<Vec<Sample>>>;
 
 async fn measure(fleet: &Rc<Fleet>, factor: f64) -> Result<Report, String> {
@@ -73,48 +74,48 @@
         tenants: plan.budgets,
         per_tenant: plan.load.tenants * plan.whole,
     };
-    // Without a real balancer nothing is asked of anybody.
+    // Not used without a real balancer: then there is no load.
     let direct = fleet.direct().unwrap_or(fleet.coordinator_addresses[0]);
     let load = Load::start(direct, &balancers, rates)?;
     let samples = Samples::default();
     let sampling = spawn_local(fleet::sample_costs(Rc::clone(fleet), Rc::clone(&samples)));
     let polling = spawn_local(fleet::poll_metrics(Rc::clone(fleet)));
-    let part = |of: f64| Duration::from_secs_f64(of);
-    sleep(part(plan.settle_s)).await;
+    let seconds = |of: f64| Duration::from_secs_f64(of);
+    sleep(seconds(plan.settle_s)).await;
 
     load.set_phase(Phase::Mean);
     let first = samples.borrow().len();
-    sleep(part(plan.measure_s)).await;
+    sleep(seconds(plan.measure_s)).await;
     let last = samples.borrow().len();
     let memory = fleet.memory_kb();
-    let mut during: Vec<Phase> = Vec::new();
+    let mut phases: Vec<Phase> = Vec::new();
     if !balancers.is_empty() && plan.load.rate > 0.0 {
         if plan.load.times.is_some() {
             load.set_phase(Phase::Times);
-            sleep(part(plan.measure_s)).await;
-            during.push(Phase::Times);
+            sleep(seconds(plan.measure_s)).await;
+            phases.push(Phase::Times);
         }
-        load.set_phase(Phase::UpstreamList);
-        during.push(Phase::UpstreamList);
-        let pause = part(plan.measure_s * SHORT_PHASE_SHARE / 10.0);
+        load.set_phase(Phase::List);
+        phases.push(Phase::List);
+        let pause = seconds(plan.measure_s * SHORT_PHASE_SHARE / 10.0);
         for _ in 0..10 {
             fleet.republish_list().await?;
             sleep(pause).await;
         }
         if plan.load.tenants > 0.0 {
             load.set_phase(Phase::Division);
-            during.push(Phase::Division);
+            phases.push(Phase::Division);
             for _ in 0..10 {
                 load.rotate_tenant_target();
                 sleep(pause).await;
             }
         }
     }
-    let mut changed = ChangeStats::default();
+    let mut changes_made = ChangeStats::default();
     if let Some(changes) = &plan.changes {
         load.set_phase(Phase::Change);
-        during.extend((!balancers.is_empty()).then_some(Phase::Change));
-        changed = changes::make_changes(fleet, changes.count, part(changes.every_s)).await?;
+        phases.extend((!balancers.is_empty()).then_some(Phase::Change));
+        changes_made = changes::make_changes(fleet, changes.count, seconds(changes.every_s)).await?;
     }
     load.set_phase(Phase::Idle);
 
@@ -126,23 +127,24 @@
             messages += s.coordinators[s.leader].counted.messages;
             time += s.seconds;
         }
-        // What stewards say to each other is some hundred messages a second at the most: taken off as counted.
+        // Traffic between coordinators is at most some hundred messages per second; subtract it as
+        // counted.
         let coordinator_links: u64 =
             fleet.coordinator_links.values().map(|link| link.counted().messages).sum();
-        let whole: f64 = samples.iter().map(|s| s.seconds).sum::<f64>().max(1.0);
-        let all = messages as f64 / time.max(1.0) - coordinator_links as f64 / whole;
+        let total_s: f64 = samples.iter().map(|s| s.seconds).sum::<f64>().max(1.0);
+        let all = messages as f64 / time.max(1.0) - coordinator_links as f64 / total_s;
         all / fleet.layout.members.len() as f64
     };
-    let runner = FaultRunner { fleet, load: &load, seconds: &samples, rate };
+    let runner = FaultRunner { fleet, load: &load, samples: &samples, rate };
     for fault in &plan.fault {
         fault_results.push(runner.run(fault).await?);
         overgranted += overgranted_budgets(fleet).await?;
     }
-    let ran = fleet.ran().await?;
+    let executions = fleet.execution_counts().await?;
     sampling.abort();
     polling.abort();
     if !fleet.stand_ins_running() {
-        return Err("a stand-in has ended".to_owned());
+        return Err("a stand-in process has ended".to_owned());
     }
 
     let all = samples.borrow();
@@ -158,9 +160,9 @@
         sum
     };
     let of_followers: u64 = memory.2.iter().enumerate().filter(|(n, _)| *n != leader).map(|(_, kb)| kb).sum();
-    let loaded = real > 0 && (plan.load.rate > 0.0 || plan.load.tenants > 0.0);
+    let has_load = real > 0 && (plan.load.rate > 0.0 || plan.load.tenants > 0.0);
     let report = load.with_stats(|stats| {
-        stats.loss_reasons.iter().for_each(|why| println!("lost: {why}"));
+        stats.loss_reasons.iter().for_each(|reason| println!("lost: {reason}"));
         Report {
             name: plan.name.clone(),
             factor,
@@ -176,18 +178,18 @@
             } else {
                 HollowComparison::default()
             },
-            changes: changed,
+            changes: changes_made,
             added_ms: AddedLatency::during(stats, Phase::Mean),
-            added_ms_during: during
+            added_ms_during: phases
                 .iter()
                 .map(|p| (p.name().to_owned(), AddedLatency::during(stats, *p)))
                 .collect(),
-            rpcs: loaded.then_some(stats.sent),
-            refused: loaded.then_some(stats.refused),
-            crossed: loaded.then_some(stats.crossed),
-            sent_late: loaded.then_some(stats.late),
-            beyond_whole: Some(overgranted + ran.beyond),
-            lost: loaded.then_some(stats.lost),
+            rpcs: has_load.then_some(stats.sent),
+            refused: has_load.then_some(stats.refused),
+            crossed: has_load.then_some(stats.crossed),
+            sent_late: has_load.then_some(stats.late),
+            beyond_whole: Some(overgranted + executions.beyond),
+            lost: has_load.then_some(stats.lost),
             faults: fault_results,
             not_kept: stats.overload_reason(),
         }
@@ -195,7 +197,7 @@
     Ok(report)
 }
 
-/// How many budgets of the ledger are granted beyond their whole, by the leader's own word.
+/// Number of budgets that the leader reports as granted beyond their limit.
 async fn overgranted_budgets(fleet: &Fleet) -> Result<u64, String> {
     let (_, status) = fleet.leader().await?;
     Ok(status.budgets.values().filter(|b| b.allocated > b.limit * 1.000_001).count() as u64)
--- a/crates/fernroute-testbed/src/scale/report.rs
+++ b/crates/fernroute-testbed/src/scale/report.rs
@@ -1,4 +1,4 @@
-//! What a run says in the end: one object of JSON, and lines for people. What was not measured is `null`, never 0.
+//! Report of a scale run, as a JSON object and as text. What was not measured is `null`, never 0.
 
 use super::changes::ChangeStats;
 use super::faults::FaultResult;
@@ -7,7 +7,7 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// Milliseconds that a balancer adds to a call: its times less those of the direct way in the same run, quantile by quantile.
+/// Latency in ms added by a balancer: its quantiles minus those of the direct stream in the same run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct AddedLatency {
     pub p50: Option<f64>,
@@ -17,7 +17,7 @@
 impl AddedLatency {
     fn of(balancer: Option<&Times>, direct: Option<&Times>) -> Self {
         let (Some(balancer), Some(direct)) = (balancer, direct) else { return AddedLatency::default() };
-        // A quantile needs some beyond it.
+        // A quantile needs enough samples beyond it.
         let at = |quantile: f64, least: u64| {
             let enough = balancer.len() >= least && direct.len() >= least;
             let ms = |times: &Times| times.value_at_quantile(quantile) as f64 / 1000.0;
@@ -31,28 +31,28 @@
     }
 }
 
-/// Hollow and real balancers of one run, side by side: what a hollow one spends for what a real one spends.
+/// Costs of a hollow balancer relative to a real one of the same run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct HollowComparison {
     pub bytes: Option<f64>,
     pub messages: Option<f64>,
-    /// Told, and no proof: a real one serves callers beside.
+    /// For information only: a real balancer also serves callers.
     pub processor: Option<f64>,
 }
 
 impl HollowComparison {
     pub fn of(hollow: &Figures, real: &Figures) -> Self {
-        let part = |a: Option<f64>, b: Option<f64>| Some(a? / b.filter(|b| *b > 0.0)?);
+        let ratio = |a: Option<f64>, b: Option<f64>| Some(a? / b.filter(|b| *b > 0.0)?);
         HollowComparison {
-            bytes: part(hollow.bytes_per_s, real.bytes_per_s),
-            messages: part(hollow.messages_per_s, real.messages_per_s),
-            processor: part(hollow.processor_percent, real.processor_percent),
+            bytes: ratio(hollow.bytes_per_s, real.bytes_per_s),
+            messages: ratio(hollow.messages_per_s, real.messages_per_s),
+            processor: ratio(hollow.processor_percent, real.processor_percent),
         }
     }
 
-    /// Within a tenth of each other; none where one of them was not there.
+    /// Whether both are within 10% of each other; `None` if one kind was absent.
     pub fn holds(&self) -> Option<bool> {
-        let near = |part: f64| (0.9..=1.0 / 0.9).contains(&part);
+        let near = |ratio: f64| (0.9..=1.0 / 0.9).contains(&ratio);
         Some(near(self.bytes?) && near(self.messages?))
     }
 }
@@ -61,10 +61,11 @@
 pub struct Report {
     pub name: String,
     pub factor: f64,
-    /// How many balancers of either kind ran.
+    /// Number of balancers of each kind.
     pub hollow: usize,
     pub real: usize,
-    /// What one balancer costs for control: the hollow ones', where there are some; else the real ones' with their RPCs.
+    /// Control cost of one balancer: of the hollow ones if there are any, otherwise of the real ones
+    /// with their RPCs.
     pub balancer: Figures,
     #[serde(rename = "steward_leader")]
     pub coordinator_leader: Figures,
@@ -74,7 +75,7 @@
     pub discovery: Figures,
     pub alike: HollowComparison,
     pub changes: ChangeStats,
-    /// At the mean rate; the others by what went on meanwhile.
+    /// At the mean rate, and by phase.
     pub added_ms: AddedLatency,
     pub added_ms_during: BTreeMap<String, AddedLatency>,
     pub rpcs: Option<u64>,
@@ -84,12 +85,13 @@
     pub beyond_whole: Option<u64>,
     pub lost: Option<u64>,
     pub faults: Vec<FaultResult>,
-    /// Why the machine did not keep the load, if it did not.
+    /// The reason why the load was not sustained, if it was not.
     pub not_kept: Option<String>,
 }
 
 impl Report {
-    /// 3 where the figures say nothing, 1 where something was lost, beyond the whole, never settled or never in force.
+    /// Exit code: 3 for an invalid run; 1 if RPCs were lost, a limit was exceeded, the fleet did not
+    /// settle or a change did not become active.
     pub fn exit_code(&self) -> u8 {
         let minority_write = |fault: &FaultResult| fault.entered_without_majority == Some(true);
         let unsettled = self.faults.iter().any(|fault| fault.settled_s.is_none() || minority_write(fault));
@@ -107,7 +109,7 @@
             "{}, factor {}: {} hollow and {} real balancers",
             self.name, self.factor, self.hollow, self.real
         );
-        let of = |what: Option<f64>| what.map_or("-".to_owned(), |what| format!("{what:.2}"));
+        let format_value = |what: Option<f64>| what.map_or("-".to_owned(), |what| format!("{what:.2}"));
         println!(
             "{:<18} {:>9} {:>9} {:>12} {:>12} {:>14}",
             "each", "processor", "memory", "bytes/s", "messages/s", "worst second"
@@ -115,55 +117,59 @@
         for (role, f) in [
             ("hollow balancer", &self.balancer),
             ("real balancer", &self.balancer_real),
-            ("leading steward", &self.coordinator_leader),
-            ("following steward", &self.coordinator_follower),
+            ("coordinator, leader", &self.coordinator_leader),
+            ("coordinator, follower", &self.coordinator_follower),
             ("discovery", &self.discovery),
         ] {
             println!(
                 "{role:<18} {:>8}% {:>6} kB {:>12} {:>12} {:>14}",
-                of(f.processor_percent),
+                format_value(f.processor_percent),
                 f.memory_kb.map_or("-".to_owned(), |kb| kb.to_string()),
-                of(f.bytes_per_s),
-                of(f.messages_per_s),
-                of(f.worst_second_bytes)
+                format_value(f.bytes_per_s),
+                format_value(f.messages_per_s),
+                format_value(f.worst_second_bytes)
             );
         }
         match self.alike.holds() {
-            None => println!("hollow like real: not measured, one of them was not there"),
+            None => println!("hollow compared with real: not measured, one kind was absent"),
             Some(holds) => println!(
-                "hollow like real: bytes {}, messages {}, processor {} of a real one's{}",
-                of(self.alike.bytes),
-                of(self.alike.messages),
-                of(self.alike.processor),
-                if holds { "" } else { ": MORE THAN A TENTH APART, figures of hollow ones are no proof" }
+                "hollow compared with real: bytes {}, messages {}, processor {} of a real balancer's{}",
+                format_value(self.alike.bytes),
+                format_value(self.alike.messages),
+                format_value(self.alike.processor),
+                if holds {
+                    ""
+                } else {
+                    ": MORE THAN 10% APART, figures of hollow balancers are not representative"
+                }
             ),
         }
         println!(
-            "added at the mean rate: {} ms (half), {} ms (99 in 100)",
-            of(self.added_ms.p50),
-            of(self.added_ms.p99)
+            "added latency at the mean rate: {} ms (median), {} ms (99th percentile)",
+            format_value(self.added_ms.p50),
+            format_value(self.added_ms.p99)
         );
         for (during, added) in &self.added_ms_during {
-            println!("  {during}: {} ms, {} ms", of(added.p50), of(added.p99));
+            println!("  {during}: {} ms, {} ms", format_value(added.p50), format_value(added.p99));
         }
         if let Some(made) = self.changes.made {
             let everywhere = self.changes.in_force_everywhere.unwrap_or(0);
             println!(
-                "changes: {everywhere} of {made} in force everywhere, the slowest after {} s",
-                of(self.changes.slowest_s)
+                "changes: {everywhere} of {made} active everywhere, the slowest after {} s",
+                format_value(self.changes.slowest_s)
             );
         }
         for f in &self.faults {
             println!(
-                "{}: settled after {} s, worst second {} bytes, stewards {}% of a processor",
+                "{}: settled after {} s, worst second {} bytes, coordinators {}% of a processor",
                 f.kind,
-                of(f.settled_s),
-                of(f.worst_second_bytes),
-                of(f.worst_second_processor_percent)
+                format_value(f.settled_s),
+                format_value(f.worst_second_bytes),
+                format_value(f.worst_second_processor_percent)
             );
         }
         let count = |n: Option<u64>| n.map_or("not measured".to_owned(), |n| n.to_string());
-        println!("lost: {}; seconds beyond the whole: {}", count(self.lost), count(self.beyond_whole));
+        println!("lost: {}; seconds over the limit: {}", count(self.lost), count(self.beyond_whole));
         if let Some(why) = &self.not_kept {
             println!("INVALID: {why}");
         }
--- a/crates/fernroute-testbed/src/scale/stand_in.rs
+++ b/crates/fernroute-testbed/src/scale/stand_in.rs
@@ -1,5 +1,5 @@
-//! Processes that stand in for discovery and for upstreams, each told by a file what to be, and asked over HTTP how much it had
-//! to do.
+//! Stand-in processes for discovery and for upstreams, configured by a file and queried over HTTP for
+//! their traffic.
 
 use super::limit::LimitChecker;
 use fernroute_test_support::http::{answer, Message, Peer};
@@ -15,17 +15,17 @@
 use tokio::net::TcpListener;
 use tokio::task::{spawn_local, LocalSet};
 
-/// What a stand-in says once it serves, before the address that answers for it.
+/// Log prefix before the address of the control server, once the stand-in serves.
 pub const READY_PREFIX: &str = "stand-in answers on ";
 
-/// Where an upstream is that nobody sends anything to: hollow balancers alone know it.
+/// Address of upstreams that receive no RPCs: only hollow balancers know them.
 const UNUSED_ADDRESS: &str = "127.0.0.1:9";
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum StandInConfig {
-    /// Discovery: lists by their names, and upstreams' addresses where they have one.
+    /// Discovery: lists by name, and the addresses of those upstreams that have one.
     Discovery { lists: BTreeMap<String, UpstreamList>, places: BTreeMap<String, SocketAddr> },
-    /// Upstreams by their ids, and what all of them may run of each tenant.
+    /// Upstreams by id, and the limit of each tenant over all of them.
     Upstreams { ids: Vec<String>, whole: f64, beside: usize },
 }
 
@@ -33,24 +33,24 @@
 pub struct UpstreamList {
     /// Ids and zones.
     pub upstreams: Vec<(String, String)>,
-    /// An address for each of these, so that what they cost is told apart.
+    /// A separate address for each kind, so that their traffic is counted separately.
     pub kinds: Vec<String>,
 }
 
-/// What upstreams ran.
+/// RPCs executed by the upstreams.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct ExecutionCounts {
     pub count: u64,
     pub of_tenants: u64,
-    /// Seconds in which all balancers together ran more of a tenant than its whole, and what they may save up.
+    /// Seconds in which all balancers together exceeded a tenant's limit and what may be saved up.
     pub beyond: u64,
 }
 
 /// Bytes and messages by kind.
 pub type TrafficByKind = BTreeMap<String, (u64, u64)>;
 
-/// Serves until it is killed. `page` with `.out` for its ending is written once all is there: addresses by id, or by
-/// `LIST KIND`.
+/// Serves until killed. Once all servers run, their addresses by id or by `LIST KIND` are written to
+/// `path` with the extension `.out`.
 pub fn run(path: &Path) -> Result<(), String> {
     let io_error = |e: std::io::Error| format!("{}: {e}", path.display());
     let text = std::fs::read_to_string(path).map_err(io_error)?;
@@ -59,11 +59,11 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
     LocalSet::new().block_on(&runtime, async {
-        let any = SocketAddr::from(([127, 0, 0, 1], 0));
+        let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
         let (places, control_address) = match config {
-            StandInConfig::Discovery { lists, places } => discovery(any, lists, &places).await,
-            StandInConfig::Upstreams { ids, whole, beside } => {
-                upstreams(any, &ids, LimitChecker::new(whole, beside)).await
+            StandInConfig::Discovery { lists, places } => discovery(any_port, lists, &places).await,
+            StandInConfig::Upstreams { ids, whole: limit, beside: allowance } => {
+                upstreams(any_port, &ids, LimitChecker::new(limit, allowance)).await
             }
         }
         .map_err(io_error)?;
@@ -81,15 +81,16 @@
     Deed::Say(text.map_or_else(|e| answer(500, "", &e.to_string()), |text| answer(200, "", &text)))
 }
 
-/// A list, its upstreams as discovery tells them, and whether its last one drains.
-struct FaultResult {
+/// A published list: its entries with the last upstream serving and draining, and which of them is
+/// current.
+struct PublishedList {
     entries: [String; 2],
     drains: bool,
     servers: Vec<(String, Rc<Discovery>)>,
 }
 
 async fn discovery(
-    any: SocketAddr,
+    any_port: SocketAddr,
     lists: BTreeMap<String, UpstreamList>,
     places: &BTreeMap<String, SocketAddr>,
 ) -> StartedStandIn {
@@ -107,61 +108,61 @@
         let entries = [entries("SERVING"), entries("DRAINING")];
         let mut servers = Vec::new();
         for kind in list.kinds {
-            let one = Discovery::start(any, entries[0].clone()).await?;
-            out.insert(format!("{name} {kind}"), one.address);
-            servers.push((kind, one));
+            let server = Discovery::start(any_port, entries[0].clone()).await?;
+            out.insert(format!("{name} {kind}"), server.address);
+            servers.push((kind, server));
         }
-        all.insert(name, RefCell::new(FaultResult { entries, drains: false, servers }));
+        all.insert(name, RefCell::new(PublishedList { entries, drains: false, servers }));
     }
-    let control_address = serve(any, move |asked: &Message| {
-        if let Some(name) = asked.target.strip_prefix("/tell/") {
-            // Its last upstream drains, or serves again: all who watch it get the list anew.
+    let control_address = serve(any_port, move |request: &Message| {
+        if let Some(name) = request.target.strip_prefix("/tell/") {
+            // The last upstream drains or serves again, and all watchers get the new list.
             let Some(list) = all.get(name) else { return Deed::Say(answer(404, "", "")) };
             let list = &mut *list.borrow_mut();
             list.drains = !list.drains;
             let entries = &list.entries[usize::from(list.drains)];
-            list.servers.iter().for_each(|(_, one)| one.tell(entries.clone()));
+            list.servers.iter().for_each(|(_, server)| server.tell(entries.clone()));
             return Deed::Say(answer(200, "", ""));
         }
-        let mut asked = TrafficByKind::new();
+        let mut traffic = TrafficByKind::new();
         for list in all.values() {
-            for (kind, one) in &list.borrow().servers {
+            for (kind, server) in &list.borrow().servers {
                 let (sum, Counted { bytes, messages }) =
-                    (asked.entry(kind.clone()).or_default(), one.counted());
+                    (traffic.entry(kind.clone()).or_default(), server.counted());
                 *sum = (sum.0 + bytes, sum.1 + messages);
             }
         }
-        json_response(&asked)
+        json_response(&traffic)
     });
     Ok((out, control_address.await?))
 }
 
-/// The load names an RPC by its tenant, where it has one.
-fn record_attempt((count, whole): &mut (ExecutionCounts, LimitChecker), asked: &Message, at: Duration) {
+/// The load puts the tenant, if any, into the RPC's id.
+fn record_attempt((count, checker): &mut (ExecutionCounts, LimitChecker), request: &Message, at: Duration) {
     count.count += 1;
-    if let Some((tenant, _)) = asked.header("req-id").and_then(|id| id.split_once('.')) {
+    if let Some((tenant, _)) = request.header("req-id").and_then(|id| id.split_once('.')) {
         count.of_tenants += 1;
-        whole.record(tenant, at);
+        checker.record(tenant, at);
     }
 }
 
-async fn upstreams(any: SocketAddr, ids: &[String], whole: LimitChecker) -> StartedStandIn {
-    let ran = Rc::new(RefCell::new((ExecutionCounts::default(), whole)));
+async fn upstreams(any_port: SocketAddr, ids: &[String], checker: LimitChecker) -> StartedStandIn {
+    let counts = Rc::new(RefCell::new((ExecutionCounts::default(), checker)));
     let mut out = BTreeMap::new();
-    let from = Instant::now();
+    let started = Instant::now();
     for id in ids {
-        let listener = TcpListener::bind(any).await?;
+        let listener = TcpListener::bind(any_port).await?;
         out.insert(id.clone(), listener.local_addr()?);
-        let ran = Rc::clone(&ran);
+        let counts = Rc::clone(&counts);
         spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                let ran = Rc::clone(&ran);
+                let counts = Rc::clone(&counts);
                 spawn_local(async move {
                     let mut peer = Peer::new(stream);
-                    let said = answer(200, "Srv-Load: util=0.10\r\n", "whole");
-                    while let Ok(Some(asked)) = peer.read().await {
-                        record_attempt(&mut ran.borrow_mut(), &asked, from.elapsed());
-                        if peer.write(&said).await.is_err() {
+                    let response = answer(200, "Srv-Load: util=0.10\r\n", "whole");
+                    while let Ok(Some(request)) = peer.read().await {
+                        record_attempt(&mut counts.borrow_mut(), &request, started.elapsed());
+                        if peer.write(&response).await.is_err() {
                             return;
                         }
                     }
@@ -169,9 +170,9 @@
             }
         });
     }
-    let control_address = serve(any, move |_: &Message| {
-        let (count, whole) = &*ran.borrow();
-        json_response(&ExecutionCounts { beyond: whole.violations(), ..count.clone() })
+    let control_address = serve(any_port, move |_: &Message| {
+        let (count, checker) = &*counts.borrow();
+        json_response(&ExecutionCounts { beyond: checker.violations(), ..count.clone() })
     });
     Ok((out, control_address.await?))
 }
--- a/crates/fernroute-testbed/tests/scale.rs
+++ b/crates/fernroute-testbed/tests/scale.rs
@@ -58,12 +58,12 @@
         ("whole = 30", "whole = 0", "line 6: whole: 0 is not between"),
         ("real = 1", "real = 9", "line 2: real: 9 of 8 balancers"),
         ("\"n\", \"n\", \"s\"", "\"n\", \"n\"", "line 7: stewards: 2, and not"),
-        ("\"n\", \"n\", \"s\"", "\"n\", \"n\", \"x\"", "line 7: stewards: no zone is called x"),
+        ("\"n\", \"n\", \"s\"", "\"n\", \"n\", \"x\"", "line 7: stewards: unknown zone x"),
         ("rate = 10", "rate = -1", "line 9: load.rate: -1"),
-        ("zones = [\"s\"]", "zones = [\"n\"]", "line 16: region[1].zones: n is there twice"),
+        ("zones = [\"s\"]", "zones = [\"n\"]", "line 16: region[1].zones: n is listed twice"),
         ("size = 4", "size = 0", "line 20: service[0].size: 0"),
-        ("calls = [\"front\"]", "calls = [\"back\"]", "line 21: service[0].calls: no service is called back"),
-        ("calls = [\"front\"]\n", "calls = []\n", "line 21: service[0].calls: none"),
+        ("calls = [\"front\"]", "calls = [\"back\"]", "line 21: service[0].calls: unknown service back"),
+        ("calls = [\"front\"]\n", "calls = []\n", "line 21: service[0].calls: must not be empty"),
         (
             "calls = [\"front\"]\n",
             "calls = [\"front\"]\n[[fault]]\nkind = \"zone_lost\"\n",
@@ -72,11 +72,11 @@
         (
             "calls = [\"front\"]\n",
             "calls = [\"front\"]\n[[fault]]\nkind = \"zone_lost\"\nzone = \"x\"\n",
-            "line 24: fault[0].zone: no such zone",
+            "line 24: fault[0].zone: unknown zone",
         ),
     ] {
-        let told_of = why(&SMALL.replacen(old, new, 1));
-        assert!(told_of.contains(told) && !told_of.contains('\n'), "{told}: {told_of}");
+        let error = why(&SMALL.replacen(old, new, 1));
+        assert!(error.contains(told) && !error.contains('\n'), "{told}: {error}");
     }
     let both = why(&SMALL.replace("whole = 30", "whole = 0").replace("rate = 10", "rate = -1"));
     assert!(both.contains("whole") && both.contains("load.rate"), "{both}");
