--- a/crates/fernroute-testbed/src/live/callers.rs
+++ b/crates/fernroute-testbed/src/live/callers.rs
@@ -1,12 +1,12 @@
 //! Callers: requests, their RPCs and retries, and the outcomes.
 
 use super::Lab;
-use crate::demand::Want;
+use crate::demand::RequestSpec;
 use crate::scenario::{millis, Effect};
-use crate::trace::{Event, Final};
+use crate::trace::{Event, FinalAnswer};
 use fernroute::Time;
 use fernroute_server::routing::clock::{duration, tenths};
-use fernroute_test_support::http::Peer;
+use fernroute_test_support::http::Connection;
 use rand::RngExt as _;
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,9 +15,15 @@
 
 impl Lab {
     /// Runs one request of a caller with its retries. `asked` is in scenario time.
-    pub(super) async fn request(self: Rc<Self>, number: u64, want: Want, intended: Instant, asked: Time) {
+    pub(super) async fn request(
+        self: Rc<Self>,
+        number: u64,
+        want: RequestSpec,
+        intended: Instant,
+        asked: Time,
+    ) {
         let m = &self.scenario.method[want.method];
-        self.books.borrow_mut().offered(asked, want.method, m.gain);
+        self.metrics.borrow_mut().record_offered(asked, want.method, m.gain);
         let from = tenths(intended - self.start);
         let hard = from + millis(m.hard_ms);
         let calls = want.calls.iter().map(u32::to_string).collect::<Vec<_>>().join(",");
@@ -39,7 +45,7 @@
                 break;
             }
             let rpc_call = self.send(balancer, &rpc, want.method, want.tenant, hard, want.work, &calls);
-            let last = match want.leaves {
+            let last = match want.leaves_after {
                 None => rpc_call.await,
                 Some(share) => {
                     let patience = duration((millis(m.hard_ms) as f64 * share) as Time);
@@ -49,9 +55,9 @@
             };
             let now = asked + self.now().saturating_sub(from);
             match last {
-                Some((Final::Completed, _)) => {
-                    self.books.borrow_mut().tenant(asked, want.tenant, true);
-                    return self.books.borrow_mut().completed(
+                Some((FinalAnswer::Completed, _)) => {
+                    self.metrics.borrow_mut().record_tenant(asked, want.tenant, true);
+                    return self.metrics.borrow_mut().record_completed(
                         asked,
                         now,
                         want.method,
@@ -59,19 +65,19 @@
                         millis(m.soft_ms),
                     );
                 }
-                Some((Final::Exhausted, retry_after)) if n < self.scenario.load.retries => {
+                Some((FinalAnswer::Exhausted, retry_after)) if n < self.scenario.load.retries => {
                     let backoff = Duration::from_secs_f64(self.scenario.load.backoff_ms / 1000.0);
                     sleep(retry_after.unwrap_or(backoff)).await;
                 }
-                Some((Final::Exhausted, _)) => {
-                    self.books.borrow_mut().tenant(asked, want.tenant, false);
-                    return self.books.borrow_mut().exhausted(asked);
+                Some((FinalAnswer::Exhausted, _)) => {
+                    self.metrics.borrow_mut().record_tenant(asked, want.tenant, false);
+                    return self.metrics.borrow_mut().record_exhausted(asked);
                 }
                 _ => break,
             }
         }
-        self.books.borrow_mut().tenant(asked, want.tenant, false);
-        self.books.borrow_mut().errored(asked);
+        self.metrics.borrow_mut().record_tenant(asked, want.tenant, false);
+        self.metrics.borrow_mut().record_errored(asked);
     }
 
     /// Sends an RPC to a balancer. `None` if the connection ended without an answer.
@@ -85,7 +91,7 @@
         hard: Time,
         work: Time,
         calls: &str,
-    ) -> Option<(Final, Option<Duration>)> {
+    ) -> Option<(FinalAnswer, Option<Duration>)> {
         let (balancer, m) = (self.balancer(number), &self.scenario.method[method]);
         let deadline_ms = hard.saturating_sub(self.now()) / 10;
         let (http_method, key) = match m.effect {
@@ -100,7 +106,7 @@
             "{http_method} /{name} HTTP/1.1\r\nHost: app.svc\r\nReq-Id: {rpc}\r\nReq-Kind: {name}\r\nReq-Deadline-Ms: {deadline_ms}\r\n\
              Lab-Work: {work}\r\nLab-Calls: {calls}\r\n{owner}{key}\r\n"
         );
-        self.books.borrow_mut().ends.arrived += 1;
+        self.metrics.borrow_mut().ends.arrived += 1;
         let mut recorder = OutcomeRecorder { lab: self, rpc, last: None, connection_failed: false };
         let idle = balancer.idle.borrow_mut().pop();
         let mut peer = match idle {
@@ -110,7 +116,7 @@
                     recorder.connection_failed = true;
                     return None;
                 };
-                Peer::new(stream)
+                Connection::new(stream)
             }
         };
         self.open_rpcs.borrow_mut().insert(Rc::clone(rpc), (number, 0));
@@ -133,13 +139,13 @@
         };
         let last = match message.status() {
             // A 200 whose body is not the one made by an upstream for this RPC counts as an error.
-            200 if message.body == rpc.as_bytes() => Final::Completed,
-            429 | 503 => Final::Exhausted,
-            _ => Final::Errored,
+            200 if message.body == rpc.as_bytes() => FinalAnswer::Completed,
+            429 | 503 => FinalAnswer::Exhausted,
+            _ => FinalAnswer::Errored,
         };
         recorder.last = Some(last);
-        let retry_after = message.number::<f64>("retry-after").filter(|s| s.is_finite() && *s >= 0.0);
-        if !message.closes() && balancer.alive.get() {
+        let retry_after = message.header_number::<f64>("retry-after").filter(|s| s.is_finite() && *s >= 0.0);
+        if !message.closes_connection() && balancer.alive.get() {
             balancer.idle.borrow_mut().push(peer);
         }
         Some((last, retry_after.map(Duration::from_secs_f64)))
@@ -150,7 +156,7 @@
 struct OutcomeRecorder<'a> {
     lab: &'a Lab,
     rpc: &'a Rc<str>,
-    last: Option<Final>,
+    last: Option<FinalAnswer>,
     /// Set when the connection ended without an answer.
     connection_failed: bool,
 }
@@ -158,14 +164,14 @@
 impl Drop for OutcomeRecorder<'_> {
     fn drop(&mut self) {
         let open = self.lab.open_rpcs.borrow_mut().remove(self.rpc);
-        let ends = &mut self.lab.books.borrow_mut().ends;
+        let ends = &mut self.lab.metrics.borrow_mut().ends;
         let rpc = Rc::clone(self.rpc);
         match self.last {
             Some(last) => {
                 match last {
-                    Final::Completed => ends.completed += 1,
-                    Final::Exhausted => ends.exhausted += 1,
-                    Final::Errored => ends.errored += 1,
+                    FinalAnswer::Completed => ends.completed += 1,
+                    FinalAnswer::Exhausted => ends.exhausted += 1,
+                    FinalAnswer::Errored => ends.errored += 1,
                 }
                 self.lab.record(&Event::Answered { rpc, last });
             }
--- a/crates/fernroute-testbed/src/live/mod.rs
+++ b/crates/fernroute-testbed/src/live/mod.rs
@@ -9,12 +9,12 @@
 mod fleet;
 mod upstreams;
 
-use crate::books::Books;
-use crate::demand::{stream, Arrivals, Want, CHANCE};
-use crate::referee::cold::Worst;
-use crate::referee::{Breach, Referee};
-use crate::scenario::{seconds, Kind, Scenario};
-use crate::trace::{Event, Witness as _};
+use crate::demand::{rng_stream, Arrivals, RequestSpec, SIMULATION_STREAM};
+use crate::metrics::RunMetrics;
+use crate::referee::cold::ColdWindow;
+use crate::referee::{Referee, Violation};
+use crate::scenario::{seconds, FaultKind, Scenario};
+use crate::trace::{Event, Observer as _};
 use balancers::BalancerProcess;
 use fernroute::Time;
 use fernroute_server::routing::clock::{duration, tenths};
@@ -31,10 +31,10 @@
 
 /// Results of a live run.
 pub struct Report {
-    pub books: Books,
-    pub breaches: Vec<Breach>,
+    pub metrics: RunMetrics,
+    pub violations: Vec<Violation>,
     /// For each cold start with any load, the window closest to overload.
-    pub cold_starts: Vec<Worst>,
+    pub cold_starts: Vec<ColdWindow>,
     pub requests: u64,
     /// Requests sent later than intended, and the largest delay of any request.
     pub sent_late: u64,
@@ -72,7 +72,7 @@
     coordinators: RefCell<Option<Rc<Coordinators>>>,
     coordinator_command: Vec<String>,
     referee: RefCell<Referee>,
-    books: RefCell<Books>,
+    metrics: RefCell<RunMetrics>,
     balancers: RefCell<Vec<Rc<BalancerProcess>>>,
     first_tier: RefCell<Vec<usize>>,
     upstreams: RefCell<Vec<Rc<StandIn>>>,
@@ -126,11 +126,11 @@
             coordinators: RefCell::default(),
             coordinator_command: coordinator_command.to_vec(),
             referee: RefCell::new(Referee::new(&lenient)),
-            books: RefCell::new(Books::new(scenario)),
+            metrics: RefCell::new(RunMetrics::new(scenario)),
             balancers: RefCell::default(),
             first_tier: RefCell::default(),
             upstreams: RefCell::default(),
-            rng: RefCell::new(stream(seed, CHANCE)),
+            rng: RefCell::new(rng_stream(seed, SIMULATION_STREAM)),
             open_rpcs: RefCell::default(),
             calls: Cell::new(0),
             reports_late: RefCell::default(),
@@ -158,7 +158,7 @@
 
     async fn run_scenario(self: Rc<Self>) -> Result<Report, String> {
         let needs_coordinators =
-            |kind| matches!(kind, Kind::StewardsDown | Kind::LeaderLoss | Kind::FleetCut);
+            |kind| matches!(kind, FaultKind::StewardsDown | FaultKind::LeaderLoss | FaultKind::FleetCut);
         if self.scenario.fleet.stewards > 0 {
             let coordinators =
                 Coordinators::start(&self.scenario, &self.coordinator_command, &self.folder).await?;
@@ -198,7 +198,7 @@
             let late = intended.elapsed();
             self.max_delay.set(self.max_delay.get().max(late));
             self.sent_late.set(self.sent_late.get() + u64::from(late > LATE_THRESHOLD));
-            let want = Want::of(&self.scenario, self.seed, number);
+            let want = RequestSpec::generate(&self.scenario, self.seed, number);
             callers.spawn_local(Rc::clone(&self).request(number, want, intended, at));
             number += 1;
             while callers.try_join_next().is_some() {}
@@ -209,18 +209,18 @@
         while callers.join_next().await.is_some() {}
         // Calls from upstreams whose callers already have an answer stay open until their deadlines at
         // most.
-        let last = self.now() + self.scenario.longest() + seconds(1.5);
+        let last = self.now() + self.scenario.longest_hard_deadline() + seconds(1.5);
         while !self.open_rpcs.borrow().is_empty() && self.now() < last {
             sleep(Duration::from_millis(20)).await;
         }
-        let books = self.books.replace(Books::new(&self.scenario));
+        let metrics = self.metrics.replace(RunMetrics::new(&self.scenario));
         let mut referee = self.referee.replace(Referee::new(&self.scenario));
-        referee.end(self.now());
-        let (mut breaches, cold_starts) = (referee.breaches, referee.cold_starts);
+        referee.finish(self.now());
+        let (mut violations, cold_starts) = (referee.violations, referee.cold_starts);
         // Convert to scenario time.
-        breaches.iter_mut().for_each(|b| b.at = b.at.saturating_sub(from));
+        violations.iter_mut().for_each(|b| b.at = b.at.saturating_sub(from));
         let (sent_late, max_delay) = (self.sent_late.get(), self.max_delay.get());
-        Ok(Report { books, breaches, cold_starts, requests: number, sent_late, max_delay })
+        Ok(Report { metrics, violations, cold_starts, requests: number, sent_late, max_delay })
     }
 
     fn now(&self) -> Time {
@@ -228,6 +228,6 @@
     }
 
     fn record(&self, event: &Event) {
-        self.referee.borrow_mut().see(self.now(), event);
+        self.referee.borrow_mut().observe(self.now(), event);
     }
 }
--- a/crates/fernroute-testbed/src/scale/faults.rs
+++ b/crates/fernroute-testbed/src/scale/faults.rs
@@ -7,7 +7,7 @@
 use super::load::Load;
 use crate::processes::status;
 use fernroute_test_support::process::Process;
-use fernroute_test_support::Counted;
+use fernroute_test_support::Traffic;
 use serde::Serialize;
 use std::cell::RefCell;
 use std::collections::{BTreeSet, VecDeque};
@@ -149,11 +149,11 @@
                 let number = fleet.real.borrow().len() - 1;
                 let at = fleet.wait_for_real().await?[number];
                 self.load.remove_balancer(number);
-                fleet.real.borrow()[&member].stop();
+                fleet.real.borrow()[&member].pause();
                 sleep(duration).await;
                 // The others are answered meanwhile.
                 let others = self.settle_time(all - 1).await;
-                fleet.real.borrow()[&member].go_on();
+                fleet.real.borrow()[&member].resume();
                 let result = result_of(self.settle_time(all).await);
                 self.load.add_balancer(number, at);
                 Ok(FaultResult { cut_settled_s: others, ..result })
@@ -182,7 +182,7 @@
         let reachable = fleet.layout.members.iter().filter(|m| of(&m.zone) == larger).count();
         let outside: BTreeSet<usize> =
             (0..fleet.coordinator_addresses.len()).filter(|n| region_of_coordinator(*n) != larger).collect();
-        cut.iter().for_each(|link| link.refuse());
+        cut.iter().for_each(|link| link.refuse_connections());
         let from = Instant::now();
         let cut_settled_s = self.settle_time_since(from, reachable, &outside).await;
         // One change on each side: the larger side accepts it, the other has no majority.
@@ -199,7 +199,7 @@
             }
         }
         sleep(duration.saturating_sub(from.elapsed())).await;
-        cut.iter().for_each(|link| link.mend());
+        cut.iter().for_each(|link| link.restore());
         let restored = Instant::now();
         let settled_s = self.settle_time_since(restored, fleet.layout.members.len(), &BTreeSet::new()).await;
         let change_in_force_s = match version {
@@ -294,7 +294,7 @@
     ) -> Option<f64> {
         const WINDOW: Duration = Duration::from_secs(1);
         let fleet = self.fleet;
-        let mut polls: VecDeque<(Instant, Vec<Counted>)> = VecDeque::new();
+        let mut polls: VecDeque<(Instant, Vec<Traffic>)> = VecDeque::new();
         // The leader that the polls refer to. They restart when it changes: calls that followers reject
         // are counted, too, and must not pass for answers.
         let mut leads: Option<usize> = None;
--- a/crates/fernroute-testbed/src/scale/fleet.rs
+++ b/crates/fernroute-testbed/src/scale/fleet.rs
@@ -6,10 +6,10 @@
 use super::stand_in::{ExecutionCounts, StandInConfig, TrafficByKind, UpstreamList, READY_PREFIX};
 use crate::processes::status;
 use fernroute_coordinator::replica::Status;
-use fernroute_test_support::http::Peer;
+use fernroute_test_support::http::Connection;
 use fernroute_test_support::link::Link;
-use fernroute_test_support::process::{addresses, Process};
-use fernroute_test_support::Counted;
+use fernroute_test_support::process::{free_addresses, Process};
+use fernroute_test_support::Traffic;
 use serde::de::DeserializeOwned;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -54,7 +54,7 @@
     /// Operations servers, by member name.
     pub ops_addresses: RefCell<BTreeMap<String, SocketAddr>>,
     /// Traffic of metrics requests, hollow and real.
-    metrics_traffic: Cell<[Counted; 2]>,
+    metrics_traffic: Cell<[Traffic; 2]>,
 }
 
 fn io_error(at: &Path) -> impl Fn(std::io::Error) -> String + '_ {
@@ -78,7 +78,7 @@
     let at = folder.join(format!("{name}.json"));
     fs::write(&at, serde_json::to_string(file).map_err(|e| e.to_string())?).map_err(io_error(&at))?;
     let process = launch(program, "scale-stand", "--config", &at, folder)?;
-    let address = process.address_after(READY_PREFIX, START_TIMEOUT).await?;
+    let address = process.logged_address(READY_PREFIX, START_TIMEOUT).await?;
     let out = at.with_extension("out");
     let text = fs::read_to_string(&out).map_err(io_error(&out))?;
     Ok((process, address, serde_json::from_str(&text).map_err(|e| e.to_string())?))
@@ -87,7 +87,7 @@
 /// Sends a request to a stand-in process.
 pub async fn request<A: DeserializeOwned>(at: SocketAddr, path: &str) -> Result<A, String> {
     let response = async {
-        let mut peer = Peer::new(TcpStream::connect(at).await?);
+        let mut peer = Connection::new(TcpStream::connect(at).await?);
         peer.write(format!("GET {path} HTTP/1.1\r\nHost: s\r\nContent-Length: 0\r\n\r\n").as_bytes()).await?;
         peer.read().await
     };
@@ -129,11 +129,12 @@
         let file = StandInConfig::Discovery { lists, places: upstream_addresses.clone() };
         let (discovery, discovery_control, lists) =
             start_stand_in(program, folder, "discovery", &file).await?;
-        let coordinator_addresses = addresses(layout.plan.coordinators.len()).map_err(|e| e.to_string())?;
+        let coordinator_addresses =
+            free_addresses(layout.plan.coordinators.len()).map_err(|e| e.to_string())?;
         let mut coordinator_links = BTreeMap::new();
         for n in 0..coordinator_addresses.len() {
             for (m, at) in coordinator_addresses.iter().enumerate().filter(|(m, _)| *m != n) {
-                coordinator_links.insert((n, m), Link::to(*at).await.map_err(|e| e.to_string())?);
+                coordinator_links.insert((n, m), Link::start(*at).await.map_err(|e| e.to_string())?);
             }
         }
         let mut member_links = MemberLinks::new();
@@ -144,7 +145,7 @@
             }
             let mut links = Vec::new();
             for at in &coordinator_addresses {
-                links.push(Link::to(*at).await.map_err(|e| e.to_string())?);
+                links.push(Link::start(*at).await.map_err(|e| e.to_string())?);
             }
             member_links.insert(key, links);
         }
@@ -251,7 +252,7 @@
             loop {
                 let (serves, ended, log) = {
                     let process = &self.hollow.borrow()[*n];
-                    (process.says(HOLLOW_READY_PREFIX), !process.is_running(), process.log())
+                    (process.log_contains(HOLLOW_READY_PREFIX), !process.is_running(), process.log())
                 };
                 if serves {
                     let ops_addresses =
@@ -345,22 +346,22 @@
     }
 
     /// Traffic from members to each coordinator so far.
-    pub fn member_traffic(&self) -> Vec<Counted> {
+    pub fn member_traffic(&self) -> Vec<Traffic> {
         let sum =
-            |n: usize| self.member_links.values().fold(Counted::default(), |sum, to| sum + to[n].counted());
+            |n: usize| self.member_links.values().fold(Traffic::default(), |sum, to| sum + to[n].traffic());
         (0..self.coordinator_addresses.len()).map(sum).collect()
     }
 
-    fn kind_traffic(&self, real: bool) -> Counted {
+    fn kind_traffic(&self, real: bool) -> Traffic {
         let member_links = self.member_links.iter().filter(|((_, kind), _)| *kind == real);
         let traffic_by_kind = self.metrics_traffic.get()[usize::from(real)];
-        member_links.flat_map(|(_, links)| links).fold(traffic_by_kind, |sum, link| sum + link.counted())
+        member_links.flat_map(|(_, links)| links).fold(traffic_by_kind, |sum, link| sum + link.traffic())
     }
 
-    fn coordinator_traffic(&self, n: usize) -> Counted {
+    fn coordinator_traffic(&self, n: usize) -> Traffic {
         let coordinator_links =
             self.coordinator_links.iter().filter(|((from, to), _)| *from == n || *to == n);
-        coordinator_links.fold(self.member_traffic()[n], |sum, (_, link)| sum + link.counted())
+        coordinator_links.fold(self.member_traffic()[n], |sum, (_, link)| sum + link.traffic())
     }
 
     /// Memory in kB: hollow processes together, real balancers together, each coordinator, and the
@@ -387,7 +388,7 @@
         let Some(at) = address else { continue };
         let request = format!("GET /-/metrics HTTP/1.1\r\nHost: {}\r\n\r\n", m.name);
         let response = async {
-            let mut peer = Peer::new(TcpStream::connect(at).await?);
+            let mut peer = Connection::new(TcpStream::connect(at).await?);
             peer.write(request.as_bytes()).await?;
             peer.read().await
         };
@@ -395,7 +396,7 @@
         let Ok(Ok(Some(response))) = timeout(SECOND, response).await else { continue };
         let mut all = fleet.metrics_traffic.get();
         let bytes = (request.len() + response.head.len() + response.body.len()) as u64;
-        all[usize::from(m.real)] += Counted { bytes, messages: 2 };
+        all[usize::from(m.real)] += Traffic { bytes, messages: 2 };
         fleet.metrics_traffic.set(all);
     }
 }
@@ -403,14 +404,14 @@
 /// Samples the costs once a second for as long as it runs.
 pub async fn sample_costs(fleet: Rc<Fleet>, samples: Rc<RefCell<Vec<Sample>>>) {
     let mut cpu_times = CpuTimes::default();
-    let mut before: Option<(Instant, Vec<Counted>)> = None;
+    let mut before: Option<(Instant, Vec<Traffic>)> = None;
     let mut next = Instant::now();
     loop {
         let traffic_by_kind: TrafficByKind = request(fleet.discovery_control, "/").await.unwrap_or_default();
         let now = Instant::now();
         let list_traffic = |kind: &str| {
             let (bytes, messages) = traffic_by_kind.get(kind).copied().unwrap_or_default();
-            Counted { bytes, messages }
+            Traffic { bytes, messages }
         };
         let (hollow, real) = (list_traffic(kind(false)), list_traffic(kind(true)));
         let mut counted =
--- a/crates/fernroute-testbed/src/scale/load.rs
+++ b/crates/fernroute-testbed/src/scale/load.rs
@@ -2,7 +2,7 @@
 //! answered. One thread schedules, another sends.
 
 use super::layout::TENANT;
-use fernroute_test_support::http::Peer;
+use fernroute_test_support::http::Connection;
 use hdrhistogram::Histogram;
 use std::cell::RefCell;
 use std::cmp::Reverse;
@@ -247,7 +247,7 @@
     direct: SocketAddr,
     streams: Vec<Stream>,
     /// Idle connections by address. Removed as they end.
-    idle: RefCell<BTreeMap<SocketAddr, Vec<Peer>>>,
+    idle: RefCell<BTreeMap<SocketAddr, Vec<Connection>>>,
     /// Connection limits by address: at most one entry for each start of a balancer.
     connection_limits: RefCell<BTreeMap<SocketAddr, Rc<Semaphore>>>,
 }
@@ -322,17 +322,17 @@
             }
             lock(&self.shared.stats).crossed += 1;
         }
-        let peer = Peer::new(TcpStream::connect(at).await?);
+        let peer = Connection::new(TcpStream::connect(at).await?);
         self.exchange(at, peer, request).await
     }
 
-    async fn exchange(&self, at: SocketAddr, mut peer: Peer, request: &[u8]) -> std::io::Result<u16> {
+    async fn exchange(&self, at: SocketAddr, mut peer: Connection, request: &[u8]) -> std::io::Result<u16> {
         let exchange = async {
             peer.write(request).await?;
             peer.read().await
         };
         let answer = timeout(ANSWER_TIMEOUT, exchange).await??.ok_or(std::io::ErrorKind::UnexpectedEof)?;
-        if !answer.closes() {
+        if !answer.closes_connection() {
             self.idle.borrow_mut().entry(at).or_default().push(peer);
         }
         Ok(answer.status())
--- a/crates/fernroute-testbed/src/scale/mod.rs
+++ b/crates/fernroute-testbed/src/scale/mod.rs
@@ -130,7 +130,7 @@
         // Traffic between coordinators is at most some hundred messages per second; subtract it as
         // counted.
         let coordinator_links: u64 =
-            fleet.coordinator_links.values().map(|link| link.counted().messages).sum();
+            fleet.coordinator_links.values().map(|link| link.traffic().messages).sum();
         let total_s: f64 = samples.iter().map(|s| s.seconds).sum::<f64>().max(1.0);
         let all = messages as f64 / time.max(1.0) - coordinator_links as f64 / total_s;
         all / fleet.layout.members.len() as f64
--- a/crates/fernroute-testbed/src/scale/stand_in.rs
+++ b/crates/fernroute-testbed/src/scale/stand_in.rs
@@ -2,9 +2,9 @@
 //! their traffic.
 
 use super::limit::LimitChecker;
-use fernroute_test_support::http::{answer, Message, Peer};
-use fernroute_test_support::stand_in::{entry, serve, Deed, Discovery};
-use fernroute_test_support::Counted;
+use fernroute_test_support::http::{response, Connection, Message};
+use fernroute_test_support::stub::{list_entry, serve_stub, Reply, StubDiscovery};
+use fernroute_test_support::Traffic;
 use serde::{Deserialize, Serialize};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -76,9 +76,9 @@
 
 type StartedStandIn = std::io::Result<(BTreeMap<String, SocketAddr>, SocketAddr)>;
 
-fn json_response(what: &impl Serialize) -> Deed {
+fn json_response(what: &impl Serialize) -> Reply {
     let text = serde_json::to_string(what);
-    Deed::Say(text.map_or_else(|e| answer(500, "", &e.to_string()), |text| answer(200, "", &text)))
+    Reply::Send(text.map_or_else(|e| response(500, "", &e.to_string()), |text| response(200, "", &text)))
 }
 
 /// A published list: its entries with the last upstream serving and draining, and which of them is
@@ -86,7 +86,7 @@
 struct PublishedList {
     entries: [String; 2],
     drains: bool,
-    servers: Vec<(String, Rc<Discovery>)>,
+    servers: Vec<(String, Rc<StubDiscovery>)>,
 }
 
 async fn discovery(
@@ -101,34 +101,34 @@
             let count = list.upstreams.len();
             let each = list.upstreams.iter().enumerate().map(|(n, (id, zone))| {
                 let state = if n + 1 == count { last } else { "SERVING" };
-                entry(id, places.get(id).copied().unwrap_or(unused), zone, state)
+                list_entry(id, places.get(id).copied().unwrap_or(unused), zone, state)
             });
             each.collect::<Vec<String>>().join(",")
         };
         let entries = [entries("SERVING"), entries("DRAINING")];
         let mut servers = Vec::new();
         for kind in list.kinds {
-            let server = Discovery::start(any_port, entries[0].clone()).await?;
+            let server = StubDiscovery::start(any_port, entries[0].clone()).await?;
             out.insert(format!("{name} {kind}"), server.address);
             servers.push((kind, server));
         }
         all.insert(name, RefCell::new(PublishedList { entries, drains: false, servers }));
     }
-    let control_address = serve(any_port, move |request: &Message| {
+    let control_address = serve_stub(any_port, move |request: &Message| {
         if let Some(name) = request.target.strip_prefix("/tell/") {
             // The last upstream drains or serves again, and all watchers get the new list.
-            let Some(list) = all.get(name) else { return Deed::Say(answer(404, "", "")) };
+            let Some(list) = all.get(name) else { return Reply::Send(response(404, "", "")) };
             let list = &mut *list.borrow_mut();
             list.drains = !list.drains;
             let entries = &list.entries[usize::from(list.drains)];
-            list.servers.iter().for_each(|(_, server)| server.tell(entries.clone()));
-            return Deed::Say(answer(200, "", ""));
+            list.servers.iter().for_each(|(_, server)| server.publish(entries.clone()));
+            return Reply::Send(response(200, "", ""));
         }
         let mut traffic = TrafficByKind::new();
         for list in all.values() {
             for (kind, server) in &list.borrow().servers {
-                let (sum, Counted { bytes, messages }) =
-                    (traffic.entry(kind.clone()).or_default(), server.counted());
+                let (sum, Traffic { bytes, messages }) =
+                    (traffic.entry(kind.clone()).or_default(), server.traffic());
                 *sum = (sum.0 + bytes, sum.1 + messages);
             }
         }
@@ -158,8 +158,8 @@
             while let Ok((stream, _)) = listener.accept().await {
                 let counts = Rc::clone(&counts);
                 spawn_local(async move {
-                    let mut peer = Peer::new(stream);
-                    let response = answer(200, "Srv-Load: util=0.10\r\n", "whole");
+                    let mut peer = Connection::new(stream);
+                    let response = response(200, "Srv-Load: util=0.10\r\n", "whole");
                     while let Ok(Some(request)) = peer.read().await {
                         record_attempt(&mut counts.borrow_mut(), &request, started.elapsed());
                         if peer.write(&response).await.is_err() {
@@ -170,7 +170,7 @@
             }
         });
     }
-    let control_address = serve(any_port, move |_: &Message| {
+    let control_address = serve_stub(any_port, move |_: &Message| {
         let (count, checker) = &*counts.borrow();
         json_response(&ExecutionCounts { beyond: checker.violations(), ..count.clone() })
     });
