--- a/crates/fernroute-server/tests/attempts.rs
+++ b/crates/fernroute-server/tests/attempts.rs
@@ -50,11 +50,11 @@
 }
 
 fn upstream(reads: usize, end: End) -> Upstream {
-    let socket = TcpSocket::new_v4().expect("a socket");
-    socket.set_recv_buffer_size(4 * 1024).expect("a size");
-    socket.bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port");
-    let listener = socket.listen(16).expect("it listens");
-    let address = listener.local_addr().expect("an address");
+    let socket = TcpSocket::new_v4().expect("create a socket");
+    socket.set_recv_buffer_size(4 * 1024).expect("set the socket buffer size");
+    socket.bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("bind a listener");
+    let listener = socket.listen(16).expect("listen on the socket");
+    let address = listener.local_addr().expect("local address");
     let (had, attempts): (Rc<Cell<usize>>, Rc<Cell<usize>>) = Default::default();
     actix_rt::spawn(take(listener, reads, end, Rc::clone(&had), Rc::clone(&attempts)));
     Upstream { address, had, attempts }
@@ -81,7 +81,7 @@
             }
         }
         match end {
-            End::Reset => stream.set_zero_linger().expect("it will be reset"),
+            End::Reset => stream.set_zero_linger().expect("set SO_LINGER"),
             End::Close => {}
             End::TurnAway => say(&mut stream, "503 Busy", "Srv-Declined: 1\r\n").await,
             End::Errored => say(&mut stream, "500 Broken", "").await,
@@ -156,7 +156,7 @@
             let b = balancer_at(&[up.address], &[]).await;
             let mut caller = connect(b.address).await;
             let head = common::rpc("POST", "/pay", &format!("Content-Length: {BODY}\r\n"));
-            caller.write_all(head.as_bytes()).await.expect("it is read");
+            caller.write_all(head.as_bytes()).await.expect("complete transfer");
             let (mut answers, mut sends) = caller.split();
             let sending = async {
                 for piece in vec![b'x'; BODY].chunks(40_000) {
--- a/crates/fernroute-server/tests/common/mod.rs
+++ b/crates/fernroute-server/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! Balancers of the tests' own, in this process; stand-ins and callers are the rig's.
+//! Starts balancers inside the test process. Stand-in servers and callers come from `fernroute-test-support`.
 
-// Each file of tests uses a part of these.
+// Each test file uses only some of these.
 #![allow(dead_code, unused_imports)]
 
 pub use fernroute_test_support::caller::{ask, connect, is_ready, rpc, send, told, until_ready, Load};
@@ -18,15 +18,15 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Runs a test on one thread, as the program runs; it must end.
+/// Runs a test on a single-threaded runtime, like the program's, with a time limit.
 pub fn run(test: impl Future<Output = ()>) {
-    let runtime = actix_rt::Runtime::new().expect("a runtime");
+    let runtime = actix_rt::Runtime::new().expect("create the runtime");
     let end = runtime.block_on(async { tokio::time::timeout(Duration::from_secs(20), test).await });
-    end.expect("the test ends");
+    end.expect("test exceeded its time limit");
 }
 
-/// A deployment of the tests' own: a method of each kind, and whatever `changes` puts in place of a text.
-pub fn page(upstreams: &[SocketAddr], discovery: SocketAddr, changes: &[(&str, &str)]) -> String {
+/// A JSON configuration file with one method of each effect. Each pair in `changes` replaces a text that must occur in it.
+pub fn config_json(upstreams: &[SocketAddr], discovery: SocketAddr, changes: &[(&str, &str)]) -> String {
     let list = upstreams.iter().enumerate().map(|(n, at)| entry(&format!("s-{n}"), *at, "z", "SERVING"));
     let list: Vec<String> = list.collect();
     let method = |name: &str, effect: &str| {
@@ -58,45 +58,50 @@
     text
 }
 
-pub fn station(upstreams: &[SocketAddr], discovery: SocketAddr, changes: &[(&str, &str)]) -> InstanceConfig {
-    InstanceConfig::decode_json(&page(upstreams, discovery, changes)).expect("the file is whole")
+pub fn instance_config(
+    upstreams: &[SocketAddr],
+    discovery: SocketAddr,
+    changes: &[(&str, &str)],
+) -> InstanceConfig {
+    InstanceConfig::decode_json(&config_json(upstreams, discovery, changes))
+        .expect("valid configuration file")
 }
 
-/// The id of an RPC as it is written.
-pub fn id_of(bytes: &str) -> &str {
-    bytes.split("Req-Id: ").nth(1).and_then(|rest| rest.lines().next()).expect("an id")
+/// The `Req-Id` header of an encoded RPC.
+pub fn rpc_id(bytes: &str) -> &str {
+    bytes.split("Req-Id: ").nth(1).and_then(|rest| rest.lines().next()).expect("Req-Id header")
 }
 
-/// An RPC of one of the page's methods, read as the balancer reads it.
+/// An RPC of one of the methods in [`config_json`], decoded as the balancer decodes it.
 pub fn request(b: &RunningInstance, id: &str, method: &str, ms: &str) -> Request {
     let mut head = RequestHead::default();
-    head.uri = format!("/{method}").parse().expect("a path");
+    head.uri = format!("/{method}").parse().expect("valid path");
     head.method = if method == "look" { Method::GET } else { Method::POST };
     let key = (method == "put").then_some(("idempotency-key", "k"));
     let words = [("req-id", id), ("req-kind", method), ("req-deadline-ms", ms)];
     for (name, value) in words.into_iter().chain(key) {
-        head.headers.insert(HeaderName::from_static(name), value.parse().expect("a value"));
+        head.headers.insert(HeaderName::from_static(name), value.parse().expect("valid header value"));
     }
-    Request::decode(&head, &b.board.methods.borrow()).expect("an RPC")
+    Request::decode(&head, &b.board.methods.borrow()).expect("valid RPC")
 }
 
-/// A list as discovery would tell it; `entries` as [`entry`] makes them.
-pub fn list(version: u64, full: bool, entries: &[String]) -> List {
+/// The target list that the balancer decodes from a discovery response; `entries` as built by [`entry`].
+pub fn decode_list(version: u64, full: bool, entries: &[String]) -> List {
     let text = format!(r#"{{"version":{version},"full":{full},"servers":[{}]}}"#, entries.join(","));
-    lists::decode(&serde_json::from_str(&text).expect("it is JSON")).expect("a list")
+    lists::decode(&serde_json::from_str(&text).expect("valid JSON")).expect("valid target list")
 }
 
-/// Connections to upstreams that were used until now may be used again after this.
-pub async fn rested() {
+/// Waits longer than the time for which a connection that has just been used is not reused.
+pub async fn until_reusable() {
     tokio::time::sleep(Duration::from_millis(12)).await;
 }
 
-/// A balancer before these upstreams, with discovery silent.
+/// A balancer that knows these upstreams; discovery accepts connections and never answers.
 pub async fn balancer(upstreams: &[&StandIn], changes: &[(&str, &str)]) -> RunningInstance {
     balancer_at(&upstreams.iter().map(|u| u.address).collect::<Vec<_>>(), changes).await
 }
 
 pub async fn balancer_at(upstreams: &[SocketAddr], changes: &[(&str, &str)]) -> RunningInstance {
     let discovery = stand_in(|_, _| Deed::Silence).await;
-    serve::start(station(upstreams, discovery.address, changes)).await.expect("it starts")
+    serve::start(instance_config(upstreams, discovery.address, changes)).await.expect("start the balancer")
 }
--- a/crates/fernroute-server/tests/common/process.rs
+++ b/crates/fernroute-server/tests/common/process.rs
@@ -1,4 +1,4 @@
-//! The program itself, as operators start it.
+//! Runs the `fernroute` program as a separate process.
 
 #![allow(dead_code)]
 
@@ -10,79 +10,94 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// Far longer than a start takes, on a busy machine too.
-const START: Duration = Duration::from_secs(10);
+/// Far longer than a start takes, even on a busy machine.
+const START_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A folder of the test's own, for files and as `$TMPDIR`.
-pub fn folder(name: &str) -> PathBuf {
+/// Creates a directory for one test, used for its files and as `$TMPDIR`.
+pub fn temp_dir(name: &str) -> PathBuf {
     let folder = std::env::temp_dir().join(format!("fernroute-{name}-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder");
+    std::fs::create_dir_all(&folder).expect("access the test directory");
     folder
 }
 
-/// A running balancer; its addresses stand in its log.
+/// A running balancer, whose addresses are read from its log.
 pub struct Program {
     process: Process,
     path: PathBuf,
-    /// Where it serves; its door's until it does.
+    /// The address for callers; equal to `ops_address` until the balancer serves.
     pub address: SocketAddr,
-    pub door: SocketAddr,
+    /// The address for operators.
+    pub ops_address: SocketAddr,
 }
 
 impl Program {
-    /// Serves already.
-    pub async fn start(folder: &Path, page: &str) -> Self {
-        Program::launch(folder, page, Some(folder)).await.serving().await
+    /// Returns once the balancer serves callers.
+    pub async fn start(folder: &Path, config: &str) -> Self {
+        Program::launch(folder, config, Some(folder)).await.until_serving().await
     }
 
-    /// Returns once it answers operators; callers it may serve later. `meets` is its `$TMPDIR`, if it has one.
-    pub async fn launch(folder: &Path, page: &str, meets: Option<&Path>) -> Self {
-        Program::run(folder, page, meets, |command| command).await
+    /// Returns once the balancer answers operators, possibly before it serves callers. `tmpdir` becomes its `$TMPDIR`;
+    /// with `None` the variable is unset.
+    pub async fn launch(folder: &Path, config: &str, tmpdir: Option<&Path>) -> Self {
+        Program::run(folder, config, tmpdir, |command| command).await
     }
 
-    /// Serves already; its machine grants it so many descriptors, whatever its file says.
-    pub async fn start_with(folder: &Path, page: &str, descriptors: usize) -> Self {
+    /// Like [`Program::start`], with an operating system limit on file descriptors that is independent of the configuration.
+    pub async fn start_with(folder: &Path, config: &str, descriptors: usize) -> Self {
         let limited = |command| with_descriptors(&command, descriptors);
-        Program::run(folder, page, Some(folder), limited).await.serving().await
+        Program::run(folder, config, Some(folder), limited).await.until_serving().await
     }
 
-    async fn run(folder: &Path, page: &str, meets: Option<&Path>, how: impl Fn(Command) -> Command) -> Self {
+    async fn run(
+        folder: &Path,
+        config: &str,
+        tmpdir: Option<&Path>,
+        prepare: impl Fn(Command) -> Command,
+    ) -> Self {
         static FILES: AtomicUsize = AtomicUsize::new(0);
-        let format = if page.starts_with('{') { "json" } else { "toml" };
-        let path = folder.join(format!("{}.{format}", FILES.fetch_add(1, Ordering::Relaxed)));
-        std::fs::write(&path, page).expect("a file");
+        let extension = if config.starts_with('{') { "json" } else { "toml" };
+        let path = folder.join(format!("{}.{extension}", FILES.fetch_add(1, Ordering::Relaxed)));
+        std::fs::write(&path, config).expect("access the test file");
         let mut command = Command::new(env!("CARGO_BIN_EXE_fernroute"));
         command.args(["serve", "--config"]).arg(&path).env_remove("NODE_OPS");
-        match meets {
+        match tmpdir {
             Some(folder) => command.env("TMPDIR", folder),
             None => command.env_remove("TMPDIR"),
         };
-        let process = Process::launch(how(command)).expect("it starts");
-        let door = process.address_after("operators are answered on ", START).await.expect("its door");
-        Program { process, path, address: door, door }
+        let process = Process::launch(prepare(command)).expect("start the balancer");
+        let ops_address = process
+            .address_after("operators are answered on ", START_TIMEOUT)
+            .await
+            .expect("operations address in the log");
+        Program { process, path, address: ops_address, ops_address }
     }
 
-    /// Waits until it serves, and learns where.
-    pub async fn serving(mut self) -> Self {
-        self.address = self.process.address_after("serving on ", START).await.expect("its address");
+    /// Waits until the balancer serves callers, and sets `address`.
+    pub async fn until_serving(mut self) -> Self {
+        self.address = self
+            .process
+            .address_after("serving on ", START_TIMEOUT)
+            .await
+            .expect("service address in the log");
         self
     }
 
-    /// Has it read this instead of its file.
-    pub fn reload(&self, page: &str) {
-        // In one step: a signal of before may have the file read just now.
-        let whole = self.path.with_extension("new");
-        std::fs::write(&whole, page).expect("a file");
-        std::fs::rename(&whole, &self.path).expect("a file");
+    /// Replaces the configuration file and sends SIGHUP.
+    pub fn reload(&self, config: &str) {
+        // Replaced atomically: an earlier SIGHUP may be reading the file now.
+        let new_file = self.path.with_extension("new");
+        std::fs::write(&new_file, config).expect("access the test file");
+        std::fs::rename(&new_file, &self.path).expect("access the test file");
         self.signal(rustix::process::Signal::HUP);
     }
 
-    /// As a planned restart begins.
-    pub fn term(&self) {
+    /// Sends SIGTERM, which begins a planned shutdown.
+    pub fn terminate(&self) {
         self.signal(rustix::process::Signal::TERM);
     }
 
-    pub async fn ends_well(self) {
+    /// Waits for the process and checks that its exit code is 0.
+    pub async fn exits_cleanly(self) {
         assert_eq!(self.ends().await, Some(0));
     }
 }
--- a/crates/fernroute-server/tests/configuration.rs
+++ b/crates/fernroute-server/tests/configuration.rs
@@ -11,7 +11,7 @@
 };
 use fernroute_fleet::message::{Envelope, Grant, Heartbeat, HeartbeatError, HeartbeatReply};
 use fernroute_test_support::http::answer;
-use process::{folder, Program};
+use process::{temp_dir, Program};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -70,7 +70,8 @@
         let json = |what: String| Deed::Say(answer(200, "", &what));
         if message.target == FETCH_PATH {
             self.fetches.set(self.fetches.get() + 1);
-            let asked: Envelope<FetchRequest> = serde_json::from_slice(&message.body).expect("a fetch");
+            let asked: Envelope<FetchRequest> =
+                serde_json::from_slice(&message.body).expect("valid fetch request");
             let mut fetched = self.register.borrow().fetch(&asked.message);
             match self.ways.borrow()[n] {
                 Way::Well => {}
@@ -82,12 +83,12 @@
                     }
                 }
             }
-            return json(serde_json::to_string(&fetched).expect("JSON"));
+            return json(serde_json::to_string(&fetched).expect("valid JSON"));
         }
         if !self.answer.get() {
             return Deed::Silence;
         }
-        let beat: Envelope<Heartbeat> = serde_json::from_slice(&message.body).expect("a beat");
+        let beat: Envelope<Heartbeat> = serde_json::from_slice(&message.body).expect("valid heartbeat");
         let beat = beat.message;
         let version = beat.configuration.as_ref().filter(|_| self.know.get()).and_then(|report| {
             let ConfigurationReport { service, zone, active: in_force, .. } = report.clone();
@@ -106,7 +107,7 @@
             duties: None,
         });
         self.beats.borrow_mut().push(beat);
-        json(serde_json::to_string(&said).expect("JSON"))
+        json(serde_json::to_string(&said).expect("valid JSON"))
     }
 
     /// Enters a part for all of the service.
@@ -116,7 +117,7 @@
 
     fn put_for(&self, scope: &str, content: &str) -> u64 {
         let mut register = self.register.borrow_mut();
-        let scope: Scope = scope.parse().expect("a scope");
+        let scope: Scope = scope.parse().expect("valid scope");
         let (base, content, hash) =
             (register.latest_version(&scope), content.to_owned(), content_hash(content));
         let who = "op".to_owned();
@@ -130,7 +131,7 @@
                 entered_at_ms: 0,
                 min_version_exclusive: 0,
             })
-            .expect("it is entered")
+            .expect("accepted change")
     }
 
     fn report(&self) -> ConfigurationReport {
@@ -178,8 +179,8 @@
 }
 
 async fn figures(program: &Program) -> serde_json::Value {
-    let answer = ask(program.door, "GET /-/metrics HTTP/1.1\r\nHost: n0\r\n\r\n").await;
-    serde_json::from_slice(&answer.body).expect("JSON")
+    let answer = ask(program.ops_address, "GET /-/metrics HTTP/1.1\r\nHost: n0\r\n\r\n").await;
+    serde_json::from_slice(&answer.body).expect("valid JSON")
 }
 
 /// Guards against a change that is said to be in force and shows nowhere, against SIGHUP that takes the fleet's parts away,
@@ -189,7 +190,7 @@
     run(async {
         let (up, stewards) = (stand_in(|_, _| ok("whole")).await, Stewards::start(2).await);
         let text = page(up.address, &stewards.at, SHOP);
-        let program = Program::start(&folder("change"), &text).await;
+        let program = Program::start(&temp_dir("change"), &text).await;
         assert_eq!((status(&program, "look").await, status(&program, "pay").await), (200, 404));
         let first = stewards.put(&(method("look") + &method("pay")));
         stewards.until_in_force(first).await;
@@ -232,7 +233,7 @@
     run(async {
         let (up, stewards) = (stand_in(|_, _| ok("whole")).await, Stewards::start(2).await);
         let text = page(up.address, &stewards.at, SHOP);
-        let program = Program::start(&folder("refused"), &text).await;
+        let program = Program::start(&temp_dir("refused"), &text).await;
         let first = stewards.put(&method("first"));
         stewards.until_in_force(first).await;
         // Fine by itself; where the list must be asked for it must be said within what time, and this file does not.
@@ -265,7 +266,7 @@
     run(async {
         let (up, stewards) = (stand_in(|_, _| ok("whole")).await, Stewards::start(1).await);
         let text = page(up.address, &stewards.at, SHOP);
-        let program = Program::start(&folder("mended"), &text).await;
+        let program = Program::start(&temp_dir("mended"), &text).await;
         let asks = stewards.put("[list]\nmode = \"ask\"\n");
         let why = stewards.until_refused(asks).await;
         assert!(why.contains("list.ask_within_s"), "{why}");
@@ -285,7 +286,7 @@
 fn a_steward_that_is_behind_silent_or_spoils_is_passed_over() {
     run(async {
         let (up, stewards) = (stand_in(|_, _| ok("whole")).await, Stewards::start(4).await);
-        let program = Program::start(&folder("ways"), &page(up.address, &stewards.at, SHOP)).await;
+        let program = Program::start(&temp_dir("ways"), &page(up.address, &stewards.at, SHOP)).await;
         stewards.ways.replace(vec![Way::Behind, Way::Spoilt, Way::Well, Way::Silent]);
         for n in 0..4 {
             let name = format!("m{n}");
@@ -311,13 +312,13 @@
         let (up, stewards) = (stand_in(|_, _| ok("whole")).await, Stewards::start(1).await);
         stewards.know.set(false);
         stewards.put(&method("new"));
-        let program = Program::start(&folder("older"), &page(up.address, &stewards.at, SHOP)).await;
+        let program = Program::start(&temp_dir("older"), &page(up.address, &stewards.at, SHOP)).await;
         assert!(!program.says("no current configuration from the coordinators"));
         until(|| stewards.beats.borrow().len() > 10).await;
         assert_eq!((status(&program, "look").await, stewards.fetches.get()), (200, 0));
         // One that follows none reports none, and is told of none.
         stewards.know.set(true);
-        let other = Program::start(&folder("none"), &page(up.address, &stewards.at, "")).await;
+        let other = Program::start(&temp_dir("none"), &page(up.address, &stewards.at, "")).await;
         let beats = stewards.beats.borrow().len();
         until(|| stewards.beats.borrow()[beats..].iter().filter(|b| b.configuration.is_none()).count() > 3)
             .await;
@@ -331,7 +332,7 @@
 fn a_start_without_stewards_goes_by_the_sound_copy_within_its_time() {
     run(async {
         let (up, stewards) = (stand_in(|_, _| ok("whole")).await, Stewards::start(2).await);
-        let folder = folder("copy");
+        let folder = temp_dir("copy");
         let text = page(up.address, &stewards.at, &format!("{SHOP}\nwait_ms = 300"));
         let program = Program::start(&folder, &text).await;
         stewards.put_for("all", "[limits]\ncancel = true\n");
@@ -339,8 +340,9 @@
         stewards.until_in_force(version).await;
         program.kill();
         stewards.answer.set(false);
-        let (path, whole) = (copy(&folder), std::fs::read_to_string(copy(&folder)).expect("it is kept"));
-        let names = std::fs::read_dir(&folder).expect("a folder").flatten();
+        let (path, whole) =
+            (copy(&folder), std::fs::read_to_string(copy(&folder)).expect("read the cached configuration"));
+        let names = std::fs::read_dir(&folder).expect("access the test directory").flatten();
         let left =
             names.filter(|entry| entry.file_name().to_string_lossy().contains(".configuration.")).count();
         assert_eq!(left, 0, "what is written beside it is gone");
@@ -354,14 +356,14 @@
         let cut = &whole[..whole.len() / 2];
         let other = whole.replacen("kept", "cept", 1);
         for damaged in [cut, "", "{}", &other, &whole.replace("\"z\"", "\"y\""), "\u{0}"] {
-            std::fs::write(&path, damaged).expect("a file");
+            std::fs::write(&path, damaged).expect("access the test file");
             let program = Program::start(&folder, &text).await;
             assert_eq!(program.times("cached configuration ignored: "), 1, "{:?}", program.log());
             assert_eq!((status(&program, "kept").await, status(&program, "look").await), (404, 200));
             program.kill();
         }
         // Sound, and not to be laid over what its own file says by now.
-        std::fs::write(&path, &whole).expect("a file");
+        std::fs::write(&path, &whole).expect("access the test file");
         let program =
             Program::start(&folder, &text.replace("zone = \"z\"\n[fleet]", "zone = \"x\"\n[fleet]")).await;
         assert_eq!(program.times("cached configuration ignored: not for balancer n0"), 1);
@@ -380,7 +382,7 @@
 fn what_the_disk_does_not_take_is_in_force_and_told_once() {
     run(async {
         let (up, stewards) = (stand_in(|_, _| ok("whole")).await, Stewards::start(1).await);
-        let folder = folder("disk");
+        let folder = temp_dir("disk");
         let place = folder.join("gone");
         let text = page(up.address, &stewards.at, &format!("{SHOP}\nfolder = \"{}\"", place.display()));
         let program = Program::start(&folder, &text).await;
@@ -391,7 +393,7 @@
         }
         assert_eq!(program.times("in force but not cached"), 1, "{:?}", program.log());
         assert_eq!(figures(&program).await["fleet"]["configuration"]["kept"], false);
-        std::fs::create_dir(&place).expect("a folder");
+        std::fs::create_dir(&place).expect("access the test directory");
         let version = stewards.put(&method("last"));
         stewards.until_in_force(version).await;
         assert_eq!(program.times("is cached, writes to the cache work again"), 1);
@@ -414,7 +416,7 @@
             _ => ok("whole"),
         };
         let (up, stewards) = (stand_in(slow).await, Stewards::start(2).await);
-        let program = Program::start(&folder("flight"), &page(up.address, &stewards.at, SHOP)).await;
+        let program = Program::start(&temp_dir("flight"), &page(up.address, &stewards.at, SHOP)).await;
         let pay = "[[method]]\nname = \"pay\"\neffect = \"non_retriable\"\nhard_ms = 3000\n";
         let first = stewards.put(&(method("look") + pay));
         stewards.until_in_force(first).await;
@@ -431,7 +433,7 @@
         }
         load.end().await;
         assert_eq!(status(&program, "look").await, 404);
-        let end = read(&mut open).await.expect("an answer");
+        let end = read(&mut open).await.expect("read the answer");
         assert!(from.elapsed() > Duration::from_millis(2500), "{:?} {}", from.elapsed(), end.head);
         assert_ne!(end.status(), 404);
         let figures = figures(&program).await;
@@ -446,7 +448,7 @@
     run(async {
         let (up, stewards) = (stand_in(|_, _| ok("whole")).await, Stewards::start(1).await);
         let text = page(up.address, &stewards.at, SHOP);
-        let program = Program::start(&folder("tenants"), &text).await;
+        let program = Program::start(&temp_dir("tenants"), &text).await;
         let asked = || -> Vec<String> {
             let beats = stewards.beats.borrow();
             beats.last().map(|beat| beat.demand.keys().cloned().collect()).unwrap_or_default()
@@ -474,7 +476,7 @@
 fn a_successor_begins_with_what_the_process_before_it_had_in_force() {
     run(async {
         let (up, stewards) = (stand_in(|_, _| ok("whole")).await, Stewards::start(1).await);
-        let folder = folder("successor");
+        let folder = temp_dir("successor");
         let text = page(up.address, &stewards.at, &format!("{SHOP}\nwait_ms = 200"));
         let old = Program::start(&folder, &text).await;
         let first = stewards.put(&method("first"));
@@ -484,7 +486,7 @@
         assert!(new.says(&format!("configuration {first} is in force, from the cache")), "{:?}", new.log());
         assert!(new.says("taking over"));
         assert_eq!((status(&new, "first").await, status(&new, "look").await), (200, 404));
-        old.ends_well().await;
+        old.exits_cleanly().await;
         stewards.answer.set(true);
         let second = stewards.put(&method("second"));
         stewards.until_in_force(second).await;
--- a/crates/fernroute-server/tests/connections.rs
+++ b/crates/fernroute-server/tests/connections.rs
@@ -5,7 +5,7 @@
 use actix_http::header::HeaderMap;
 use actix_http::Method;
 use bytes::Bytes;
-use common::{ask, balancer_at, entry, list, rpc, run};
+use common::{ask, balancer_at, decode_list, entry, rpc, run};
 use fernroute_server::transport::client::{
     AnswerStream, Body, Client, UpstreamAnswer, UpstreamClient, UpstreamError, UpstreamRequest,
 };
@@ -26,8 +26,8 @@
 
 /// Answers each RPC on its own connection in order: `/long` with a long body at once, others with their path after [`WORK`].
 async fn upstream() -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind a listener");
+    let address = listener.local_addr().expect("local address");
     actix_rt::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
             actix_rt::spawn(async move {
@@ -57,19 +57,24 @@
 
 async fn body_of(line: &UpstreamClient, path: &str) -> String {
     let answered = call(line, path).await.unwrap_or_else(|why| panic!("{path}: {why}"));
-    let (_, body) = answered.collect().await.expect("a whole answer");
+    let (_, body) = answered.collect().await.expect("read the complete answer");
     String::from_utf8_lossy(&body).into_owned()
 }
 
 /// A long answer of which all bytes are taken, its end with the last of them.
 async fn long_answer(line: &UpstreamClient) -> AnswerStream {
     let answered = call(line, "/long").await.unwrap_or_else(|why| panic!("{why}"));
-    let mut rest = answered.remaining.expect("a long answer has a rest");
+    let mut rest = answered.remaining.expect("body that continues after the first read");
     let mut came = answered.body_start.len();
     while came < LONG {
         // What is there, its end with it.
         tokio::time::sleep(Duration::from_millis(20)).await;
-        came += rest.next(2 * LONG).await.expect("more of it").expect("more of it").len();
+        came += rest
+            .next(2 * LONG)
+            .await
+            .expect("next part of the answer")
+            .expect("next part of the answer")
+            .len();
     }
     rest
 }
@@ -88,11 +93,11 @@
             async move { body_of(&line, "/second").await }
         });
         tokio::time::sleep(WORK / 3).await;
-        assert!(rest.next(LONG).await.expect("its whole end").is_none());
+        assert!(rest.next(LONG).await.expect("end of the answer").is_none());
         // Past the rest that a connection has between two RPCs.
         tokio::time::sleep(WORK / 5).await;
         assert_eq!(body_of(&line, "/third").await, "/third");
-        assert_eq!(second.await.expect("the second call ends"), "/second");
+        assert_eq!(second.await.expect("second call completes"), "/second");
     });
 }
 
@@ -122,8 +127,8 @@
 
 /// One in a zone of its own: `/look/long` has a long answer, every other RPC is turned away at the one, and runs at the other.
 async fn zoned(n: usize, ran: Ran) -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind a listener");
+    let address = listener.local_addr().expect("local address");
     let count = Rc::new(Cell::new(0_usize));
     actix_rt::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
@@ -154,11 +159,11 @@
 
 /// Reads a long answer in small steps, at so many bytes each millisecond.
 async fn take_slowly(balancer: SocketAddr, step: usize) {
-    let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
-    socket.set_recv_buffer_size(16 * 1024).expect("a size");
-    let mut stream = socket.connect(balancer).await.expect("it accepts");
+    let socket = tokio::net::TcpSocket::new_v4().expect("create a socket");
+    socket.set_recv_buffer_size(16 * 1024).expect("set the socket buffer size");
+    let mut stream = socket.connect(balancer).await.expect("connect to the balancer");
     let asked = rpc("GET", "/look/long", "Connection: close\r\n");
-    stream.write_all(asked.as_bytes()).await.expect("it is read");
+    stream.write_all(asked.as_bytes()).await.expect("complete transfer");
     let mut piece = vec![0; step];
     let mut came = 0;
     while let Ok(bytes) = stream.read(&mut piece).await {
@@ -180,10 +185,11 @@
         let at = [zoned(0, Rc::clone(&ran)).await, zoned(1, Rc::clone(&ran)).await];
         let b = balancer_at(&at, &[(r#""group":"all""#, r#""group":"zone""#)]).await;
         let zones = [entry("s-0", at[0], "z", "SERVING"), entry("s-1", at[1], "y", "SERVING")];
-        b.board.apply_list(&list(8, true, &zones), true);
+        b.board.apply_list(&decode_list(8, true, &zones), true);
         // Accepted connections have the same: with the usual megabytes a slow caller holds up the end of few answers.
-        let listener = b.server.listener().expect("it listens");
-        rustix::net::sockopt::set_socket_send_buffer_size(&listener, 16 * 1024).expect("a size");
+        let listener = b.server.listener().expect("listen on the socket");
+        rustix::net::sockopt::set_socket_send_buffer_size(&listener, 16 * 1024)
+            .expect("set the socket buffer size");
         let place = |place: usize| {
             let address = b.address;
             actix_rt::spawn(async move {
@@ -209,7 +215,7 @@
             tokio::time::sleep(Duration::from_millis(3)).await;
         }
         for other in others {
-            other.await.expect("its own answer");
+            other.await.expect("the RPC's own answer");
         }
         let [one, two] = &*ran.borrow();
         let both: Vec<&String> = one.iter().filter(|key| two.contains(key)).collect();
--- a/crates/fernroute-server/tests/crowds.rs
+++ b/crates/fernroute-server/tests/crowds.rs
@@ -5,10 +5,10 @@
 #[path = "common/process.rs"]
 mod process;
 
-use common::{balancer, entry, is_ready, ok, page, read, rpc, run, stand_in, until, Deed};
+use common::{balancer, config_json, entry, is_ready, ok, read, rpc, run, stand_in, until, Deed};
 use fernroute_test_support::process::addresses;
 use fernroute_test_support::stand_in::Discovery;
-use process::{folder, Program};
+use process::{temp_dir, Program};
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -88,15 +88,15 @@
 fn crossing(name: &'static str, said: Said, told: usize, granted: usize, from_the_start: bool) {
     run(async move {
         let (old, new) = (stand_in(|_, _| ok("old")).await, stand_in(|_, _| ok("new")).await);
-        let down = addresses(1).expect("a port")[0];
+        let down = addresses(1).expect("bind a listener")[0];
         let sockets = format!(r#""sockets":{told}"#);
         // Discovery's first list is the first one newer.
         let changes = [(r#""sockets":1024"#, sockets.as_str()), (r#""version":7"#, r#""version":0"#)];
-        let text = page(&[old.address], down, &changes);
-        let folder = folder(name);
+        let text = config_json(&[old.address], down, &changes);
+        let folder = temp_dir(name);
         let b = Program::start_with(&folder, &text, if from_the_start { granted } else { 4096 }).await;
         if !from_the_start {
-            b.limit_descriptors(granted as u64).expect("it may");
+            b.limit_descriptors(granted as u64).expect("set the socket option");
         }
         let crowd = Crowd::come(b.address, said);
         // And again, who was sent away before it said anything.
@@ -108,11 +108,11 @@
         }
         let newcomers = from.elapsed();
         let from = Instant::now();
-        assert!(is_ready(b.door).await);
+        assert!(is_ready(b.ops_address).await);
         until_ready_among(b.address).await;
         let ready = from.elapsed();
         let discovery = Discovery::start(down, entry("s-1", new.address, "z", "SERVING")).await;
-        let discovery = discovery.expect("it is back");
+        let discovery = discovery.expect("start discovery");
         let from = Instant::now();
         while newcomer(b.address).await != b"new" {}
         let told_after = from.elapsed();
@@ -123,7 +123,7 @@
         );
         while newcomer(b.address).await != b"old" {}
         let told_again = from.elapsed();
-        assert!(is_ready(b.door).await);
+        assert!(is_ready(b.ops_address).await);
         let busy = b.processor_ms();
         tokio::time::sleep(Duration::from_secs(1)).await;
         let busy = b.processor_ms() - busy;
@@ -202,11 +202,11 @@
         let at = b.address;
         spawn_local(async move {
             let mut stream = common::send(at, rpc("GET", "/look", "")).await;
-            assert_eq!(read(&mut stream).await.expect("an answer").status(), 200);
+            assert_eq!(read(&mut stream).await.expect("read the answer").status(), 200);
             told.set(true);
         });
         for caller in &mut busy {
-            assert!(read(caller).await.expect("an answer").status() >= 500);
+            assert!(read(caller).await.expect("read the answer").status() >= 500);
         }
         // They rest; one is sent away for it.
         until(|| go.get()).await;
@@ -224,7 +224,7 @@
         let mut kept = Vec::new();
         for _ in 0..20 {
             let mut caller = common::send(b.address, rpc("GET", "/look", "")).await;
-            assert_eq!(read(&mut caller).await.expect("an answer").status(), 200);
+            assert_eq!(read(&mut caller).await.expect("read the answer").status(), 200);
             kept.push(caller);
         }
         until(|| b.board.open.borrow().is_empty()).await;
@@ -232,8 +232,8 @@
         until(|| b.server.connections() == 5).await;
         // The last five are served on.
         for caller in &mut kept[15..] {
-            caller.write_all(rpc("GET", "/look", "").as_bytes()).await.expect("it reads");
-            assert_eq!(read(caller).await.expect("an answer").status(), 200);
+            caller.write_all(rpc("GET", "/look", "").as_bytes()).await.expect("write to the socket");
+            assert_eq!(read(caller).await.expect("read the answer").status(), 200);
         }
     });
 }
--- a/crates/fernroute-server/tests/daily.rs
+++ b/crates/fernroute-server/tests/daily.rs
@@ -13,7 +13,7 @@
 }
 
 fn door(b: &RunningInstance) -> SocketAddr {
-    b.ops_address.expect("a door")
+    b.ops_address.expect("operations address")
 }
 
 async fn tell(b: &RunningInstance, verb: &str, path: &str) -> u16 {
@@ -23,7 +23,7 @@
 async fn figures(b: &RunningInstance) -> serde_json::Value {
     let message: Message = ask(door(b), call("GET", "/-/metrics")).await;
     assert_eq!((message.status(), message.header("connection")), (200, Some("close")));
-    serde_json::from_slice(&message.body).expect("figures")
+    serde_json::from_slice(&message.body).expect("metrics in JSON")
 }
 
 #[test]
@@ -43,16 +43,16 @@
         let long = format!("GET /-/ready HTTP/1.1\r\nA: {}\r\n\r\n", "a".repeat(20_000));
         for (bytes, status) in [("nonsense\r\n\r\n", 400), ("GET /-/rea", 400), (long.as_str(), 431)] {
             let mut stream = connect(door(&b)).await;
-            stream.write_all(bytes.as_bytes()).await.expect("it reads");
-            stream.shutdown().await.expect("half an end");
-            let answer = read(&mut stream).await.expect("an answer");
+            stream.write_all(bytes.as_bytes()).await.expect("write to the socket");
+            stream.shutdown().await.expect("shut down the write side");
+            let answer = read(&mut stream).await.expect("read the answer");
             assert_eq!(answer.status(), status, "{bytes:.20}");
-            assert_eq!(stream.read(&mut [0; 1]).await.expect("an orderly end"), 0);
+            assert_eq!(stream.read(&mut [0; 1]).await.expect("close without a reset"), 0);
         }
         // What follows a call on its connection is no call.
         let mut stream = send(door(&b), call("GET", "/-/ready") + &call("POST", "/-/drain")).await;
-        assert_eq!(read(&mut stream).await.expect("an answer").status(), 200);
-        assert_eq!(stream.read(&mut [0; 1]).await.expect("an orderly end"), 0);
+        assert_eq!(read(&mut stream).await.expect("read the answer").status(), 200);
+        assert_eq!(stream.read(&mut [0; 1]).await.expect("close without a reset"), 0);
         // The callers' address keeps its one path.
         assert_eq!(ask(b.address, call("GET", "/-/ready")).await.status(), 200);
         for (verb, path) in [("GET", "/-/metrics"), ("POST", "/-/drain"), ("POST", "/-/resume")] {
@@ -92,8 +92,8 @@
 fn figures_add_up_whatever_happens() {
     run(async {
         let up = stand_in(|_, message| {
-            let path = message.head.split(' ').nth(1).expect("a path").to_owned();
-            match path.rsplit('/').next().expect("a last part") {
+            let path = message.head.split(' ').nth(1).expect("valid path").to_owned();
+            match path.rsplit('/').next().expect("last path segment") {
                 "declined" => {
                     Deed::Say(b"HTTP/1.1 503 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n".to_vec())
                 }
@@ -123,9 +123,11 @@
         let stayer = send(b.address, rpc("GET", "/look/silent", "")).await;
         let told = figures(&b).await;
         let counts = |v: &serde_json::Value| {
-            let number = |v: &serde_json::Value| v.as_u64().expect("a count");
-            let ends = v["results"].as_object().expect("methods").values();
-            let ended = ends.flat_map(|m| m.as_object().expect("ends").values().map(number)).sum::<u64>();
+            let number = |v: &serde_json::Value| v.as_u64().expect("an unsigned number");
+            let ends = v["results"].as_object().expect("results by method").values();
+            let ended = ends
+                .flat_map(|m| m.as_object().expect("results of a method").values().map(number))
+                .sum::<u64>();
             (number(&v["taken"]), ended + number(&v["left"]) + number(&v["outstanding"]))
         };
         assert_eq!(counts(&told).0, counts(&told).1, "{told}");
@@ -160,8 +162,8 @@
                 .await;
         let b = balancer(&[&up], &[]).await;
         let (mut idle, mut kept) = (connect(b.address).await, connect(b.address).await);
-        kept.write_all(rpc("GET", "/look", "").as_bytes()).await.expect("it reads");
-        assert_eq!(read(&mut kept).await.expect("an answer").status(), 200);
+        kept.write_all(rpc("GET", "/look", "").as_bytes()).await.expect("write to the socket");
+        assert_eq!(read(&mut kept).await.expect("read the answer").status(), 200);
         let mut open = send(b.address, rpc("POST", "/pay/silent", "Content-Length: 0\r\n")).await;
         until(|| up.seen.borrow().len() == 2).await;
         let from = Instant::now();
@@ -174,10 +176,10 @@
         // Who comes in the next moments is served; later answers close their connections, then idle ones end.
         assert_eq!(ask(b.address, rpc("GET", "/look", "")).await.status(), 200);
         actix_rt::time::sleep(Duration::from_millis(700)).await;
-        kept.write_all(rpc("GET", "/look", "").as_bytes()).await.expect("it reads");
-        let last = read(&mut kept).await.expect("an answer");
+        kept.write_all(rpc("GET", "/look", "").as_bytes()).await.expect("write to the socket");
+        let last = read(&mut kept).await.expect("read the answer");
         assert_eq!((last.status(), last.header("connection")), (200, Some("close")));
-        assert_eq!(idle.read(&mut [0; 1]).await.expect("an orderly end"), 0);
+        assert_eq!(idle.read(&mut [0; 1]).await.expect("close without a reset"), 0);
         assert!(from.elapsed() < Duration::from_secs(2), "{:?}", from.elapsed());
         // What began before it goes on; the process serves operators.
         let told = figures(&b).await;
@@ -192,8 +194,8 @@
         // A connection is kept again, also over the time of the drain's end.
         let mut back = connect(b.address).await;
         for _ in 0..2 {
-            back.write_all(rpc("GET", "/look", "").as_bytes()).await.expect("it reads");
-            let answer = read(&mut back).await.expect("an answer");
+            back.write_all(rpc("GET", "/look", "").as_bytes()).await.expect("write to the socket");
+            let answer = read(&mut back).await.expect("read the answer");
             assert_eq!((answer.status(), answer.header("connection")), (200, None));
             actix_rt::time::sleep(Duration::from_millis(300)).await;
         }
--- a/crates/fernroute-server/tests/departures.rs
+++ b/crates/fernroute-server/tests/departures.rs
@@ -4,7 +4,8 @@
 mod common;
 
 use common::{
-    ask, balancer, balancer_at, connect, entry, list, ok, rested, rpc, run, send, stand_in, until, Deed,
+    ask, balancer, balancer_at, connect, decode_list, entry, ok, rpc, run, send, stand_in, until,
+    until_reusable, Deed,
 };
 use fernroute_server::program::serve::RunningInstance;
 use fernroute_test_support::http::{answer, take};
@@ -34,11 +35,11 @@
     match how {
         End::Closes => None,
         End::Halves => {
-            rustix::net::shutdown(&caller, rustix::net::Shutdown::Write).expect("it is open");
+            rustix::net::shutdown(&caller, rustix::net::Shutdown::Write).expect("open connection or RPC");
             Some(caller)
         }
         End::Resets => {
-            caller.set_zero_linger().expect("it may");
+            caller.set_zero_linger().expect("set the socket option");
             None
         }
     }
@@ -56,16 +57,16 @@
 
 impl Plain {
     fn new() -> Self {
-        let socket = TcpSocket::new_v4().expect("a socket");
-        socket.bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port");
-        let listener = socket.listen(1024).and_then(|l| l.into_std()).expect("it listens");
-        let address = listener.local_addr().expect("an address");
+        let socket = TcpSocket::new_v4().expect("create a socket");
+        socket.bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("bind a listener");
+        let listener = socket.listen(1024).and_then(|l| l.into_std()).expect("listen on the socket");
+        let address = listener.local_addr().expect("local address");
         Plain { address, listener, open: Vec::new(), bytes: 0 }
     }
 
     fn look(&mut self) {
         while let Ok((stream, _)) = self.listener.accept() {
-            stream.set_nonblocking(true).expect("it does not block");
+            stream.set_nonblocking(true).expect("set non-blocking mode");
             self.open.push((stream, Vec::new()));
         }
         for (stream, heard) in &mut self.open {
@@ -91,9 +92,9 @@
         self.look();
         let mut said = 0;
         for (stream, heard) in &mut self.open {
-            if let Some((_, length)) = take(heard).expect("messages") {
+            if let Some((_, length)) = take(heard).expect("valid HTTP messages") {
                 heard.drain(..length);
-                stream.write_all(&answer(status, headers, "whole")).expect("the machine takes it");
+                stream.write_all(&answer(status, headers, "whole")).expect("write to the socket");
                 said += 1;
             }
         }
@@ -136,7 +137,7 @@
             until(|| b.server.connections() == 200).await;
             for caller in &callers {
                 let whole = rpc("GET", "/look", "");
-                assert_eq!(caller.try_write(whole.as_bytes()).expect("the machine takes it"), whole.len());
+                assert_eq!(caller.try_write(whole.as_bytes()).expect("write to the socket"), whole.len());
             }
             // A connection is up, and its RPC's first byte would leave in the next turn.
             while up.silent() == 0 {
@@ -167,10 +168,10 @@
                 while ups.iter_mut().map(|up| up.say(200, "")).sum::<usize>() == 0 {
                     yield_now().await;
                 }
-                assert_eq!(common::read(&mut caller).await.expect("an answer").status(), 200);
+                assert_eq!(common::read(&mut caller).await.expect("read the answer").status(), 200);
             }
             until(|| b.server.connections() == 0).await;
-            rested().await;
+            until_reusable().await;
             let heard = |ups: &mut [Plain; 2]| {
                 ups.iter_mut().for_each(Plain::look);
                 ups.iter().map(|up| up.bytes).sum::<usize>()
@@ -209,7 +210,7 @@
                 let half = leave(caller, how);
                 yield_now().await;
                 std::thread::sleep(TURN);
-                b.board.apply_list(&list(8, true, &[entry("s-0", up.address, "z", "SERVING")]), true);
+                b.board.apply_list(&decode_list(8, true, &[entry("s-0", up.address, "z", "SERVING")]), true);
                 nothing_left(&b).await;
                 assert!(up.seen.borrow().is_empty() && up.connections.get() == 0, "{how:?}");
                 assert_eq!(ask(b.address, rpc("GET", "/look", "")).await.status(), 200);
@@ -227,7 +228,7 @@
         let mut waiting = Vec::new();
         for how in ENDS {
             for whole in [with_more_behind(), long()] {
-                let held = Held::new().await.expect("a full queue");
+                let held = Held::new().await.expect("fill the accept queue");
                 let b = balancer_at(&[held.address], &late).await;
                 let caller = send(b.address, whole).await;
                 until(|| b.board.open.borrow().values().any(|rpc| rpc.attempts.len() == 1)).await;
@@ -252,7 +253,7 @@
 fn who_leaves_a_long_body_unread_has_no_further_attempt() {
     for how in ENDS {
         run(async move {
-            let held = Held::new().await.expect("a full queue");
+            let held = Held::new().await.expect("fill the accept queue");
             let other = stand_in(|_, _| ok("whole")).await;
             let b = balancer_at(&[held.address], &[]).await;
             let caller = send(b.address, long()).await;
@@ -260,7 +261,7 @@
             tokio::time::sleep(Duration::from_millis(60)).await;
             let both = [held.address, other.address];
             let both = [0, 1].map(|n| entry(&format!("s-{n}"), both[n], "z", "SERVING"));
-            b.board.apply_list(&list(8, true, &both), true);
+            b.board.apply_list(&decode_list(8, true, &both), true);
             let half = leave(caller, how);
             yield_now().await;
             // The first one's time is over by then.
--- a/crates/fernroute-server/tests/forms.rs
+++ b/crates/fernroute-server/tests/forms.rs
@@ -50,11 +50,11 @@
             let mut stream = connect(b.address).await;
             // Byte by byte, as the poorest line would.
             for byte in bytes.as_bytes() {
-                stream.write_all(&[*byte]).await.expect("it reads");
+                stream.write_all(&[*byte]).await.expect("write to the socket");
             }
-            let mut answer = read(&mut stream).await.expect("an answer");
+            let mut answer = read(&mut stream).await.expect("read the answer");
             if answer.status() == 100 {
-                answer = read(&mut stream).await.expect("an answer");
+                answer = read(&mut stream).await.expect("read the answer");
             }
             assert_eq!((answer.status(), answer.body.as_slice()), (200, &b"whole"[..]), "{bytes}");
         }
@@ -63,8 +63,8 @@
 
 /// An upstream that takes whatever comes, answers with these bytes, and ends the connection.
 async fn plain_upstream(answer: Vec<u8>) -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind a listener");
+    let address = listener.local_addr().expect("local address");
     actix_rt::spawn(async move {
         while let Ok((mut stream, _)) = listener.accept().await {
             let answer = answer.clone();
@@ -164,11 +164,11 @@
     run(async {
         let body = pattern(LARGE);
         for (size, answer_in) in [(None, Some(7)), (Some(1 << 16), None)] {
-            let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-            let address = listener.local_addr().expect("an address");
+            let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind a listener");
+            let address = listener.local_addr().expect("local address");
             let (sized, sent) = (size.is_none(), body.clone());
             actix_rt::spawn(async move {
-                let (mut stream, _) = listener.accept().await.expect("a call");
+                let (mut stream, _) = listener.accept().await.expect("accept a call");
                 let mut all = Vec::new();
                 while !(all.ends_with(b"0\r\n\r\n")
                     || sized && all.len() > LARGE + 100 && {
@@ -176,11 +176,14 @@
                         all.len() - head == LARGE
                     })
                 {
-                    assert!(stream.read_buf(&mut all).await.expect("more") > 0);
+                    assert!(stream.read_buf(&mut all).await.expect("read more bytes") > 0);
                 }
-                let head = all.windows(4).position(|w| w == b"\r\n\r\n").expect("a head") + 4;
-                let came =
-                    if sized { all[head..].to_vec() } else { out_of_chunks(&all[head..]).expect("whole") };
+                let head = all.windows(4).position(|w| w == b"\r\n\r\n").expect("message head") + 4;
+                let came = if sized {
+                    all[head..].to_vec()
+                } else {
+                    out_of_chunks(&all[head..]).expect("complete chunked body")
+                };
                 assert!(came == sent, "{} bytes came", came.len());
                 let answer = match answer_in {
                     Some(size) => [
@@ -193,7 +196,7 @@
                             .concat()
                     }
                 };
-                stream.write_all(&answer).await.expect("it reads");
+                stream.write_all(&answer).await.expect("write to the socket");
                 let _ = stream.read(&mut [0; 1]).await;
             });
             let b = balancer_at(&[address], &[]).await;
@@ -224,8 +227,8 @@
 #[test]
 fn a_long_answer_is_handed_on_as_it_comes() {
     run(async {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let address = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind a listener");
+        let address = listener.local_addr().expect("local address");
         let half = pattern(100_000);
         let sent = half.clone();
         let calls = std::rc::Rc::new(std::cell::Cell::new(0));
@@ -235,12 +238,12 @@
         actix_rt::spawn(async move {
             while let Ok((mut stream, _)) = listener.accept().await {
                 counted.set(counted.get() + 1);
-                read(&mut stream).await.expect("a message");
+                read(&mut stream).await.expect("read the message");
                 let head = "HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n";
-                stream.write_all(&[head.as_bytes(), &sent].concat()).await.expect("it reads");
+                stream.write_all(&[head.as_bytes(), &sent].concat()).await.expect("write to the socket");
                 going.notified().await;
                 if counted.get() == 1 {
-                    stream.write_all(&sent).await.expect("it reads");
+                    stream.write_all(&sent).await.expect("write to the socket");
                 }
             }
         });
@@ -248,14 +251,14 @@
         for whole in [true, false] {
             let mut caller = send(b.address, rpc("GET", "/look", "").replace("4000", "300")).await;
             let mut first = vec![0; 100_000];
-            caller.read_exact(&mut first).await.expect("it has begun");
+            caller.read_exact(&mut first).await.expect("read the start of the answer");
             assert_eq!(b.board.metrics().outstanding, 1);
             // Long past its deadline it is still open.
             actix_rt::time::sleep(Duration::from_millis(600)).await;
             go.notify_one();
             let rest = if whole {
                 let mut rest = vec![0; 100_000 - 1000];
-                caller.read_exact(&mut rest).await.expect("all of it");
+                caller.read_exact(&mut rest).await.expect("read the rest of the answer");
                 rest
             } else {
                 to_the_end(&mut caller).await
@@ -273,13 +276,13 @@
 #[test]
 fn an_upload_ends_early_where_it_can_come_to_nothing() {
     run(async {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let address = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind a listener");
+        let address = listener.local_addr().expect("local address");
         actix_rt::spawn(async move {
             while let Ok((mut stream, _)) = listener.accept().await {
                 actix_rt::spawn(async move {
                     let mut some = [0; 4096];
-                    let n = stream.read(&mut some).await.expect("a head");
+                    let n = stream.read(&mut some).await.expect("message head");
                     if String::from_utf8_lossy(&some[..n]).contains("/early") {
                         let _ = stream
                             .write_all(b"HTTP/1.1 503 Full\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n")
@@ -293,11 +296,11 @@
         let head = |path: &str| rpc("POST", path, "Content-Length: 9000000\r\n");
         // Turned away by the upstream while it comes: refused at once, and the rest is no RPC.
         let mut early = send(b.address, [head("/pay/early").as_bytes(), &pattern(200_000)].concat()).await;
-        assert_eq!(read(&mut early).await.expect("an answer").status(), 503);
+        assert_eq!(read(&mut early).await.expect("read the answer").status(), 503);
         // Its caller stops: told so in time, and nothing has run.
         let mut stops = send(b.address, [head("/pay").as_bytes(), &pattern(200_000)].concat()).await;
         let from = std::time::Instant::now();
-        let told = read(&mut stops).await.expect("an answer").status();
+        let told = read(&mut stops).await.expect("read the answer").status();
         assert!(told >= 400 && from.elapsed() < Duration::from_secs(3), "{told} {:?}", from.elapsed());
         // Its caller goes.
         drop(send(b.address, [head("/pay").as_bytes(), &pattern(200_000)].concat()).await);
@@ -326,10 +329,10 @@
         let head = rpc("POST", "/pay", "Content-Length: 100000\r\n").replace("4000", "500");
         let mut caller = send(b.address, head).await;
         for part in body.chunks(10_000) {
-            caller.write_all(part).await.expect("it reads");
+            caller.write_all(part).await.expect("write to the socket");
             actix_rt::time::sleep(Duration::from_millis(100)).await;
         }
-        let answer = read(&mut caller).await.expect("an answer");
+        let answer = read(&mut caller).await.expect("read the answer");
         assert_eq!((answer.status(), answer.body.as_slice()), (200, &b"whole"[..]));
     });
 }
--- a/crates/fernroute-server/tests/member_identity.rs
+++ b/crates/fernroute-server/tests/member_identity.rs
@@ -7,16 +7,22 @@
 #[test]
 fn an_identity_belongs_to_one_process_at_a_time_and_outlives_it() {
     let path = std::env::temp_dir().join(format!("fernroute-{}.member", std::process::id()));
-    let first = lock_identity(&path).expect("a file").expect("nobody has it");
+    let first = lock_identity(&path)
+        .expect("access the test file")
+        .expect("identity file not locked by another process");
     let identity = first.identity;
-    assert!(lock_identity(&path).expect("a file").is_none());
+    assert!(lock_identity(&path).expect("access the test file").is_none());
     drop(first);
-    let second = lock_identity(&path).expect("a file").expect("nobody has it");
+    let second = lock_identity(&path)
+        .expect("access the test file")
+        .expect("identity file not locked by another process");
     assert_eq!(second.identity, identity);
-    std::fs::write(&path, "no number").expect("a file");
+    std::fs::write(&path, "no number").expect("access the test file");
     drop(second);
-    let third = lock_identity(&path).expect("a file").expect("nobody has it");
+    let third = lock_identity(&path)
+        .expect("access the test file")
+        .expect("identity file not locked by another process");
     assert_ne!(third.identity, identity);
-    std::fs::remove_file(&path).expect("it was there");
+    std::fs::remove_file(&path).expect("remove the test directory");
     assert!(lock_identity(Path::new("/nonexistent/place")).is_err());
 }
--- a/crates/fernroute-server/tests/program.rs
+++ b/crates/fernroute-server/tests/program.rs
@@ -1,15 +1,15 @@
-//! Starting, following the list, and ending.
+//! Start, discovery, reload and shutdown of a balancer, and the program's command line.
 
 mod common;
 #[path = "common/process.rs"]
 mod process;
 
-use common::{ask, balancer, connect, ok, read, rpc, run, send, stand_in, station, until, Deed};
+use common::{ask, balancer, connect, instance_config, ok, read, rpc, run, send, stand_in, until, Deed};
 use fernroute_server::program::instance::InstanceConfig;
 use fernroute_server::program::{serve, shutdown};
 use fernroute_server::protocol::list::{self as lists, State};
 use fernroute_server::protocol::load::{self, LoadFields};
-use process::{folder, Program};
+use process::{temp_dir, Program};
 use std::net::TcpListener;
 use std::process::Command;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn follows_the_list_through_half_answers_and_bad_entries() {
+fn follows_the_target_list_through_truncated_answers_and_bad_entries() {
     run(async {
         let up = stand_in(|_, _| ok("whole")).await;
         let address = up.address;
@@ -45,15 +45,15 @@
             _ => Deed::Silence,
         })
         .await;
-        let b = serve::start(station(&[], discovery.address, &[])).await.expect("it starts");
+        let b = serve::start(instance_config(&[], discovery.address, &[])).await.expect("start the balancer");
         assert_eq!(ask(b.address, READY).await.status(), 503);
         until(|| discovery.seen.borrow().len() == 6).await;
         let first = |n: usize| discovery.seen.borrow()[n].head.lines().next().map(str::to_owned);
         for (n, version) in [7, 7, 7, 8, 9, 10].iter().enumerate() {
-            let line = first(n).expect("a first line");
+            let line = first(n).expect("request line");
             assert!(line.starts_with(&format!("GET /api/targets?index={version}&wait=")), "{line}");
         }
-        // It drains: nothing is sent, and there is nothing to be ready with.
+        // The only upstream drains: nothing is sent to it, and the balancer is not ready.
         assert_eq!(ask(b.address, READY).await.status(), 503);
         let bytes = rpc("POST", "/pay", "Content-Length: 0\r\n").replace("4000", "300");
         assert_eq!(ask(b.address, bytes).await.status(), 503);
@@ -61,10 +61,10 @@
     });
 }
 
-/// Guards against a list that shrinks to nothing for a moment, and against an older one that would bring back what
-/// drains: either is asked for again, whole, and believed if it stays.
+/// Guards against a list that is empty for a moment, and against an older list that would bring back a draining upstream: for
+/// either, the full list is requested again, and applied if the second answer confirms it.
 #[test]
-fn a_doubtful_list_is_asked_for_again_and_believed_if_it_stays() {
+fn doubtful_list_is_applied_only_after_confirmation() {
     run(async {
         let up = stand_in(|_, _| ok("whole")).await;
         let address = up.address;
@@ -75,7 +75,7 @@
             0 => list(8, true, &entry("SERVING")),
             1 => list(9, true, ""),
             2 => list(10, true, &entry("SERVING")),
-            // What was before the last list is no news.
+            // A partial list older than the last one is ignored.
             3 => list(5, false, &entry("DRAINING")),
             4 => list(5, true, &entry("SERVING")),
             5 => list(12, true, &entry("DRAINING")),
@@ -83,11 +83,11 @@
             _ => Deed::Silence,
         })
         .await;
-        let b = serve::start(station(&[], discovery.address, &[])).await.expect("it starts");
+        let b = serve::start(instance_config(&[], discovery.address, &[])).await.expect("start the balancer");
         let mut most = 0;
         until(|| {
             let seen = discovery.seen.borrow().len();
-            // Never without upstreams from the first list on, up to the answer that confirms the end.
+            // From the first list on there are upstreams, until an answer confirms that there are none.
             if (2..=6).contains(&seen) {
                 assert!(b.board.is_ready(), "after {seen} calls");
                 most = most.max(seen);
@@ -95,7 +95,7 @@
             seen == 8
         })
         .await;
-        assert!(most >= 5, "looked at after {most}");
+        assert!(most >= 5, "last observed after {most} calls");
         until(|| !b.board.is_ready()).await;
         let asked: Vec<bool> = discovery.seen.borrow().iter().map(|m| m.head.contains("?index=")).collect();
         assert_eq!(asked, [true, true, false, true, false, true, false, true]);
@@ -103,10 +103,11 @@
     });
 }
 
-/// Both kinds of files end in one value: an installation's own says by other names what the platform's says.
+/// Guards against a difference between the two configuration formats, which name the same settings differently: the platform's
+/// JSON file and an operator's TOML file.
 #[test]
-fn a_file_of_ones_own_and_the_platforms_make_the_same_station() {
-    let theirs = r#"{"name":"n0","listen":"127.0.0.1:9000","discovery":"127.0.0.1:8500","seed":"1f",
+fn toml_and_json_files_give_the_same_configuration() {
+    let json = r#"{"name":"n0","listen":"127.0.0.1:9000","discovery":"127.0.0.1:8500","seed":"1f",
         "ops":"127.0.0.1:9600","limits":{"sockets":512},
         "known":{"version":0,"full":true,"servers":[
             {"id":"s-1","addr":"127.0.0.1:9001","zone":"a","cell":"2","state":"SERVING","started_ms":0}]},
@@ -118,7 +119,7 @@
             "max-retry-after-s":2.0},
         "contract":{"must-ask-in-s":4,"drain-grace-s":0.3,"cold-from":0.3,"warm-within-s":8,"tip-multiple":2.5,
             "overload-for-s":3}}}"#;
-    let ours = r#"
+    let toml = r#"
         name = "n0"
         listen = "127.0.0.1:9000"
         discovery = "127.0.0.1:8500"
@@ -146,47 +147,50 @@
         address = "127.0.0.1:9001"
         zone = "a"
         cell = "2""#;
-    let (mut theirs, ours) = (
-        InstanceConfig::decode_json(theirs).expect("theirs"),
-        InstanceConfig::decode_toml(ours).expect("ours"),
+    let (mut json, toml) = (
+        InstanceConfig::decode_json(json).expect("valid JSON file"),
+        InstanceConfig::decode_toml(toml).expect("valid TOML file"),
     );
-    assert_eq!(theirs.settings, ours.settings);
-    // What a file of one's own names has no version: the whole list is asked for.
-    assert_eq!((theirs.list_version.take(), ours.list_version), (Some(0), None));
-    assert_eq!(format!("{theirs:?}"), format!("{ours:?}"));
-    ours.check().expect("a balancer can start with it");
+    assert_eq!(json.settings, toml.settings);
+    // Upstreams in a TOML file have no list version, so the full list is requested.
+    assert_eq!((json.list_version.take(), toml.list_version), (Some(0), None));
+    assert_eq!(format!("{json:?}"), format!("{toml:?}"));
+    toml.check().expect("settings accepted by a balancer");
 }
 
-/// Guards against two entries of one id, of which the later would bring back one that drains.
+/// Guards against two entries with one id where the later one would bring back a draining upstream.
 #[test]
-fn an_id_that_is_named_twice_counts_as_the_least_ready() {
+fn duplicate_upstream_id_takes_the_least_ready_state() {
     let entry = |state: &str| format!(r#"{{"id":"s-9","addr":"127.0.0.1:1","state":"{state}"}}"#);
     for (first, second) in [("SERVING", "DRAINING"), ("DRAINING", "SERVING"), ("DELETED", "DRAINING")] {
         let text = format!(r#"{{"version":1,"full":true,"servers":[{},{}]}}"#, entry(first), entry(second));
-        let list = lists::decode(&serde_json::from_str(&text).expect("it is JSON")).expect("a list");
+        let list =
+            lists::decode(&serde_json::from_str(&text).expect("valid JSON")).expect("valid target list");
         let states: Vec<State> = list.entries.iter().map(|e| e.state).collect();
         assert_eq!(states, [if first == "DELETED" { State::Removed } else { State::Draining }]);
     }
 }
 
-/// Guards against an upstream that gets a connection which was made for the one that stood at its address before,
-/// and against connections to upstreams that are gone, kept open until they are in the way.
+/// Guards against a new upstream that inherits connections made for the previous upstream at its address, and against
+/// connections to removed upstreams that stay open.
 #[test]
-fn a_new_upstream_at_an_old_address_gets_connections_of_its_own() {
+fn new_upstream_at_a_reused_address_gets_new_connections() {
     run(async {
         let up = stand_in(|_, _| ok("whole")).await;
         let address = up.address;
         let entry = move |id: &str| format!(r#"{{"id":"{id}","addr":"{address}","state":"SERVING"}}"#);
-        // The first call waits until an RPC has been served.
+        // The first call is never answered; the list comes once discovery is set again below.
         let discovery = stand_in(move |n, _| match n {
             0 => Deed::Silence,
             1 => list(8, true, &entry("s-9")),
             _ => Deed::Silence,
         });
         let discovery = discovery.await;
-        let b = serve::start(station(&[up.address], discovery.address, &[])).await.expect("it starts");
+        let b = serve::start(instance_config(&[up.address], discovery.address, &[]))
+            .await
+            .expect("start the balancer");
         assert_eq!(ask(b.address, rpc("GET", "/look", "")).await.status(), 200);
-        common::rested().await;
+        common::until_reusable().await;
         assert_eq!(ask(b.address, rpc("GET", "/look", "")).await.status(), 200);
         assert_eq!((up.connections.get(), up.left.get()), (1, 0));
         b.set_discovery(discovery.address);
@@ -196,9 +200,9 @@
     });
 }
 
-/// Guards against a fleet whose balancers, turned away by discovery, ask on and on.
+/// Guards against balancers that, refused by discovery, keep calling it without a pause.
 #[test]
-fn asks_when_the_decisions_say_so() {
+fn polls_discovery_at_the_decided_times() {
     run(async {
         let discovery = stand_in(|n, _| match n {
             0 => common::say("503 No"),
@@ -210,9 +214,10 @@
             ("\"membership-mode\":\"automatic\"", "\"membership-mode\":\"subscribe\""),
             ("\"cold-from\"", "\"must-ask-in-s\":4,\"cold-from\""),
         ];
-        // The decisions wait for up to a twentieth of the four seconds at the start, a tenth after a failure.
+        // The decisions wait for up to a twentieth of the four seconds at the start, and a tenth after a failure.
         let from = Instant::now();
-        let b = serve::start(station(&[], discovery.address, &ask)).await.expect("it starts");
+        let b =
+            serve::start(instance_config(&[], discovery.address, &ask)).await.expect("start the balancer");
         until(|| discovery.seen.borrow().len() == 3).await;
         assert!(from.elapsed() >= Duration::from_millis(300), "{:?}", from.elapsed());
         drop(b);
@@ -220,7 +225,7 @@
 }
 
 #[test]
-fn starts_from_the_list_it_knew() {
+fn starts_from_the_configured_list() {
     run(async {
         let up = stand_in(|_, _| ok("whole")).await;
         let b = balancer(&[&up], &[]).await;
@@ -229,12 +234,12 @@
     });
 }
 
-/// Told to stop: still answers who comes and who is here, ends what is idle, and loses nothing that it has taken.
+/// During shutdown the balancer still answers new and open RPCs, closes idle connections, and loses no RPC that it accepted.
 #[test]
-fn ends_when_all_is_answered() {
+fn shutdown_completes_once_all_rpcs_are_answered() {
     run(async {
         let up = stand_in(|n, _| if n < 2 { Deed::Silence } else { ok("whole") }).await;
-        // Killed a second and 0.7 after it is told; what is silent is not sent again meanwhile.
+        // The shutdown lasts at most 1.7 s (a deadline of 1 s and 0.7 s more); an unanswered RPC is not sent again meanwhile.
         let changes = [
             (r#""soft-deadline-s":2.5"#, r#""soft-deadline-s":1.0"#),
             (r#""hard-deadline-s":6.0"#, r#""hard-deadline-s":1.0"#),
@@ -252,20 +257,20 @@
         assert_eq!(ask(b.address, READY).await.status(), 503);
         let late = ask(b.address, rpc("GET", "/look", "")).await;
         assert!(late.status() == 200 && late.header("connection").is_none(), "{}", late.head);
-        assert_eq!(idle.read(&mut [0; 1]).await.expect("an orderly end"), 0);
-        let last = read(&mut busy).await.expect("an answer");
+        assert_eq!(idle.read(&mut [0; 1]).await.expect("close without a reset"), 0);
+        let last = read(&mut busy).await.expect("read the answer");
         assert_eq!((last.status(), last.header("connection")), (503, Some("close")));
-        let last = read(&mut open).await.expect("an answer");
+        let last = read(&mut open).await.expect("read the answer");
         assert_eq!((last.status(), last.header("connection")), (502, Some("close")));
         assert!(from.elapsed() < Duration::from_millis(1700), "{:?}", from.elapsed());
-        end.await.expect("it ends");
+        end.await.expect("task completes");
         assert!(TcpStream::connect(b.address).await.is_err());
     });
 }
 
-/// Guards against callers that are sent away while another balancer is not back yet.
+/// Guards against closing callers' connections early, while another balancer has not come back from its own restart.
 #[test]
-fn callers_are_kept_as_long_as_they_may_be_served() {
+fn callers_are_served_until_the_end_of_the_shutdown_grace() {
     run(async {
         let up = stand_in(|_, _| ok("whole")).await;
         let b = balancer(&[&up], &[]).await;
@@ -273,7 +278,7 @@
         let (board, server, from) = (b.board.clone(), b.server.clone(), Instant::now());
         let end = actix_rt::spawn(async move { shutdown::shut_down(&board, &server).await });
         let mut served = from.elapsed();
-        // Until it ends the connection.
+        // Until the balancer closes the connection.
         while kept.write_all(rpc("GET", "/look", "").as_bytes()).await.is_ok() {
             let Some(answer) = read(&mut kept).await else { break };
             assert_eq!(answer.status(), 200);
@@ -281,50 +286,51 @@
             actix_rt::time::sleep(Duration::from_millis(50)).await;
         }
         assert!(served > Duration::from_millis(1500), "{served:?}");
-        end.await.expect("it ends");
+        end.await.expect("task completes");
         assert!(from.elapsed() < Duration::from_millis(3700), "{:?}", from.elapsed());
     });
 }
 
 #[test]
-fn a_signal_ends_it_with_code_0() {
+fn sigterm_exits_with_code_0() {
     run(async {
         let up = stand_in(|_, _| ok("whole")).await;
-        let program = Program::start(&folder("signal"), &common::page(&[up.address], up.address, &[])).await;
+        let program =
+            Program::start(&temp_dir("signal"), &common::config_json(&[up.address], up.address, &[])).await;
         let mut kept = connect(program.address).await;
         for n in 0..2 {
-            kept.write_all(rpc("GET", "/look", "").as_bytes()).await.expect("it reads");
-            assert_eq!(read(&mut kept).await.expect("an answer").status(), 200);
+            kept.write_all(rpc("GET", "/look", "").as_bytes()).await.expect("write to the socket");
+            assert_eq!(read(&mut kept).await.expect("read the answer").status(), 200);
             if n == 0 {
-                program.term();
-                // Read again or not, it goes on ending.
+                program.terminate();
+                // A reload does not interrupt the shutdown.
                 program.signal(rustix::process::Signal::HUP);
             }
         }
-        program.ends_well().await;
+        program.exits_cleanly().await;
     });
 }
 
-/// Guards against a program that ends on SIGHUP, that forgets its upstreams over a new discovery, or that asks
-/// the new one for what is newer than a version of the old one's.
+/// Guards against a program that exits on SIGHUP, that forgets its upstreams when discovery changes, or that sends the new
+/// discovery a list version of the old one.
 #[test]
-fn turns_to_another_discovery_when_its_file_names_one() {
+fn reload_switches_to_another_discovery() {
     run(async {
         let (one, two) = (stand_in(|_, _| ok("one")).await, stand_in(|_, _| ok("two")).await);
         let old = stand_in(|_, _| Deed::Silence).await;
         let entry = format!(r#"{{"id":"s-2","addr":"{}","state":"SERVING"}}"#, two.address);
         let new = stand_in(move |n, _| if n == 1 { list(3, true, &entry) } else { Deed::Silence }).await;
-        let page = |discovery| common::page(&[one.address], discovery, &[]);
-        let program = Program::start(&folder("reload"), &page(old.address)).await;
+        let config = |discovery| common::config_json(&[one.address], discovery, &[]);
+        let program = Program::start(&temp_dir("reload"), &config(old.address)).await;
         let body = || async { ask(program.address, rpc("GET", "/look", "")).await.body };
         until(|| old.seen.borrow().len() == 1).await;
         program.reload("no page at all");
-        program.reload(&page(old.address));
+        program.reload(&config(old.address));
         assert_eq!(body().await, b"one");
-        program.reload(&page(new.address));
+        program.reload(&config(new.address));
         until(|| old.left.get() == 1).await;
         until(|| new.seen.borrow().len() == 1).await;
-        // Silent so far: what it has stands.
+        // The new discovery has not answered yet: the known upstreams stay.
         assert_eq!(body().await, b"one");
         until(|| new.seen.borrow().len() == 3).await;
         for (n, line) in ["GET /api/targets HTTP", "GET /api/targets HTTP", "GET /api/targets?index=3&wait="]
@@ -334,17 +340,17 @@
             assert!(new.seen.borrow()[n].head.starts_with(line), "{}", new.seen.borrow()[n].head);
         }
         assert_eq!((body().await, old.connections.get()), (b"two".to_vec(), 1));
-        program.term();
-        program.ends_well().await;
+        program.terminate();
+        program.exits_cleanly().await;
     });
 }
 
-/// Counts the breakers that open; no other test in this file opens any.
-struct Openings(&'static AtomicUsize);
+/// Counts circuit breakers that open; no other test in this file opens any.
+struct OpenedBreakers(&'static AtomicUsize);
 
-static OPENINGS: AtomicUsize = AtomicUsize::new(0);
+static OPENED_BREAKERS: AtomicUsize = AtomicUsize::new(0);
 
-impl<S: tracing::Subscriber> tracing_subscriber::Layer<S> for Openings {
+impl<S: tracing::Subscriber> tracing_subscriber::Layer<S> for OpenedBreakers {
     fn on_event(&self, event: &tracing::Event<'_>, _: tracing_subscriber::layer::Context<'_, S>) {
         event.record(&mut |_: &tracing::field::Field, value: &dyn std::fmt::Debug| {
             self.0.fetch_add(usize::from(format!("{value:?}").contains("-> Open")), Ordering::Relaxed);
@@ -352,12 +358,12 @@
     }
 }
 
-/// All connections busy is no fault of the upstream: the RPC never left.
+/// A lack of free connections is not the upstream's failure: the RPC was never sent.
 #[test]
-fn too_few_connections_exhaust_and_open_no_breaker() {
+fn connection_shortage_opens_no_circuit_breaker() {
     use tracing_subscriber::layer::SubscriberExt as _;
-    let counts = tracing_subscriber::registry().with(Openings(&OPENINGS));
-    tracing::subscriber::set_global_default(counts).expect("the only one");
+    let counts = tracing_subscriber::registry().with(OpenedBreakers(&OPENED_BREAKERS));
+    tracing::subscriber::set_global_default(counts).expect("no other global subscriber");
     run(async {
         let up = stand_in(|n, _| if n < 12 { Deed::Silence } else { ok("whole") }).await;
         let b = balancer(&[&up, &up, &up, &up], &[("\"sockets\":1024", "\"sockets\":73")]).await;
@@ -370,7 +376,7 @@
             let answer = ask(b.address, rpc("POST", "/pay", "Content-Length: 0\r\n")).await;
             assert_eq!(answer.status(), 503);
         }
-        assert_eq!(OPENINGS.load(Ordering::Relaxed), 0);
+        assert_eq!(OPENED_BREAKERS.load(Ordering::Relaxed), 0);
         waiting.clear();
         until(|| up.left.get() == 12).await;
         assert_eq!(ask(b.address, rpc("GET", "/look", "")).await.status(), 200);
@@ -391,29 +397,35 @@
 }
 
 #[test]
-fn bad_use_is_one_line_and_exit_code_2() {
-    let run = |words: &[&str]| {
+fn invalid_usage_prints_one_line_and_exits_with_2() {
+    let run = |arguments: &[&str]| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_fernroute"));
-        command.args(words).env_remove("NODE_CONFIG").env_remove("NODE_OPS").output().expect("it runs")
+        command
+            .args(arguments)
+            .env_remove("NODE_CONFIG")
+            .env_remove("NODE_OPS")
+            .output()
+            .expect("run the program")
     };
     let folder = std::env::temp_dir().join(format!("fernroute-test-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder");
+    std::fs::create_dir_all(&folder).expect("access the test directory");
     let file = |name: &str, text: &str| {
         let path = folder.join(name);
-        std::fs::write(&path, text).expect("a file");
-        path.to_str().expect("a path").to_owned()
+        std::fs::write(&path, text).expect("access the test file");
+        path.to_str().expect("valid path").to_owned()
     };
     let start = r#"{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1","settings":"#;
     let (empty, words) = (file("empty", ""), file("words", "not\nJSON"));
     let bare = file("bare", &format!("{start}{{}}}}"));
-    let missing = folder.join("missing").to_str().expect("a path").to_owned();
-    let door = |at: &str| {
-        let page = common::page(&[], "127.0.0.1:1".parse().expect("an address"), &[]);
-        page.replace("\"ops\":\"127.0.0.1:0\"", &format!("\"ops\":\"{at}\""))
+    let missing = folder.join("missing").to_str().expect("valid path").to_owned();
+    let with_ops = |at: &str| {
+        let config = common::config_json(&[], "127.0.0.1:1".parse().expect("local address"), &[]);
+        config
+            .replace("\"ops\":\"127.0.0.1:0\"", &format!("\"ops\":\"{at}\""))
             .replace("\"listen\":\"127.0.0.1:0\"", "\"listen\":\"127.0.0.1:9\"")
     };
-    let (unread, same) = (file("unread", &door("nowhere")), file("same", &door("127.0.0.1:9")));
-    // What is there and can't be used never passes for what is not there.
+    let (unread, same) = (file("unread", &with_ops("nowhere")), file("same", &with_ops("127.0.0.1:9")));
+    // An invalid value is an error and never treated as an absent one.
     let unusable = [
         (r#""effect":"read_like""#, r#""effect":"perhaps""#),
         (r#""group":"all""#, r#""group":"some""#),
@@ -425,8 +437,8 @@
         (r#""cancel":true"#, r#""cancel":"maybe""#),
     ];
     let unusable = unusable.iter().enumerate().map(|(n, change)| {
-        let page = common::page(&[], "127.0.0.1:1".parse().expect("an address"), &[*change]);
-        file(&format!("unusable-{n}"), &page)
+        let config = common::config_json(&[], "127.0.0.1:1".parse().expect("local address"), &[*change]);
+        file(&format!("unusable-{n}"), &config)
     });
     let unusable: Vec<String> = unusable.collect();
     for path in [&empty, &words, &bare, &missing, &unread, &same].into_iter().chain(&unusable) {
@@ -440,36 +452,40 @@
         let out = run(words);
         assert_eq!((out.status.code(), out.stderr.iter().filter(|b| **b == b'\n').count()), (Some(2), 1));
     }
-    // The environment comes before the file; where a door is open already no other is opened.
+    // `NODE_OPS` overrides the file; an operations address that is in use is an error.
     let (good, taken) =
-        (file("good", &door("127.0.0.1:0")), TcpListener::bind("127.0.0.1:0").expect("a port"));
-    let taken = taken.local_addr().map(|at| (taken, at.to_string())).expect("an address");
-    let free = file("free", &common::page(&[], "127.0.0.1:1".parse().expect("an address"), &[]));
+        (file("good", &with_ops("127.0.0.1:0")), TcpListener::bind("127.0.0.1:0").expect("bind a listener"));
+    let taken = taken.local_addr().map(|at| (taken, at.to_string())).expect("local address");
+    let free = file("free", &common::config_json(&[], "127.0.0.1:1".parse().expect("local address"), &[]));
     for (command, path, named) in
         [("check", &good, "nowhere"), ("check", &good, "127.0.0.1:9"), ("serve", &free, taken.1.as_str())]
     {
         let mut program = Command::new(env!("CARGO_BIN_EXE_fernroute"));
-        let out = program.args([command, "--config", path]).env("NODE_OPS", named).output().expect("it runs");
+        let out = program
+            .args([command, "--config", path])
+            .env("NODE_OPS", named)
+            .output()
+            .expect("run the program");
         let text = String::from_utf8_lossy(&out.stderr).into_owned();
-        let told = text.lines().filter(|line| line.starts_with("fernroute: ")).count();
-        assert_eq!((out.status.code(), told), (Some(2), 1), "{command} {named}: {text}");
+        let errors = text.lines().filter(|line| line.starts_with("fernroute: ")).count();
+        assert_eq!((out.status.code(), errors), (Some(2), 1), "{command} {named}: {text}");
     }
     assert!(run(&["check", "--config", &good]).status.success());
     let out = run(&["version"]);
     assert!(out.status.success() && out.stdout.starts_with(b"fernroute "));
-    std::fs::remove_dir_all(folder).expect("it was there");
+    std::fs::remove_dir_all(folder).expect("remove the test directory");
 }
 
-/// Guards against a list that trickles and never gets through, and against an agent that falls silent in the middle of one
-/// and is waited for while upstreams leave.
+/// Guards against a list that arrives slowly and is never accepted, and against waiting for discovery that stalls in the middle
+/// of a list while upstreams leave.
 #[test]
-fn a_list_that_trickles_is_heard_out_and_one_that_stalls_is_asked_for_again() {
+fn slow_list_is_read_to_the_end_and_stalled_list_is_requested_again() {
     run(async {
-        let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let address = listener.local_addr().expect("an address");
+        let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("bind a listener");
+        let address = listener.local_addr().expect("local address");
         let calls = std::rc::Rc::new(std::cell::Cell::new(0));
         let counted = std::rc::Rc::clone(&calls);
-        // Which calls' lists came whole, and how many calls were out then.
+        // The calls whose list was sent completely, each with the number of later calls made by then.
         let whole = std::rc::Rc::<std::cell::RefCell<Vec<(i32, i32)>>>::default();
         let came = std::rc::Rc::clone(&whole);
         actix_rt::spawn(async move {
@@ -485,11 +501,11 @@
                         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
                         stream.write_all(head.as_bytes()).await.unwrap_or(());
                         if call == 1 {
-                            // Half of it, and then nothing.
+                            // A part of the list, and then nothing.
                             stream.write_all(&body.as_bytes()[..20]).await.unwrap_or(());
                             std::future::pending::<()>().await;
                         }
-                        // By the clock: a busy machine doesn't add to each byte.
+                        // Paced by absolute times, so that delays of a busy machine do not add up.
                         let begun = Instant::now();
                         for (n, byte) in (1..).zip(body.as_bytes()) {
                             stream.write_all(&[*byte]).await.unwrap_or(());
@@ -502,12 +518,12 @@
             }
         });
         let from = Instant::now();
-        let b = serve::start(station(&[], address, &[])).await.expect("it starts");
+        let b = serve::start(instance_config(&[], address, &[])).await.expect("start the balancer");
         until(|| calls.get() >= 2).await;
         assert!(from.elapsed() < Duration::from_millis(2500), "{:?}", from.elapsed());
         until(|| b.board.is_ready()).await;
-        // Longer in coming than a silent agent is waited for: the first call whose list trickles is heard out. Others are made
-        // beside it, two at the most, since what changes as it begins counts as told before it is whole.
+        // The slow list takes longer than the time-out for silent discovery, and the first slow call is still read to its end. At
+        // most two further calls are made meanwhile, so that a change after its start is learned before it is complete.
         assert!(from.elapsed() > Duration::from_millis(4000), "{:?}", from.elapsed());
         until(|| !whole.borrow().is_empty()).await;
         let (first, beside) = whole.borrow()[0];
@@ -515,9 +531,9 @@
     });
 }
 
-/// A page of other settings: keys that are known, other reports, the effects of `look` and `put` exchanged with the
-/// places of the methods, other deadlines.
-fn moved(upstreams: &[std::net::SocketAddr], discovery: std::net::SocketAddr) -> String {
+/// A configuration file with other settings: warm keys, other load reports, other methods and effects at the same positions,
+/// other deadlines.
+fn changed_config(upstreams: &[std::net::SocketAddr], discovery: std::net::SocketAddr) -> String {
     let changes = [
         (r#""name":"look","effect":"read_like""#, r#""name":"other","effect":"read_like""#),
         (r#""name":"put","effect":"idempotency_key""#, r#""name":"look","effect":"read_like""#),
@@ -525,12 +541,13 @@
         (r#""orgs":[]"#, r#""orgs":[],"family-info":{"warm-keys":true},"tariffs":{"cross-zone":0.03}"#),
         (r#""hard-deadline-s":6.0"#, r#""hard-deadline-s":5.0"#),
     ];
-    common::page(upstreams, discovery, &changes)
+    common::config_json(upstreams, discovery, &changes)
 }
 
-/// Guards against a switch that needs a restart, that loses or repeats what is open, or that a bad file leaves half done.
+/// Guards against a settings change that needs a restart, that loses or repeats open RPCs, or that an invalid file leaves half
+/// applied.
 #[test]
-fn new_settings_are_taken_over_under_load_there_and_back() {
+fn settings_reload_under_load_in_both_directions() {
     run(async {
         let upstream = || async {
             stand_in(|_, message| match message.head.contains("/pay") {
@@ -542,8 +559,8 @@
         let (one, two) = (upstream().await, upstream().await);
         let agent = stand_in(|_, _| Deed::Silence).await;
         let ups = [one.address, two.address];
-        let before = common::page(&ups, agent.address, &[]);
-        let program = Program::start(&folder("switch"), &before).await;
+        let before = common::config_json(&ups, agent.address, &[]);
+        let program = Program::start(&temp_dir("switch"), &before).await;
         let stop = std::rc::Rc::new(std::cell::Cell::new(false));
         let callers: Vec<_> = (0..4)
             .map(|_| {
@@ -565,18 +582,18 @@
         for turn in 0..3 {
             assert_eq!(status("POST", "/put", put).await, 200, "turn {turn}");
             assert_eq!(status("GET", "/other", "").await, 404, "turn {turn}");
-            let after = moved(&ups, agent.address);
+            let after = changed_config(&ups, agent.address);
             program.reload(&after);
             until(|| program.times("new settings are in effect") == 2 * turn + 1).await;
             assert_eq!(status("GET", "/other", "").await, 200, "turn {turn}");
             assert_eq!(status("POST", "/put", put).await, 404, "turn {turn}");
-            // Half a file, and one that contradicts itself.
+            // A truncated file, and one with a value out of range.
             program.reload(&before[..before.len() / 2]);
             until(|| program.times("nothing has changed") == 2 * turn + 1).await;
             program.reload(&after.replace(r#""cold-from":0.3"#, r#""cold-from":3"#));
             until(|| program.times("out of range contract.cold-from") == turn + 1).await;
             assert_eq!(status("GET", "/other", "").await, 200, "turn {turn}");
-            // Two in quick succession: the last counts.
+            // Two in quick succession: the last one takes effect.
             program.reload(&after);
             program.reload(&before);
             until(|| program.times("new settings are in effect") == 2 * turn + 2).await;
@@ -584,12 +601,12 @@
         stop.set(true);
         let mut ends = Vec::new();
         for caller in callers {
-            ends.extend(caller.await.expect("it ends"));
+            ends.extend(caller.await.expect("task completes"));
         }
         assert!(ends.len() > 20 && ends.iter().all(|end| *end == 200), "{ends:?}");
         let seen = [&one, &two].map(|up| up.seen.borrow().iter().filter(|m| m.head.contains("/pay")).count());
-        assert_eq!(seen[0] + seen[1], ends.len(), "each once");
-        program.term();
-        program.ends_well().await;
+        assert_eq!(seen[0] + seen[1], ends.len(), "each RPC must run once");
+        program.terminate();
+        program.exits_cleanly().await;
     });
 }
--- a/crates/fernroute-server/tests/public_interface.rs
+++ b/crates/fernroute-server/tests/public_interface.rs
@@ -9,7 +9,7 @@
 use fernroute_server::program::configuration_cache::ConfigurationCache;
 use fernroute_server::protocol::handover::{decode, encode, PredecessorMessage, SuccessorMessage};
 use fernroute_server::protocol::{names, ops};
-use process::{folder, Program};
+use process::{temp_dir, Program};
 use std::cell::RefCell;
 use std::path::Path;
 use std::process::Command;
@@ -29,11 +29,11 @@
 #[test]
 fn the_lines_of_an_upgrade_stay_as_they_are() {
     for line in SUCCESSOR_LINES {
-        let message: SuccessorMessage = decode(line.as_bytes()).expect("it is read");
+        let message: SuccessorMessage = decode(line.as_bytes()).expect("complete transfer");
         assert_eq!(encode(&message), format!("{line}\n").into_bytes());
     }
     for line in PREDECESSOR_LINES {
-        let message: PredecessorMessage = decode(line.as_bytes()).expect("it is read");
+        let message: PredecessorMessage = decode(line.as_bytes()).expect("complete transfer");
         assert_eq!(encode(&message), format!("{line}\n").into_bytes());
     }
 }
@@ -155,7 +155,7 @@
         let heartbeats: Rc<RefCell<Vec<(String, serde_json::Value)>>> = Rc::default();
         let received = Rc::clone(&heartbeats);
         let coordinator = stand_in(move |_, message| {
-            let heartbeat: serde_json::Value = serde_json::from_slice(&message.body).expect("JSON");
+            let heartbeat: serde_json::Value = serde_json::from_slice(&message.body).expect("valid JSON");
             let number = heartbeat["message"]["number"].clone();
             let is_eligible = heartbeat["message"]["duties"]["eligible"] == true;
             let terms = if is_eligible { r#"{"sweep":4}"# } else { "{}" };
@@ -170,16 +170,17 @@
         })
         .await;
         let discovery = stand_in(|_, _| Deed::Silence).await;
-        let folder = folder("interface");
+        let folder = temp_dir("interface");
         // The file's name is made of the balancer's name and the address of its file.
-        std::fs::write(folder.join("fernroute-n0-127.0.0.1_0.member"), "00000000000000ff\n").expect("a file");
+        std::fs::write(folder.join("fernroute-n0-127.0.0.1_0.member"), "00000000000000ff\n")
+            .expect("access the test file");
         let page = FLEET
             .replace("DISCOVERY", &discovery.address.to_string())
             .replace("COORDINATOR", &coordinator.address.to_string());
         let program = Program::start(&folder, &page).await;
         let metrics = async || {
-            let reply = ask(program.door, "GET /-/metrics HTTP/1.1\r\nHost: n0\r\n\r\n").await;
-            serde_json::from_slice::<serde_json::Value>(&reply.body).expect("JSON")
+            let reply = ask(program.ops_address, "GET /-/metrics HTTP/1.1\r\nHost: n0\r\n\r\n").await;
+            serde_json::from_slice::<serde_json::Value>(&reply.body).expect("valid JSON")
         };
         while metrics().await["fleet"]["duties"]["sweep"]["term"] != 4 {
             tokio::time::sleep(std::time::Duration::from_millis(20)).await;
@@ -190,7 +191,7 @@
         let mut expected = METRICS.map(str::to_owned);
         expected.sort();
         assert_eq!(found, expected);
-        let (path, heartbeat) = heartbeats.borrow().last().cloned().expect("one came");
+        let (path, heartbeat) = heartbeats.borrow().last().cloned().expect("a received heartbeat");
         assert_eq!(path, "/-/beat");
         assert_eq!(heartbeat["message"]["identity"], 255);
         let mut found = Vec::new();
@@ -232,27 +233,30 @@
 fn a_stored_configuration_is_read_with_the_same_contents() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/n0.configuration");
     let stored: serde_json::Value =
-        serde_json::from_slice(&std::fs::read(&path).expect("the fixture")).expect("JSON");
-    let place = serde_json::from_str(r#"{"name":"n0","service":"web","zone":"a"}"#).expect("a place");
-    let snapshot = ConfigurationCache::new(path).read(&place).expect("it is sound").expect("it is there");
+        serde_json::from_slice(&std::fs::read(&path).expect("read the fixture")).expect("valid JSON");
+    let place = serde_json::from_str(r#"{"name":"n0","service":"web","zone":"a"}"#).expect("bind the socket");
+    let snapshot = ConfigurationCache::new(path)
+        .read(&place)
+        .expect("valid configuration")
+        .expect("connect to the socket");
     assert_eq!(snapshot.version, 9);
     assert_eq!(
         snapshot.contents().collect::<Vec<_>>(),
         ["[limits]\nretry_after_s = 3\n", "[limits]\nretry_after_s = 2\n", "[limits]\nretry_after_s = 4\n"]
     );
-    assert_eq!(serde_json::to_value(&snapshot).expect("JSON"), stored);
+    assert_eq!(serde_json::to_value(&snapshot).expect("valid JSON"), stored);
 }
 
 /// The exit code and what stands on standard error.
 fn check(folder: &Path, name: &str, text: &str) -> (Option<i32>, String) {
     let path = folder.join(name);
-    std::fs::write(&path, text).expect("a file");
+    std::fs::write(&path, text).expect("access the test file");
     let output = Command::new(env!("CARGO_BIN_EXE_fernroute"))
         .args(["check", "--config"])
         .arg(&path)
         .env_remove("NODE_OPS")
         .output()
-        .expect("it runs");
+        .expect("run the program");
     let error = String::from_utf8_lossy(&output.stderr).replace(&path.display().to_string(), "FILE");
     (output.status.code(), error)
 }
@@ -275,7 +279,7 @@
 
 #[test]
 fn a_bad_file_is_one_known_line_and_exit_code_2() {
-    let folder = folder("interface-errors");
+    let folder = temp_dir("interface-errors");
     for (old, new, expected) in ERRORS {
         assert!(FLEET.contains(old), "{old}");
         let page = FLEET
@@ -292,7 +296,7 @@
 #[test]
 fn the_deploy_file_keeps_its_keys() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/balancer.toml");
-    let text = std::fs::read_to_string(path).expect("the deploy file");
+    let text = std::fs::read_to_string(path).expect("read deploy/balancer.toml");
     let keys: Vec<&str> =
         text.lines().filter_map(|line| line.split_once('=')).map(|(key, _)| key.trim()).collect();
     assert_eq!(keys, ["build", "run", "sim", "policy", "node", "packages"]);
--- a/crates/fernroute-server/tests/ready.rs
+++ b/crates/fernroute-server/tests/ready.rs
@@ -5,11 +5,11 @@
 #[path = "common/process.rs"]
 mod process;
 
-use common::{ask, is_ready, ok, page, rpc, run, stand_in, until, Deed, StandIn};
+use common::{ask, config_json, is_ready, ok, rpc, run, stand_in, until, Deed, StandIn};
 use fernroute_test_support::process::addresses;
 use fernroute_test_support::stand_in::Held;
 use futures_util::future::join_all;
-use process::{folder, Program};
+use process::{temp_dir, Program};
 use std::fs::File;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -60,7 +60,7 @@
 /// A file with one upstream that is known, and an address that is the same at each start.
 fn file(listen: SocketAddr, up: &StandIn, discovery: SocketAddr) -> String {
     let listen = format!(r#""listen":"{listen}""#);
-    page(&[up.address], discovery, &[(r#""listen":"127.0.0.1:0""#, &listen)])
+    config_json(&[up.address], discovery, &[(r#""listen":"127.0.0.1:0""#, &listen)])
 }
 
 /// Started, it is ready in time and serves.
@@ -84,10 +84,10 @@
     run(async {
         let up = upstream().await;
         let silent = stand_in(|_, _| Deed::Silence).await.address;
-        let away = Held::new().await.expect("a queue that is full");
-        let free = addresses(BALANCERS + 1).expect("addresses");
+        let away = Held::new().await.expect("fill the accept queue");
+        let free = addresses(BALANCERS + 1).expect("reserve addresses");
         let discoveries = [silent, free[BALANCERS], away.address];
-        let folders: Vec<_> = (0..BALANCERS).map(|n| folder(&format!("ready-{n}"))).collect();
+        let folders: Vec<_> = (0..BALANCERS).map(|n| temp_dir(&format!("ready-{n}"))).collect();
         let files: Vec<_> = (0..BALANCERS).map(|n| file(free[n], &up, discoveries[n % 3])).collect();
         let start = || join_all(folders.iter().zip(&files).map(|(folder, file)| starts(folder, file)));
         let _busy = Busy::all_cores();
@@ -96,7 +96,9 @@
         let second = start().await;
         assert!(second.iter().zip(&first).all(|(new, old)| new.address == old.address));
         drop((first, second));
-        folders.into_iter().for_each(|folder| std::fs::remove_dir_all(folder).expect("it was there"));
+        folders
+            .into_iter()
+            .for_each(|folder| std::fs::remove_dir_all(folder).expect("remove the test directory"));
     });
 }
 
@@ -105,9 +107,9 @@
 fn of_a_fleet_without_stewards_it_is_ready() {
     run(async {
         let (up, silent) = (upstream().await, stand_in(|_, _| Deed::Silence).await.address);
-        let away = Held::new().await.expect("a queue that is full");
-        let folder = folder("ready-fleet");
-        let listen = addresses(1).expect("an address")[0];
+        let away = Held::new().await.expect("fill the accept queue");
+        let folder = temp_dir("ready-fleet");
+        let listen = addresses(1).expect("local address")[0];
         let file = format!(
             "name = \"n0\"\nlisten = \"{listen}\"\ndiscovery = \"{silent}\"\nops = \"127.0.0.1:0\"\n\
              [place]\ninstances = 2\nnumber = 0\nzone = \"z\"\n[list]\nmode = \"push\"\n\
@@ -123,10 +125,10 @@
         first.kill();
         // Somebody else has its identity, and never gives it back.
         let member = folder.join(format!("fernroute-n0-{listen}.member").replace(':', "_"));
-        let held = File::open(&member).expect("who it is");
-        held.lock().expect("nobody has it");
+        let held = File::open(&member).expect("open the identity file");
+        held.lock().expect("identity file not locked by another process");
         drop(starts(&folder, &file).await);
-        std::fs::remove_dir_all(folder).expect("it was there");
+        std::fs::remove_dir_all(folder).expect("remove the test directory");
     });
 }
 
@@ -136,15 +138,15 @@
 fn beside_a_process_that_stands_still_or_ends_it_is_ready() {
     run(async {
         let (up, silent) = (upstream().await, stand_in(|_, _| Deed::Silence).await.address);
-        let folders = [folder("ready-still"), folder("ready-ends")];
-        let free = addresses(2).expect("addresses");
+        let folders = [temp_dir("ready-still"), temp_dir("ready-ends")];
+        let free = addresses(2).expect("reserve addresses");
         let files = [file(free[0], &up, silent), file(free[1], &up, silent)];
         let still = Program::start(&folders[0], &files[0]).await;
         let ends = Program::start(&folders[1], &files[1]).await;
         let _open = common::send(ends.address, rpc("GET", "/look/silent", "")).await;
         until(|| up.seen.borrow().len() == 1).await;
         still.stop();
-        ends.term();
+        ends.terminate();
         // From here on it waits for the answer to what is open, and for nobody else.
         while TcpStream::connect(ends.address).await.is_ok() {
             sleep(Duration::from_millis(20)).await;
@@ -155,7 +157,7 @@
             until(|| program.is_running() && program.says("serving on")).await;
             println!("beside one that stands still {:?}", from.elapsed());
             // Callers that the machine gives to the other wait there: asked at the door.
-            while !is_ready(program.door).await {
+            while !is_ready(program.ops_address).await {
                 sleep(Duration::from_millis(5)).await;
             }
             assert!(from.elapsed() < READY, "{:?}", from.elapsed());
@@ -164,7 +166,9 @@
         let (one, two) = futures_util::future::join(beside_still, starts(&folders[1], &files[1])).await;
         still.kill();
         drop((one, two));
-        folders.into_iter().for_each(|folder| std::fs::remove_dir_all(folder).expect("it was there"));
+        folders
+            .into_iter()
+            .for_each(|folder| std::fs::remove_dir_all(folder).expect("remove the test directory"));
     });
 }
 
@@ -173,8 +177,8 @@
 fn after_a_process_that_knows_nobody_it_serves_by_its_file() {
     run(async {
         let (up, silent) = (upstream().await, stand_in(|_, _| Deed::Silence).await.address);
-        let folder = folder("ready-knows");
-        let listen = addresses(1).expect("an address")[0];
+        let folder = temp_dir("ready-knows");
+        let listen = addresses(1).expect("local address")[0];
         let file = file(listen, &up, silent);
         let entry = common::entry("s-0", up.address, "z", "SERVING");
         let known = format!(r#""known":{{"version":7,"full":true,"servers":[{entry}]}}"#);
@@ -183,6 +187,6 @@
         assert!(!is_ready(old.address).await);
         let new = starts(&folder, &file).await;
         drop((old, new));
-        std::fs::remove_dir_all(folder).expect("it was there");
+        std::fs::remove_dir_all(folder).expect("remove the test directory");
     });
 }
--- a/crates/fernroute-server/tests/relay.rs
+++ b/crates/fernroute-server/tests/relay.rs
@@ -2,7 +2,9 @@
 
 mod common;
 
-use common::{ask, balancer, balancer_at, ok, read, rested, rpc, run, say, send, stand_in, until, Deed};
+use common::{
+    ask, balancer, balancer_at, ok, read, rpc, run, say, send, stand_in, until, until_reusable, Deed,
+};
 use fernroute_server::protocol::answer::FinalAnswer;
 use fernroute_server::transport::outbound::{AttemptProgress, AttemptState, CURRENT_ATTEMPT};
 use fernroute_server::transport::upstream_connections::ConnectionTable;
@@ -37,7 +39,8 @@
             assert_eq!(seen[0].header(name), Some(value));
         }
         assert!(seen[0].header("x-drop").is_none(), "{}", seen[0].head);
-        let left: u64 = seen[0].header("req-deadline-ms").and_then(|v| v.parse().ok()).expect("a deadline");
+        let left: u64 =
+            seen[0].header("req-deadline-ms").and_then(|v| v.parse().ok()).expect("Req-Deadline-Ms header");
         assert!((2000..=4000).contains(&left), "{left}");
     });
 }
@@ -47,15 +50,15 @@
 #[test]
 fn the_longest_body_goes_both_ways() {
     run(async {
-        let socket = TcpSocket::new_v4().expect("a socket");
-        socket.set_recv_buffer_size(4096).expect("a small buffer");
-        socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
-        let listener = socket.listen(8).expect("it listens");
-        let address = listener.local_addr().expect("an address");
+        let socket = TcpSocket::new_v4().expect("create a socket");
+        socket.set_recv_buffer_size(4096).expect("set the receive buffer size");
+        socket.bind("127.0.0.1:0".parse().expect("local address")).expect("bind a listener");
+        let listener = socket.listen(8).expect("listen on the socket");
+        let address = listener.local_addr().expect("local address");
         actix_rt::spawn(async move {
             while let Ok((mut stream, _)) = listener.accept().await {
                 actix_rt::time::sleep(Duration::from_millis(100)).await;
-                let message = read(&mut stream).await.expect("a whole message");
+                let message = read(&mut stream).await.expect("read the complete message");
                 let body = message.body.repeat(16);
                 let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
                 let _ = stream.write_all(&[head.as_bytes(), &body].concat()).await;
@@ -132,9 +135,9 @@
         ];
         for (bytes, status) in cases {
             let mut stream = send(b.address, bytes + &hidden).await;
-            let answer = read(&mut stream).await.expect("an answer");
+            let answer = read(&mut stream).await.expect("read the answer");
             assert_eq!((answer.status(), answer.header("connection")), (status, Some("close")));
-            assert_eq!(stream.read(&mut [0; 1]).await.expect("an orderly end"), 0);
+            assert_eq!(stream.read(&mut [0; 1]).await.expect("close without a reset"), 0);
         }
         assert!(up.seen.borrow().is_empty());
     });
@@ -149,10 +152,10 @@
         let mut silent = common::connect(b.address).await;
         let mut half = send(b.address, rpc("POST", "/pay", "Content-Length: 9\r\n") + "half").await;
         let mut head = send(b.address, "GET /look HT").await;
-        assert_eq!(silent.read(&mut [0; 1]).await.expect("an orderly end"), 0);
+        assert_eq!(silent.read(&mut [0; 1]).await.expect("close without a reset"), 0);
         for slow in [&mut half, &mut head] {
-            assert_eq!(read(slow).await.expect("an answer").status(), 408);
-            assert_eq!(slow.read(&mut [0; 1]).await.expect("an orderly end"), 0);
+            assert_eq!(read(slow).await.expect("read the answer").status(), 408);
+            assert_eq!(slow.read(&mut [0; 1]).await.expect("close without a reset"), 0);
         }
         assert!(from.elapsed() < Duration::from_secs(3), "{:?}", from.elapsed());
     });
@@ -245,7 +248,7 @@
         let up = up.await;
         let b = balancer(&[&up], &[]).await;
         for n in 0..8 {
-            rested().await;
+            until_reusable().await;
             let answer = ask(b.address, rpc("GET", "/look", "")).await;
             assert_eq!((answer.status(), answer.body), (200, format!("{n:02}").into_bytes()));
         }
@@ -269,7 +272,7 @@
         let up = up.await;
         let b = balancer(&[&up], &[]).await;
         for _ in 0..3 {
-            rested().await;
+            until_reusable().await;
             assert_eq!(ask(b.address, rpc("GET", "/look", "")).await.body, b"kept");
         }
         for _ in 0..5 {
@@ -284,7 +287,11 @@
 fn a_refused_connection_never_ran() {
     run(async {
         let up = stand_in(|_, _| ok("whole")).await;
-        let shut = TcpListener::bind("127.0.0.1:0").await.expect("a port").local_addr().expect("an address");
+        let shut = TcpListener::bind("127.0.0.1:0")
+            .await
+            .expect("bind a listener")
+            .local_addr()
+            .expect("local address");
         let b = balancer_at(&[shut, up.address], &[]).await;
         for _ in 0..8 {
             assert_eq!(ask(b.address, rpc("POST", "/pay", "Content-Length: 0\r\n")).await.status(), 200);
@@ -307,7 +314,7 @@
 }
 
 #[test]
-fn a_caller_that_leaves_ends_its_transmission() {
+fn caller_leaving_ends_its_attempt() {
     run(async {
         let up = stand_in(|_, _| Deed::Silence).await;
         let b = balancer(&[&up], &[]).await;
@@ -327,7 +334,7 @@
         let up = stand_in(|_, _| ok("whole")).await;
         let b = balancer(&[&up], &[("\"keepalive-s\":30.0", "\"keepalive-s\":1.2")]).await;
         for _ in 0..2 {
-            rested().await;
+            until_reusable().await;
             ask(b.address, rpc("GET", "/look", "")).await;
         }
         assert_eq!(up.connections.get(), 1);
@@ -346,22 +353,22 @@
 #[test]
 fn a_body_counts_as_written_with_its_last_byte() {
     run(async {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind a listener");
         let attempt = Rc::<AttemptState>::default();
         let body = vec![b'x'; 32 << 20];
         let write = async {
             let mut out = ConnectionTable::new(1, 0)
-                .connect(listener.local_addr().expect("an address"), Weak::new())
+                .connect(listener.local_addr().expect("local address"), Weak::new())
                 .await
-                .expect("room");
-            assert_eq!(out.write(&body).await.expect("it takes bytes"), body.len());
+                .expect("free connection slot");
+            assert_eq!(out.write(&body).await.expect("write to the connection"), body.len());
             let early = tokio::time::timeout(Duration::from_millis(50), out.flush()).await;
             assert!(early.is_err() && attempt.progress() == AttemptProgress::Connected);
-            let (mut reader, _) = listener.accept().await.expect("a connection");
+            let (mut reader, _) = listener.accept().await.expect("accept a connection");
             let read = actix_rt::spawn(async move { reader.read_exact(&mut vec![0; 32 << 20]).await });
-            out.flush().await.expect("it is read");
+            out.flush().await.expect("complete transfer");
             assert_eq!(attempt.progress(), AttemptProgress::RequestWritten);
-            read.await.expect("it reads").expect("all of it");
+            read.await.expect("write to the socket").expect("read the rest of the answer");
         };
         CURRENT_ATTEMPT.scope(Rc::clone(&attempt), write).await;
     });
@@ -375,11 +382,11 @@
         let mut idle = Vec::new();
         for _ in 0..30 {
             let mut stream = send(b.address, rpc("GET", "/look", "")).await;
-            assert_eq!(read(&mut stream).await.expect("an answer").status(), 200);
+            assert_eq!(read(&mut stream).await.expect("read the answer").status(), 200);
             idle.push(stream);
         }
         // The first to come stood idle for the longest.
-        assert_eq!(idle[0].read(&mut [0; 1]).await.expect("an orderly end"), 0);
+        assert_eq!(idle[0].read(&mut [0; 1]).await.expect("close without a reset"), 0);
     });
 }
 
@@ -390,9 +397,9 @@
         let b = balancer(&[&up], &[]).await;
         let mut stream = send(b.address, rpc("GET", "/look", "")).await;
         until(|| up.seen.borrow().len() == 1).await;
-        let id = b.board.open.borrow().keys().next().cloned().expect("it is open");
+        let id = b.board.open.borrow().keys().next().cloned().expect("open connection or RPC");
         b.board.decide(Some(&id), |_, _| panic!("on purpose"));
-        assert_eq!(read(&mut stream).await.expect("an answer").status(), 502);
+        assert_eq!(read(&mut stream).await.expect("read the answer").status(), 502);
         assert_eq!(ask(b.address, rpc("GET", "/look", "")).await.status(), 200);
     });
 }
@@ -420,7 +427,8 @@
         let b = balancer(&[&up], &[("\"max-transmissions\":3", "\"max-transmissions\":1")]).await;
         let answer = ask(b.address, rpc("GET", "/look", "")).await;
         assert_eq!(answer.status(), 503);
-        let wait: f64 = answer.header("retry-after").and_then(|v| v.parse().ok()).expect("a wait");
+        let wait: f64 =
+            answer.header("retry-after").and_then(|v| v.parse().ok()).expect("Retry-After header");
         assert!(wait > 0.0 && wait <= 2.0, "{wait}");
     });
 }
--- a/crates/fernroute-server/tests/repeats.rs
+++ b/crates/fernroute-server/tests/repeats.rs
@@ -5,7 +5,7 @@
 use actix_http::header::HeaderMap;
 use actix_http::Method;
 use bytes::Bytes;
-use common::{balancer_at, entry, list, ok, read, rpc, run, send, until};
+use common::{balancer_at, decode_list, entry, ok, read, rpc, run, send, until};
 use fernroute_server::transport::client::{Body, Client, UpstreamRequest};
 use fernroute_server::transport::outbound::{AttemptProgress, AttemptState, CURRENT_ATTEMPT};
 use fernroute_server::transport::upstream_connections::ConnectionTable;
@@ -27,24 +27,24 @@
 fn a_repeat_whose_connection_comes_up_after_the_window_does_not_begin() {
     for (window, status) in [(r#""window-s":2"#, 502), (r#""window-s":6"#, 200)] {
         run(async move {
-            let held = Held::new().await.expect("a full queue");
-            let first = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-            let at = first.local_addr().expect("an address");
+            let held = Held::new().await.expect("fill the accept queue");
+            let first = TcpListener::bind("127.0.0.1:0").await.expect("bind a listener");
+            let at = first.local_addr().expect("local address");
             let b = balancer_at(&[at], &[LATE, (r#""window-s":5"#, window)]).await;
             let begun = Instant::now();
             let put = rpc("POST", "/put", "Idempotency-Key: k\r\nContent-Length: 0\r\n");
             let mut caller = send(b.address, put).await;
-            let (mut stream, _) = first.accept().await.expect("a connection");
-            read(&mut stream).await.expect("the RPC");
+            let (mut stream, _) = first.accept().await.expect("accept a connection");
+            read(&mut stream).await.expect("read the RPC");
             // It may have run there. From here on there is only one whose connections come up late.
             let both = [entry("s-0", at, "z", "DRAINING"), entry("s-1", held.address, "z", "SERVING")];
-            b.board.apply_list(&list(8, true, &both), true);
-            stream.write_all(&answer(500, "", "")).await.expect("it is read");
+            b.board.apply_list(&decode_list(8, true, &both), true);
+            stream.write_all(&answer(500, "", "")).await.expect("complete transfer");
             until(|| b.board.open.borrow().values().any(|rpc| rpc.attempts_started == 2)).await;
             assert!(begun.elapsed() < WINDOW, "too slow a machine: the repeat was to be sent off in time");
             tokio::time::sleep(WINDOW.saturating_sub(begun.elapsed())).await;
             let up = held.let_go(|_, _| ok("whole"));
-            let ended = read(&mut caller).await.expect("one whole answer");
+            let ended = read(&mut caller).await.expect("read the complete answer");
             assert!(begun.elapsed() > WINDOW, "the connection was to come up late");
             assert_eq!(
                 (ended.status() == 200, up.seen.borrow().len()),
@@ -64,10 +64,10 @@
     const PAUSE: Duration = Duration::from_millis(600);
     for (left, is_whole) in [(Duration::from_millis(300), false), (Duration::from_secs(60), true)] {
         run(async move {
-            let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-            let address = listener.local_addr().expect("an address");
+            let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind a listener");
+            let address = listener.local_addr().expect("local address");
             let upstream = actix_rt::spawn(async move {
-                let (mut stream, _) = listener.accept().await.expect("a connection");
+                let (mut stream, _) = listener.accept().await.expect("accept a connection");
                 tokio::time::sleep(PAUSE).await;
                 let mut taken = 0;
                 let mut piece = vec![0; 1 << 20];
@@ -77,7 +77,7 @@
                         Ok(bytes) => taken += bytes,
                     }
                 }
-                stream.write_all(&answer(200, "", "whole")).await.expect("it is read");
+                stream.write_all(&answer(200, "", "whole")).await.expect("complete transfer");
                 taken
             });
             let client = Client::new(Duration::from_secs(1), Duration::from_secs(10), 8, BODY);
@@ -93,7 +93,7 @@
                 new_connection: true,
             };
             let answered = client.upstream(address).send(call, &attempt).await;
-            let taken = upstream.await.expect("the upstream ends");
+            let taken = upstream.await.expect("upstream task completes");
             assert_eq!((answered.is_ok(), taken >= BODY), (is_whole, is_whole), "{taken} bytes");
             assert_eq!(
                 attempt.progress() >= AttemptProgress::RequestWritten,
@@ -110,16 +110,16 @@
 fn an_attempt_that_has_left_whole_in_time_counts_as_written_when_its_time_is_over() {
     const LEFT: Duration = Duration::from_millis(100);
     run(async {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind a listener");
         let attempt = Rc::<AttemptState>::default();
         attempt.set_write_deadline(LEFT);
         let write = async {
             let table = ConnectionTable::new(1, 0);
-            let address = listener.local_addr().expect("an address");
-            let mut out = table.connect(address, Weak::new()).await.expect("room");
-            assert_eq!(out.write(b"all of it").await.expect("it takes bytes"), 9);
+            let address = listener.local_addr().expect("local address");
+            let mut out = table.connect(address, Weak::new()).await.expect("free connection slot");
+            assert_eq!(out.write(b"all of it").await.expect("write to the connection"), 9);
             tokio::time::sleep(2 * LEFT).await;
-            out.flush().await.expect("nothing is left to bar");
+            out.flush().await.expect("flush after all bytes were written");
             assert_eq!(attempt.progress(), AttemptProgress::RequestWritten);
         };
         CURRENT_ATTEMPT.scope(Rc::clone(&attempt), write).await;
--- a/crates/fernroute-server/tests/rolling.rs
+++ b/crates/fernroute-server/tests/rolling.rs
@@ -6,7 +6,7 @@
 mod process;
 
 use common::{ok, read, rpc, run, stand_in, until, Deed, StandIn};
-use process::{folder, Program};
+use process::{temp_dir, Program};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -87,7 +87,7 @@
         (r#""soft-deadline-s":2.5"#, r#""soft-deadline-s":0.4"#),
         (r#""hard-deadline-s":6.0"#, hard.as_str()),
     ];
-    common::page(&at, discovery, &changes)
+    common::config_json(&at, discovery, &changes)
 }
 
 /// Guards against an RPC that is lost to a restart: taken and not answered, answered by nobody's answer, or run twice.
@@ -110,7 +110,7 @@
         let text = page(&upstreams, discovery.address, "1.0");
         let mut programs = Vec::new();
         for n in 0..BALANCERS {
-            programs.push(Program::start(&folder(&format!("rolling-{n}")), &text).await);
+            programs.push(Program::start(&temp_dir(&format!("rolling-{n}")), &text).await);
         }
         let places: Places = Rc::new(RefCell::new(programs.iter().map(|p| Some(p.address)).collect()));
         let seen = Rc::new(Seen { running: Cell::new(CALLERS), ..Seen::default() });
@@ -129,16 +129,16 @@
                 program.reload(&page(&upstreams, discovery.address, "0.5"));
                 until(|| program.says("new settings")).await;
             }
-            program.term();
+            program.terminate();
             sleep(NOTICE).await;
             places.borrow_mut()[n] = None;
             // Twice told is told once.
-            program.term();
+            program.terminate();
             if timeout(KILL - NOTICE, async { until(|| !program.is_running()).await }).await.is_err() {
                 program.kill();
             }
             hangs.set(false);
-            let again = Program::start(&folder(&format!("rolling-again-{n}")), &text).await;
+            let again = Program::start(&temp_dir(&format!("rolling-again-{n}")), &text).await;
             places.borrow_mut()[n] = Some(again.address);
             restarted.push(again);
         }
@@ -173,22 +173,22 @@
         let discovery = stand_in(|_, _| Deed::Silence).await;
         let upstreams = [Rc::clone(&up)];
         let text = page(&upstreams, discovery.address, "0.5");
-        let starts = folder("starts");
+        let starts = temp_dir("starts");
         let starting = Program::launch(&starts, &text, Some(&starts)).await;
-        starting.term();
-        starting.ends_well().await;
-        let reads = folder("reads");
+        starting.terminate();
+        starting.exits_cleanly().await;
+        let reads = temp_dir("reads");
         let reading = Program::start(&reads, &text).await;
         // One RPC is open; it is answered though its upstream never does.
         let mut open =
             common::send(reading.address, rpc("GET", "/look", "").replace("Ms: 4000", "Ms: 9000")).await;
         until(|| up.seen.borrow().len() == 1).await;
         reading.reload(&page(&upstreams, discovery.address, "1.0"));
-        reading.term();
+        reading.terminate();
         reading.reload("no page at all");
-        reading.term();
-        assert_eq!(read(&mut open).await.expect("an answer").status(), 502);
+        reading.terminate();
+        assert_eq!(read(&mut open).await.expect("read the answer").status(), 502);
         drop(open);
-        reading.ends_well().await;
+        reading.exits_cleanly().await;
     });
 }
--- a/crates/fernroute-server/tests/schedules.rs
+++ b/crates/fernroute-server/tests/schedules.rs
@@ -3,11 +3,11 @@
 //!
 //! Seen to fail with each of these taken out: the look whether a caller has left (`take_in.rs`), the bar on first bytes to
 //! upstreams that left (`call_off_to_those_that_left`), the rest of kept connections (`REST`). What needs a connection held
-//! back while it comes up, or two things in one turn, is forced in `endings.rs`: schedules do not meet it.
+//! back while it comes up, or two things in one turn, is forced in `termination_races.rs`: schedules do not meet it.
 
 mod common;
 
-use common::{balancer_at, connect, entry, id_of, list, request, rested, rpc, run, until};
+use common::{balancer_at, connect, decode_list, entry, request, rpc, rpc_id, run, until, until_reusable};
 use fernroute_server::program::instance::InstanceConfig;
 use fernroute_server::program::serve::RunningInstance;
 use fernroute_test_support::http::{answer, Message, Peer};
@@ -187,8 +187,8 @@
         let ledger = Rc::<Ledger>::default();
         let mut addresses = Vec::new();
         for n in 0..UPSTREAMS {
-            let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-            addresses.push(listener.local_addr().expect("an address"));
+            let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind a listener");
+            addresses.push(listener.local_addr().expect("local address"));
             let ledger = Rc::clone(&ledger);
             spawn_local(async move {
                 while let Ok((stream, _)) = listener.accept().await {
@@ -208,7 +208,7 @@
 
     fn list(&mut self, upstream: usize, state: &str) {
         self.version += 1;
-        let list = list(
+        let list = decode_list(
             self.version,
             false,
             &[entry(&format!("s-{upstream}"), self.addresses[upstream], "z", state)],
@@ -227,14 +227,14 @@
         let time = if short { "60" } else { "1000" };
         let bytes = rpc(verb, &format!("/{name}"), more)
             .replace("Req-Deadline-Ms: 4000", &format!("Req-Deadline-Ms: {time}"));
-        let id = id_of(&bytes).to_owned();
+        let id = rpc_id(&bytes).to_owned();
         self.ledger.methods.borrow_mut().insert(id.clone(), method);
         (id, bytes)
     }
 
     async fn ask(&mut self, id: String, bytes: &str, short: bool) {
         let mut stream = connect(self.b.address).await;
-        stream.write_all(bytes.as_bytes()).await.expect("it reads");
+        stream.write_all(bytes.as_bytes()).await.expect("write to the socket");
         let due = Instant::now() + Duration::from_millis(if short { 60 } else { 1000 });
         let answered = Answered::default();
         let (told, twice) = (Rc::clone(&answered), Rc::clone(&self.twice));
@@ -283,7 +283,7 @@
                     .insert(id, "sent on though its caller had left before it was read");
                 let mut stream = connect(self.b.address).await;
                 // No turn of anybody else's between these two.
-                assert_eq!(stream.try_write(bytes.as_bytes()).expect("the machine takes it"), bytes.len());
+                assert_eq!(stream.try_write(bytes.as_bytes()).expect("write to the socket"), bytes.len());
                 let _ = stream.shutdown().await;
             }
             Step::LeaveAndAskAgain => {
@@ -325,12 +325,12 @@
                 }
             }
             Step::Cancels(cancels) => {
-                let text = common::page(&self.addresses, self.addresses[0], &TIMES)
+                let text = common::config_json(&self.addresses, self.addresses[0], &TIMES)
                     .replace(r#""cancel":true"#, &format!(r#""cancel":{cancels}"#));
-                let station = InstanceConfig::decode_json(&text).expect("the file is whole");
-                self.b.update_settings(&station.settings).expect("they will do");
+                let station = InstanceConfig::decode_json(&text).expect("valid configuration file");
+                self.b.update_settings(&station.settings).expect("valid settings");
             }
-            Step::Rest => rested().await,
+            Step::Rest => until_reusable().await,
             Step::TimePasses => tokio::time::sleep(Duration::from_millis(65)).await,
         }
     }
--- a/crates/fernroute-server/tests/sizes.rs
+++ b/crates/fernroute-server/tests/sizes.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{balancer_at, entry, list, run, until};
+use common::{balancer_at, decode_list, entry, run, until};
 use fernroute_server::program::serve;
 use fernroute_server::protocol::handover::{decode, encode, HandoverList, MAX_LINE_BYTES};
 use fernroute_test_support::stand_in::Discovery;
@@ -24,9 +24,11 @@
         let indented =
             many("SERVING").join(",").replace(",\"", ",\n            \"").replace('{', "{\n            ");
         let at = SocketAddr::from(([127, 0, 0, 1], 0));
-        let discovery = Discovery::start(at, indented).await.expect("a port");
+        let discovery = Discovery::start(at, indented).await.expect("bind a listener");
         let none: [SocketAddr; 0] = [];
-        let b = serve::start(common::station(&none, discovery.address, &[])).await.expect("it starts");
+        let b = serve::start(common::instance_config(&none, discovery.address, &[]))
+            .await
+            .expect("start the balancer");
         until(|| b.board.upstream_counts().0 == MANY).await;
         assert_eq!(b.board.upstreams.borrow().len(), MANY);
         discovery.tell(many("DRAINING").join(","));
@@ -40,13 +42,13 @@
     run(async {
         let none: [SocketAddr; 0] = [];
         let b = balancer_at(&none, &[]).await;
-        b.board.apply_list(&list(8, true, &many("SERVING")), true);
+        b.board.apply_list(&decode_list(8, true, &many("SERVING")), true);
         let lines = b.board.upstreams.borrow();
         let discovery = SocketAddr::from(([127, 0, 0, 1], 1));
         let known = HandoverList::of(discovery, Some(8), lines.values().map(|(entry, _)| entry));
         let line = encode(&known);
         assert!(line.len() * 4 < MAX_LINE_BYTES, "{} bytes", line.len());
-        let known: HandoverList = decode(&line).expect("it is read");
+        let known: HandoverList = decode(&line).expect("complete transfer");
         assert_eq!(known.list().entries.len(), MANY);
     });
 }
--- a/crates/fernroute-server/tests/endings.rs
+++ b/crates/fernroute-server/tests/termination_races.rs
@@ -1,11 +1,11 @@
-//! What ends, and what may still be owed at that instant: each crossing is forced, in both orders where there are two.
-//! The table of them is `docs/endings.md`.
+//! Races between the end of a caller, connection, upstream, timer or process and the RPCs open at that moment. Each race is
+//! forced, in both orders where there are two. `docs/endings.md` lists them.
 
 mod common;
 
 use common::{
-    ask, balancer, balancer_at, connect, entry, id_of, list, ok, read, request, rested, rpc, run, send,
-    stand_in, until, Deed,
+    ask, balancer, balancer_at, connect, decode_list, entry, ok, read, request, rpc, rpc_id, run, send,
+    stand_in, until, until_reusable, Deed,
 };
 use fernroute_server::program::serve::RunningInstance;
 use fernroute_server::protocol::answer::FinalAnswer;
@@ -22,85 +22,85 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Notify;
 
-/// Connections may take their time, and what may have run is not called off.
-const LATE: [(&str, &str); 2] = [
+/// Upstream connections may take long to come up, and an attempt that may have run is not cancelled.
+const SLOW_CONNECT_NO_CANCEL: [(&str, &str); 2] = [
     (r#""cancel":true"#, r#""cancel":false"#),
     (r#""connect-timeout-s":0.25"#, r#""connect-timeout-s":5.0"#),
 ];
 
-/// Nothing is left of what the crossing was about.
-async fn nothing_left(b: &RunningInstance) {
+/// Waits until no RPC, attempt or timer is left.
+async fn until_no_state_left(b: &RunningInstance) {
     until(|| b.board.open.borrow().is_empty()).await;
     assert_eq!(b.board.metrics().outstanding, 0);
     until(|| b.board.timers.count() == 0).await;
 }
 
-fn out(b: &RunningInstance) -> usize {
+fn attempt_count(b: &RunningInstance) -> usize {
     b.board.open.borrow().values().map(|rpc| rpc.attempts.len()).sum()
 }
 
-fn post(more: &str) -> String {
-    rpc("POST", "/pay", &format!("Content-Length: 0\r\n{more}"))
+fn post_rpc(headers: &str) -> String {
+    rpc("POST", "/pay", &format!("Content-Length: 0\r\n{headers}"))
 }
 
 // ---------------------------------------------------------------------------------------- a caller leaves
 
-/// Guards against an RPC that nobody waits for, sent on when its connection comes up at last. Where the settings bar
-/// calling off, that bars it for what may have run, not for what was never written.
+/// Guards against an RPC without a caller that is sent when its upstream connection finally comes up. Settings that forbid
+/// cancellation apply to an attempt that may have run, not to one that was never written.
 #[test]
-fn who_leaves_before_the_connection_is_up_has_nothing_sent_on() {
+fn caller_leaving_before_upstream_connects_sends_nothing() {
     for resets in [false, true] {
         run(async move {
-            let held = Held::new().await.expect("a full queue");
-            let b = balancer_at(&[held.address], &LATE).await;
-            let caller = send(b.address, post("")).await;
-            until(|| out(&b) == 1).await;
+            let held = Held::new().await.expect("fill the accept queue");
+            let b = balancer_at(&[held.address], &SLOW_CONNECT_NO_CANCEL).await;
+            let caller = send(b.address, post_rpc("")).await;
+            until(|| attempt_count(&b) == 1).await;
             if resets {
-                caller.set_zero_linger().expect("it may");
+                caller.set_zero_linger().expect("set the socket option");
             }
             drop(caller);
             until(|| b.board.metrics().outstanding == 0).await;
             let up = held.let_go(|_, _| ok("whole"));
-            // Past the second after which its machine would have tried again.
+            // Longer than the second after which TCP retransmits a SYN.
             tokio::time::sleep(Duration::from_millis(1300)).await;
             assert!(up.seen.borrow().is_empty());
-            nothing_left(&b).await;
-            // And the upstream is none the worse for it.
-            assert_eq!(ask(b.address, post("")).await.status(), 200);
+            until_no_state_left(&b).await;
+            // The upstream is still used.
+            assert_eq!(ask(b.address, post_rpc("")).await.status(), 200);
         });
     }
 }
 
-/// The other order: all of it is written, and what may have run is not called off where the settings bar that.
+/// The other order: the RPC is written completely, and the attempt is not cancelled where the settings forbid it.
 #[test]
-fn who_leaves_after_the_last_byte_has_it_called_off_only_where_that_is_allowed() {
+fn caller_leaving_after_last_byte_cancels_only_when_allowed() {
     for allowed in [false, true] {
         run(async move {
             let up = stand_in(|_, _| Deed::Silence).await;
-            let b = balancer(&[&up], if allowed { &[] } else { &LATE[..1] }).await;
+            let b = balancer(&[&up], if allowed { &[] } else { &SLOW_CONNECT_NO_CANCEL[..1] }).await;
             let caller = send(b.address, rpc("GET", "/look", "").replace("Ms: 4000", "Ms: 700")).await;
             until(|| up.seen.borrow().len() == 1).await;
             drop(caller);
             until(|| b.board.metrics().outstanding == 0).await;
             assert!(allowed || up.left.get() == 0);
-            // Called off, or once its time is up.
+            // Closed by the cancellation, or else by the deadline.
             until(|| up.left.get() == 1).await;
-            nothing_left(&b).await;
+            until_no_state_left(&b).await;
             assert_eq!(up.seen.borrow().len(), 1);
         });
     }
 }
 
-/// Guards against a burst of callers that come and go while this balancer is busy elsewhere: their RPCs and their ends
-/// lie in the sockets together.
+/// Guards against sending the RPCs of a burst of callers that connect and leave while the balancer is busy: the RPC and the end
+/// of its connection are then in the socket buffer together.
 #[test]
-fn who_left_before_it_was_accepted_has_nothing_sent_on() {
+fn caller_leaving_before_accept_sends_nothing() {
     run(async {
         let up = stand_in(|_, _| ok("whole")).await;
         let b = balancer(&[&up], &[]).await;
-        // A kept connection is there to send on at once.
+        // Leaves an idle upstream connection on which an RPC could be sent at once.
         assert_eq!(ask(b.address, rpc("GET", "/look", "")).await.status(), 200);
-        rested().await;
+        until_reusable().await;
         b.server.set_accepting(false);
         until(|| b.server.connections() == 0).await;
         for n in 0..40 {
@@ -109,24 +109,24 @@
             let post =
                 rpc("POST", &format!("/pay?{n}"), &format!("Content-Length: {}\r\n", body.len())) + &body;
             let whole = if n % 4 == 0 { rpc("GET", &format!("/look?{n}"), "") } else { post };
-            caller.write_all(whole.as_bytes()).await.expect("the machine takes it");
+            caller.write_all(whole.as_bytes()).await.expect("write to the socket");
             if n % 2 == 0 {
-                caller.set_zero_linger().expect("it may");
+                caller.set_zero_linger().expect("set the socket option");
             }
         }
         b.server.set_accepting(true);
         let marked = ask(b.address, rpc("GET", "/look", "")).await;
         assert_eq!(marked.status(), 200);
         until(|| b.server.connections() == 0).await;
-        nothing_left(&b).await;
+        until_no_state_left(&b).await;
         let seen: Vec<String> = up.seen.borrow().iter().map(|m| m.target.clone()).collect();
-        assert_eq!(seen.len(), 2, "of the forty none was sent on: {seen:?}");
+        assert_eq!(seen.len(), 2, "none of the forty RPCs may be sent: {seen:?}");
     });
 }
 
-/// A half or a pipelined message behind an RPC changes nothing: with its connection its caller has left.
+/// A partial or pipelined message after an RPC makes no difference: a closed connection means that the caller has left.
 #[test]
-fn who_leaves_with_more_behind_ends_its_rpc_all_the_same() {
+fn caller_leaving_with_pipelined_bytes_ends_its_rpc() {
     run(async {
         let up = stand_in(|_, _| Deed::Silence).await;
         let b = balancer(&[&up], &[]).await;
@@ -135,18 +135,18 @@
             let seen = up.seen.borrow().len();
             let mut caller = send(b.address, &long).await;
             until(|| up.seen.borrow().len() == seen + 1).await;
-            caller.write_all(behind.as_bytes()).await.expect("the machine takes it");
+            caller.write_all(behind.as_bytes()).await.expect("write to the socket");
             drop(caller);
-            nothing_left(&b).await;
+            until_no_state_left(&b).await;
             until(|| up.left.get() == seen + 1).await;
             assert_eq!(up.seen.borrow().len(), seen + 1);
         }
     });
 }
 
-/// With its head or its body half in it asked for nothing, wherever it is cut.
+/// A message cut off anywhere in its head or body is not an RPC.
 #[test]
-fn who_leaves_with_half_a_message_asked_for_nothing() {
+fn caller_leaving_with_partial_message_sends_nothing() {
     run(async {
         let up = stand_in(|_, _| ok("whole")).await;
         let b = balancer(&[&up], &[]).await;
@@ -155,15 +155,15 @@
             drop(send(b.address, &whole[..cut]).await);
         }
         until(|| b.server.connections() == 0).await;
-        nothing_left(&b).await;
+        until_no_state_left(&b).await;
         assert!(up.seen.borrow().is_empty());
         assert_eq!(ask(b.address, whole).await.status(), 200);
     });
 }
 
-/// Between two transmissions, or for want of any upstream that may be used now, an RPC waits here alone.
+/// Between two attempts, or while no upstream may be used, an RPC is held in the balancer only.
 #[test]
-fn who_leaves_while_its_rpc_is_held_has_nothing_sent_on() {
+fn caller_leaving_while_its_rpc_is_queued_sends_nothing() {
     run(async {
         let up = stand_in(|_, _| ok("whole")).await;
         let b = balancer_at(&[], &[]).await;
@@ -171,26 +171,26 @@
         until(|| b.board.open.borrow().len() == 1).await;
         drop(caller);
         until(|| b.board.open.borrow().is_empty()).await;
-        b.board.apply_list(&list(8, true, &[entry("s-0", up.address, "z", "SERVING")]), true);
+        b.board.apply_list(&decode_list(8, true, &[entry("s-0", up.address, "z", "SERVING")]), true);
         assert_eq!(ask(b.address, rpc("GET", "/look", "")).await.status(), 200);
-        nothing_left(&b).await;
+        until_no_state_left(&b).await;
         assert_eq!(up.seen.borrow().len(), 1);
     });
 }
 
 // ------------------------------------------------------------------------- a connection to an upstream ends
 
-/// Guards against a send past the grace: an RPC that was routed before its upstream was told to drain, gone, or started
-/// anew, begins nowhere once that is known, and goes elsewhere at once.
+/// Guards against sending to an upstream after its drain grace: an RPC that was routed before its upstream drained, was removed
+/// or was restarted must not start there once that is known, and goes to another upstream at once.
 #[test]
-fn what_has_not_begun_does_not_begin_at_an_upstream_that_left() {
+fn unstarted_attempt_does_not_start_at_removed_upstream() {
     for state in ["DRAINING", "DELETED", "elsewhere", "not named"] {
         run(async move {
-            let held = Held::new().await.expect("a full queue");
+            let held = Held::new().await.expect("fill the accept queue");
             let other = stand_in(|_, _| ok("whole")).await;
-            let b = balancer_at(&[held.address], &LATE).await;
-            let mut caller = send(b.address, post("")).await;
-            until(|| out(&b) == 1).await;
+            let b = balancer_at(&[held.address], &SLOW_CONNECT_NO_CANCEL).await;
+            let mut caller = send(b.address, post_rpc("")).await;
+            until(|| attempt_count(&b) == 1).await;
             let from = Instant::now();
             let mut entries = vec![entry("s-1", other.address, "z", "SERVING")];
             match state {
@@ -198,12 +198,12 @@
                 "not named" => {}
                 state => entries.push(entry("s-0", held.address, "z", state)),
             }
-            b.board.apply_list(&list(8, state == "not named", &entries), true);
-            let answer = read(&mut caller).await.expect("an answer");
+            b.board.apply_list(&decode_list(8, state == "not named", &entries), true);
+            let answer = read(&mut caller).await.expect("read the answer");
             assert_eq!((answer.status(), answer.body), (200, b"whole".to_vec()), "{state}");
-            // Its machine tries to connect again after a second: that was not waited for.
+            // TCP retransmits a SYN after a second; the RPC did not wait for that.
             assert!(from.elapsed() < Duration::from_millis(900), "{state} {:?}", from.elapsed());
-            nothing_left(&b).await;
+            until_no_state_left(&b).await;
             let up = held.let_go(|_, _| ok("late"));
             tokio::time::sleep(Duration::from_millis(1300)).await;
             assert!(up.seen.borrow().is_empty() && other.seen.borrow().len() == 1, "{state}");
@@ -211,45 +211,45 @@
     }
 }
 
-/// The same in one turn: routed, and told to drain before the transmission's own task had its first.
+/// The same within one poll: the upstream drains after routing, before the attempt's task is polled for the first time.
 #[test]
-fn a_drain_in_the_turn_of_the_send_comes_first() {
+fn drain_in_the_same_poll_precedes_the_send() {
     run(async {
         let (one, two) = (stand_in(|_, _| ok("one")).await, stand_in(|_, _| ok("two")).await);
         let b = balancer(&[&one], &[]).await;
-        // A kept connection would be written to at once.
+        // Leaves an idle connection, which would be written to at once.
         assert_eq!(ask(b.address, rpc("GET", "/look", "")).await.body, b"one");
-        rested().await;
+        until_reusable().await;
         let mut asked = pin!(b.board.admit(request(&b, "turn", "look", "4000"), None));
-        assert!(asked.as_mut().now_or_never().is_none() && out(&b) == 1);
+        assert!(asked.as_mut().now_or_never().is_none() && attempt_count(&b) == 1);
         let entries = [entry("s-0", one.address, "z", "DRAINING"), entry("s-1", two.address, "z", "SERVING")];
-        b.board.apply_list(&list(8, false, &entries), true);
-        let Ok(FinalAnswer::Completed(last)) = asked.await else { panic!("it is served") };
+        b.board.apply_list(&decode_list(8, false, &entries), true);
+        let Ok(FinalAnswer::Completed(last)) = asked.await else { panic!("the RPC must complete") };
         assert_eq!((&last.body[..], one.seen.borrow().len()), (&b"two"[..], 1));
-        nothing_left(&b).await;
+        until_no_state_left(&b).await;
     });
 }
 
-/// What has begun is waited for: its upstream finishes what it has.
+/// A draining upstream finishes the attempts that have started there.
 #[test]
-fn what_has_begun_at_an_upstream_that_drains_is_waited_for() {
+fn started_attempt_at_draining_upstream_completes() {
     run(async {
         let go = Rc::new(Notify::new());
-        let up = commanded(Rc::clone(&go)).await;
+        let up = notified_upstream(Rc::clone(&go)).await;
         let b = balancer_at(&[up], &[]).await;
-        let mut caller = send(b.address, post("")).await;
+        let mut caller = send(b.address, post_rpc("")).await;
         until(|| b.board.metrics().attempts == 1).await;
-        b.board.apply_list(&list(8, false, &[entry("s-0", up, "z", "DRAINING")]), true);
+        b.board.apply_list(&decode_list(8, false, &[entry("s-0", up, "z", "DRAINING")]), true);
         go.notify_one();
-        assert_eq!(read(&mut caller).await.expect("an answer").status(), 200);
-        nothing_left(&b).await;
+        assert_eq!(read(&mut caller).await.expect("read the answer").status(), 200);
+        until_no_state_left(&b).await;
     });
 }
 
-/// Answers each RPC once it is told to.
-async fn commanded(go: Rc<Notify>) -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("an address");
+/// An upstream that answers each RPC after a notification.
+async fn notified_upstream(go: Rc<Notify>) -> SocketAddr {
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind a listener");
+    let address = listener.local_addr().expect("local address");
     tokio::task::spawn_local(async move {
         while let Ok((stream, _)) = listener.accept().await {
             let go = Rc::clone(&go);
@@ -265,20 +265,20 @@
     address
 }
 
-/// Guards against a second answer, or noise, that comes some milliseconds late: on a connection that stands idle it is
-/// seen, and on one that was just taken for the next RPC it would be that one's answer. So none is taken at once.
+/// Guards against a second answer, or stray bytes, that arrive some milliseconds late. On an idle connection they are detected;
+/// on a connection already reused they would become the next RPC's answer. So a connection is not reused at once.
 #[test]
-fn a_second_answer_that_comes_late_is_nobodys() {
+fn late_second_answer_is_never_delivered() {
     run(async {
-        // Connections as they came; what each is sent late is written when the next RPC has come, whichever way.
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let address = listener.local_addr().expect("an address");
-        let first: Rc<RefCell<Option<Rc<RefCell<Peer>>>>> = Rc::default();
-        let (answered, soon) = (Rc::new(Cell::new(Instant::now())), Rc::new(Cell::new(0)));
-        let (kept, when, counted) = (Rc::clone(&first), Rc::clone(&answered), Rc::clone(&soon));
+        // The connection of every other RPC gets a second answer when the next RPC arrives, on whichever connection.
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind a listener");
+        let address = listener.local_addr().expect("local address");
+        let last_peer: Rc<RefCell<Option<Rc<RefCell<Peer>>>>> = Rc::default();
+        let (answered_at, races) = (Rc::new(Cell::new(Instant::now())), Rc::new(Cell::new(0)));
+        let (last, when, counted) = (Rc::clone(&last_peer), Rc::clone(&answered_at), Rc::clone(&races));
         tokio::task::spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                let (kept, when, counted) = (Rc::clone(&kept), Rc::clone(&when), Rc::clone(&counted));
+                let (last, when, counted) = (Rc::clone(&last), Rc::clone(&when), Rc::clone(&counted));
                 tokio::task::spawn_local(async move {
                     let peer = Rc::new(RefCell::new(Peer::new(stream)));
                     loop {
@@ -289,19 +289,19 @@
                         });
                         let Ok(Some(message)) = next.await else { return };
                         let id = message.header("req-id").unwrap_or("").to_owned();
-                        let late = kept.borrow_mut().take();
+                        let late = last.borrow_mut().take();
                         if let Some(late) = late {
-                            // The one before has its second answer now.
+                            // Sends the second answer for the previous RPC.
                             let within = when.get().elapsed() < Duration::from_millis(5);
                             counted.set(counted.get() + usize::from(within));
                             if within {
-                                let _ = late.borrow().stream.try_write(&answer(200, "", "the one before's"));
+                                let _ = late.borrow().stream.try_write(&answer(200, "", "second answer"));
                             }
                             let _ = peer.borrow().stream.try_write(&answer(200, "", &id));
                         } else {
                             let _ = peer.borrow().stream.try_write(&answer(200, "", &id));
                             when.set(Instant::now());
-                            kept.borrow_mut().replace(Rc::clone(&peer));
+                            last.borrow_mut().replace(Rc::clone(&peer));
                         }
                     }
                 });
@@ -309,57 +309,57 @@
         });
         let b = balancer_at(&[address], &[]).await;
         let mut caller = connect(b.address).await;
-        // A busy machine may be too slow to cross: until it did often enough.
-        while soon.get() < 20 {
+        // Repeated until the race occurred often enough, since a busy machine may be too slow for it.
+        while races.get() < 20 {
             for _ in 0..2 {
                 let bytes = rpc("GET", "/look", "");
-                caller.write_all(bytes.as_bytes()).await.expect("it reads");
-                let last = read(&mut caller).await.expect("an answer");
-                assert_eq!((last.status(), last.body), (200, id_of(&bytes).as_bytes().to_vec()));
+                caller.write_all(bytes.as_bytes()).await.expect("write to the socket");
+                let last = read(&mut caller).await.expect("read the answer");
+                assert_eq!((last.status(), last.body), (200, rpc_id(&bytes).as_bytes().to_vec()));
             }
-            rested().await;
+            until_reusable().await;
         }
-        nothing_left(&b).await;
+        until_no_state_left(&b).await;
     });
 }
 
-/// Guards against cutting off what the upstream still gives, past the hard deadline too: whoever takes it may be slow. One
-/// without an end goes on until its caller leaves, and no longer.
+/// Guards against cutting off an answer that the upstream is still sending, even past the hard deadline, since the caller may
+/// read slowly. An endless answer lasts until its caller leaves, and no longer.
 #[test]
-fn an_answer_that_is_still_given_is_not_cut_off_and_ends_with_its_caller() {
+fn streaming_answer_continues_past_deadline_until_caller_leaves() {
     run(async {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let address = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind a listener");
+        let address = listener.local_addr().expect("local address");
         let gone = Rc::new(Cell::new(false));
-        let told = Rc::clone(&gone);
+        let caller_gone = Rc::clone(&gone);
         tokio::task::spawn_local(async move {
-            let (stream, _) = listener.accept().await.expect("a connection");
+            let (stream, _) = listener.accept().await.expect("accept a connection");
             let mut peer = Peer::new(stream);
-            peer.read().await.expect("an RPC");
+            peer.read().await.expect("valid RPC");
             let _ = peer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await;
             while peer.write(b"1\r\nx\r\n").await.is_ok() {
                 tokio::time::sleep(Duration::from_millis(50)).await;
             }
-            told.set(true);
+            caller_gone.set(true);
         });
         let b = balancer_at(&[address], &[]).await;
         let from = Instant::now();
         let mut caller = send(b.address, rpc("GET", "/look", "").replace("Ms: 4000", "Ms: 1500")).await;
         let mut heard = Vec::new();
         while from.elapsed() < Duration::from_millis(2500) {
-            assert!(caller.read_buf(&mut heard).await.expect("it goes on") > 0, "{heard:?}");
+            assert!(caller.read_buf(&mut heard).await.expect("read from the socket") > 0, "{heard:?}");
         }
         assert!(heard.starts_with(b"HTTP/1.1 200") && !gone.get());
         drop(caller);
         until(|| gone.get()).await;
-        nothing_left(&b).await;
+        until_no_state_left(&b).await;
     });
 }
 
-/// Guards against an idle connection that the other side closes in the instant of its use: what can be told to have
-/// closed is passed over, and what can't is the outcome of an RPC that may have run.
+/// Guards against failures from idle connections that the upstream closes just as they are reused: one that is known to be
+/// closed is skipped; otherwise the close is the outcome of an RPC that may have run.
 #[test]
-fn an_idle_connection_that_closes_costs_no_rpc_where_that_can_be_told() {
+fn idle_connection_closed_by_upstream_fails_no_rpc() {
     run(async {
         let up = stand_in(|n, _| match n % 2 {
             0 => Deed::SayAndClose(answer(200, "", "and it closes")),
@@ -368,22 +368,22 @@
         let up = up.await;
         let b = balancer(&[&up], &[]).await;
         for n in 0..20 {
-            rested().await;
+            until_reusable().await;
             until(|| up.left.get() >= n / 2).await;
-            let verb = if n % 3 == 0 { rpc("GET", "/look", "") } else { post("") };
+            let verb = if n % 3 == 0 { rpc("GET", "/look", "") } else { post_rpc("") };
             assert_eq!(ask(b.address, verb).await.status(), 200, "{n}");
         }
         assert_eq!(up.seen.borrow().len(), 20);
-        nothing_left(&b).await;
+        until_no_state_left(&b).await;
     });
 }
 
 // --------------------------------------------------------------------------------------------- timers and ids
 
-/// Guards against an id that is used again the moment its RPC has ended, while the old one's transmission is still to
-/// be booked: the new RPC would get its outcome, and the upstream's count of what is out never come back.
+/// Guards against an RPC id that is reused as soon as its RPC has ended, before the old attempt's outcome is recorded: the new
+/// RPC would get that outcome, and the upstream's count of outstanding attempts would never return to zero.
 #[test]
-fn an_id_used_again_at_once_gets_nothing_of_the_old_ones() {
+fn reused_rpc_id_gets_no_outcome_of_the_previous_rpc() {
     run(async {
         let up = stand_in(|n, _| if n == 0 { Deed::Silence } else { ok("whole") }).await;
         let b = balancer(&[&up], &[]).await;
@@ -393,43 +393,43 @@
             until(|| up.seen.borrow().len() == 1).await;
             drop(asked);
         }
-        // In the same turn: nothing else has run since.
+        // In the same poll: no other task has run since.
         let again = b.board.admit(request(&b, "twice", "look", "4000"), None).await;
-        assert!(again.is_err(), "the old one is not booked yet");
-        nothing_left(&b).await;
+        assert!(again.is_err(), "the outcome of the old attempt is not recorded yet");
+        until_no_state_left(&b).await;
         let last = b.board.admit(request(&b, "twice", "look", "4000"), None).await;
         assert!(matches!(last, Ok(FinalAnswer::Completed(_))), "{last:?}");
-        nothing_left(&b).await;
+        until_no_state_left(&b).await;
     });
 }
 
-/// The answer and the end of its time in one turn: one final answer, whichever it is, and no timer of another's.
+/// An answer and its deadline in the same poll give one final answer, whichever it is, and leave other RPCs' timers alone.
 #[test]
-fn an_answer_and_the_end_of_its_time_make_one_final_answer() {
+fn answer_racing_the_deadline_gives_one_final_answer() {
     run(async {
         let go = Rc::new(Notify::new());
-        let up = commanded(Rc::clone(&go)).await;
+        let up = notified_upstream(Rc::clone(&go)).await;
         let b = balancer_at(&[up], &[("\"max-transmissions\":3", "\"max-transmissions\":1")]).await;
         for n in 0..20 {
-            let mut caller = send(b.address, post("").replace("Ms: 4000", "Ms: 30")).await;
+            let mut caller = send(b.address, post_rpc("").replace("Ms: 4000", "Ms: 30")).await;
             until(|| b.board.metrics().attempts == n + 1).await;
-            // Both come due while nothing runs here.
+            // The answer arrives and the deadline passes while this thread is blocked.
             go.notify_one();
             tokio::task::yield_now().await;
             std::thread::sleep(Duration::from_millis(35));
-            let last = read(&mut caller).await.expect("an answer");
+            let last = read(&mut caller).await.expect("read the answer");
             assert!([200, 502].contains(&last.status()), "{}", last.head);
             drop(caller);
-            nothing_left(&b).await;
+            until_no_state_left(&b).await;
         }
     });
 }
 
-// ------------------------------------------------------------------------------------------- a process ends
+// ------------------------------------------------------------------------------------------- shutdown
 
-/// Guards against a caller that has connected and not yet written: the end of an idle connection would cost it an answer.
+/// Guards against closing, as if idle, the connection of a caller that has connected and not written yet.
 #[test]
-fn who_has_just_connected_is_heard_though_the_balancer_ends() {
+fn new_connection_is_served_during_shutdown() {
     run(async {
         let up = stand_in(|_, _| ok("whole")).await;
         let b = balancer(&[&up], &[]).await;
@@ -438,125 +438,122 @@
         let server = b.server.clone();
         let end = actix_rt::spawn(async move { server.shut_down().await });
         until(|| b.server.listener().is_none()).await;
-        new.write_all(rpc("GET", "/look", "").as_bytes()).await.expect("it reads");
-        assert_eq!(read(&mut new).await.expect("an answer").status(), 200);
+        new.write_all(rpc("GET", "/look", "").as_bytes()).await.expect("write to the socket");
+        assert_eq!(read(&mut new).await.expect("read the answer").status(), 200);
         drop(new);
-        end.await.expect("it ends");
-        // One that asks for nothing is not waited for.
+        end.await.expect("task completes");
+        // A connection without an RPC is not waited for.
         assert_eq!(b.server.connections(), 0);
     });
 }
 
-/// Guards against callers that the machine has accepted and nobody reads: they are in the queue as the listener closes.
+/// Guards against losing callers that are in the kernel's accept queue when the listener closes.
 #[test]
-fn who_is_in_the_queue_as_it_closes_is_answered() {
+fn callers_in_accept_queue_at_shutdown_are_answered() {
     run(async {
         let up = stand_in(|_, _| ok("whole")).await;
         let b = balancer(&[&up], &[]).await;
-        // No turn of the balancer's from here on, until its end has begun.
+        // The balancer's task is not polled from here until its shutdown has begun.
         let mut waiting = Vec::new();
         for _ in 0..50 {
-            let mut caller = std::net::TcpStream::connect(b.address).expect("the machine accepts");
-            caller.write_all(rpc("GET", "/look", "").as_bytes()).expect("the machine takes it");
+            let mut caller = std::net::TcpStream::connect(b.address).expect("connect to the balancer");
+            caller.write_all(rpc("GET", "/look", "").as_bytes()).expect("write to the socket");
             waiting.push(caller);
         }
         let server = b.server.clone();
         let end = actix_rt::spawn(async move { server.shut_down().await });
         for caller in waiting {
-            caller.set_nonblocking(true).expect("it does not block");
-            let mut caller = TcpStream::from_std(caller).expect("a stream");
-            assert_eq!(read(&mut caller).await.expect("an answer").status(), 200);
+            caller.set_nonblocking(true).expect("set non-blocking mode");
+            let mut caller = TcpStream::from_std(caller).expect("convert the stream");
+            assert_eq!(read(&mut caller).await.expect("read the answer").status(), 200);
         }
-        end.await.expect("it ends");
-        nothing_left(&b).await;
+        end.await.expect("task completes");
+        until_no_state_left(&b).await;
     });
 }
 
-/// Guards against an RPC that comes whole after what was open has been ended: it would be cut off by the kill.
+/// Guards against an RPC whose last byte arrives after the open RPCs were ended: the kill that follows would cut it off.
 #[test]
-fn what_comes_after_the_last_answers_is_exhausted_at_once() {
+fn rpc_completed_after_shutdown_answers_is_exhausted() {
     run(async {
         let up = stand_in(|_, _| Deed::Silence).await;
         let b = balancer(&[&up], &[]).await;
-        let whole = post("").replace("Ms: 4000", "Ms: 90000");
+        let whole = post_rpc("").replace("Ms: 4000", "Ms: 90000");
         let (first, rest) = whole.split_at(40);
         let mut slow = send(b.address, first).await;
         until(|| b.server.connections() == 1).await;
         b.board.update_phase(|phase, now| phase.shut_down(now - 90_000));
         b.board.fail_all();
-        slow.write_all(rest.as_bytes()).await.expect("it reads");
-        let last = read(&mut slow).await.expect("an answer");
+        slow.write_all(rest.as_bytes()).await.expect("write to the socket");
+        let last = read(&mut slow).await.expect("read the answer");
         assert_eq!((last.status(), last.header("connection")), (503, Some("close")));
         assert!(up.seen.borrow().is_empty());
-        nothing_left(&b).await;
+        until_no_state_left(&b).await;
     });
 }
 
-// ------------------------------------------------------------------------------------------- own evictions
+// ------------------------------------------------------------------------------------------- evictions
 
-/// Guards against a message that is thrown away for being late though its last byte has come.
+/// Guards against evicting a caller for a late message whose last byte has already arrived.
 #[test]
-fn half_a_message_whose_rest_has_come_by_now_is_no_half_message() {
+fn message_completed_before_the_sweep_is_not_evicted() {
     run(async {
         let up = stand_in(|_, _| ok("whole")).await;
         let b = balancer(&[&up], &[]).await;
         let whole = rpc("GET", "/look", "");
         let mut caller = connect(b.address).await;
-        caller.write_all(&whole.as_bytes()[..40]).await.expect("it reads");
+        caller.write_all(&whole.as_bytes()[..40]).await.expect("write to the socket");
         until(|| b.server.connections() == 1).await;
         tokio::time::sleep(Duration::from_millis(50)).await;
-        // Nothing runs here until its time is up; the rest comes meanwhile.
+        // Blocks this thread until the message's time limit has passed; the rest arrives meanwhile.
         std::thread::sleep(Duration::from_millis(2700));
-        assert_eq!(
-            caller.try_write(&whole.as_bytes()[40..]).expect("the machine takes it"),
-            whole.len() - 40
-        );
+        assert_eq!(caller.try_write(&whole.as_bytes()[40..]).expect("write to the socket"), whole.len() - 40);
         b.server.sweep(false);
-        assert_eq!(read(&mut caller).await.expect("an answer").status(), 200);
-        // And one whose rest does not come is told so.
-        caller.write_all(&whole.as_bytes()[..40]).await.expect("it reads");
-        assert_eq!(read(&mut caller).await.expect("an answer").status(), 408);
-        nothing_left(&b).await;
+        assert_eq!(read(&mut caller).await.expect("read the answer").status(), 200);
+        // A message that is never completed gets 408.
+        caller.write_all(&whole.as_bytes()[..40]).await.expect("write to the socket");
+        assert_eq!(read(&mut caller).await.expect("read the answer").status(), 408);
+        until_no_state_left(&b).await;
     });
 }
 
-/// Guards against a kept caller that is sent away for its room in the turn in which its next RPC comes.
+/// Guards against evicting an idle caller in the same poll in which its next RPC arrives.
 #[test]
-fn who_is_sent_away_as_its_next_rpc_comes_is_answered() {
+fn caller_evicted_as_its_next_rpc_arrives_is_answered() {
     run(async {
         let up = stand_in(|_, _| ok("whole")).await;
         let b = balancer(&[&up], &[("\"sockets\":1024", "\"sockets\":64")]).await;
         let mut kept = connect(b.address).await;
         for _ in 0..10 {
-            kept.write_all(rpc("GET", "/look", "").as_bytes()).await.expect("it reads");
-            assert_eq!(read(&mut kept).await.expect("an answer").status(), 200);
+            kept.write_all(rpc("GET", "/look", "").as_bytes()).await.expect("write to the socket");
+            assert_eq!(read(&mut kept).await.expect("read the answer").status(), 200);
             until(|| b.board.open.borrow().is_empty()).await;
             let next = rpc("GET", "/look", "");
-            assert_eq!(kept.try_write(next.as_bytes()).expect("the machine takes it"), next.len());
-            // In the same turn its room is wanted.
+            assert_eq!(kept.try_write(next.as_bytes()).expect("write to the socket"), next.len());
+            // In the same poll, the connection limit shrinks.
             b.server.set_max_connections(0);
             b.server.set_max_connections(10);
-            assert_eq!(read(&mut kept).await.expect("an answer").status(), 200);
+            assert_eq!(read(&mut kept).await.expect("read the answer").status(), 200);
             kept = connect(b.address).await;
         }
-        nothing_left(&b).await;
+        until_no_state_left(&b).await;
     });
 }
 
 // ------------------------------------------------------------------------------------------------ bad input
 
-/// Guards against what can't be read and leaves something behind: cut at any byte, in a drain and across new settings.
+/// Guards against malformed input that leaves state behind, cut off at any byte, during a drain and after a resume.
 #[test]
-fn what_cannot_be_read_leaves_nothing_behind() {
+fn malformed_input_leaves_no_state() {
     run(async {
         let up = stand_in(|_, _| ok("whole")).await;
         let b = balancer(&[&up], &[]).await;
-        let two = "POST /pay HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n";
+        let two_lengths = "POST /pay HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n";
         let bad = [
             "\0\u{1}\u{2}\r\n\r\n".to_owned(),
             "GET /look HTTP/1.1\r\nno header\r\n\r\n".to_owned(),
-            two.to_owned(),
-            post("").replace("Req-Deadline-Ms: 4000", "Req-Deadline-Ms: soon"),
+            two_lengths.to_owned(),
+            post_rpc("").replace("Req-Deadline-Ms: 4000", "Req-Deadline-Ms: soon"),
             rpc("POST", "/pay", "Content-Length: -1\r\n"),
         ];
         for (n, text) in bad.iter().enumerate() {
@@ -569,14 +566,14 @@
             for cut in (1..=text.len()).step_by(5).chain([text.len()]) {
                 waiting.push(send(b.address, &text[..cut]).await);
             }
-            let mut last = waiting.pop().expect("the whole of it");
+            let mut last = waiting.pop().expect("complete message");
             if let Some(told) = read(&mut last).await {
                 assert!((400..500).contains(&told.status()), "{}", told.head);
             }
             drop(waiting);
         }
         until(|| b.server.connections() == 0).await;
-        nothing_left(&b).await;
+        until_no_state_left(&b).await;
         assert!(up.seen.borrow().is_empty());
     });
 }
--- a/crates/fernroute-server/tests/told.rs
+++ b/crates/fernroute-server/tests/told.rs
@@ -4,7 +4,7 @@
 
 mod common;
 
-use common::{entry, run, station, until};
+use common::{entry, instance_config, run, until};
 use fernroute_server::program::serve::{self, RunningInstance};
 use fernroute_test_support::http::{answer, Message, Peer};
 use fernroute_test_support::stand_in::{Deed, Held};
@@ -50,8 +50,8 @@
 
 impl Agent {
     async fn start(script: impl Fn(usize, &Message) -> Does + 'static) -> Rc<Self> {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let address = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind a listener");
+        let address = listener.local_addr().expect("local address");
         let agent = Rc::new(Agent {
             address,
             calls: RefCell::default(),
@@ -168,7 +168,7 @@
         ],
         None => Vec::new(),
     };
-    serve::start(station(&[nobody()], discovery, &changes)).await.expect("it starts")
+    serve::start(instance_config(&[nobody()], discovery, &changes)).await.expect("start the balancer")
 }
 
 /// Waits until `what` is so, which has to be less than `within` after `from`.
@@ -355,7 +355,7 @@
     run(async {
         let one = || async {
             let (full, old) =
-                (Held::new().await.expect("a queue that is full"), Agent::start(|_, _| Does::Silence).await);
+                (Held::new().await.expect("fill the accept queue"), Agent::start(|_, _| Does::Silence).await);
             let b = balancer(old.address, None).await;
             old.until_called(1).await;
             let from = Instant::now();
--- a/crates/fernroute-server/tests/upgrade.rs
+++ b/crates/fernroute-server/tests/upgrade.rs
@@ -6,9 +6,10 @@
 mod process;
 
 use common::{
-    ask, entry, is_ready, ok, page, read, rpc, run, stand_in, told, until, until_ready, Deed, Load, StandIn,
+    ask, config_json, entry, is_ready, ok, read, rpc, run, stand_in, told, until, until_ready, Deed, Load,
+    StandIn,
 };
-use process::{folder, Program};
+use process::{temp_dir, Program};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::{Command, Stdio};
@@ -32,18 +33,18 @@
 fn callers_notice_nothing_of_an_upgrade() {
     run(async {
         let (up, dead) = (upstream().await, stand_in(|_, _| Deed::Silence).await);
-        let folder = folder("upgrade");
-        let mut old = Program::start(&folder, &page(&[up.address], dead.address, &[])).await;
+        let folder = temp_dir("upgrade");
+        let mut old = Program::start(&folder, &config_json(&[up.address], dead.address, &[])).await;
         let load = Load::start(16, old.address);
         load.more(200).await;
         for _ in 0..2 {
             // Its file knows no upstream, and discovery says nothing.
-            let new = Program::start(&folder, &page(&[], dead.address, &[])).await;
+            let new = Program::start(&folder, &config_json(&[], dead.address, &[])).await;
             assert_eq!(new.address, old.address);
-            until_ready(new.door).await;
-            old.term();
+            until_ready(new.ops_address).await;
+            old.terminate();
             load.more(200).await;
-            old.ends_well().await;
+            old.exits_cleanly().await;
             assert!(is_ready(new.address).await);
             old = new;
             load.more(200).await;
@@ -51,10 +52,10 @@
         load.end().await;
         // Of each caller's connection the one that was idle may be closed as it writes.
         assert!(load.crossed.get() <= 2, "{}", load.crossed.get());
-        old.term();
-        old.ends_well().await;
+        old.terminate();
+        old.exits_cleanly().await;
         assert!(!meeting(&folder).exists());
-        std::fs::remove_dir_all(folder).expect("it was there");
+        std::fs::remove_dir_all(folder).expect("remove the test directory");
     });
 }
 
@@ -63,19 +64,19 @@
 fn the_old_process_answers_what_it_took_and_ends_by_itself() {
     run(async {
         let up = upstream().await;
-        let folder = folder("early");
-        let text = page(&[up.address], up.address, &[]);
+        let folder = temp_dir("early");
+        let text = config_json(&[up.address], up.address, &[]);
         let old = Program::start(&folder, &text).await;
         let mut open = common::send(old.address, rpc("GET", "/look/silent", "").replace("4000", "900")).await;
         until(|| up.seen.borrow().iter().any(|m| m.head.contains("/silent"))).await;
         let new = Program::start(&folder, &text).await;
-        until_ready(new.door).await;
+        until_ready(new.ops_address).await;
         until(|| old.says("a successor serves")).await;
-        assert!(!is_ready(old.door).await && told(old.door, "POST", "/-/resume").await == 409);
-        let last = read(&mut open).await.expect("an answer");
+        assert!(!is_ready(old.ops_address).await && told(old.ops_address, "POST", "/-/resume").await == 409);
+        let last = read(&mut open).await.expect("read the answer");
         assert_eq!((last.status(), last.header("connection")), (503, Some("close")));
         // Nobody tells it to.
-        old.ends_well().await;
+        old.exits_cleanly().await;
         until(|| new.says("the old process has ended")).await;
         assert!(is_ready(new.address).await);
     });
@@ -86,13 +87,13 @@
 fn a_successor_that_dies_gives_back_what_it_got() {
     run(async {
         let up = upstream().await;
-        let folder = folder("dies");
-        let text = page(&[up.address], up.address, &[]);
+        let folder = temp_dir("dies");
+        let text = config_json(&[up.address], up.address, &[]);
         let old = Program::start(&folder, &text).await;
         until(|| meeting(&folder).exists()).await;
         let load = Load::start(4, old.address);
-        let mut early = UnixStream::connect(meeting(&folder)).await.expect("it is there");
-        early.write_all(b"{\"take\":{\"version\":1}}\n").await.expect("it reads");
+        let mut early = UnixStream::connect(meeting(&folder)).await.expect("connect to the socket");
+        early.write_all(b"{\"take\":{\"version\":1}}\n").await.expect("write to the socket");
         until(|| old.says("a successor connected")).await;
         drop(early);
         until(|| old.says("the successor ended before it could serve")).await;
@@ -108,11 +109,11 @@
         load.failed.borrow_mut().clear();
         load.more(50).await;
         load.end().await;
-        assert!(is_ready(old.address).await && is_ready(old.door).await);
+        assert!(is_ready(old.address).await && is_ready(old.ops_address).await);
         // And it may have another.
         let new = Program::start(&folder, &text).await;
-        until_ready(new.door).await;
-        old.ends_well().await;
+        until_ready(new.ops_address).await;
+        old.exits_cleanly().await;
         assert!(is_ready(new.address).await);
     });
 }
@@ -122,22 +123,22 @@
 fn a_second_successor_is_refused_while_the_first_comes() {
     run(async {
         let up = upstream().await;
-        let folder = folder("two");
-        let text = page(&[up.address], up.address, &[]);
+        let folder = temp_dir("two");
+        let text = config_json(&[up.address], up.address, &[]);
         let old = Program::start(&folder, &text).await;
         until(|| meeting(&folder).exists()).await;
-        let mut first = UnixStream::connect(meeting(&folder)).await.expect("it is there");
-        first.write_all(b"{\"take\":{\"version\":1}}\n").await.expect("it reads");
+        let mut first = UnixStream::connect(meeting(&folder)).await.expect("connect to the socket");
+        first.write_all(b"{\"take\":{\"version\":1}}\n").await.expect("write to the socket");
         let mut given = String::new();
-        tokio::io::BufReader::new(&mut first).read_line(&mut given).await.expect("a line");
+        tokio::io::BufReader::new(&mut first).read_line(&mut given).await.expect("read a line");
         assert!(given.contains("\"given\"") && given.contains(&up.address.to_string()), "{given}");
         let path = folder.join("second.json");
-        std::fs::write(&path, &text).expect("a file");
+        std::fs::write(&path, &text).expect("access the test file");
         let mut second = Command::new(env!("CARGO_BIN_EXE_fernroute"));
         second.args(["serve", "--config"]).arg(&path).env("TMPDIR", &folder).env_remove("NODE_OPS");
-        let mut second = second.stderr(Stdio::piped()).spawn().expect("it starts");
-        until(|| second.try_wait().expect("its state").is_some()).await;
-        let out = second.wait_with_output().expect("it has ended");
+        let mut second = second.stderr(Stdio::piped()).spawn().expect("start the balancer");
+        until(|| second.try_wait().expect("poll the process").is_some()).await;
+        let out = second.wait_with_output().expect("collect the output");
         let text = String::from_utf8_lossy(&out.stderr).into_owned();
         assert_eq!((out.status.code(), text.lines().count()), (Some(2), 1), "{text}");
         assert!(text.contains("another process takes over already"), "{text}");
@@ -145,10 +146,10 @@
         drop(first);
         until(|| old.says("the successor ended before it could serve")).await;
         for (word, answer) in [("{\"take\":{\"version\":9}}\n", "refused"), ("GET / HTTP/1.1\r\n\r\n", "")] {
-            let mut stranger = UnixStream::connect(meeting(&folder)).await.expect("it is there");
-            stranger.write_all(word.as_bytes()).await.expect("it reads");
+            let mut stranger = UnixStream::connect(meeting(&folder)).await.expect("connect to the socket");
+            stranger.write_all(word.as_bytes()).await.expect("write to the socket");
             let mut said = String::new();
-            stranger.read_to_string(&mut said).await.expect("an end");
+            stranger.read_to_string(&mut said).await.expect("read to the end of the connection");
             assert!(said.contains(answer) && !said.contains("given"), "{said}");
         }
         assert!(is_ready(old.address).await);
@@ -161,8 +162,8 @@
 fn whatever_lies_in_the_way_a_process_starts_and_serves() {
     run(async {
         let up = upstream().await;
-        let text = page(&[up.address], up.address, &[]);
-        let killed = folder("killed");
+        let text = config_json(&[up.address], up.address, &[]);
+        let killed = temp_dir("killed");
         let old = Program::start(&killed, &text).await;
         until(|| meeting(&killed).exists()).await;
         old.kill();
@@ -174,24 +175,24 @@
         // It is where the next one comes to.
         until(|| std::os::unix::net::UnixStream::connect(meeting(&killed)).is_ok()).await;
         let next = Program::start(&killed, &text).await;
-        until_ready(next.door).await;
+        until_ready(next.ops_address).await;
         assert_eq!(next.address, new.address);
 
-        let foreign = folder("foreign");
-        std::fs::write(meeting(&foreign), "somebody's").expect("a file");
+        let foreign = temp_dir("foreign");
+        std::fs::write(meeting(&foreign), "somebody's").expect("access the test file");
         let alone = Program::start(&foreign, &text).await;
         until_ready(alone.address).await;
         until(|| alone.says("no handover to a successor is possible")).await;
-        assert_eq!(std::fs::read(meeting(&foreign)).expect("it is there"), b"somebody's");
+        assert_eq!(std::fs::read(meeting(&foreign)).expect("connect to the socket"), b"somebody's");
 
-        let dumb = folder("dumb");
-        let silent = UnixListener::bind(meeting(&dumb)).expect("a place");
+        let dumb = temp_dir("dumb");
+        let silent = UnixListener::bind(meeting(&dumb)).expect("bind the socket");
         let alone = Program::start(&dumb, &text).await;
         until_ready(alone.address).await;
         assert!(alone.says("no handover, starting without a predecessor: no reply"));
         assert!(silent.accept().await.is_ok() && meeting(&dumb).exists());
 
-        let long = folder(&"long".repeat(30));
+        let long = temp_dir(&"long".repeat(30));
         let alone = Program::start(&long, &text).await;
         until_ready(alone.address).await;
         assert!(alone.says("is too long a path"));
@@ -200,7 +201,7 @@
 
 /// How many sockets listen at this address.
 fn listeners(at: SocketAddr) -> usize {
-    let table = std::fs::read_to_string("/proc/net/tcp").expect("the machine's table");
+    let table = std::fs::read_to_string("/proc/net/tcp").expect("read /proc/net/tcp");
     let local = format!(":{:04X} 00000000:0000 0A ", at.port());
     table.lines().filter(|line| line.contains(&local)).count()
 }
@@ -216,20 +217,20 @@
 fn two_listen_at_one_address_where_handing_over_fails() {
     run(async {
         let up = upstream().await;
-        let folder = folder("beside");
-        let socket = TcpSocket::new_v4().expect("a socket");
-        socket.set_reuseport(true).expect("it may be shared");
-        socket.bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port");
-        let old = socket.listen(8).expect("it listens");
-        let at = old.local_addr().expect("an address");
+        let folder = temp_dir("beside");
+        let socket = TcpSocket::new_v4().expect("create a socket");
+        socket.set_reuseport(true).expect("set SO_REUSEPORT");
+        socket.bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("bind a listener");
+        let old = socket.listen(8).expect("listen on the socket");
+        let at = old.local_addr().expect("local address");
         let listen = format!("\"listen\":\"{at}\"");
         let discovery = stand_in(lists(up.address)).await;
-        let text = page(&[], discovery.address, &[("\"listen\":\"127.0.0.1:0\"", listen.as_str())]);
+        let text = config_json(&[], discovery.address, &[("\"listen\":\"127.0.0.1:0\"", listen.as_str())]);
         let file = format!("fernroute-n0-{}.sock", at.to_string().replace(':', "_"));
-        std::fs::write(folder.join(file), "somebody's").expect("a file");
+        std::fs::write(folder.join(file), "somebody's").expect("access the test file");
         let new = Program::start(&folder, &text).await;
         assert_eq!(new.address, at);
-        until_ready(new.door).await;
+        until_ready(new.ops_address).await;
         drop(old);
         // Another test may be starting a program this moment: what it forked off has the socket until it runs that.
         until(|| listeners(at) == 1).await;
@@ -245,14 +246,14 @@
 fn an_upgrade_within_a_drain_a_reload_at_either_and_a_killed_old_process() {
     run(async {
         let up = upstream().await;
-        let folder = folder("drained");
-        let text = page(&[up.address], up.address, &[]);
+        let folder = temp_dir("drained");
+        let text = config_json(&[up.address], up.address, &[]);
         let old = Program::start(&folder, &text).await;
         until(|| meeting(&folder).exists()).await;
-        assert_eq!(told(old.door, "POST", "/-/drain").await, 200);
+        assert_eq!(told(old.ops_address, "POST", "/-/drain").await, 200);
         assert!(!is_ready(old.address).await);
         let new = Program::start(&folder, &text).await;
-        until_ready(new.door).await;
+        until_ready(new.ops_address).await;
         old.reload(&text);
         new.reload(&text);
         until(|| new.says("reloaded")).await;
@@ -265,13 +266,13 @@
         let load = Load::start(4, new.address);
         load.more(50).await;
         let last = Program::start(&folder, &text).await;
-        until_ready(last.door).await;
-        new.term();
+        until_ready(last.ops_address).await;
+        new.terminate();
         load.more(50).await;
-        new.ends_well().await;
+        new.exits_cleanly().await;
         load.end().await;
-        last.term();
-        last.ends_well().await;
+        last.terminate();
+        last.exits_cleanly().await;
     });
 }
 
@@ -281,19 +282,20 @@
 fn nobody_waits_in_the_queue_of_a_process_that_does_not_serve_yet() {
     run(async {
         let up = upstream().await;
-        let folder = folder("queue");
-        let at = TcpSocket::new_v4().expect("a socket");
-        at.set_reuseport(true).expect("it may be shared");
-        at.bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port");
+        let folder = temp_dir("queue");
+        let at = TcpSocket::new_v4().expect("create a socket");
+        at.set_reuseport(true).expect("set SO_REUSEPORT");
+        at.bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("bind a listener");
         // Bound for as long as the test runs, so that nobody else gets the port; it never listens.
-        let address = at.local_addr().expect("an address");
+        let address = at.local_addr().expect("local address");
         let listen = format!("\"listen\":\"{address}\"");
         let file = format!("fernroute-n0-{}.sock", address.to_string().replace(':', "_"));
-        std::fs::write(folder.join(file), "somebody's").expect("a file");
+        std::fs::write(folder.join(file), "somebody's").expect("access the test file");
         let told = stand_in(lists(up.address)).await;
         let silent = stand_in(|_, _| Deed::Silence).await;
-        let list_of =
-            |discovery| page(&[up.address], discovery, &[("\"listen\":\"127.0.0.1:0\"", listen.as_str())]);
+        let list_of = |discovery| {
+            config_json(&[up.address], discovery, &[("\"listen\":\"127.0.0.1:0\"", listen.as_str())])
+        };
         let old = Program::start(&folder, &list_of(told.address)).await;
         let new = Program::launch(&folder, &list_of(silent.address), Some(&folder)).await;
         let (mut asked, mut wrong) = (0, Vec::new());
@@ -310,8 +312,8 @@
             actix_rt::time::sleep(Duration::from_millis(2)).await;
         }
         assert!(wrong.is_empty() && asked > 20, "{asked}: {wrong:?}");
-        let new = new.serving().await;
-        assert!(new.address == address && is_ready(old.door).await && is_ready(new.door).await);
+        let new = new.until_serving().await;
+        assert!(new.address == address && is_ready(old.ops_address).await && is_ready(new.ops_address).await);
         drop(at);
     });
 }
@@ -322,23 +324,23 @@
 fn processes_without_a_tmpdir_meet_all_the_same() {
     run(async {
         let (up, silent) = (upstream().await, stand_in(|_, _| Deed::Silence).await);
-        let folder = folder("plain");
+        let folder = temp_dir("plain");
         let name = format!("\"name\":\"plain-{}\"", std::process::id());
-        let text = page(&[up.address], silent.address, &[("\"name\":\"n0\"", name.as_str())]);
-        let old = Program::launch(&folder, &text, None).await.serving().await;
+        let text = config_json(&[up.address], silent.address, &[("\"name\":\"n0\"", name.as_str())]);
+        let old = Program::launch(&folder, &text, None).await.until_serving().await;
         let first = ask(old.address, rpc("GET", "/look", "").replace("4000", "500")).await;
         assert_eq!(first.status(), 200, "{}", first.head);
         assert!(!old.says("starting without a predecessor"));
         let load = Load::start(8, old.address);
         load.more(100).await;
-        let new = Program::launch(&folder, &text, None).await.serving().await;
+        let new = Program::launch(&folder, &text, None).await.until_serving().await;
         assert!(new.says("taking over") && new.address == old.address);
         load.more(100).await;
-        old.ends_well().await;
+        old.exits_cleanly().await;
         load.more(100).await;
         load.end().await;
-        new.term();
-        new.ends_well().await;
+        new.terminate();
+        new.exits_cleanly().await;
     });
 }
 
@@ -348,16 +350,16 @@
 fn a_socket_given_by_a_process_that_dies_at_once_is_served_from() {
     run(async {
         let silent = stand_in(|_, _| Deed::Silence).await;
-        let folder = folder("given");
-        let text = page(&[], silent.address, &[]);
+        let folder = temp_dir("given");
+        let text = config_json(&[], silent.address, &[]);
         let old = Program::start(&folder, &text).await;
         until(|| meeting(&folder).exists()).await;
         let new = Program::launch(&folder, &text, Some(&folder)).await;
         until(|| new.says("taking over")).await;
-        assert!(!new.says("serving on ") && !is_ready(new.door).await);
+        assert!(!new.says("serving on ") && !is_ready(new.ops_address).await);
         old.kill();
         old.ends().await;
-        let new = new.serving().await;
+        let new = new.until_serving().await;
         // No upstream is known: that is an answer too.
         assert_eq!(ask(new.address, rpc("GET", "/look", "")).await.status(), 503);
     });
--- a/crates/fernroute-server/tests/watches.rs
+++ b/crates/fernroute-server/tests/watches.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{ask, entry, ok, rpc, run, send, stand_in, station, until, Deed};
+use common::{ask, entry, instance_config, ok, rpc, run, send, stand_in, until, Deed};
 use fernroute_server::program::serve::{self, RunningInstance};
 use fernroute_test_support::http::{answer, Peer};
 use std::cell::{Cell, RefCell};
@@ -39,12 +39,13 @@
             }
         })
         .await;
-        let b = serve::start(station(&[at], discovery.address, &[])).await.expect("it starts");
+        let b =
+            serve::start(instance_config(&[at], discovery.address, &[])).await.expect("start the balancer");
         until(|| discovery.seen.borrow().len() >= 7).await;
         let calls = calls.borrow().clone();
         let gaps = calls[1..7].windows(2).map(|pair| pair[1] - pair[0]);
         // The shortest: a busy machine may stretch any one.
-        assert!(gaps.min().expect("some") < Duration::from_millis(190));
+        assert!(gaps.min().expect("at least one gap") < Duration::from_millis(190));
         until(|| !b.board.is_ready()).await;
         assert!(!served(&b).await && up.seen.borrow().is_empty());
     });
@@ -62,9 +63,9 @@
             _ => Deed::Silence,
         })
         .await;
-        let b = serve::start(station(&[one.address, two.address], discovery.address, &[]))
+        let b = serve::start(instance_config(&[one.address, two.address], discovery.address, &[]))
             .await
-            .expect("it starts");
+            .expect("start the balancer");
         until(|| b.board.upstream_counts().1 == 1).await;
         for _ in 0..20 {
             assert!(served(&b).await);
@@ -76,8 +77,8 @@
 
 /// An agent that falls silent at some point of its connections; each call that comes is noted.
 async fn silent_after(say: &'static [u8], first: String) -> (SocketAddr, Rc<RefCell<Vec<Instant>>>) {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind a listener");
+    let address = listener.local_addr().expect("local address");
     let calls = Rc::<RefCell<Vec<Instant>>>::default();
     let noted = Rc::clone(&calls);
     tokio::task::spawn_local(async move {
@@ -114,7 +115,7 @@
         let mut all = Vec::new();
         for say in points {
             let (agent, calls) = silent_after(say, whole.clone()).await;
-            let b = serve::start(station(&[], agent, &[])).await.expect("it starts");
+            let b = serve::start(instance_config(&[], agent, &[])).await.expect("start the balancer");
             all.push((b, calls));
         }
         for (b, calls) in &all {
@@ -135,15 +136,15 @@
     run(async {
         let up = stand_in(|_, _| ok("whole")).await;
         let go = Rc::new(Notify::new());
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let old = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind a listener");
+        let old = listener.local_addr().expect("local address");
         let (asked, answered) = (Rc::new(Cell::new(false)), Rc::new(Cell::new(false)));
         let (went, noted, done) = (Rc::clone(&go), Rc::clone(&asked), Rc::clone(&answered));
         let late = list(99, &entry("s-0", up.address, "z", "DRAINING"));
         tokio::task::spawn_local(async move {
-            let (stream, _) = listener.accept().await.expect("a call");
+            let (stream, _) = listener.accept().await.expect("accept a call");
             let mut peer = Peer::new(stream);
-            peer.read().await.expect("a call");
+            peer.read().await.expect("accept a call");
             noted.set(true);
             went.notified().await;
             let _ = peer.write(&answer(200, "", &late)).await;
@@ -152,7 +153,7 @@
         // At the new address there is a lower version, which is believed.
         let text = list(3, &entry("s-0", up.address, "z", "SERVING"));
         let new = stand_in(move |n, _| if n == 0 { ok(&text) } else { Deed::Silence }).await;
-        let b = serve::start(station(&[up.address], old, &[])).await.expect("it starts");
+        let b = serve::start(instance_config(&[up.address], old, &[])).await.expect("start the balancer");
         until(|| asked.get()).await;
         b.set_discovery(new.address);
         // In the same turn: the call is out, its answer comes now.
@@ -183,7 +184,9 @@
             true => ok(&text),
         })
         .await;
-        let b = serve::start(station(&[one.address], discovery.address, &[])).await.expect("it starts");
+        let b = serve::start(instance_config(&[one.address], discovery.address, &[]))
+            .await
+            .expect("start the balancer");
         until(|| discovery.seen.borrow().len() >= 3).await;
         assert!(served(&b).await);
         let _open = send(b.address, "GET /lo").await;
