--- a/crates/fernroute-server/tests/configuration.rs
+++ b/crates/fernroute-server/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! A balancer that goes by the configuration of its fleet: a real process, stewards that are stand-ins.
+//! A balancer that follows the configuration of its fleet: the program as a process, with stand-in coordinators.
 
 mod common;
 #[path = "common/process.rs"]
@@ -18,104 +18,107 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How a stand-in answers who fetches.
+/// How a stand-in coordinator answers a fetch.
 #[derive(Clone, Copy, PartialEq)]
-enum Way {
-    Well,
+enum FetchMode {
+    Normal,
     Behind,
-    /// A content is not what its hash says.
-    Spoilt,
+    /// Contents that do not match their hashes.
+    Corrupt,
     Silent,
 }
 
-/// Stewards that agree: one register, several doors.
-struct Stewards {
-    at: Vec<SocketAddr>,
+/// Coordinators that agree: one register behind several addresses.
+struct Coordinators {
+    addresses: Vec<SocketAddr>,
     register: RefCell<Register>,
-    /// Whether they know anything of configuration; those of an older version do not.
-    know: Cell<bool>,
-    ways: RefCell<Vec<Way>>,
-    /// Whether they answer beats.
-    answer: Cell<bool>,
-    beats: RefCell<Vec<Heartbeat>>,
+    /// Whether heartbeat replies mention the configuration; those of an older version do not.
+    supports_configuration: Cell<bool>,
+    fetch_modes: RefCell<Vec<FetchMode>>,
+    /// Whether they answer heartbeats.
+    answers_heartbeats: Cell<bool>,
+    heartbeats: RefCell<Vec<Heartbeat>>,
     fetches: Cell<usize>,
 }
 
-impl Stewards {
+impl Coordinators {
     async fn start(count: usize) -> Rc<Self> {
-        let slot: Rc<RefCell<Option<Rc<Stewards>>>> = Rc::default();
-        let mut at = Vec::new();
+        let slot: Rc<RefCell<Option<Rc<Coordinators>>>> = Rc::default();
+        let mut addresses = Vec::new();
         for n in 0..count {
             let slot = Rc::clone(&slot);
-            let door = stand_in(move |_, message| match &*slot.borrow() {
-                Some(stewards) => stewards.say(n, message),
+            let server = stand_in(move |_, message| match &*slot.borrow() {
+                Some(coordinators) => coordinators.reply(n, message),
                 None => Deed::Silence,
             });
-            at.push(door.await.address);
+            addresses.push(server.await.address);
         }
-        let stewards = Rc::new(Stewards {
-            at,
+        let coordinators = Rc::new(Coordinators {
+            addresses,
             register: RefCell::default(),
-            know: Cell::new(true),
-            ways: RefCell::new(vec![Way::Well; count]),
-            answer: Cell::new(true),
-            beats: RefCell::default(),
+            supports_configuration: Cell::new(true),
+            fetch_modes: RefCell::new(vec![FetchMode::Normal; count]),
+            answers_heartbeats: Cell::new(true),
+            heartbeats: RefCell::default(),
             fetches: Cell::new(0),
         });
-        slot.replace(Some(Rc::clone(&stewards)));
-        stewards
+        slot.replace(Some(Rc::clone(&coordinators)));
+        coordinators
     }
 
-    fn say(&self, n: usize, message: &Message) -> Deed {
-        let json = |what: String| Deed::Say(answer(200, "", &what));
+    fn reply(&self, n: usize, message: &Message) -> Deed {
+        let json = |body: String| Deed::Say(answer(200, "", &body));
         if message.target == FETCH_PATH {
             self.fetches.set(self.fetches.get() + 1);
-            let asked: Envelope<FetchRequest> =
+            let request: Envelope<FetchRequest> =
                 serde_json::from_slice(&message.body).expect("valid fetch request");
-            let mut fetched = self.register.borrow().fetch(&asked.message);
-            match self.ways.borrow()[n] {
-                Way::Well => {}
-                Way::Behind => fetched = FetchReply::Behind,
-                Way::Silent => return Deed::Silence,
-                Way::Spoilt => {
-                    if let FetchReply::Entries { entries: parts, .. } = &mut fetched {
-                        parts.iter_mut().for_each(|part| part.content = method("spoilt"));
+            let mut fetched = self.register.borrow().fetch(&request.message);
+            match self.fetch_modes.borrow()[n] {
+                FetchMode::Normal => {}
+                FetchMode::Behind => fetched = FetchReply::Behind,
+                FetchMode::Silent => return Deed::Silence,
+                FetchMode::Corrupt => {
+                    if let FetchReply::Entries { entries, .. } = &mut fetched {
+                        entries.iter_mut().for_each(|entry| entry.content = method("spoilt"));
                     }
                 }
             }
             return json(serde_json::to_string(&fetched).expect("valid JSON"));
         }
-        if !self.answer.get() {
+        if !self.answers_heartbeats.get() {
             return Deed::Silence;
         }
-        let beat: Envelope<Heartbeat> = serde_json::from_slice(&message.body).expect("valid heartbeat");
-        let beat = beat.message;
-        let version = beat.configuration.as_ref().filter(|_| self.know.get()).and_then(|report| {
-            let ConfigurationReport { service, zone, active: in_force, .. } = report.clone();
-            let place = Target { name: beat.name.clone(), service, zone };
-            Some(self.register.borrow().version_for(&place)).filter(|version| *version != in_force)
-        });
+        let heartbeat: Envelope<Heartbeat> = serde_json::from_slice(&message.body).expect("valid heartbeat");
+        let heartbeat = heartbeat.message;
+        let version =
+            heartbeat.configuration.as_ref().filter(|_| self.supports_configuration.get()).and_then(
+                |report| {
+                    let ConfigurationReport { service, zone, active: in_force, .. } = report.clone();
+                    let target = Target { name: heartbeat.name.clone(), service, zone };
+                    Some(self.register.borrow().version_for(&target)).filter(|version| *version != in_force)
+                },
+            );
         let grant = Grant { epoch: 1, ..Grant::default() };
         let (shares_for, floors_for) = (30_000, 120_000);
-        let said: Result<HeartbeatReply, HeartbeatError> = Ok(HeartbeatReply {
-            identity: beat.identity,
-            number: beat.number,
+        let reply: Result<HeartbeatReply, HeartbeatError> = Ok(HeartbeatReply {
+            identity: heartbeat.identity,
+            number: heartbeat.number,
             grant,
             quotas_valid_for: shares_for,
             guaranteed_valid_for: floors_for,
             configuration: version,
             duties: None,
         });
-        self.beats.borrow_mut().push(beat);
-        json(serde_json::to_string(&said).expect("valid JSON"))
+        self.heartbeats.borrow_mut().push(heartbeat);
+        json(serde_json::to_string(&reply).expect("valid JSON"))
     }
 
-    /// Enters a part for all of the service.
+    /// Enters a layer for the whole service.
     fn put(&self, content: &str) -> u64 {
-        self.put_for("service/shop", content)
+        self.put_for_scope("service/shop", content)
     }
 
-    fn put_for(&self, scope: &str, content: &str) -> u64 {
+    fn put_for_scope(&self, scope: &str, content: &str) -> u64 {
         let mut register = self.register.borrow_mut();
         let scope: Scope = scope.parse().expect("valid scope");
         let (base, content, hash) =
@@ -135,15 +138,15 @@
     }
 
     fn report(&self) -> ConfigurationReport {
-        let beats = self.beats.borrow();
-        beats.last().and_then(|beat| beat.configuration.clone()).unwrap_or_default()
+        let heartbeats = self.heartbeats.borrow();
+        heartbeats.last().and_then(|heartbeat| heartbeat.configuration.clone()).unwrap_or_default()
     }
 
-    async fn until_in_force(&self, version: u64) {
+    async fn until_active(&self, version: u64) {
         until(|| self.report().active == version).await;
     }
 
-    async fn until_refused(&self, version: u64) -> String {
+    async fn until_rejected(&self, version: u64) -> String {
         until(|| self.report().rejected.is_some_and(|(refused, _)| refused == version)).await;
         self.report().rejected.map(|(_, why)| why).unwrap_or_default()
     }
@@ -153,24 +156,24 @@
     format!("[[method]]\nname = \"{name}\"\neffect = \"retriable\"\nhard_ms = 3000\n")
 }
 
-/// The balancer's own file knows `look` alone.
-fn page(up: SocketAddr, stewards: &[SocketAddr], fleet: &str) -> String {
-    let stewards: Vec<String> = stewards.iter().map(|at| format!("\"{at}\"")).collect();
+/// The balancer's own file, with `look` as its only method.
+fn config_toml(up: SocketAddr, coordinators: &[SocketAddr], fleet: &str) -> String {
+    let coordinators: Vec<String> = coordinators.iter().map(|at| format!("\"{at}\"")).collect();
     format!(
         "name = \"n0\"\nlisten = \"127.0.0.1:0\"\nops = \"127.0.0.2:0\"\ndiscovery = \"127.0.0.1:9\"\n[place]\nzone = \"z\"\n\
          [fleet]\ncluster = \"c\"\nstewards = [{}]\nbeat_ms = 30\n{fleet}\n\
          [rules]\ncold_from = 0.3\nwarm_within_s = 10\ncold_multiple = 3\ncold_window_s = 2\n\
          [[upstream]]\nid = \"u\"\naddress = \"{up}\"\nzone = \"z\"\n\
          [[tenant]]\nname = \"acme\"\nrate = 100\n{}",
-        stewards.join(", "),
+        coordinators.join(", "),
         method("look"),
     )
 }
 
 const SHOP: &str = "service = \"shop\"";
 
-/// The copy beside the file that says who the balancer is.
-fn copy(folder: &Path) -> PathBuf {
+/// The cached configuration, stored beside the balancer's identity file.
+fn cache_path(folder: &Path) -> PathBuf {
     folder.join("fernroute-n0-127.0.0.1_0.configuration")
 }
 
@@ -178,43 +181,43 @@
     ask(program.address, rpc("GET", &format!("/{method}"), "Connection: close\r\n")).await.status()
 }
 
-async fn figures(program: &Program) -> serde_json::Value {
+async fn metrics(program: &Program) -> serde_json::Value {
     let answer = ask(program.ops_address, "GET /-/metrics HTTP/1.1\r\nHost: n0\r\n\r\n").await;
     serde_json::from_slice(&answer.body).expect("valid JSON")
 }
 
-/// Guards against a change that is said to be in force and shows nowhere, against SIGHUP that takes the fleet's parts away,
-/// and against a fleet's parts that outlive their end.
+/// Guards against a change that is reported as active without effect, against SIGHUP that drops the fleet's layers, and against
+/// layers that stay in effect after their removal.
 #[test]
-fn a_change_shows_and_sighup_between_changes_keeps_what_is_in_force() {
+fn change_takes_effect_and_sighup_keeps_it() {
     run(async {
-        let (up, stewards) = (stand_in(|_, _| ok("whole")).await, Stewards::start(2).await);
-        let text = page(up.address, &stewards.at, SHOP);
+        let (up, coordinators) = (stand_in(|_, _| ok("whole")).await, Coordinators::start(2).await);
+        let text = config_toml(up.address, &coordinators.addresses, SHOP);
         let program = Program::start(&temp_dir("change"), &text).await;
         assert_eq!((status(&program, "look").await, status(&program, "pay").await), (200, 404));
-        let first = stewards.put(&(method("look") + &method("pay")));
-        stewards.until_in_force(first).await;
+        let first = coordinators.put(&(method("look") + &method("pay")));
+        coordinators.until_active(first).await;
         assert_eq!(status(&program, "pay").await, 200);
-        // Its own file has another method now, and the fleet's list of them stands over it.
+        // Its own file now has another method; the fleet's list of methods overrides it.
         program.reload(&text.replace("\"look\"", "\"other\"").replace("rate = 100", "rate = 50"));
         until(|| program.says("reloaded")).await;
         assert_eq!((status(&program, "pay").await, status(&program, "other").await), (200, 404));
-        // A narrower part's list takes the place of a wider one's.
-        let second = stewards.put_for("service/shop/zone/z", &method("zoned"));
-        stewards.until_in_force(second).await;
+        // The list of a narrower scope replaces that of a wider one.
+        let second = coordinators.put_for_scope("service/shop/zone/z", &method("zoned"));
+        coordinators.until_active(second).await;
         assert_eq!((status(&program, "pay").await, status(&program, "zoned").await), (404, 200));
-        // What concerns others is nothing to it.
-        stewards.put_for("service/shop/zone/y", &method("elsewhere"));
-        stewards.put_for("balancer/n1", &method("elsewhere"));
-        let fetches = stewards.fetches.get();
-        let beats = stewards.beats.borrow().len();
-        until(|| stewards.beats.borrow().len() > beats + 5).await;
-        assert_eq!((stewards.fetches.get(), stewards.report().active), (fetches, second));
-        stewards.put_for("service/shop/zone/z", "");
-        let last = stewards.put("");
-        stewards.until_in_force(last).await;
+        // Changes in other balancers' scopes have no effect.
+        coordinators.put_for_scope("service/shop/zone/y", &method("elsewhere"));
+        coordinators.put_for_scope("balancer/n1", &method("elsewhere"));
+        let fetches = coordinators.fetches.get();
+        let heartbeats = coordinators.heartbeats.borrow().len();
+        until(|| coordinators.heartbeats.borrow().len() > heartbeats + 5).await;
+        assert_eq!((coordinators.fetches.get(), coordinators.report().active), (fetches, second));
+        coordinators.put_for_scope("service/shop/zone/z", "");
+        let last = coordinators.put("");
+        coordinators.until_active(last).await;
         assert_eq!((status(&program, "other").await, status(&program, "look").await), (200, 404));
-        let fleet = figures(&program).await["fleet"].clone();
+        let fleet = metrics(&program).await["fleet"].clone();
         assert_eq!(
             (&fleet["configuration"]["in_force"], &fleet["configuration"]["kept"]),
             (&last.into(), &true.into())
@@ -222,130 +225,154 @@
         assert!(
             fleet["beats"].as_u64() > fleet["fetches"].as_u64() && fleet["sent_bytes"].as_u64() > Some(1000)
         );
-        // A line for each change, none for each beat.
+        // One log line for each change, none for each heartbeat.
         assert!(program.log().len() < 25, "{:?}", program.log());
     });
 }
 
-/// Guards against a part of a change, and against one that is asked for again and again where it can't load.
+/// Guards against applying a part of a change, and against fetching a change that cannot be loaded again and again.
 #[test]
-fn what_does_not_load_over_its_own_file_is_refused_with_the_reason_and_the_next_heals_it() {
+fn invalid_change_is_rejected_with_reason_and_next_change_applies() {
     run(async {
-        let (up, stewards) = (stand_in(|_, _| ok("whole")).await, Stewards::start(2).await);
-        let text = page(up.address, &stewards.at, SHOP);
+        let (up, coordinators) = (stand_in(|_, _| ok("whole")).await, Coordinators::start(2).await);
+        let text = config_toml(up.address, &coordinators.addresses, SHOP);
         let program = Program::start(&temp_dir("refused"), &text).await;
-        let first = stewards.put(&method("first"));
-        stewards.until_in_force(first).await;
-        // Fine by itself; where the list must be asked for it must be said within what time, and this file does not.
-        let bad = stewards.put(&(method("bad") + "[limits]\ncancel = 3\n"));
-        let why = stewards.until_refused(bad).await;
+        let first = coordinators.put(&method("first"));
+        coordinators.until_active(first).await;
+        // The methods are valid, and the value of `limits.cancel` is not.
+        let bad = coordinators.put(&(method("bad") + "[limits]\ncancel = 3\n"));
+        let why = coordinators.until_rejected(bad).await;
         assert!(
             why.contains("limits.cancel") && why.contains("(service/shop)") && !why.contains('\n'),
             "{why}"
         );
         assert_eq!((status(&program, "first").await, status(&program, "bad").await), (200, 404));
-        assert_eq!(stewards.report().active, first);
-        let (fetches, beats) = (stewards.fetches.get(), stewards.beats.borrow().len());
-        until(|| stewards.beats.borrow().len() > beats + 10).await;
-        assert_eq!(stewards.fetches.get(), fetches);
+        assert_eq!(coordinators.report().active, first);
+        let (fetches, heartbeats) = (coordinators.fetches.get(), coordinators.heartbeats.borrow().len());
+        until(|| coordinators.heartbeats.borrow().len() > heartbeats + 10).await;
+        assert_eq!(coordinators.fetches.get(), fetches);
         assert_eq!(program.times("was rejected"), 1);
-        let refused = figures(&program).await["fleet"]["configuration"]["refused"].clone();
+        let refused = metrics(&program).await["fleet"]["configuration"]["refused"].clone();
         assert_eq!(refused[0], bad);
-        let third = stewards.put(&method("third"));
-        stewards.until_in_force(third).await;
-        assert_eq!((status(&program, "third").await, stewards.report().rejected), (200, None));
-        // What is each balancer's own no steward can change.
-        let own = stewards.put(&(method("own") + "[place]\nzone = \"y\"\n"));
-        assert!(stewards.until_refused(own).await.contains("place: belongs in each balancer's own file"));
+        let third = coordinators.put(&method("third"));
+        coordinators.until_active(third).await;
+        assert_eq!((status(&program, "third").await, coordinators.report().rejected), (200, None));
+        // Coordinators cannot change the sections that belong in each balancer's own file.
+        let own = coordinators.put(&(method("own") + "[place]\nzone = \"y\"\n"));
+        assert!(coordinators
+            .until_rejected(own)
+            .await
+            .contains("place: belongs in each balancer's own file"));
     });
 }
 
-/// Guards against an operator who mends a balancer's own file and has to enter the fleet's change again.
+/// Guards against having to enter a fleet's change again after an operator has corrected a balancer's own file.
 #[test]
-fn a_file_that_is_mended_has_what_was_refused_loaded_and_one_that_clashes_changes_nothing() {
+fn corrected_file_loads_rejected_change_and_conflicting_file_is_rejected() {
     run(async {
-        let (up, stewards) = (stand_in(|_, _| ok("whole")).await, Stewards::start(1).await);
-        let text = page(up.address, &stewards.at, SHOP);
+        let (up, coordinators) = (stand_in(|_, _| ok("whole")).await, Coordinators::start(1).await);
+        let text = config_toml(up.address, &coordinators.addresses, SHOP);
         let program = Program::start(&temp_dir("mended"), &text).await;
-        let asks = stewards.put("[list]\nmode = \"ask\"\n");
-        let why = stewards.until_refused(asks).await;
+        let asks = coordinators.put("[list]\nmode = \"ask\"\n");
+        let why = coordinators.until_rejected(asks).await;
         assert!(why.contains("list.ask_within_s"), "{why}");
         let mended = text.replace("[rules]", "[list]\nask_within_s = 2\n[rules]");
         program.reload(&mended);
-        stewards.until_in_force(asks).await;
-        // Without it again: what the fleet says would not load any more.
+        coordinators.until_active(asks).await;
+        // Without `ask_within_s` the fleet's change could no longer be loaded, so the reload is rejected.
         program.reload(&text.replace("\"look\"", "\"other\""));
         until(|| program.says("reload rejected, nothing has changed")).await;
         assert_eq!((status(&program, "look").await, status(&program, "other").await), (200, 404));
-        assert_eq!(stewards.report().active, asks);
+        assert_eq!(coordinators.report().active, asks);
     });
 }
 
-/// Guards against a balancer that waits for one steward, takes what is spoilt or old, or asks all too often.
+/// Guards against a balancer that waits for one coordinator, applies corrupt or old contents, or fetches too often.
 #[test]
-fn a_steward_that_is_behind_silent_or_spoils_is_passed_over() {
+fn coordinator_that_is_behind_silent_or_corrupt_is_skipped() {
     run(async {
-        let (up, stewards) = (stand_in(|_, _| ok("whole")).await, Stewards::start(4).await);
-        let program = Program::start(&temp_dir("ways"), &page(up.address, &stewards.at, SHOP)).await;
-        stewards.ways.replace(vec![Way::Behind, Way::Spoilt, Way::Well, Way::Silent]);
+        let (up, coordinators) = (stand_in(|_, _| ok("whole")).await, Coordinators::start(4).await);
+        let program =
+            Program::start(&temp_dir("ways"), &config_toml(up.address, &coordinators.addresses, SHOP)).await;
+        coordinators.fetch_modes.replace(vec![
+            FetchMode::Behind,
+            FetchMode::Corrupt,
+            FetchMode::Normal,
+            FetchMode::Silent,
+        ]);
         for n in 0..4 {
             let name = format!("m{n}");
-            let version = stewards.put(&method(&name));
-            stewards.until_in_force(version).await;
+            let version = coordinators.put(&method(&name));
+            coordinators.until_active(version).await;
             assert_eq!(status(&program, &name).await, 200);
         }
-        stewards.ways.replace(vec![Way::Behind, Way::Spoilt, Way::Spoilt, Way::Behind]);
-        let last = stewards.put(&method("last"));
-        let fetches = stewards.fetches.get();
-        until(|| stewards.fetches.get() >= fetches + 12).await;
+        coordinators.fetch_modes.replace(vec![
+            FetchMode::Behind,
+            FetchMode::Corrupt,
+            FetchMode::Corrupt,
+            FetchMode::Behind,
+        ]);
+        let last = coordinators.put(&method("last"));
+        let fetches = coordinators.fetches.get();
+        until(|| coordinators.fetches.get() >= fetches + 12).await;
         assert_eq!((status(&program, "m3").await, status(&program, "spoilt").await), (200, 404));
-        assert_eq!(stewards.report().rejected, None);
-        stewards.ways.replace(vec![Way::Well; 4]);
-        stewards.until_in_force(last).await;
+        assert_eq!(coordinators.report().rejected, None);
+        coordinators.fetch_modes.replace(vec![FetchMode::Normal; 4]);
+        coordinators.until_active(last).await;
     });
 }
 
-/// Guards against stewards of an older version that have a balancer wait, or ask for what is not there.
+/// Guards against a balancer that waits for coordinators of an older version, or fetches from them what they do not have.
 #[test]
-fn stewards_that_know_nothing_of_it_change_nothing() {
+fn coordinators_without_configuration_support_change_nothing() {
     run(async {
-        let (up, stewards) = (stand_in(|_, _| ok("whole")).await, Stewards::start(1).await);
-        stewards.know.set(false);
-        stewards.put(&method("new"));
-        let program = Program::start(&temp_dir("older"), &page(up.address, &stewards.at, SHOP)).await;
+        let (up, coordinators) = (stand_in(|_, _| ok("whole")).await, Coordinators::start(1).await);
+        coordinators.supports_configuration.set(false);
+        coordinators.put(&method("new"));
+        let program =
+            Program::start(&temp_dir("older"), &config_toml(up.address, &coordinators.addresses, SHOP)).await;
         assert!(!program.says("no current configuration from the coordinators"));
-        until(|| stewards.beats.borrow().len() > 10).await;
-        assert_eq!((status(&program, "look").await, stewards.fetches.get()), (200, 0));
-        // One that follows none reports none, and is told of none.
-        stewards.know.set(true);
-        let other = Program::start(&temp_dir("none"), &page(up.address, &stewards.at, "")).await;
-        let beats = stewards.beats.borrow().len();
-        until(|| stewards.beats.borrow()[beats..].iter().filter(|b| b.configuration.is_none()).count() > 3)
-            .await;
+        until(|| coordinators.heartbeats.borrow().len() > 10).await;
+        assert_eq!((status(&program, "look").await, coordinators.fetches.get()), (200, 0));
+        // A balancer that follows no service reports no configuration and is notified of none.
+        coordinators.supports_configuration.set(true);
+        let other =
+            Program::start(&temp_dir("none"), &config_toml(up.address, &coordinators.addresses, "")).await;
+        let heartbeats = coordinators.heartbeats.borrow().len();
+        until(|| {
+            coordinators.heartbeats.borrow()[heartbeats..]
+                .iter()
+                .filter(|b| b.configuration.is_none())
+                .count()
+                > 3
+        })
+        .await;
         assert_eq!(status(&other, "new").await, 404);
-        stewards.until_in_force(1).await;
+        coordinators.until_active(1).await;
     });
 }
 
-/// Guards against a start that needs stewards, goes by what is damaged, or waits without end.
+/// Guards against a start that needs coordinators, uses a damaged cache, or waits without end.
 #[test]
-fn a_start_without_stewards_goes_by_the_sound_copy_within_its_time() {
+fn start_without_coordinators_uses_valid_cache_in_time() {
     run(async {
-        let (up, stewards) = (stand_in(|_, _| ok("whole")).await, Stewards::start(2).await);
+        let (up, coordinators) = (stand_in(|_, _| ok("whole")).await, Coordinators::start(2).await);
         let folder = temp_dir("copy");
-        let text = page(up.address, &stewards.at, &format!("{SHOP}\nwait_ms = 300"));
+        let text = config_toml(up.address, &coordinators.addresses, &format!("{SHOP}\nwait_ms = 300"));
         let program = Program::start(&folder, &text).await;
-        stewards.put_for("all", "[limits]\ncancel = true\n");
-        let version = stewards.put(&method("kept"));
-        stewards.until_in_force(version).await;
+        coordinators.put_for_scope("all", "[limits]\ncancel = true\n");
+        let version = coordinators.put(&method("kept"));
+        coordinators.until_active(version).await;
         program.kill();
-        stewards.answer.set(false);
-        let (path, whole) =
-            (copy(&folder), std::fs::read_to_string(copy(&folder)).expect("read the cached configuration"));
+        coordinators.answers_heartbeats.set(false);
+        let (path, whole) = (
+            cache_path(&folder),
+            std::fs::read_to_string(cache_path(&folder)).expect("read the cached configuration"),
+        );
         let names = std::fs::read_dir(&folder).expect("access the test directory").flatten();
         let left =
             names.filter(|entry| entry.file_name().to_string_lossy().contains(".configuration.")).count();
-        assert_eq!(left, 0, "what is written beside it is gone");
+        assert_eq!(left, 0, "temporary files must be removed");
         let from = Instant::now();
         let program = Program::start(&folder, &text).await;
         assert!(from.elapsed() >= Duration::from_millis(300));
@@ -362,134 +389,141 @@
             assert_eq!((status(&program, "kept").await, status(&program, "look").await), (404, 200));
             program.kill();
         }
-        // Sound, and not to be laid over what its own file says by now.
+        // A valid cache that no longer matches the balancer's own file.
         std::fs::write(&path, &whole).expect("access the test file");
         let program =
             Program::start(&folder, &text.replace("zone = \"z\"\n[fleet]", "zone = \"x\"\n[fleet]")).await;
         assert_eq!(program.times("cached configuration ignored: not for balancer n0"), 1);
         program.kill();
-        // The stewards are back: their word goes into force before it serves.
-        stewards.answer.set(true);
-        let newer = stewards.put(&method("newer"));
+        // The coordinators are back: their configuration becomes active before the balancer serves.
+        coordinators.answers_heartbeats.set(true);
+        let newer = coordinators.put(&method("newer"));
         let program = Program::start(&folder, &text.replace("wait_ms = 300", "wait_ms = 5000")).await;
         assert_eq!((status(&program, "newer").await, status(&program, "kept").await), (200, 404));
-        stewards.until_in_force(newer).await;
+        coordinators.until_active(newer).await;
     });
 }
 
-/// Guards against a balancer that goes by what was replaced because its disk is full, and one that says so at each beat.
+/// Guards against a balancer that keeps a replaced configuration because its disk is full, and against logging the failed write
+/// at each heartbeat.
 #[test]
-fn what_the_disk_does_not_take_is_in_force_and_told_once() {
+fn configuration_takes_effect_when_cache_write_fails() {
     run(async {
-        let (up, stewards) = (stand_in(|_, _| ok("whole")).await, Stewards::start(1).await);
+        let (up, coordinators) = (stand_in(|_, _| ok("whole")).await, Coordinators::start(1).await);
         let folder = temp_dir("disk");
         let place = folder.join("gone");
-        let text = page(up.address, &stewards.at, &format!("{SHOP}\nfolder = \"{}\"", place.display()));
+        let text = config_toml(
+            up.address,
+            &coordinators.addresses,
+            &format!("{SHOP}\nfolder = \"{}\"", place.display()),
+        );
         let program = Program::start(&folder, &text).await;
         for n in 0..3 {
-            let version = stewards.put(&method(&format!("m{n}")));
-            stewards.until_in_force(version).await;
+            let version = coordinators.put(&method(&format!("m{n}")));
+            coordinators.until_active(version).await;
             assert_eq!(status(&program, &format!("m{n}")).await, 200);
         }
         assert_eq!(program.times("in force but not cached"), 1, "{:?}", program.log());
-        assert_eq!(figures(&program).await["fleet"]["configuration"]["kept"], false);
+        assert_eq!(metrics(&program).await["fleet"]["configuration"]["kept"], false);
         std::fs::create_dir(&place).expect("access the test directory");
-        let version = stewards.put(&method("last"));
-        stewards.until_in_force(version).await;
+        let version = coordinators.put(&method("last"));
+        coordinators.until_active(version).await;
         assert_eq!(program.times("is cached, writes to the cache work again"), 1);
         program.kill();
-        stewards.answer.set(false);
+        coordinators.answers_heartbeats.set(false);
         let program = Program::start(&folder, &text).await;
         assert_eq!(status(&program, "last").await, 200);
-        // Nothing can be written at all.
-        stewards.answer.set(true);
-        stewards.until_in_force(version).await;
+        // The coordinators answer again after a start from the cache.
+        coordinators.answers_heartbeats.set(true);
+        coordinators.until_active(version).await;
     });
 }
 
-/// Guards against an RPC that is ended by a change of what its method is, or taken under terms that are no more.
+/// Guards against an RPC that is ended by a change of its method's settings, or accepted under settings that were replaced.
 #[test]
-fn rpcs_in_flight_keep_what_they_were_taken_under_and_none_is_lost() {
+fn open_rpcs_keep_their_settings_and_none_is_lost() {
     run(async {
         let slow = |_, message: &Message| match message.target.as_str() {
             "/look" => Deed::Silence,
             _ => ok("whole"),
         };
-        let (up, stewards) = (stand_in(slow).await, Stewards::start(2).await);
-        let program = Program::start(&temp_dir("flight"), &page(up.address, &stewards.at, SHOP)).await;
+        let (up, coordinators) = (stand_in(slow).await, Coordinators::start(2).await);
+        let program =
+            Program::start(&temp_dir("flight"), &config_toml(up.address, &coordinators.addresses, SHOP))
+                .await;
         let pay = "[[method]]\nname = \"pay\"\neffect = \"non_retriable\"\nhard_ms = 3000\n";
-        let first = stewards.put(&(method("look") + pay));
-        stewards.until_in_force(first).await;
-        // Under three seconds, and open while its method is cut to a fifth of one, then to nothing.
+        let first = coordinators.put(&(method("look") + pay));
+        coordinators.until_active(first).await;
+        // Accepted with a hard deadline of 3 s, and open while the method's deadline becomes 0.2 s and the method is removed.
         let from = Instant::now();
         let mut open = send(program.address, rpc("GET", "/look", "")).await;
         until(|| up.seen.borrow().iter().any(|seen| seen.target == "/look")).await;
         let load = Load::start(4, program.address);
         for n in 0..12 {
             let short = method("look").replace("3000", "200");
-            let version = stewards.put(&if n % 2 == 0 { short + pay } else { pay.to_owned() });
+            let version = coordinators.put(&if n % 2 == 0 { short + pay } else { pay.to_owned() });
             load.more(20).await;
-            stewards.until_in_force(version).await;
+            coordinators.until_active(version).await;
         }
         load.end().await;
         assert_eq!(status(&program, "look").await, 404);
         let end = read(&mut open).await.expect("read the answer");
         assert!(from.elapsed() > Duration::from_millis(2500), "{:?} {}", from.elapsed(), end.head);
         assert_ne!(end.status(), 404);
-        let figures = figures(&program).await;
-        assert_eq!(figures["outstanding"], 0);
+        let metrics = metrics(&program).await;
+        assert_eq!(metrics["outstanding"], 0);
     });
 }
 
-/// Guards against shares that are asked for tenants of before alone: a new one would have nothing for ever, and one that is gone
-/// would have all that is granted refused.
+/// Guards against requesting shares for the previous tenants only: a new tenant would never get a share, and a removed one would
+/// make the balancer reject every grant.
 #[test]
-fn what_is_asked_of_the_stewards_follows_a_change_of_tenants() {
+fn requested_shares_follow_a_change_of_tenants() {
     run(async {
-        let (up, stewards) = (stand_in(|_, _| ok("whole")).await, Stewards::start(1).await);
-        let text = page(up.address, &stewards.at, SHOP);
+        let (up, coordinators) = (stand_in(|_, _| ok("whole")).await, Coordinators::start(1).await);
+        let text = config_toml(up.address, &coordinators.addresses, SHOP);
         let program = Program::start(&temp_dir("tenants"), &text).await;
         let asked = || -> Vec<String> {
-            let beats = stewards.beats.borrow();
-            beats.last().map(|beat| beat.demand.keys().cloned().collect()).unwrap_or_default()
+            let heartbeats = coordinators.heartbeats.borrow();
+            heartbeats.last().map(|heartbeat| heartbeat.demand.keys().cloned().collect()).unwrap_or_default()
         };
         until(|| asked() == ["acme"]).await;
         let tenant = |name: &str| format!("[[tenant]]\nname = \"{name}\"\nrate = 10\n");
-        let version = stewards.put(&(tenant("acme") + &tenant("bolt")));
-        stewards.until_in_force(version).await;
+        let version = coordinators.put(&(tenant("acme") + &tenant("bolt")));
+        coordinators.until_active(version).await;
         until(|| asked() == ["acme", "bolt"]).await;
-        stewards.put(&tenant("bolt"));
+        coordinators.put(&tenant("bolt"));
         until(|| asked() == ["bolt"]).await;
-        // By SIGHUP the same: the fleet says nothing of tenants any more.
-        stewards.put("");
+        // The same by SIGHUP, once the fleet no longer sets tenants.
+        coordinators.put("");
         until(|| asked() == ["acme"]).await;
         program.reload(&text.replace("\"acme\"", "\"dart\""));
         until(|| asked() == ["dart"]).await;
-        let beats = stewards.beats.borrow().len();
-        until(|| stewards.beats.borrow().len() > beats + 3).await;
+        let heartbeats = coordinators.heartbeats.borrow().len();
+        until(|| coordinators.heartbeats.borrow().len() > heartbeats + 3).await;
         assert!(!program.says("nothing has changed"), "{:?}", program.log());
     });
 }
 
-/// Guards against an upgrade in which the new process serves by less than the old one did.
+/// Guards against an upgrade in which the new process lacks configuration that the old one had.
 #[test]
-fn a_successor_begins_with_what_the_process_before_it_had_in_force() {
+fn successor_starts_with_the_active_configuration() {
     run(async {
-        let (up, stewards) = (stand_in(|_, _| ok("whole")).await, Stewards::start(1).await);
+        let (up, coordinators) = (stand_in(|_, _| ok("whole")).await, Coordinators::start(1).await);
         let folder = temp_dir("successor");
-        let text = page(up.address, &stewards.at, &format!("{SHOP}\nwait_ms = 200"));
+        let text = config_toml(up.address, &coordinators.addresses, &format!("{SHOP}\nwait_ms = 200"));
         let old = Program::start(&folder, &text).await;
-        let first = stewards.put(&method("first"));
-        stewards.until_in_force(first).await;
-        stewards.answer.set(false);
+        let first = coordinators.put(&method("first"));
+        coordinators.until_active(first).await;
+        coordinators.answers_heartbeats.set(false);
         let new = Program::start(&folder, &text).await;
         assert!(new.says(&format!("configuration {first} is in force, from the cache")), "{:?}", new.log());
         assert!(new.says("taking over"));
         assert_eq!((status(&new, "first").await, status(&new, "look").await), (200, 404));
         old.exits_cleanly().await;
-        stewards.answer.set(true);
-        let second = stewards.put(&method("second"));
-        stewards.until_in_force(second).await;
+        coordinators.answers_heartbeats.set(true);
+        let second = coordinators.put(&method("second"));
+        coordinators.until_active(second).await;
         assert_eq!(status(&new, "second").await, 200);
     });
 }
--- a/crates/fernroute-server/tests/forms.rs
+++ b/crates/fernroute-server/tests/forms.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn callers_may_write_an_rpc_in_any_form() {
+fn requests_are_accepted_in_every_valid_form() {
     run(async {
         let up = stand_in(|_, message| {
             ok(if message.head.starts_with("GET /look") && message.body.is_empty() { "whole" } else { "odd" })
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn upstreams_may_write_an_answer_in_any_form() {
+fn answers_are_accepted_in_every_valid_form() {
     run(async {
         let cases = [
             "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwhole",
@@ -160,7 +160,7 @@
 /// Guards against bodies that are held back, cut, mixed up or kept in memory: 32 MB both ways, of stated length and in
 /// chunks down to a few bytes.
 #[test]
-fn large_bodies_go_both_ways_whole() {
+fn large_bodies_are_forwarded_completely() {
     run(async {
         let body = pattern(LARGE);
         for (size, answer_in) in [(None, Some(7)), (Some(1 << 16), None)] {
@@ -225,7 +225,7 @@
 /// Guards against a long answer that is held back until it is whole, that a time-out cuts while the upstream still
 /// gives, whose cut end passes for whole, or that is sent for again.
 #[test]
-fn a_long_answer_is_handed_on_as_it_comes() {
+fn long_answer_is_streamed() {
     run(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind a listener");
         let address = listener.local_addr().expect("local address");
@@ -274,7 +274,7 @@
 /// Guards against an upload that is answered only after its last byte, that runs on an upstream that never had it whole,
 /// or that is held on to for who stopped to send it.
 #[test]
-fn an_upload_ends_early_where_it_can_come_to_nothing() {
+fn failed_upload_ends_early() {
     run(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind a listener");
         let address = listener.local_addr().expect("local address");
@@ -319,7 +319,7 @@
 
 /// Guards against a caller that is cut off because it is slow, and one that holds a connection without an end.
 #[test]
-fn a_slow_upload_is_judged_by_its_progress_and_its_deadline_counts_from_its_last_byte() {
+fn slow_upload_is_limited_by_progress_and_deadline_starts_at_last_byte() {
     run(async {
         let up =
             stand_in(|_, message| if message.body.len() == 100_000 { ok("whole") } else { Deed::Silence })
--- a/crates/fernroute-server/tests/relay.rs
+++ b/crates/fernroute-server/tests/relay.rs
@@ -1,4 +1,4 @@
-//! An RPC's way through the balancer, between stand-ins on loopback.
+//! Forwarding of RPCs and answers between stand-in callers and upstreams on loopback.
 
 mod common;
 
@@ -15,7 +15,7 @@
 use tokio::net::{TcpListener, TcpSocket};
 
 #[test]
-fn passes_on_what_belongs_to_both_ends_and_nothing_else() {
+fn end_to_end_headers_are_forwarded_and_hop_by_hop_are_not() {
     run(async {
         let up = stand_in(|_, _| {
             let text = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nX-Answer: kept\r\nSrv-Load: util=0.5\r\n\
@@ -45,10 +45,10 @@
     });
 }
 
-/// Guards against a long body that the client library stops writing before its end, against a limit that is a byte
-/// off, and against answers longer than agreed that would end RPCs: chunked in, sized out, an upstream that reads late.
+/// Guards against a long body that the HTTP client stops writing before its end, against an off-by-one limit, and against
+/// rejecting long answers. The request is chunked, the answer has a Content-Length, and the upstream starts to read late.
 #[test]
-fn the_longest_body_goes_both_ways() {
+fn long_body_is_forwarded_in_both_directions() {
     run(async {
         let socket = TcpSocket::new_v4().expect("create a socket");
         socket.set_recv_buffer_size(4096).expect("set the receive buffer size");
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn what_is_no_rpc_is_told_so_and_reaches_no_upstream() {
+fn invalid_requests_are_rejected_and_reach_no_upstream() {
     run(async {
         let up = stand_in(|_, _| ok("never")).await;
         let b = balancer(&[&up], &[]).await;
@@ -120,10 +120,10 @@
     });
 }
 
-/// Guards against an RPC hidden behind a message that was turned away before its end, and against a reset that
-/// overtakes the answer while the caller still sends.
+/// Guards against request smuggling behind a message that was rejected before its end, and against a reset that overtakes the
+/// answer while the caller is still sending.
 #[test]
-fn what_follows_a_message_that_was_turned_away_is_not_read() {
+fn bytes_after_a_rejected_message_are_not_read() {
     run(async {
         let up = stand_in(|_, _| ok("never")).await;
         let b = balancer(&[&up], &[]).await;
@@ -143,9 +143,9 @@
     });
 }
 
-/// Guards against callers that hold connections with nothing, or with half an RPC, for good.
+/// Guards against callers that hold connections forever while sending nothing or only part of an RPC.
 #[test]
-fn who_says_nothing_or_half_is_not_waited_for() {
+fn silent_and_partial_callers_are_timed_out() {
     run(async {
         let b = balancer(&[], &[]).await;
         let from = Instant::now();
@@ -161,16 +161,16 @@
     });
 }
 
-type ToDeed = fn(Vec<u8>) -> Deed;
+type MakeDeed = fn(Vec<u8>) -> Deed;
 
-/// What may have run is not sent again, and is no exhaustion; what never ran is sent again.
+/// An attempt that may have run is not sent again and does not count as exhausted; one that never ran is sent again.
 #[test]
-fn outcomes_of_a_non_retriable_rpc() {
+fn non_retriable_rpc_outcomes() {
     run(async {
         let raw = |text: &str| text.as_bytes().to_vec();
         let declined =
             |status: &str| raw(&format!("HTTP/1.1 {status}\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"));
-        let cases: Vec<(ToDeed, Vec<u8>, u16, usize)> = vec![
+        let cases: Vec<(MakeDeed, Vec<u8>, u16, usize)> = vec![
             (Deed::Say, declined("503 No"), 200, 2),
             (Deed::Say, declined("504 No"), 200, 2),
             (Deed::Say, raw("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), 502, 1),
@@ -187,7 +187,7 @@
                 502,
                 1,
             ),
-            // An answer of 3 GB, one that has several lengths or none, one that is only announced on and on.
+            // A 3 GB answer, answers with invalid, several or no lengths, endless interim responses, and an oversized head.
             (Deed::Say, raw("HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nand on"), 502, 1),
             (Deed::Say, raw("HTTP/1.1 200 OK\r\nContent-Length: -5\r\n\r\nwhole"), 502, 1),
             (
@@ -229,10 +229,10 @@
     });
 }
 
-/// Guards against an announcement that passes for the answer, and against what follows an answer, with it or
-/// while its connection stands idle, passing for that of the next RPC.
+/// Guards against an interim response that is taken for the answer, and against bytes after an answer, sent with it or on the
+/// idle connection, that are taken for the next RPC's answer.
 #[test]
-fn an_answer_is_its_own_rpcs_whatever_comes_round_it() {
+fn interim_responses_and_stray_bytes_do_not_shift_answers() {
     run(async {
         let up = stand_in(|n, _| {
             let whole = format!("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{n:02}");
@@ -252,20 +252,19 @@
             let answer = ask(b.address, rpc("GET", "/look", "")).await;
             assert_eq!((answer.status(), answer.body), (200, format!("{n:02}").into_bytes()));
         }
-        // A connection with more on it than its answer is of no further use.
+        // A connection with bytes beyond its answer is closed.
         assert_eq!(up.connections.get(), 4);
         until(|| up.left.get() == 3).await;
     });
 }
 
-/// Guards against non-retriable RPCs that are lost because an upstream ends its kept connections whenever it likes:
-/// what was written then may have run.
+/// Guards against failing non-retriable RPCs when an upstream closes a kept connection: an RPC written to it may have run.
 #[test]
-fn what_must_not_run_twice_gets_a_connection_of_its_own() {
+fn non_retriable_rpcs_use_new_connections() {
     run(async {
         let up = stand_in(|n, message| match message.header("connection") {
             Some("close") => Deed::SayAndClose(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nonce".to_vec()),
-            // A kept connection is good for one answer, and resets under the next.
+            // Kept connections serve three RPCs in all, and close on the next one.
             _ if n < 3 => ok("kept"),
             _ => Deed::SayAndClose(Vec::new()),
         });
@@ -284,7 +283,7 @@
 }
 
 #[test]
-fn a_refused_connection_never_ran() {
+fn refused_connection_counts_as_never_run() {
     run(async {
         let up = stand_in(|_, _| ok("whole")).await;
         let shut = TcpListener::bind("127.0.0.1:0")
@@ -300,7 +299,7 @@
 }
 
 #[test]
-fn a_silent_upstream_costs_the_deadline_and_its_connection() {
+fn silent_upstream_ends_at_the_deadline_and_closes_its_connection() {
     run(async {
         let up = stand_in(|_, _| Deed::Silence).await;
         let b = balancer(&[&up], &[]).await;
@@ -318,7 +317,7 @@
     run(async {
         let up = stand_in(|_, _| Deed::Silence).await;
         let b = balancer(&[&up], &[]).await;
-        // The deadline lies past the end of the test.
+        // The deadline is later than the test's time limit.
         let stream = send(b.address, rpc("GET", "/look", "").replace("4000", "90000")).await;
         until(|| up.seen.borrow().len() == 1).await;
         drop(stream);
@@ -327,9 +326,9 @@
     });
 }
 
-/// Guards against RPCs that end as a reset because the upstream closes as they are written.
+/// Guards against RPCs that fail with a reset because the upstream closes the kept connection as they are written.
 #[test]
-fn connections_are_kept_but_not_until_the_other_side_closes_them() {
+fn connections_are_kept_for_less_than_the_keepalive_time() {
     run(async {
         let up = stand_in(|_, _| ok("whole")).await;
         let b = balancer(&[&up], &[("\"keepalive-s\":30.0", "\"keepalive-s\":1.2")]).await;
@@ -338,20 +337,20 @@
             ask(b.address, rpc("GET", "/look", "")).await;
         }
         assert_eq!(up.connections.get(), 1);
-        // Passed over by the next call.
+        // The next call skips the connection.
         actix_rt::time::sleep(Duration::from_millis(250)).await;
         ask(b.address, rpc("GET", "/look", "")).await;
         assert_eq!(up.connections.get(), 2);
         until(|| up.left.get() == 1).await;
-        // And closed where there is no next call.
+        // Without a next call the connection is closed.
         until(|| up.left.get() == 2).await;
     });
 }
 
-/// Guards against a body that the client library stops writing before its end where the socket takes it in
-/// pieces: the connection takes all of it at once, and it counts as written when its last byte is out.
+/// Guards against a body that the HTTP client stops writing before its end when the socket accepts it in parts: the connection
+/// buffers all of it at once, and it counts as written when its last byte has been sent.
 #[test]
-fn a_body_counts_as_written_with_its_last_byte() {
+fn body_counts_as_written_after_its_last_byte() {
     run(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind a listener");
         let attempt = Rc::<AttemptState>::default();
@@ -375,7 +374,7 @@
 }
 
 #[test]
-fn idle_callers_make_room_for_new_ones() {
+fn idle_callers_are_evicted_for_new_ones() {
     run(async {
         let up = stand_in(|_, _| ok("whole")).await;
         let b = balancer(&[&up], &[("\"sockets\":1024", "\"sockets\":64")]).await;
@@ -385,13 +384,13 @@
             assert_eq!(read(&mut stream).await.expect("read the answer").status(), 200);
             idle.push(stream);
         }
-        // The first to come stood idle for the longest.
+        // The first caller has been idle for the longest.
         assert_eq!(idle[0].read(&mut [0; 1]).await.expect("close without a reset"), 0);
     });
 }
 
 #[test]
-fn a_panic_in_the_decisions_costs_one_rpc() {
+fn panic_in_decisions_fails_one_rpc() {
     run(async {
         let up = stand_in(|n, _| if n == 0 { Deed::Silence } else { ok("whole") }).await;
         let b = balancer(&[&up], &[]).await;
@@ -405,7 +404,7 @@
 }
 
 #[test]
-fn an_id_in_use_is_no_new_rpc() {
+fn rpc_id_in_use_is_rejected() {
     run(async {
         let up = stand_in(|_, _| Deed::Silence).await;
         let b = balancer(&[&up], &[]).await;
@@ -418,7 +417,7 @@
 }
 
 #[test]
-fn exhaustion_says_when_to_come_back() {
+fn exhausted_answer_has_retry_after() {
     let answer = FinalAnswer::Exhausted(12_345).encode();
     assert_eq!(answer.status().as_u16(), 503);
     assert_eq!(answer.headers().get("retry-after").and_then(|v| v.to_str().ok()), Some("1.2345"));
--- a/crates/fernroute-server/tests/schedules.rs
+++ b/crates/fernroute-server/tests/schedules.rs
@@ -1,9 +1,9 @@
-//! Random orders of what callers, upstreams, the list and the settings do, against a small model of what is owed. Each
-//! schedule runs on real sockets; a failing one is shrunk. What is checked holds in whichever way a crossing ends.
+//! Property test: random schedules of events from callers, upstreams, the target list and the settings, checked against a small
+//! model. Each schedule runs on real sockets, and a failing one is shrunk. The checked properties hold whichever side of a race wins.
 //!
-//! Seen to fail with each of these taken out: the look whether a caller has left (`take_in.rs`), the bar on first bytes to
-//! upstreams that left (`call_off_to_those_that_left`), the rest of kept connections (`REST`). What needs a connection held
-//! back while it comes up, or two things in one turn, is forced in `termination_races.rs`: schedules do not meet it.
+//! The test fails with any of these removed: the check whether a caller has left (`routing/receive.rs`),
+//! `cancel_attempts_to_removed_upstreams`, or the `REUSE_DELAY` of kept upstream connections. Races that need a delayed connect, or
+//! two events in one poll, do not occur in schedules; `termination_races.rs` forces them.
 
 mod common;
 
@@ -28,12 +28,12 @@
 const UPSTREAMS: usize = 2;
 
 #[derive(Clone, Copy, Debug)]
-enum Kind {
-    Whole,
-    /// And once more, some milliseconds later.
+enum AnswerKind {
+    Complete,
+    /// A complete answer, and a second one some milliseconds later.
     Twice,
     Errored,
-    TurnedAway,
+    Declined,
     Close,
 }
 
@@ -43,33 +43,33 @@
         method: usize,
         short: bool,
     },
-    /// The RPC and the end of its connection in one.
+    /// Sends an RPC and closes the connection's write side at once.
     AskAndLeave {
         method: usize,
     },
-    /// The one who left last asks again at once, under the same id.
+    /// A waiting caller leaves, and an RPC with the same id is sent at once.
     LeaveAndAskAgain,
     Leave(usize),
-    Answer(usize, Kind),
+    Answer(usize, AnswerKind),
     Drain(usize),
     Ready(usize),
-    /// An RPC is routed, and its upstream drains before anything else happens.
+    /// An RPC is routed, and an upstream drains before any other task runs.
     AskAndDrain {
         method: usize,
         upstream: usize,
     },
-    Cancels(bool),
-    Rest,
+    SetCancel(bool),
+    WaitUntilReusable,
     TimePasses,
 }
 
 fn step() -> impl Strategy<Value = Step> {
     let kind = prop_oneof![
-        6 => Just(Kind::Whole),
-        3 => Just(Kind::Twice),
-        1 => Just(Kind::Errored),
-        2 => Just(Kind::TurnedAway),
-        1 => Just(Kind::Close),
+        6 => Just(AnswerKind::Complete),
+        3 => Just(AnswerKind::Twice),
+        1 => Just(AnswerKind::Errored),
+        2 => Just(AnswerKind::Declined),
+        1 => Just(AnswerKind::Close),
     ];
     prop_oneof![
         6 => (0..3usize, prop::bool::weighted(0.2)).prop_map(|(method, short)| Step::Ask { method, short }),
@@ -80,82 +80,82 @@
         1 => (0..UPSTREAMS).prop_map(Step::Drain),
         1 => (0..UPSTREAMS).prop_map(Step::Ready),
         1 => (0..3usize, 0..UPSTREAMS).prop_map(|(method, upstream)| Step::AskAndDrain { method, upstream }),
-        1 => any::<bool>().prop_map(Step::Cancels),
-        1 => Just(Step::Rest),
+        1 => any::<bool>().prop_map(Step::SetCancel),
+        1 => Just(Step::WaitUntilReusable),
         1 => Just(Step::TimePasses),
     ]
 }
 
-/// An RPC that has come to an upstream.
+/// An RPC that has arrived at an upstream.
 struct Arrival {
     id: String,
-    end: Option<Kind>,
-    tell: Option<oneshot::Sender<Kind>>,
+    answered: Option<AnswerKind>,
+    sender: Option<oneshot::Sender<AnswerKind>>,
 }
 
 #[derive(Default)]
-struct Ledger {
+struct Model {
     arrivals: RefCell<Vec<Arrival>>,
-    /// Ids of which nothing may come any more, and why.
-    over: RefCell<BTreeMap<String, &'static str>>,
-    drains: [Cell<bool>; UPSTREAMS],
+    /// Ids that may not arrive at an upstream any more, with the violation to report.
+    forbidden: RefCell<BTreeMap<String, &'static str>>,
+    draining: [Cell<bool>; UPSTREAMS],
     methods: RefCell<BTreeMap<String, usize>>,
-    wrong: RefCell<Vec<String>>,
+    violations: RefCell<Vec<String>>,
 }
 
-impl Ledger {
-    fn arrives(&self, upstream: usize, id: &str) -> oneshot::Receiver<Kind> {
-        let wrong = |what: &str| self.wrong.borrow_mut().push(format!("{id}: {what}"));
-        if let Some(why) = self.over.borrow().get(id) {
-            wrong(why);
+impl Model {
+    fn record_arrival(&self, upstream: usize, id: &str) -> oneshot::Receiver<AnswerKind> {
+        let violation = |what: &str| self.violations.borrow_mut().push(format!("{id}: {what}"));
+        if let Some(why) = self.forbidden.borrow().get(id) {
+            violation(why);
         }
-        if self.drains[upstream].get() {
-            wrong("sent to an upstream that drains");
+        if self.draining[upstream].get() {
+            violation("sent to a draining upstream");
         }
-        let (tell, told) = oneshot::channel();
+        let (sender, receiver) = oneshot::channel();
         let mut arrivals = self.arrivals.borrow_mut();
         let once = self.methods.borrow().get(id) == Some(&2);
-        let ran = |a: &Arrival| a.id == id && !matches!(a.end, Some(Kind::TurnedAway));
+        let ran = |a: &Arrival| a.id == id && !matches!(a.answered, Some(AnswerKind::Declined));
         if once && arrivals.iter().any(ran) {
-            wrong("ran twice");
+            violation("ran twice");
         }
-        arrivals.push(Arrival { id: id.to_owned(), end: None, tell: Some(tell) });
-        told
+        arrivals.push(Arrival { id: id.to_owned(), answered: None, sender: Some(sender) });
+        receiver
     }
 
-    /// The n-th of those that wait, counted round.
-    fn tell(&self, n: usize, kind: Kind) {
+    /// Answers the n-th waiting arrival, modulo their number.
+    fn answer_waiting(&self, n: usize, kind: AnswerKind) {
         let mut arrivals = self.arrivals.borrow_mut();
-        let mut waiting: Vec<&mut Arrival> = arrivals.iter_mut().filter(|a| a.end.is_none()).collect();
+        let mut waiting: Vec<&mut Arrival> = arrivals.iter_mut().filter(|a| a.answered.is_none()).collect();
         if waiting.is_empty() {
             return;
         }
         let n = n % waiting.len();
         let arrival = &mut waiting[n];
-        arrival.end = Some(kind);
-        let _ = arrival.tell.take().map(|tell| tell.send(kind));
+        arrival.answered = Some(kind);
+        let _ = arrival.sender.take().map(|sender| sender.send(kind));
     }
 
     async fn serve(self: Rc<Self>, upstream: usize, mut peer: Peer) {
         while let Ok(Some(message)) = peer.read().await {
             let id = message.header("req-id").unwrap_or("").to_owned();
-            // Who gives it up closes the connection: what is told then goes nowhere.
-            let Ok(kind) = self.arrives(upstream, &id).await else { return };
+            // A cancelled attempt's connection is closed: the answer then reaches nobody.
+            let Ok(kind) = self.record_arrival(upstream, &id).await else { return };
             let bytes = match kind {
-                Kind::Whole | Kind::Twice => answer(200, "", &id),
-                Kind::Errored => answer(500, "", ""),
-                Kind::TurnedAway => answer(503, "Srv-Declined: 1\r\n", ""),
-                Kind::Close => return,
+                AnswerKind::Complete | AnswerKind::Twice => answer(200, "", &id),
+                AnswerKind::Errored => answer(500, "", ""),
+                AnswerKind::Declined => answer(503, "Srv-Declined: 1\r\n", ""),
+                AnswerKind::Close => return,
             };
             let from = Instant::now();
             if peer.write(&bytes).await.is_err() {
                 return;
             }
-            if matches!(kind, Kind::Twice) {
+            if matches!(kind, AnswerKind::Twice) {
                 tokio::time::sleep(Duration::from_millis(3)).await;
-                // Later than that it would be no crossing any more but an answer to nothing.
+                // Later than that, the answer could not race with the reuse of the connection.
                 if from.elapsed() < Duration::from_millis(5) {
-                    let _ = peer.stream.try_write(&answer(200, "", "the one before's"));
+                    let _ = peer.stream.try_write(&answer(200, "", "second answer"));
                 }
             }
         }
@@ -164,49 +164,49 @@
 
 struct Caller {
     id: String,
-    due: Instant,
-    reading: Option<tokio::task::JoinHandle<()>>,
-    answered: Answered,
+    deadline: Instant,
+    reader: Option<tokio::task::JoinHandle<()>>,
+    answer: CallerAnswer,
 }
 
-/// When, and what; no message where the connection ended without one.
-type Answered = Rc<RefCell<Option<(Instant, Option<Message>)>>>;
+/// The time and content of an answer; no message where the connection ended without one.
+type CallerAnswer = Rc<RefCell<Option<(Instant, Option<Message>)>>>;
 
 struct World {
     b: RunningInstance,
-    ledger: Rc<Ledger>,
+    model: Rc<Model>,
     addresses: Vec<SocketAddr>,
     version: u64,
     callers: Vec<Caller>,
-    /// Somebody was answered more than once.
-    twice: Rc<Cell<bool>>,
+    /// Whether a caller received a second answer.
+    answered_twice: Rc<Cell<bool>>,
 }
 
 impl World {
     async fn new() -> Self {
-        let ledger = Rc::<Ledger>::default();
+        let model = Rc::<Model>::default();
         let mut addresses = Vec::new();
         for n in 0..UPSTREAMS {
             let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind a listener");
             addresses.push(listener.local_addr().expect("local address"));
-            let ledger = Rc::clone(&ledger);
+            let model = Rc::clone(&model);
             spawn_local(async move {
                 while let Ok((stream, _)) = listener.accept().await {
-                    spawn_local(Rc::clone(&ledger).serve(n, Peer::new(stream)));
+                    spawn_local(Rc::clone(&model).serve(n, Peer::new(stream)));
                 }
             });
         }
-        let b = balancer_at(&addresses, &TIMES).await;
-        World { b, ledger, addresses, version: 7, callers: Vec::new(), twice: Rc::default() }
+        let b = balancer_at(&addresses, &SHORT_DEADLINES).await;
+        World { b, model, addresses, version: 7, callers: Vec::new(), answered_twice: Rc::default() }
     }
 
-    /// All that was written has come.
-    async fn settle(&self) {
+    /// Waits until every attempt that was written has arrived at its upstream.
+    async fn until_arrived(&self) {
         let written = || self.b.board.metrics().attempts as usize;
-        until(|| written() <= self.ledger.arrivals.borrow().len()).await;
+        until(|| written() <= self.model.arrivals.borrow().len()).await;
     }
 
-    fn list(&mut self, upstream: usize, state: &str) {
+    fn set_upstream_state(&mut self, upstream: usize, state: &str) {
         self.version += 1;
         let list = decode_list(
             self.version,
@@ -214,10 +214,10 @@
             &[entry(&format!("s-{upstream}"), self.addresses[upstream], "z", state)],
         );
         self.b.board.apply_list(&list, true);
-        self.ledger.drains[upstream].set(state != "SERVING");
+        self.model.draining[upstream].set(state != "SERVING");
     }
 
-    fn whole(&self, method: usize, short: bool) -> (String, String) {
+    fn new_rpc(&self, method: usize, short: bool) -> (String, String) {
         let (name, verb) = METHODS[method];
         let more = match method {
             0 => "",
@@ -228,159 +228,160 @@
         let bytes = rpc(verb, &format!("/{name}"), more)
             .replace("Req-Deadline-Ms: 4000", &format!("Req-Deadline-Ms: {time}"));
         let id = rpc_id(&bytes).to_owned();
-        self.ledger.methods.borrow_mut().insert(id.clone(), method);
+        self.model.methods.borrow_mut().insert(id.clone(), method);
         (id, bytes)
     }
 
     async fn ask(&mut self, id: String, bytes: &str, short: bool) {
         let mut stream = connect(self.b.address).await;
         stream.write_all(bytes.as_bytes()).await.expect("write to the socket");
-        let due = Instant::now() + Duration::from_millis(if short { 60 } else { 1000 });
-        let answered = Answered::default();
-        let (told, twice) = (Rc::clone(&answered), Rc::clone(&self.twice));
-        let reading = spawn_local(async move {
+        let deadline = Instant::now() + Duration::from_millis(if short { 60 } else { 1000 });
+        let answer = CallerAnswer::default();
+        let (received, answered_twice) = (Rc::clone(&answer), Rc::clone(&self.answered_twice));
+        let reader = spawn_local(async move {
             let mut peer = Peer::new(stream);
             let message = peer.read().await.ok().flatten();
-            told.borrow_mut().replace((Instant::now(), message));
-            // Nothing may follow it.
+            received.borrow_mut().replace((Instant::now(), message));
+            // A second answer would be a violation.
             if let Ok(Some(_)) = peer.read().await {
-                twice.set(true);
+                answered_twice.set(true);
             }
         });
-        self.callers.push(Caller { id, due, reading: Some(reading), answered });
+        self.callers.push(Caller { id, deadline, reader: Some(reader), answer });
     }
 
-    /// The n-th of those that wait goes; its id.
+    /// The n-th waiting caller leaves. Returns its index.
     async fn leave(&mut self, n: usize) -> Option<usize> {
         let waiting: Vec<usize> = (0..self.callers.len())
-            .filter(|i| self.callers[*i].reading.is_some() && self.callers[*i].answered.borrow().is_none())
+            .filter(|i| self.callers[*i].reader.is_some() && self.callers[*i].answer.borrow().is_none())
             .collect();
         let i = *waiting.get(n % waiting.len().max(1))?;
-        // Its stream goes with the task.
-        let reading = self.callers[i].reading.take()?;
-        reading.abort();
-        let _ = reading.await;
+        // Aborting the task closes its stream.
+        let reader = self.callers[i].reader.take()?;
+        reader.abort();
+        let _ = reader.await;
         Some(i)
     }
 
-    async fn gone(&self, id: &str) {
+    async fn forbid_after_leave(&self, id: &str) {
         until(|| self.b.board.open.borrow().get(id).is_none_or(|rpc| rpc.answer.is_none())).await;
-        self.settle().await;
-        self.ledger.over.borrow_mut().insert(id.to_owned(), "sent on though its caller has left");
+        self.until_arrived().await;
+        self.model.forbidden.borrow_mut().insert(id.to_owned(), "sent on though its caller has left");
     }
 
-    async fn take(&mut self, step: &Step) {
+    async fn apply(&mut self, step: &Step) {
         match *step {
             Step::Ask { method, short } => {
-                let (id, bytes) = self.whole(method, short);
+                let (id, bytes) = self.new_rpc(method, short);
                 self.ask(id, &bytes, short).await;
             }
             Step::AskAndLeave { method } => {
-                let (id, bytes) = self.whole(method, false);
-                self.ledger
-                    .over
+                let (id, bytes) = self.new_rpc(method, false);
+                self.model
+                    .forbidden
                     .borrow_mut()
                     .insert(id, "sent on though its caller had left before it was read");
                 let mut stream = connect(self.b.address).await;
-                // No turn of anybody else's between these two.
+                // No other task runs between these two calls.
                 assert_eq!(stream.try_write(bytes.as_bytes()).expect("write to the socket"), bytes.len());
                 let _ = stream.shutdown().await;
             }
             Step::LeaveAndAskAgain => {
                 let Some(i) = self.leave(0).await else { return };
                 let id = self.callers[i].id.clone();
-                // Whether or not the end of the first was read by now: one of that id at most is open.
-                let (own, bytes) = self.whole(0, false);
-                if self.ledger.methods.borrow().get(&id) == Some(&0) {
+                // Whether or not the end of the first connection was read: at most one RPC with this id is open.
+                let (own, bytes) = self.new_rpc(0, false);
+                if self.model.methods.borrow().get(&id) == Some(&0) {
                     self.ask(id.clone(), &bytes.replace(&own, &id), false).await;
                 }
             }
             Step::Leave(n) => {
                 let Some(i) = self.leave(n).await else { return };
                 let id = self.callers[i].id.clone();
-                // Another may have asked under its id since.
+                // Another caller may have sent an RPC with the same id since.
                 if self.callers.iter().filter(|c| c.id == id).count() == 1 {
-                    self.gone(&id).await;
+                    self.forbid_after_leave(&id).await;
                 }
             }
             Step::Answer(n, kind) => {
-                self.settle().await;
-                self.ledger.tell(n, kind);
+                self.until_arrived().await;
+                self.model.answer_waiting(n, kind);
             }
             Step::Drain(n) => {
-                self.settle().await;
-                self.list(n, "DRAINING");
+                self.until_arrived().await;
+                self.set_upstream_state(n, "DRAINING");
             }
-            Step::Ready(n) => self.list(n, "SERVING"),
+            Step::Ready(n) => self.set_upstream_state(n, "SERVING"),
             Step::AskAndDrain { method, upstream } => {
-                self.settle().await;
-                let (id, _) = self.whole(method, false);
+                self.until_arrived().await;
+                let (id, _) = self.new_rpc(method, false);
                 let request = request(&self.b, &id, METHODS[method].0, "1000");
                 let board = Rc::clone(&self.b.board);
                 let mut asked = Box::pin(async move { board.admit(request, None).await.is_ok() });
                 let at_once = futures_util::FutureExt::now_or_never(asked.as_mut());
-                self.list(upstream, "DRAINING");
+                self.set_upstream_state(upstream, "DRAINING");
                 if at_once.is_none() {
                     spawn_local(asked);
                 }
             }
-            Step::Cancels(cancels) => {
-                let text = common::config_json(&self.addresses, self.addresses[0], &TIMES)
-                    .replace(r#""cancel":true"#, &format!(r#""cancel":{cancels}"#));
-                let station = InstanceConfig::decode_json(&text).expect("valid configuration file");
-                self.b.update_settings(&station.settings).expect("valid settings");
+            Step::SetCancel(cancel) => {
+                let text = common::config_json(&self.addresses, self.addresses[0], &SHORT_DEADLINES)
+                    .replace(r#""cancel":true"#, &format!(r#""cancel":{cancel}"#));
+                let instance = InstanceConfig::decode_json(&text).expect("valid configuration file");
+                self.b.update_settings(&instance.settings).expect("valid settings");
             }
-            Step::Rest => until_reusable().await,
+            Step::WaitUntilReusable => until_reusable().await,
             Step::TimePasses => tokio::time::sleep(Duration::from_millis(65)).await,
         }
     }
 
-    /// All that waits is served, everybody goes, and nothing is left.
-    async fn end(mut self) -> Vec<String> {
+    /// Answers all waiting RPCs, closes all callers, and returns the violations found.
+    async fn finish(mut self) -> Vec<String> {
         for n in 0..UPSTREAMS {
-            self.list(n, "SERVING");
+            self.set_upstream_state(n, "SERVING");
         }
-        let waits = |c: &Caller| c.reading.is_some() && c.answered.borrow().is_none();
+        let waits = |c: &Caller| c.reader.is_some() && c.answer.borrow().is_none();
         let from = Instant::now();
         while from.elapsed() < Duration::from_secs(3)
             && (self.callers.iter().any(waits) || !self.b.board.open.borrow().is_empty())
         {
-            self.ledger.tell(0, Kind::Whole);
+            self.model.answer_waiting(0, AnswerKind::Complete);
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
-        let mut wrong = self.ledger.wrong.take();
-        if self.twice.get() {
-            wrong.push("a second answer".to_owned());
+        let mut violations = self.model.violations.take();
+        if self.answered_twice.get() {
+            violations.push("a caller received a second answer".to_owned());
         }
-        for caller in self.callers.iter().filter(|c| c.reading.is_some()) {
-            match &*caller.answered.borrow() {
+        for caller in self.callers.iter().filter(|c| c.reader.is_some()) {
+            match &*caller.answer.borrow() {
                 Some((at, Some(last))) => {
-                    if *at > caller.due + Duration::from_millis(500) {
-                        wrong.push(format!("{}: answered late", caller.id));
+                    if *at > caller.deadline + Duration::from_millis(500) {
+                        violations.push(format!("{}: answered late", caller.id));
                     }
-                    let ran = |a: &Arrival| a.id == caller.id && !matches!(a.end, Some(Kind::TurnedAway));
-                    let once = self.ledger.methods.borrow().get(&caller.id) == Some(&2);
+                    let ran =
+                        |a: &Arrival| a.id == caller.id && !matches!(a.answered, Some(AnswerKind::Declined));
+                    let once = self.model.methods.borrow().get(&caller.id) == Some(&2);
                     match last.status() {
                         200 if last.body != caller.id.as_bytes() => {
-                            wrong.push(format!("{}: another's answer", caller.id));
+                            violations.push(format!("{}: got another RPC's answer", caller.id));
                         }
-                        503 if once && self.ledger.arrivals.borrow().iter().any(ran) => {
-                            wrong.push(format!("{}: exhausted though it may have run", caller.id));
+                        503 if once && self.model.arrivals.borrow().iter().any(ran) => {
+                            violations.push(format!("{}: exhausted though it may have run", caller.id));
                         }
-                        // An id that is still in use is no RPC.
+                        // 400: the id is still in use.
                         200 | 502 | 503 | 400 => {}
-                        _ => wrong.push(format!("{}: {}", caller.id, last.head)),
+                        _ => violations.push(format!("{}: {}", caller.id, last.head)),
                     }
                     if last.status() == 400 && self.callers.iter().filter(|c| c.id == caller.id).count() == 1
                     {
-                        wrong.push(format!("{}: {}", caller.id, last.head));
+                        violations.push(format!("{}: {}", caller.id, last.head));
                     }
                 }
-                _ => wrong.push(format!("{}: no answer", caller.id)),
+                _ => violations.push(format!("{}: no answer", caller.id)),
             }
         }
         for caller in &mut self.callers {
-            caller.reading.take().into_iter().for_each(|reading| reading.abort());
+            caller.reader.take().into_iter().for_each(|reader| reader.abort());
         }
         let board = &self.b.board;
         let clear = || {
@@ -390,49 +391,49 @@
                 && self.b.server.connections() == 0
         };
         if tokio::time::timeout(Duration::from_secs(2), until(clear)).await.is_err() {
-            wrong.push(format!(
+            violations.push(format!(
                 "left behind: {:?} open, {} timers, {} callers",
                 board.open.borrow().keys().collect::<Vec<_>>(),
                 board.timers.count(),
                 self.b.server.connections()
             ));
         }
-        wrong
+        violations
     }
 }
 
-const TIMES: [(&str, &str); 2] = [
+const SHORT_DEADLINES: [(&str, &str); 2] = [
     (r#""soft-deadline-s":2.5"#, r#""soft-deadline-s":0.5"#),
     (r#""hard-deadline-s":6.0"#, r#""hard-deadline-s":1.0"#),
 ];
 
-/// Guards against any order of these that leaves somebody without the one final answer, runs twice what may run once,
-/// sends on what nobody waits for, begins at an upstream that drains, gives an answer to another, or leaves something behind.
+/// Guards against any order of events that leaves a caller without exactly one final answer, runs a non-retriable RPC twice, sends
+/// an RPC whose caller has left, starts an attempt at a draining upstream, mixes up answers, or leaves state behind.
 #[test]
-fn in_whatever_order_things_end_what_is_owed_is_given() {
+fn every_event_order_keeps_the_rpc_guarantees() {
     const CASES: u32 = 100;
     let config =
         Config { cases: CASES, failure_persistence: None, max_shrink_iters: 300, ..Config::default() };
-    // The same schedules every time.
+    // A fixed seed, so that every run has the same schedules.
     let rng = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
     let outcome = TestRunner::new_with_rng(config, rng).run(&vec(step(), 1..40), |steps| {
-        let wrong = Rc::new(RefCell::new(Vec::new()));
-        let found = Rc::clone(&wrong);
+        let violations = Rc::new(RefCell::new(Vec::new()));
+        let found = Rc::clone(&violations);
         run(async move {
             let mut world = World::new().await;
             for step in &steps {
-                world.take(step).await;
+                world.apply(step).await;
             }
-            found.replace(world.end().await);
+            found.replace(world.finish().await);
         });
-        let wrong = wrong.take();
-        if wrong.is_empty() {
+        let violations = violations.take();
+        if violations.is_empty() {
             Ok(())
         } else {
-            Err(TestCaseError::fail(wrong.join("; ")))
+            Err(TestCaseError::fail(violations.join("; ")))
         }
     });
-    if let Err(why) = outcome {
-        panic!("{why}");
+    if let Err(error) = outcome {
+        panic!("{error}");
     }
 }
--- a/crates/fernroute-server/tests/upgrade.rs
+++ b/crates/fernroute-server/tests/upgrade.rs
@@ -30,7 +30,7 @@
 /// Guards against callers refused, reset or unanswered as one process takes over from another, twice in a row; the list
 /// that discovery has not told the new process comes from the old one.
 #[test]
-fn callers_notice_nothing_of_an_upgrade() {
+fn upgrade_is_invisible_to_callers() {
     run(async {
         let (up, dead) = (upstream().await, stand_in(|_, _| Deed::Silence).await);
         let folder = temp_dir("upgrade");
@@ -61,7 +61,7 @@
 
 /// Guards against answers that are lost with the old process, and against an old process that stays for its own sake.
 #[test]
-fn the_old_process_answers_what_it_took_and_ends_by_itself() {
+fn old_process_answers_its_rpcs_and_exits() {
     run(async {
         let up = upstream().await;
         let folder = temp_dir("early");
@@ -84,7 +84,7 @@
 
 /// Guards against a balancer that nobody serves because its successor died: before it could serve, and after.
 #[test]
-fn a_successor_that_dies_gives_back_what_it_got() {
+fn old_process_resumes_when_its_successor_dies() {
     run(async {
         let up = upstream().await;
         let folder = temp_dir("dies");
@@ -120,7 +120,7 @@
 
 /// Guards against two that take over at once: together they would hold more than one process may.
 #[test]
-fn a_second_successor_is_refused_while_the_first_comes() {
+fn second_successor_is_rejected_during_a_handover() {
     run(async {
         let up = upstream().await;
         let folder = temp_dir("two");
@@ -159,7 +159,7 @@
 /// Guards against a start that fails because of what lies in the folder: left by a killed process, a foreign file, a
 /// process that answers nothing, a folder too deep. Nobody's file is removed but a dead process's own.
 #[test]
-fn whatever_lies_in_the_way_a_process_starts_and_serves() {
+fn start_succeeds_despite_unusable_handover_socket() {
     run(async {
         let up = upstream().await;
         let text = config_json(&[up.address], up.address, &[]);
@@ -214,7 +214,7 @@
 
 /// Where nothing can be handed over both listen at the address; the new process serves by a list that discovery told.
 #[test]
-fn two_listen_at_one_address_where_handing_over_fails() {
+fn processes_share_the_address_when_handover_fails() {
     run(async {
         let up = upstream().await;
         let folder = temp_dir("beside");
@@ -243,7 +243,7 @@
 /// Guards against a drain that outlives the process that was drained, a reload that unsettles an upgrade, and an end
 /// without a successor that is not what it was.
 #[test]
-fn an_upgrade_within_a_drain_a_reload_at_either_and_a_killed_old_process() {
+fn upgrade_during_drain_with_reload_and_killed_old_process() {
     run(async {
         let up = upstream().await;
         let folder = temp_dir("drained");
@@ -279,7 +279,7 @@
 /// Guards against callers of a process that serves who wait, unread, in the queue of one that does not serve yet. Both
 /// are real; neither can hand over, and discovery tells the new one nothing.
 #[test]
-fn nobody_waits_in_the_queue_of_a_process_that_does_not_serve_yet() {
+fn starting_process_does_not_accept_callers() {
     run(async {
         let up = upstream().await;
         let folder = temp_dir("queue");
@@ -321,7 +321,7 @@
 /// Guards against a start that keeps callers waiting for discovery where no other process is, and against two processes
 /// that don't find each other, because no `$TMPDIR` says where.
 #[test]
-fn processes_without_a_tmpdir_meet_all_the_same() {
+fn handover_works_without_tmpdir() {
     run(async {
         let (up, silent) = (upstream().await, stand_in(|_, _| Deed::Silence).await);
         let folder = temp_dir("plain");
@@ -347,7 +347,7 @@
 /// Guards against a queue that nobody serves from: the old process is killed after it gave its socket away, before the
 /// new one has a list.
 #[test]
-fn a_socket_given_by_a_process_that_dies_at_once_is_served_from() {
+fn handed_over_socket_is_served_after_the_old_process_dies() {
     run(async {
         let silent = stand_in(|_, _| Deed::Silence).await;
         let folder = temp_dir("given");
