--- a/crates/fernroute-server/tests/common/process.rs
+++ b/crates/fernroute-server/tests/common/process.rs
@@ -2,7 +2,7 @@
 
 #![allow(dead_code)]
 
-use fernroute_test_support::process::{with_descriptors, Process};
+use fernroute_test_support::process::{with_descriptor_limit, Process};
 use std::net::SocketAddr;
 use std::ops::Deref;
 use std::path::{Path, PathBuf};
@@ -44,7 +44,7 @@
 
     /// Like [`Program::start`], with an operating system limit on file descriptors that is independent of the configuration.
     pub async fn start_with(folder: &Path, config: &str, descriptors: usize) -> Self {
-        let limited = |command| with_descriptors(&command, descriptors);
+        let limited = |command| with_descriptor_limit(&command, descriptors);
         Program::run(folder, config, Some(folder), limited).await.until_serving().await
     }
 
@@ -66,7 +66,7 @@
         };
         let process = Process::launch(prepare(command)).expect("start the balancer");
         let ops_address = process
-            .address_after("operators are answered on ", START_TIMEOUT)
+            .logged_address("operators are answered on ", START_TIMEOUT)
             .await
             .expect("operations address in the log");
         Program { process, path, address: ops_address, ops_address }
@@ -76,7 +76,7 @@
     pub async fn until_serving(mut self) -> Self {
         self.address = self
             .process
-            .address_after("serving on ", START_TIMEOUT)
+            .logged_address("serving on ", START_TIMEOUT)
             .await
             .expect("service address in the log");
         self
@@ -98,7 +98,7 @@
 
     /// Waits for the process and checks that its exit code is 0.
     pub async fn exits_cleanly(self) {
-        assert_eq!(self.ends().await, Some(0));
+        assert_eq!(self.wait_for_exit().await, Some(0));
     }
 }
 
--- a/crates/fernroute-server/tests/configuration.rs
+++ b/crates/fernroute-server/tests/configuration.rs
@@ -10,7 +10,7 @@
     content_hash, ConfigurationReport, FetchReply, FetchRequest, Scope, Target, FETCH_PATH,
 };
 use fernroute_fleet::message::{Envelope, Grant, Heartbeat, HeartbeatError, HeartbeatReply};
-use fernroute_test_support::http::answer;
+use fernroute_test_support::http::response;
 use process::{temp_dir, Program};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -47,9 +47,9 @@
         let mut addresses = Vec::new();
         for n in 0..count {
             let slot = Rc::clone(&slot);
-            let server = stand_in(move |_, message| match &*slot.borrow() {
+            let server = start_stub(move |_, message| match &*slot.borrow() {
                 Some(coordinators) => coordinators.reply(n, message),
-                None => Deed::Silence,
+                None => Reply::NoReply,
             });
             addresses.push(server.await.address);
         }
@@ -66,8 +66,8 @@
         coordinators
     }
 
-    fn reply(&self, n: usize, message: &Message) -> Deed {
-        let json = |body: String| Deed::Say(answer(200, "", &body));
+    fn reply(&self, n: usize, message: &Message) -> Reply {
+        let json = |body: String| Reply::Send(response(200, "", &body));
         if message.target == FETCH_PATH {
             self.fetches.set(self.fetches.get() + 1);
             let request: Envelope<FetchRequest> =
@@ -76,7 +76,7 @@
             match self.fetch_modes.borrow()[n] {
                 FetchMode::Normal => {}
                 FetchMode::Behind => fetched = FetchReply::Behind,
-                FetchMode::Silent => return Deed::Silence,
+                FetchMode::Silent => return Reply::NoReply,
                 FetchMode::Corrupt => {
                     if let FetchReply::Entries { entries, .. } = &mut fetched {
                         entries.iter_mut().for_each(|entry| entry.content = method("spoilt"));
@@ -86,7 +86,7 @@
             return json(serde_json::to_string(&fetched).expect("valid JSON"));
         }
         if !self.answers_heartbeats.get() {
-            return Deed::Silence;
+            return Reply::NoReply;
         }
         let heartbeat: Envelope<Heartbeat> = serde_json::from_slice(&message.body).expect("valid heartbeat");
         let heartbeat = heartbeat.message;
@@ -143,11 +143,11 @@
     }
 
     async fn until_active(&self, version: u64) {
-        until(|| self.report().active == version).await;
+        wait_until(|| self.report().active == version).await;
     }
 
     async fn until_rejected(&self, version: u64) -> String {
-        until(|| self.report().rejected.is_some_and(|(refused, _)| refused == version)).await;
+        wait_until(|| self.report().rejected.is_some_and(|(refused, _)| refused == version)).await;
         self.report().rejected.map(|(_, why)| why).unwrap_or_default()
     }
 }
@@ -178,11 +178,13 @@
 }
 
 async fn status(program: &Program, method: &str) -> u16 {
-    ask(program.address, rpc("GET", &format!("/{method}"), "Connection: close\r\n")).await.status()
+    send_and_read(program.address, rpc_head("GET", &format!("/{method}"), "Connection: close\r\n"))
+        .await
+        .status()
 }
 
 async fn metrics(program: &Program) -> serde_json::Value {
-    let answer = ask(program.ops_address, "GET /-/metrics HTTP/1.1\r\nHost: n0\r\n\r\n").await;
+    let answer = send_and_read(program.ops_address, "GET /-/metrics HTTP/1.1\r\nHost: n0\r\n\r\n").await;
     serde_json::from_slice(&answer.body).expect("valid JSON")
 }
 
@@ -191,7 +193,7 @@
 #[test]
 fn change_takes_effect_and_sighup_keeps_it() {
     run(async {
-        let (up, coordinators) = (stand_in(|_, _| ok("whole")).await, Coordinators::start(2).await);
+        let (up, coordinators) = (start_stub(|_, _| ok("whole")).await, Coordinators::start(2).await);
         let text = config_toml(up.address, &coordinators.addresses, SHOP);
         let program = Program::start(&temp_dir("change"), &text).await;
         assert_eq!((status(&program, "look").await, status(&program, "pay").await), (200, 404));
@@ -200,7 +202,7 @@
         assert_eq!(status(&program, "pay").await, 200);
         // Its own file now has another method; the fleet's list of methods overrides it.
         program.reload(&text.replace("\"look\"", "\"other\"").replace("rate = 100", "rate = 50"));
-        until(|| program.says("reloaded")).await;
+        wait_until(|| program.log_contains("reloaded")).await;
         assert_eq!((status(&program, "pay").await, status(&program, "other").await), (200, 404));
         // The list of a narrower scope replaces that of a wider one.
         let second = coordinators.put_for_scope("service/shop/zone/z", &method("zoned"));
@@ -211,7 +213,7 @@
         coordinators.put_for_scope("balancer/n1", &method("elsewhere"));
         let fetches = coordinators.fetches.get();
         let heartbeats = coordinators.heartbeats.borrow().len();
-        until(|| coordinators.heartbeats.borrow().len() > heartbeats + 5).await;
+        wait_until(|| coordinators.heartbeats.borrow().len() > heartbeats + 5).await;
         assert_eq!((coordinators.fetches.get(), coordinators.report().active), (fetches, second));
         coordinators.put_for_scope("service/shop/zone/z", "");
         let last = coordinators.put("");
@@ -234,7 +236,7 @@
 #[test]
 fn invalid_change_is_rejected_with_reason_and_next_change_applies() {
     run(async {
-        let (up, coordinators) = (stand_in(|_, _| ok("whole")).await, Coordinators::start(2).await);
+        let (up, coordinators) = (start_stub(|_, _| ok("whole")).await, Coordinators::start(2).await);
         let text = config_toml(up.address, &coordinators.addresses, SHOP);
         let program = Program::start(&temp_dir("refused"), &text).await;
         let first = coordinators.put(&method("first"));
@@ -249,9 +251,9 @@
         assert_eq!((status(&program, "first").await, status(&program, "bad").await), (200, 404));
         assert_eq!(coordinators.report().active, first);
         let (fetches, heartbeats) = (coordinators.fetches.get(), coordinators.heartbeats.borrow().len());
-        until(|| coordinators.heartbeats.borrow().len() > heartbeats + 10).await;
+        wait_until(|| coordinators.heartbeats.borrow().len() > heartbeats + 10).await;
         assert_eq!(coordinators.fetches.get(), fetches);
-        assert_eq!(program.times("was rejected"), 1);
+        assert_eq!(program.log_count("was rejected"), 1);
         let refused = metrics(&program).await["fleet"]["configuration"]["refused"].clone();
         assert_eq!(refused[0], bad);
         let third = coordinators.put(&method("third"));
@@ -270,7 +272,7 @@
 #[test]
 fn corrected_file_loads_rejected_change_and_conflicting_file_is_rejected() {
     run(async {
-        let (up, coordinators) = (stand_in(|_, _| ok("whole")).await, Coordinators::start(1).await);
+        let (up, coordinators) = (start_stub(|_, _| ok("whole")).await, Coordinators::start(1).await);
         let text = config_toml(up.address, &coordinators.addresses, SHOP);
         let program = Program::start(&temp_dir("mended"), &text).await;
         let asks = coordinators.put("[list]\nmode = \"ask\"\n");
@@ -281,7 +283,7 @@
         coordinators.until_active(asks).await;
         // Without `ask_within_s` the fleet's change could no longer be loaded, so the reload is rejected.
         program.reload(&text.replace("\"look\"", "\"other\""));
-        until(|| program.says("reload rejected, nothing has changed")).await;
+        wait_until(|| program.log_contains("reload rejected, nothing has changed")).await;
         assert_eq!((status(&program, "look").await, status(&program, "other").await), (200, 404));
         assert_eq!(coordinators.report().active, asks);
     });
@@ -291,7 +293,7 @@
 #[test]
 fn coordinator_that_is_behind_silent_or_corrupt_is_skipped() {
     run(async {
-        let (up, coordinators) = (stand_in(|_, _| ok("whole")).await, Coordinators::start(4).await);
+        let (up, coordinators) = (start_stub(|_, _| ok("whole")).await, Coordinators::start(4).await);
         let program =
             Program::start(&temp_dir("ways"), &config_toml(up.address, &coordinators.addresses, SHOP)).await;
         coordinators.fetch_modes.replace(vec![
@@ -314,7 +316,7 @@
         ]);
         let last = coordinators.put(&method("last"));
         let fetches = coordinators.fetches.get();
-        until(|| coordinators.fetches.get() >= fetches + 12).await;
+        wait_until(|| coordinators.fetches.get() >= fetches + 12).await;
         assert_eq!((status(&program, "m3").await, status(&program, "spoilt").await), (200, 404));
         assert_eq!(coordinators.report().rejected, None);
         coordinators.fetch_modes.replace(vec![FetchMode::Normal; 4]);
@@ -326,20 +328,20 @@
 #[test]
 fn coordinators_without_configuration_support_change_nothing() {
     run(async {
-        let (up, coordinators) = (stand_in(|_, _| ok("whole")).await, Coordinators::start(1).await);
+        let (up, coordinators) = (start_stub(|_, _| ok("whole")).await, Coordinators::start(1).await);
         coordinators.supports_configuration.set(false);
         coordinators.put(&method("new"));
         let program =
             Program::start(&temp_dir("older"), &config_toml(up.address, &coordinators.addresses, SHOP)).await;
-        assert!(!program.says("no current configuration from the coordinators"));
-        until(|| coordinators.heartbeats.borrow().len() > 10).await;
+        assert!(!program.log_contains("no current configuration from the coordinators"));
+        wait_until(|| coordinators.heartbeats.borrow().len() > 10).await;
         assert_eq!((status(&program, "look").await, coordinators.fetches.get()), (200, 0));
         // A balancer that follows no service reports no configuration and is notified of none.
         coordinators.supports_configuration.set(true);
         let other =
             Program::start(&temp_dir("none"), &config_toml(up.address, &coordinators.addresses, "")).await;
         let heartbeats = coordinators.heartbeats.borrow().len();
-        until(|| {
+        wait_until(|| {
             coordinators.heartbeats.borrow()[heartbeats..]
                 .iter()
                 .filter(|b| b.configuration.is_none())
@@ -356,7 +358,7 @@
 #[test]
 fn start_without_coordinators_uses_valid_cache_in_time() {
     run(async {
-        let (up, coordinators) = (stand_in(|_, _| ok("whole")).await, Coordinators::start(2).await);
+        let (up, coordinators) = (start_stub(|_, _| ok("whole")).await, Coordinators::start(2).await);
         let folder = temp_dir("copy");
         let text = config_toml(up.address, &coordinators.addresses, &format!("{SHOP}\nwait_ms = 300"));
         let program = Program::start(&folder, &text).await;
@@ -376,8 +378,8 @@
         let from = Instant::now();
         let program = Program::start(&folder, &text).await;
         assert!(from.elapsed() >= Duration::from_millis(300));
-        assert!(program.says(&format!("configuration {version} is in force, from the cache")));
-        assert!(program.says("no current configuration from the coordinators in time"));
+        assert!(program.log_contains(&format!("configuration {version} is in force, from the cache")));
+        assert!(program.log_contains("no current configuration from the coordinators in time"));
         assert_eq!((status(&program, "kept").await, status(&program, "look").await), (200, 404));
         program.kill();
         let cut = &whole[..whole.len() / 2];
@@ -385,7 +387,7 @@
         for damaged in [cut, "", "{}", &other, &whole.replace("\"z\"", "\"y\""), "\u{0}"] {
             std::fs::write(&path, damaged).expect("access the test file");
             let program = Program::start(&folder, &text).await;
-            assert_eq!(program.times("cached configuration ignored: "), 1, "{:?}", program.log());
+            assert_eq!(program.log_count("cached configuration ignored: "), 1, "{:?}", program.log());
             assert_eq!((status(&program, "kept").await, status(&program, "look").await), (404, 200));
             program.kill();
         }
@@ -393,7 +395,7 @@
         std::fs::write(&path, &whole).expect("access the test file");
         let program =
             Program::start(&folder, &text.replace("zone = \"z\"\n[fleet]", "zone = \"x\"\n[fleet]")).await;
-        assert_eq!(program.times("cached configuration ignored: not for balancer n0"), 1);
+        assert_eq!(program.log_count("cached configuration ignored: not for balancer n0"), 1);
         program.kill();
         // The coordinators are back: their configuration becomes active before the balancer serves.
         coordinators.answers_heartbeats.set(true);
@@ -409,7 +411,7 @@
 #[test]
 fn configuration_takes_effect_when_cache_write_fails() {
     run(async {
-        let (up, coordinators) = (stand_in(|_, _| ok("whole")).await, Coordinators::start(1).await);
+        let (up, coordinators) = (start_stub(|_, _| ok("whole")).await, Coordinators::start(1).await);
         let folder = temp_dir("disk");
         let place = folder.join("gone");
         let text = config_toml(
@@ -423,12 +425,12 @@
             coordinators.until_active(version).await;
             assert_eq!(status(&program, &format!("m{n}")).await, 200);
         }
-        assert_eq!(program.times("in force but not cached"), 1, "{:?}", program.log());
+        assert_eq!(program.log_count("in force but not cached"), 1, "{:?}", program.log());
         assert_eq!(metrics(&program).await["fleet"]["configuration"]["kept"], false);
         std::fs::create_dir(&place).expect("access the test directory");
         let version = coordinators.put(&method("last"));
         coordinators.until_active(version).await;
-        assert_eq!(program.times("is cached, writes to the cache work again"), 1);
+        assert_eq!(program.log_count("is cached, writes to the cache work again"), 1);
         program.kill();
         coordinators.answers_heartbeats.set(false);
         let program = Program::start(&folder, &text).await;
@@ -444,10 +446,10 @@
 fn open_rpcs_keep_their_settings_and_none_is_lost() {
     run(async {
         let slow = |_, message: &Message| match message.target.as_str() {
-            "/look" => Deed::Silence,
+            "/look" => Reply::NoReply,
             _ => ok("whole"),
         };
-        let (up, coordinators) = (stand_in(slow).await, Coordinators::start(2).await);
+        let (up, coordinators) = (start_stub(slow).await, Coordinators::start(2).await);
         let program =
             Program::start(&temp_dir("flight"), &config_toml(up.address, &coordinators.addresses, SHOP))
                 .await;
@@ -456,18 +458,18 @@
         coordinators.until_active(first).await;
         // Accepted with a hard deadline of 3 s, and open while the method's deadline becomes 0.2 s and the method is removed.
         let from = Instant::now();
-        let mut open = send(program.address, rpc("GET", "/look", "")).await;
-        until(|| up.seen.borrow().iter().any(|seen| seen.target == "/look")).await;
-        let load = Load::start(4, program.address);
+        let mut open = send(program.address, rpc_head("GET", "/look", "")).await;
+        wait_until(|| up.received.borrow().iter().any(|seen| seen.target == "/look")).await;
+        let load = CallerLoad::start(4, program.address);
         for n in 0..12 {
             let short = method("look").replace("3000", "200");
             let version = coordinators.put(&if n % 2 == 0 { short + pay } else { pay.to_owned() });
-            load.more(20).await;
+            load.wait_for_answers(20).await;
             coordinators.until_active(version).await;
         }
-        load.end().await;
+        load.finish().await;
         assert_eq!(status(&program, "look").await, 404);
-        let end = read(&mut open).await.expect("read the answer");
+        let end = read_message(&mut open).await.expect("read the answer");
         assert!(from.elapsed() > Duration::from_millis(2500), "{:?} {}", from.elapsed(), end.head);
         assert_ne!(end.status(), 404);
         let metrics = metrics(&program).await;
@@ -480,28 +482,28 @@
 #[test]
 fn requested_shares_follow_a_change_of_tenants() {
     run(async {
-        let (up, coordinators) = (stand_in(|_, _| ok("whole")).await, Coordinators::start(1).await);
+        let (up, coordinators) = (start_stub(|_, _| ok("whole")).await, Coordinators::start(1).await);
         let text = config_toml(up.address, &coordinators.addresses, SHOP);
         let program = Program::start(&temp_dir("tenants"), &text).await;
         let asked = || -> Vec<String> {
             let heartbeats = coordinators.heartbeats.borrow();
             heartbeats.last().map(|heartbeat| heartbeat.demand.keys().cloned().collect()).unwrap_or_default()
         };
-        until(|| asked() == ["acme"]).await;
+        wait_until(|| asked() == ["acme"]).await;
         let tenant = |name: &str| format!("[[tenant]]\nname = \"{name}\"\nrate = 10\n");
         let version = coordinators.put(&(tenant("acme") + &tenant("bolt")));
         coordinators.until_active(version).await;
-        until(|| asked() == ["acme", "bolt"]).await;
+        wait_until(|| asked() == ["acme", "bolt"]).await;
         coordinators.put(&tenant("bolt"));
-        until(|| asked() == ["bolt"]).await;
+        wait_until(|| asked() == ["bolt"]).await;
         // The same by SIGHUP, once the fleet no longer sets tenants.
         coordinators.put("");
-        until(|| asked() == ["acme"]).await;
+        wait_until(|| asked() == ["acme"]).await;
         program.reload(&text.replace("\"acme\"", "\"dart\""));
-        until(|| asked() == ["dart"]).await;
+        wait_until(|| asked() == ["dart"]).await;
         let heartbeats = coordinators.heartbeats.borrow().len();
-        until(|| coordinators.heartbeats.borrow().len() > heartbeats + 3).await;
-        assert!(!program.says("nothing has changed"), "{:?}", program.log());
+        wait_until(|| coordinators.heartbeats.borrow().len() > heartbeats + 3).await;
+        assert!(!program.log_contains("nothing has changed"), "{:?}", program.log());
     });
 }
 
@@ -509,7 +511,7 @@
 #[test]
 fn successor_starts_with_the_active_configuration() {
     run(async {
-        let (up, coordinators) = (stand_in(|_, _| ok("whole")).await, Coordinators::start(1).await);
+        let (up, coordinators) = (start_stub(|_, _| ok("whole")).await, Coordinators::start(1).await);
         let folder = temp_dir("successor");
         let text = config_toml(up.address, &coordinators.addresses, &format!("{SHOP}\nwait_ms = 200"));
         let old = Program::start(&folder, &text).await;
@@ -517,8 +519,12 @@
         coordinators.until_active(first).await;
         coordinators.answers_heartbeats.set(false);
         let new = Program::start(&folder, &text).await;
-        assert!(new.says(&format!("configuration {first} is in force, from the cache")), "{:?}", new.log());
-        assert!(new.says("taking over"));
+        assert!(
+            new.log_contains(&format!("configuration {first} is in force, from the cache")),
+            "{:?}",
+            new.log()
+        );
+        assert!(new.log_contains("taking over"));
         assert_eq!((status(&new, "first").await, status(&new, "look").await), (200, 404));
         old.exits_cleanly().await;
         coordinators.answers_heartbeats.set(true);
--- a/crates/fernroute-server/tests/discovery_latency.rs
+++ b/crates/fernroute-server/tests/discovery_latency.rs
@@ -3,10 +3,10 @@
 
 mod common;
 
-use common::{entry, instance_config, run, until};
+use common::{instance_config, list_entry, run, wait_until};
 use fernroute_server::program::serve::{self, RunningInstance};
-use fernroute_test_support::http::{answer, Message, Peer};
-use fernroute_test_support::stand_in::{Deed, Held};
+use fernroute_test_support::http::{response, Connection, Message};
+use fernroute_test_support::stub::{FullBacklog, Reply};
 use futures_util::future::join_all;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -63,7 +63,7 @@
                 let (discovery, script) = (Rc::clone(&serving), Rc::clone(&script));
                 let number = discovery.connections.replace(discovery.connections.get() + 1);
                 spawn_local(async move {
-                    let mut peer = Peer::new(stream);
+                    let mut peer = Connection::new(stream);
                     while let Ok(Some(message)) = peer.read().await {
                         let n = discovery.calls.borrow().len();
                         // A balancer that has the change gets no further answer.
@@ -91,17 +91,17 @@
     }
 
     async fn until_called(&self, times: usize) -> Instant {
-        until(|| self.count() >= times).await;
+        wait_until(|| self.count() >= times).await;
         self.calls.borrow()[times - 1].0
     }
 }
 
 impl Action {
-    async fn perform(self, peer: &mut Peer) -> std::io::Result<()> {
+    async fn perform(self, peer: &mut Connection) -> std::io::Result<()> {
         match self {
-            Action::Send(list) => peer.write(&answer(200, "", &list)).await,
+            Action::Send(list) => peer.write(&response(200, "", &list)).await,
             Action::SendSlowly(list, over) => {
-                let bytes = answer(200, "", &list);
+                let bytes = response(200, "", &list);
                 // Paced by absolute times, so that delays of a busy machine do not add up.
                 let (begun, pieces) = (Instant::now(), bytes.chunks(5));
                 let step = over / pieces.len() as u32;
@@ -129,7 +129,7 @@
             }
             Action::Stall(bytes) => peer.write(bytes.as_bytes()).await,
             Action::Silence | Action::KillConnections => Ok(()),
-            Action::Refuse => peer.write(&answer(503, "", "")).await,
+            Action::Refuse => peer.write(&response(503, "", "")).await,
         }
     }
 }
@@ -144,12 +144,12 @@
 
 /// The list that is known at first.
 fn initial_list() -> String {
-    full_list(8, &entry("s-0", unused_address(), "z", "SERVING"))
+    full_list(8, &list_entry("s-0", unused_address(), "z", "SERVING"))
 }
 
 /// The list with the change: another upstream replaces the first one.
 fn changed_list() -> String {
-    full_list(9, &entry("s-9", unused_address(), "z", "SERVING"))
+    full_list(9, &list_entry("s-9", unused_address(), "z", "SERVING"))
 }
 
 fn is_applied(b: &RunningInstance) -> bool {
@@ -173,7 +173,7 @@
 
 /// Waits until `condition` holds, and checks that this took less than `limit` since `from`.
 async fn holds_within(from: Instant, limit: Duration, condition: impl Fn() -> bool) {
-    until(&condition).await;
+    wait_until(&condition).await;
     println!("{:?} {:?}", std::thread::current().name().unwrap_or_default(), from.elapsed());
     assert!(from.elapsed() < limit, "{:?}", from.elapsed());
 }
@@ -265,7 +265,7 @@
         let b = balancer(discovery.address, None).await;
         discovery.until_called(2).await;
         two.set(true);
-        until(|| b.board.list_version.get() == Some(8)).await;
+        wait_until(|| b.board.list_version.get() == Some(8)).await;
         done.set(true);
         let from = discovery.until_called(3).await;
         assert!(discovery.dead.get() >= 2);
@@ -355,7 +355,7 @@
     run(async {
         let one = || async {
             let (full, old) = (
-                Held::new().await.expect("fill the accept queue"),
+                FullBacklog::new().await.expect("fill the accept queue"),
                 Discovery::start(|_, _| Action::Silence).await,
             );
             let b = balancer(old.address, None).await;
@@ -363,8 +363,8 @@
             let from = Instant::now();
             b.set_discovery(full.address);
             sleep(Duration::from_millis(100)).await;
-            let there = full.let_go(|_, _| Deed::Say(answer(200, "", &changed_list())));
-            until(|| is_applied(&b)).await;
+            let there = full.release(|_, _| Reply::Send(response(200, "", &changed_list())));
+            wait_until(|| is_applied(&b)).await;
             assert!(there.connections.get() > 0);
             from.elapsed()
         };
--- a/crates/fernroute-server/tests/forms.rs
+++ b/crates/fernroute-server/tests/message_forms.rs
@@ -1,15 +1,18 @@
-//! All forms that HTTP/1.1 knows, on either side, and large bodies both ways.
+//! HTTP/1.1 message forms accepted from callers and upstreams, and large bodies in both directions.
 
 mod common;
 
-use common::{ask, balancer, balancer_at, connect, ok, read, rpc, run, send, stand_in, until, Deed};
+use common::{
+    balancer, balancer_at, connect, ok, read_message, rpc_head, run, send, send_and_read, start_stub,
+    wait_until, Reply,
+};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Everything up to the end of the connection.
-async fn to_the_end(stream: &mut TcpStream) -> Vec<u8> {
+/// Reads until the end of the connection.
+async fn read_to_end(stream: &mut TcpStream) -> Vec<u8> {
     let mut all = Vec::new();
     let _ = stream.read_to_end(&mut all).await;
     all
@@ -18,12 +21,12 @@
 #[test]
 fn requests_are_accepted_in_every_valid_form() {
     run(async {
-        let up = stand_in(|_, message| {
+        let up = start_stub(|_, message| {
             ok(if message.head.starts_with("GET /look") && message.body.is_empty() { "whole" } else { "odd" })
         })
         .await;
         let b = balancer(&[&up], &[]).await;
-        let good = || rpc("GET", "/look/a?b=c", "");
+        let good = || rpc_head("GET", "/look/a?b=c", "");
         let cases = [
             good(),
             good().replace("GET /look", "GET http://app.svc/look"),
@@ -48,28 +51,28 @@
         ];
         for bytes in cases {
             let mut stream = connect(b.address).await;
-            // Byte by byte, as the poorest line would.
+            // Byte by byte, to exercise every partial read.
             for byte in bytes.as_bytes() {
                 stream.write_all(&[*byte]).await.expect("write to the socket");
             }
-            let mut answer = read(&mut stream).await.expect("read the answer");
+            let mut answer = read_message(&mut stream).await.expect("read the answer");
             if answer.status() == 100 {
-                answer = read(&mut stream).await.expect("read the answer");
+                answer = read_message(&mut stream).await.expect("read the answer");
             }
             assert_eq!((answer.status(), answer.body.as_slice()), (200, &b"whole"[..]), "{bytes}");
         }
     });
 }
 
-/// An upstream that takes whatever comes, answers with these bytes, and ends the connection.
-async fn plain_upstream(answer: Vec<u8>) -> SocketAddr {
+/// An upstream that answers each first message with these bytes and closes the connection.
+async fn raw_upstream(answer: Vec<u8>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind a listener");
     let address = listener.local_addr().expect("local address");
     actix_rt::spawn(async move {
         while let Ok((mut stream, _)) = listener.accept().await {
             let answer = answer.clone();
             actix_rt::spawn(async move {
-                if read(&mut stream).await.is_some() {
+                if read_message(&mut stream).await.is_some() {
                     let _ = stream.write_all(&answer).await;
                 }
             });
@@ -91,20 +94,20 @@
             "HTTP/1.0 200 OK\r\nContent-Length: 5\r\n\r\nwhole",
         ];
         for answer in cases {
-            let b = balancer_at(&[plain_upstream(answer.as_bytes().to_vec()).await], &[]).await;
-            let got = ask(b.address, rpc("GET", "/look", "")).await;
+            let b = balancer_at(&[raw_upstream(answer.as_bytes().to_vec()).await], &[]).await;
+            let got = send_and_read(b.address, rpc_head("GET", "/look", "")).await;
             assert_eq!((got.status(), got.body.as_slice()), (200, &b"whole"[..]), "{answer}");
             assert!(got.header("x-one").is_none() && got.header("connection").is_none(), "{}", got.head);
         }
-        // Nothing tells where these end, or they end too early: never an answer.
+        // The end of these is not defined, or they end too early: never an answer.
         for answer in [
             "HTTP/1.1 200 OK\r\n\r\nwhole",
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nwhole\r\n",
             "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nwhole",
             "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nwhole\r\n0\r\n\r\n",
         ] {
-            let b = balancer_at(&[plain_upstream(answer.as_bytes().to_vec()).await], &[]).await;
-            let got = ask(b.address, rpc("POST", "/pay", "Content-Length: 0\r\n")).await;
+            let b = balancer_at(&[raw_upstream(answer.as_bytes().to_vec()).await], &[]).await;
+            let got = send_and_read(b.address, rpc_head("POST", "/pay", "Content-Length: 0\r\n")).await;
             assert_eq!(got.status(), 502, "{answer}");
         }
     });
@@ -116,7 +119,7 @@
     (0..length).map(|i| (i % 251) as u8).collect()
 }
 
-fn in_chunks(body: &[u8], size: usize) -> Vec<u8> {
+fn encode_chunked(body: &[u8], size: usize) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(body.len() * 2);
     for chunk in body.chunks(size) {
         bytes.extend_from_slice(format!("{:x}\r\n", chunk.len()).as_bytes());
@@ -127,8 +130,8 @@
     bytes
 }
 
-/// The body of a message in chunks.
-fn out_of_chunks(mut bytes: &[u8]) -> Option<Vec<u8>> {
+/// Decodes a chunked body.
+fn decode_chunked(mut bytes: &[u8]) -> Option<Vec<u8>> {
     let mut body = Vec::new();
     loop {
         let line = bytes.iter().position(|b| *b == b'\n')?;
@@ -142,7 +145,7 @@
     }
 }
 
-/// Sends bytes and reads to the end at the same time.
+/// Sends bytes while reading to the end of the connection. Returns the head and the rest.
 async fn exchange(at: SocketAddr, bytes: Vec<u8>) -> (String, Vec<u8>) {
     let stream = connect(at).await;
     let (mut from, mut to) = stream.into_split();
@@ -157,8 +160,8 @@
     (String::from_utf8_lossy(&all[..head]).into_owned(), all.split_off(head))
 }
 
-/// Guards against bodies that are held back, cut, mixed up or kept in memory: 32 MB both ways, of stated length and in
-/// chunks down to a few bytes.
+/// Guards against bodies that are held back, truncated, mixed up or kept in memory: 32 MiB in both directions, with a
+/// Content-Length and in chunks down to a few bytes.
 #[test]
 fn large_bodies_are_forwarded_completely() {
     run(async {
@@ -179,16 +182,16 @@
                     assert!(stream.read_buf(&mut all).await.expect("read more bytes") > 0);
                 }
                 let head = all.windows(4).position(|w| w == b"\r\n\r\n").expect("message head") + 4;
-                let came = if sized {
+                let received = if sized {
                     all[head..].to_vec()
                 } else {
-                    out_of_chunks(&all[head..]).expect("complete chunked body")
+                    decode_chunked(&all[head..]).expect("complete chunked body")
                 };
-                assert!(came == sent, "{} bytes came", came.len());
+                assert!(received == sent, "{} bytes received", received.len());
                 let answer = match answer_in {
                     Some(size) => [
                         &b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"[..],
-                        &in_chunks(&sent, size)[..],
+                        &encode_chunked(&sent, size)[..],
                     ]
                     .concat(),
                     None => {
@@ -202,28 +205,32 @@
             let b = balancer_at(&[address], &[]).await;
             let request = match size {
                 Some(size) => {
-                    let head = rpc("POST", "/pay", "Transfer-Encoding: chunked\r\nConnection: close\r\n");
-                    [head.as_bytes(), &in_chunks(&body, size)].concat()
+                    let head =
+                        rpc_head("POST", "/pay", "Transfer-Encoding: chunked\r\nConnection: close\r\n");
+                    [head.as_bytes(), &encode_chunked(&body, size)].concat()
                 }
                 None => {
-                    let head =
-                        rpc("POST", "/pay", &format!("Content-Length: {LARGE}\r\nConnection: close\r\n"));
+                    let head = rpc_head(
+                        "POST",
+                        "/pay",
+                        &format!("Content-Length: {LARGE}\r\nConnection: close\r\n"),
+                    );
                     [head.as_bytes(), &body[..]].concat()
                 }
             };
             let (head, got) = exchange(b.address, request).await;
             assert!(head.starts_with("HTTP/1.1 200"), "{head}");
             let got =
-                if head.to_ascii_lowercase().contains("chunked") { out_of_chunks(&got) } else { Some(got) };
+                if head.to_ascii_lowercase().contains("chunked") { decode_chunked(&got) } else { Some(got) };
             assert!(got.is_some_and(|got| got == body));
-            let told = b.board.metrics();
-            assert_eq!((told.ends["pay"].completed, told.outstanding, told.attempts), (1, 0, 1));
+            let metrics = b.board.metrics();
+            assert_eq!((metrics.ends["pay"].completed, metrics.outstanding, metrics.attempts), (1, 0, 1));
         }
     });
 }
 
-/// Guards against a long answer that is held back until it is whole, that a time-out cuts while the upstream still
-/// gives, whose cut end passes for whole, or that is sent for again.
+/// Guards against a long answer that is held back until it is complete, that a time-out cuts off while the upstream is still
+/// sending, that passes for complete though truncated, or that is requested again.
 #[test]
 fn long_answer_is_streamed() {
     run(async {
@@ -238,7 +245,7 @@
         actix_rt::spawn(async move {
             while let Ok((mut stream, _)) = listener.accept().await {
                 counted.set(counted.get() + 1);
-                read(&mut stream).await.expect("read the message");
+                read_message(&mut stream).await.expect("read the message");
                 let head = "HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n";
                 stream.write_all(&[head.as_bytes(), &sent].concat()).await.expect("write to the socket");
                 going.notified().await;
@@ -248,31 +255,31 @@
             }
         });
         let b = balancer_at(&[address], &[]).await;
-        for whole in [true, false] {
-            let mut caller = send(b.address, rpc("GET", "/look", "").replace("4000", "300")).await;
+        for complete in [true, false] {
+            let mut caller = send(b.address, rpc_head("GET", "/look", "").replace("4000", "300")).await;
             let mut first = vec![0; 100_000];
             caller.read_exact(&mut first).await.expect("read the start of the answer");
             assert_eq!(b.board.metrics().outstanding, 1);
-            // Long past its deadline it is still open.
+            // Still open long after its deadline.
             actix_rt::time::sleep(Duration::from_millis(600)).await;
             go.notify_one();
-            let rest = if whole {
+            let rest = if complete {
                 let mut rest = vec![0; 100_000 - 1000];
                 caller.read_exact(&mut rest).await.expect("read the rest of the answer");
                 rest
             } else {
-                to_the_end(&mut caller).await
+                read_to_end(&mut caller).await
             };
-            assert_eq!(rest.len() > 50_000, whole, "{}", rest.len());
-            until(|| b.board.metrics().outstanding == 0).await;
+            assert_eq!(rest.len() > 50_000, complete, "{}", rest.len());
+            wait_until(|| b.board.metrics().outstanding == 0).await;
         }
-        let told = b.board.metrics().ends["look"];
-        assert_eq!((told.completed, told.errored, calls.get()), (1, 1, 2));
+        let results = b.board.metrics().ends["look"];
+        assert_eq!((results.completed, results.errored, calls.get()), (1, 1, 2));
     });
 }
 
-/// Guards against an upload that is answered only after its last byte, that runs on an upstream that never had it whole,
-/// or that is held on to for who stopped to send it.
+/// Guards against an upload that is answered only after its last byte, that runs on an upstream which did not receive all of it,
+/// or that stays open after its caller stopped sending.
 #[test]
 fn failed_upload_ends_early() {
     run(async {
@@ -293,46 +300,47 @@
             }
         });
         let b = balancer_at(&[address], &[]).await;
-        let head = |path: &str| rpc("POST", path, "Content-Length: 9000000\r\n");
-        // Turned away by the upstream while it comes: refused at once, and the rest is no RPC.
+        let head = |path: &str| rpc_head("POST", path, "Content-Length: 9000000\r\n");
+        // Declined by the upstream during the upload: answered at once, and the rest is not read as an RPC.
         let mut early = send(b.address, [head("/pay/early").as_bytes(), &pattern(200_000)].concat()).await;
-        assert_eq!(read(&mut early).await.expect("read the answer").status(), 503);
-        // Its caller stops: told so in time, and nothing has run.
+        assert_eq!(read_message(&mut early).await.expect("read the answer").status(), 503);
+        // The caller stops sending: it gets an error in time, and nothing has run.
         let mut stops = send(b.address, [head("/pay").as_bytes(), &pattern(200_000)].concat()).await;
         let from = std::time::Instant::now();
-        let told = read(&mut stops).await.expect("read the answer").status();
-        assert!(told >= 400 && from.elapsed() < Duration::from_secs(3), "{told} {:?}", from.elapsed());
-        // Its caller goes.
+        let status = read_message(&mut stops).await.expect("read the answer").status();
+        assert!(status >= 400 && from.elapsed() < Duration::from_secs(3), "{status} {:?}", from.elapsed());
+        // The caller leaves.
         drop(send(b.address, [head("/pay").as_bytes(), &pattern(200_000)].concat()).await);
-        until(|| b.board.metrics().left == 1 && b.board.open.borrow().is_empty()).await;
-        // More than any RPC may hold, said or not.
+        wait_until(|| b.board.metrics().left == 1 && b.board.open.borrow().is_empty()).await;
+        // Larger than the limit, with and without a Content-Length.
         let (said, _) =
-            exchange(b.address, rpc("POST", "/pay", "Content-Length: 33554433\r\n").into_bytes()).await;
+            exchange(b.address, rpc_head("POST", "/pay", "Content-Length: 33554433\r\n").into_bytes()).await;
         assert!(said.starts_with("HTTP/1.1 413"), "{said}");
-        let chunks = in_chunks(&pattern(LARGE + 1), 1 << 20);
-        let request = [rpc("POST", "/pay", "Transfer-Encoding: chunked\r\n").as_bytes(), &chunks].concat();
+        let chunks = encode_chunked(&pattern(LARGE + 1), 1 << 20);
+        let request =
+            [rpc_head("POST", "/pay", "Transfer-Encoding: chunked\r\n").as_bytes(), &chunks].concat();
         let (said, _) = exchange(b.address, request).await;
         assert!(said.starts_with("HTTP/1.1 413"), "{said}");
         assert_eq!(b.board.metrics().attempts, 0);
     });
 }
 
-/// Guards against a caller that is cut off because it is slow, and one that holds a connection without an end.
+/// Guards against cutting off a slow caller that makes progress, and against a deadline that starts before the last byte.
 #[test]
 fn slow_upload_is_limited_by_progress_and_deadline_starts_at_last_byte() {
     run(async {
         let up =
-            stand_in(|_, message| if message.body.len() == 100_000 { ok("whole") } else { Deed::Silence })
+            start_stub(|_, message| if message.body.len() == 100_000 { ok("whole") } else { Reply::NoReply })
                 .await;
         let b = balancer(&[&up], &[]).await;
         let body = pattern(100_000);
-        let head = rpc("POST", "/pay", "Content-Length: 100000\r\n").replace("4000", "500");
+        let head = rpc_head("POST", "/pay", "Content-Length: 100000\r\n").replace("4000", "500");
         let mut caller = send(b.address, head).await;
         for part in body.chunks(10_000) {
             caller.write_all(part).await.expect("write to the socket");
             actix_rt::time::sleep(Duration::from_millis(100)).await;
         }
-        let answer = read(&mut caller).await.expect("read the answer");
+        let answer = read_message(&mut caller).await.expect("read the answer");
         assert_eq!((answer.status(), answer.body.as_slice()), (200, &b"whole"[..]));
     });
 }
--- a/crates/fernroute-server/tests/program.rs
+++ b/crates/fernroute-server/tests/program.rs
@@ -4,7 +4,10 @@
 #[path = "common/process.rs"]
 mod process;
 
-use common::{ask, balancer, connect, instance_config, ok, read, rpc, run, send, stand_in, until, Deed};
+use common::{
+    balancer, connect, instance_config, ok, read_message, rpc_head, run, send, send_and_read, start_stub,
+    wait_until, Reply,
+};
 use fernroute_server::program::instance::InstanceConfig;
 use fernroute_server::program::{serve, shutdown};
 use fernroute_server::protocol::list::{self as lists, State};
@@ -19,22 +22,22 @@
 
 const READY: &str = "GET /-/ready HTTP/1.1\r\nHost: n0\r\n\r\n";
 
-fn list(version: u64, full: bool, entries: &str) -> Deed {
+fn list(version: u64, full: bool, entries: &str) -> Reply {
     ok(&format!(r#"{{"version":{version},"full":{full},"servers":[{entries}]}}"#))
 }
 
 #[test]
 fn follows_the_target_list_through_truncated_answers_and_bad_entries() {
     run(async {
-        let up = stand_in(|_, _| ok("whole")).await;
+        let up = start_stub(|_, _| ok("whole")).await;
         let address = up.address;
         let entry = move |id: &str, state: &str| {
             format!(
                 r#"{{"id":"{id}","addr":"{address}","zone":"z","cell":1,"state":"{state}","started_ms":0}}"#
             )
         };
-        let discovery = stand_in(move |n, _| match n {
-            0 => Deed::SayAndClose(b"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{\"version\":8".to_vec()),
+        let discovery = start_stub(move |n, _| match n {
+            0 => Reply::SendAndClose(b"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{\"version\":8".to_vec()),
             1 => ok("{}"),
             2 => {
                 let bad = r#"{"id":"s-8","state":"SERVING","addr":"nowhere"},5,"#;
@@ -42,22 +45,22 @@
             }
             3 => list(9, false, ""),
             4 => list(10, false, &entry("s-9", "DRAINING")),
-            _ => Deed::Silence,
+            _ => Reply::NoReply,
         })
         .await;
         let b = serve::start(instance_config(&[], discovery.address, &[])).await.expect("start the balancer");
-        assert_eq!(ask(b.address, READY).await.status(), 503);
-        until(|| discovery.seen.borrow().len() == 6).await;
-        let first = |n: usize| discovery.seen.borrow()[n].head.lines().next().map(str::to_owned);
+        assert_eq!(send_and_read(b.address, READY).await.status(), 503);
+        wait_until(|| discovery.received.borrow().len() == 6).await;
+        let first = |n: usize| discovery.received.borrow()[n].head.lines().next().map(str::to_owned);
         for (n, version) in [7, 7, 7, 8, 9, 10].iter().enumerate() {
             let line = first(n).expect("request line");
             assert!(line.starts_with(&format!("GET /api/targets?index={version}&wait=")), "{line}");
         }
         // The only upstream drains: nothing is sent to it, and the balancer is not ready.
-        assert_eq!(ask(b.address, READY).await.status(), 503);
-        let bytes = rpc("POST", "/pay", "Content-Length: 0\r\n").replace("4000", "300");
-        assert_eq!(ask(b.address, bytes).await.status(), 503);
-        assert!(up.seen.borrow().is_empty());
+        assert_eq!(send_and_read(b.address, READY).await.status(), 503);
+        let bytes = rpc_head("POST", "/pay", "Content-Length: 0\r\n").replace("4000", "300");
+        assert_eq!(send_and_read(b.address, bytes).await.status(), 503);
+        assert!(up.received.borrow().is_empty());
     });
 }
 
@@ -66,12 +69,12 @@
 #[test]
 fn doubtful_list_is_applied_only_after_confirmation() {
     run(async {
-        let up = stand_in(|_, _| ok("whole")).await;
+        let up = start_stub(|_, _| ok("whole")).await;
         let address = up.address;
         let entry = move |state: &str| {
             format!(r#"{{"id":"s-9","addr":"{address}","state":"{state}","started_ms":0}}"#)
         };
-        let discovery = stand_in(move |n, _| match n {
+        let discovery = start_stub(move |n, _| match n {
             0 => list(8, true, &entry("SERVING")),
             1 => list(9, true, ""),
             2 => list(10, true, &entry("SERVING")),
@@ -80,13 +83,13 @@
             4 => list(5, true, &entry("SERVING")),
             5 => list(12, true, &entry("DRAINING")),
             6 => list(12, true, ""),
-            _ => Deed::Silence,
+            _ => Reply::NoReply,
         })
         .await;
         let b = serve::start(instance_config(&[], discovery.address, &[])).await.expect("start the balancer");
         let mut most = 0;
-        until(|| {
-            let seen = discovery.seen.borrow().len();
+        wait_until(|| {
+            let seen = discovery.received.borrow().len();
             // From the first list on there are upstreams, until an answer confirms that there are none.
             if (2..=6).contains(&seen) {
                 assert!(b.board.is_ready(), "after {seen} calls");
@@ -96,10 +99,11 @@
         })
         .await;
         assert!(most >= 5, "last observed after {most} calls");
-        until(|| !b.board.is_ready()).await;
-        let asked: Vec<bool> = discovery.seen.borrow().iter().map(|m| m.head.contains("?index=")).collect();
+        wait_until(|| !b.board.is_ready()).await;
+        let asked: Vec<bool> =
+            discovery.received.borrow().iter().map(|m| m.head.contains("?index=")).collect();
         assert_eq!(asked, [true, true, false, true, false, true, false, true]);
-        assert!(discovery.seen.borrow()[5].head.contains("?index=5&"));
+        assert!(discovery.received.borrow()[5].head.contains("?index=5&"));
     });
 }
 
@@ -176,26 +180,26 @@
 #[test]
 fn new_upstream_at_a_reused_address_gets_new_connections() {
     run(async {
-        let up = stand_in(|_, _| ok("whole")).await;
+        let up = start_stub(|_, _| ok("whole")).await;
         let address = up.address;
         let entry = move |id: &str| format!(r#"{{"id":"{id}","addr":"{address}","state":"SERVING"}}"#);
         // The first call is never answered; the list comes once discovery is set again below.
-        let discovery = stand_in(move |n, _| match n {
-            0 => Deed::Silence,
+        let discovery = start_stub(move |n, _| match n {
+            0 => Reply::NoReply,
             1 => list(8, true, &entry("s-9")),
-            _ => Deed::Silence,
+            _ => Reply::NoReply,
         });
         let discovery = discovery.await;
         let b = serve::start(instance_config(&[up.address], discovery.address, &[]))
             .await
             .expect("start the balancer");
-        assert_eq!(ask(b.address, rpc("GET", "/look", "")).await.status(), 200);
+        assert_eq!(send_and_read(b.address, rpc_head("GET", "/look", "")).await.status(), 200);
         common::until_reusable().await;
-        assert_eq!(ask(b.address, rpc("GET", "/look", "")).await.status(), 200);
-        assert_eq!((up.connections.get(), up.left.get()), (1, 0));
+        assert_eq!(send_and_read(b.address, rpc_head("GET", "/look", "")).await.status(), 200);
+        assert_eq!((up.connections.get(), up.closed.get()), (1, 0));
         b.set_discovery(discovery.address);
-        until(|| up.left.get() == 1).await;
-        assert_eq!(ask(b.address, rpc("GET", "/look", "")).await.status(), 200);
+        wait_until(|| up.closed.get() == 1).await;
+        assert_eq!(send_and_read(b.address, rpc_head("GET", "/look", "")).await.status(), 200);
         assert_eq!(up.connections.get(), 2);
     });
 }
@@ -204,10 +208,10 @@
 #[test]
 fn polls_discovery_at_the_decided_times() {
     run(async {
-        let discovery = stand_in(|n, _| match n {
-            0 => common::say("503 No"),
+        let discovery = start_stub(|n, _| match n {
+            0 => common::status_reply("503 No"),
             1 => list(8, true, ""),
-            _ => Deed::Silence,
+            _ => Reply::NoReply,
         })
         .await;
         let ask = [
@@ -218,7 +222,7 @@
         let from = Instant::now();
         let b =
             serve::start(instance_config(&[], discovery.address, &ask)).await.expect("start the balancer");
-        until(|| discovery.seen.borrow().len() == 3).await;
+        wait_until(|| discovery.received.borrow().len() == 3).await;
         assert!(from.elapsed() >= Duration::from_millis(300), "{:?}", from.elapsed());
         drop(b);
     });
@@ -227,10 +231,10 @@
 #[test]
 fn starts_from_the_configured_list() {
     run(async {
-        let up = stand_in(|_, _| ok("whole")).await;
+        let up = start_stub(|_, _| ok("whole")).await;
         let b = balancer(&[&up], &[]).await;
-        assert_eq!(ask(b.address, READY).await.status(), 200);
-        assert_eq!(ask(b.address, rpc("GET", "/look", "")).await.status(), 200);
+        assert_eq!(send_and_read(b.address, READY).await.status(), 200);
+        assert_eq!(send_and_read(b.address, rpc_head("GET", "/look", "")).await.status(), 200);
     });
 }
 
@@ -238,7 +242,7 @@
 #[test]
 fn shutdown_completes_once_all_rpcs_are_answered() {
     run(async {
-        let up = stand_in(|n, _| if n < 2 { Deed::Silence } else { ok("whole") }).await;
+        let up = start_stub(|n, _| if n < 2 { Reply::NoReply } else { ok("whole") }).await;
         // The shutdown lasts at most 1.7 s (a deadline of 1 s and 0.7 s more); an unanswered RPC is not sent again meanwhile.
         let changes = [
             (r#""soft-deadline-s":2.5"#, r#""soft-deadline-s":1.0"#),
@@ -247,20 +251,20 @@
         ];
         let b = balancer(&[&up], &changes).await;
         let mut idle = connect(b.address).await;
-        let mut busy = send(b.address, rpc("GET", "/look", "").replace("4000", "1100")).await;
-        until(|| up.seen.borrow().len() == 1).await;
-        let mut open = send(b.address, rpc("GET", "/look", "").replace("4000", "90000")).await;
-        until(|| up.seen.borrow().len() == 2).await;
+        let mut busy = send(b.address, rpc_head("GET", "/look", "").replace("4000", "1100")).await;
+        wait_until(|| up.received.borrow().len() == 1).await;
+        let mut open = send(b.address, rpc_head("GET", "/look", "").replace("4000", "90000")).await;
+        wait_until(|| up.received.borrow().len() == 2).await;
         let (board, server, from) = (b.board.clone(), b.server.clone(), Instant::now());
         let end = actix_rt::spawn(async move { shutdown::shut_down(&board, &server).await });
-        until(|| b.board.phase.get().is_shutting_down()).await;
-        assert_eq!(ask(b.address, READY).await.status(), 503);
-        let late = ask(b.address, rpc("GET", "/look", "")).await;
+        wait_until(|| b.board.phase.get().is_shutting_down()).await;
+        assert_eq!(send_and_read(b.address, READY).await.status(), 503);
+        let late = send_and_read(b.address, rpc_head("GET", "/look", "")).await;
         assert!(late.status() == 200 && late.header("connection").is_none(), "{}", late.head);
         assert_eq!(idle.read(&mut [0; 1]).await.expect("close without a reset"), 0);
-        let last = read(&mut busy).await.expect("read the answer");
+        let last = read_message(&mut busy).await.expect("read the answer");
         assert_eq!((last.status(), last.header("connection")), (503, Some("close")));
-        let last = read(&mut open).await.expect("read the answer");
+        let last = read_message(&mut open).await.expect("read the answer");
         assert_eq!((last.status(), last.header("connection")), (502, Some("close")));
         assert!(from.elapsed() < Duration::from_millis(1700), "{:?}", from.elapsed());
         end.await.expect("task completes");
@@ -272,15 +276,15 @@
 #[test]
 fn callers_are_served_until_the_end_of_the_shutdown_grace() {
     run(async {
-        let up = stand_in(|_, _| ok("whole")).await;
+        let up = start_stub(|_, _| ok("whole")).await;
         let b = balancer(&[&up], &[]).await;
         let mut kept = connect(b.address).await;
         let (board, server, from) = (b.board.clone(), b.server.clone(), Instant::now());
         let end = actix_rt::spawn(async move { shutdown::shut_down(&board, &server).await });
         let mut served = from.elapsed();
         // Until the balancer closes the connection.
-        while kept.write_all(rpc("GET", "/look", "").as_bytes()).await.is_ok() {
-            let Some(answer) = read(&mut kept).await else { break };
+        while kept.write_all(rpc_head("GET", "/look", "").as_bytes()).await.is_ok() {
+            let Some(answer) = read_message(&mut kept).await else { break };
             assert_eq!(answer.status(), 200);
             served = from.elapsed();
             actix_rt::time::sleep(Duration::from_millis(50)).await;
@@ -294,13 +298,13 @@
 #[test]
 fn sigterm_exits_with_code_0() {
     run(async {
-        let up = stand_in(|_, _| ok("whole")).await;
+        let up = start_stub(|_, _| ok("whole")).await;
         let program =
             Program::start(&temp_dir("signal"), &common::config_json(&[up.address], up.address, &[])).await;
         let mut kept = connect(program.address).await;
         for n in 0..2 {
-            kept.write_all(rpc("GET", "/look", "").as_bytes()).await.expect("write to the socket");
-            assert_eq!(read(&mut kept).await.expect("read the answer").status(), 200);
+            kept.write_all(rpc_head("GET", "/look", "").as_bytes()).await.expect("write to the socket");
+            assert_eq!(read_message(&mut kept).await.expect("read the answer").status(), 200);
             if n == 0 {
                 program.terminate();
                 // A reload does not interrupt the shutdown.
@@ -316,28 +320,28 @@
 #[test]
 fn reload_switches_to_another_discovery() {
     run(async {
-        let (one, two) = (stand_in(|_, _| ok("one")).await, stand_in(|_, _| ok("two")).await);
-        let old = stand_in(|_, _| Deed::Silence).await;
+        let (one, two) = (start_stub(|_, _| ok("one")).await, start_stub(|_, _| ok("two")).await);
+        let old = start_stub(|_, _| Reply::NoReply).await;
         let entry = format!(r#"{{"id":"s-2","addr":"{}","state":"SERVING"}}"#, two.address);
-        let new = stand_in(move |n, _| if n == 1 { list(3, true, &entry) } else { Deed::Silence }).await;
+        let new = start_stub(move |n, _| if n == 1 { list(3, true, &entry) } else { Reply::NoReply }).await;
         let config = |discovery| common::config_json(&[one.address], discovery, &[]);
         let program = Program::start(&temp_dir("reload"), &config(old.address)).await;
-        let body = || async { ask(program.address, rpc("GET", "/look", "")).await.body };
-        until(|| old.seen.borrow().len() == 1).await;
+        let body = || async { send_and_read(program.address, rpc_head("GET", "/look", "")).await.body };
+        wait_until(|| old.received.borrow().len() == 1).await;
         program.reload("no page at all");
         program.reload(&config(old.address));
         assert_eq!(body().await, b"one");
         program.reload(&config(new.address));
-        until(|| old.left.get() == 1).await;
-        until(|| new.seen.borrow().len() == 1).await;
+        wait_until(|| old.closed.get() == 1).await;
+        wait_until(|| new.received.borrow().len() == 1).await;
         // The new discovery has not answered yet: the known upstreams stay.
         assert_eq!(body().await, b"one");
-        until(|| new.seen.borrow().len() == 3).await;
+        wait_until(|| new.received.borrow().len() == 3).await;
         for (n, line) in ["GET /api/targets HTTP", "GET /api/targets HTTP", "GET /api/targets?index=3&wait="]
             .iter()
             .enumerate()
         {
-            assert!(new.seen.borrow()[n].head.starts_with(line), "{}", new.seen.borrow()[n].head);
+            assert!(new.received.borrow()[n].head.starts_with(line), "{}", new.received.borrow()[n].head);
         }
         assert_eq!((body().await, old.connections.get()), (b"two".to_vec(), 1));
         program.terminate();
@@ -365,21 +369,21 @@
     let counts = tracing_subscriber::registry().with(OpenedBreakers(&OPENED_BREAKERS));
     tracing::subscriber::set_global_default(counts).expect("no other global subscriber");
     run(async {
-        let up = stand_in(|n, _| if n < 12 { Deed::Silence } else { ok("whole") }).await;
+        let up = start_stub(|n, _| if n < 12 { Reply::NoReply } else { ok("whole") }).await;
         let b = balancer(&[&up, &up, &up, &up], &[("\"sockets\":1024", "\"sockets\":73")]).await;
         let mut waiting = Vec::new();
         for n in 0..12 {
-            waiting.push(send(b.address, rpc("GET", "/look", "")).await);
-            until(|| up.seen.borrow().len() > n).await;
+            waiting.push(send(b.address, rpc_head("GET", "/look", "")).await);
+            wait_until(|| up.received.borrow().len() > n).await;
         }
         for _ in 0..12 {
-            let answer = ask(b.address, rpc("POST", "/pay", "Content-Length: 0\r\n")).await;
+            let answer = send_and_read(b.address, rpc_head("POST", "/pay", "Content-Length: 0\r\n")).await;
             assert_eq!(answer.status(), 503);
         }
         assert_eq!(OPENED_BREAKERS.load(Ordering::Relaxed), 0);
         waiting.clear();
-        until(|| up.left.get() == 12).await;
-        assert_eq!(ask(b.address, rpc("GET", "/look", "")).await.status(), 200);
+        wait_until(|| up.closed.get() == 12).await;
+        assert_eq!(send_and_read(b.address, rpc_head("GET", "/look", "")).await.status(), 200);
     });
 }
 
@@ -495,7 +499,7 @@
                 let (body, counted) = (body.clone(), std::rc::Rc::clone(&counted));
                 let came = std::rc::Rc::clone(&came);
                 actix_rt::spawn(async move {
-                    while read(&mut stream).await.is_some() {
+                    while read_message(&mut stream).await.is_some() {
                         counted.set(counted.get() + 1);
                         let call = counted.get();
                         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
@@ -519,13 +523,13 @@
         });
         let from = Instant::now();
         let b = serve::start(instance_config(&[], address, &[])).await.expect("start the balancer");
-        until(|| calls.get() >= 2).await;
+        wait_until(|| calls.get() >= 2).await;
         assert!(from.elapsed() < Duration::from_millis(2500), "{:?}", from.elapsed());
-        until(|| b.board.is_ready()).await;
+        wait_until(|| b.board.is_ready()).await;
         // The slow list takes longer than the time-out for silent discovery, and the first slow call is still read to its end. At
         // most two further calls are made meanwhile, so that a change after its start is learned before it is complete.
         assert!(from.elapsed() > Duration::from_millis(4000), "{:?}", from.elapsed());
-        until(|| !whole.borrow().is_empty()).await;
+        wait_until(|| !whole.borrow().is_empty()).await;
         let (first, beside) = whole.borrow()[0];
         assert!(first == 2 && (1..=2).contains(&beside), "{first} {beside}");
     });
@@ -550,14 +554,14 @@
 fn settings_reload_under_load_in_both_directions() {
     run(async {
         let upstream = || async {
-            stand_in(|_, message| match message.head.contains("/pay") {
+            start_stub(|_, message| match message.head.contains("/pay") {
                 true => ok("paid"),
                 false => ok("whole"),
             })
             .await
         };
         let (one, two) = (upstream().await, upstream().await);
-        let agent = stand_in(|_, _| Deed::Silence).await;
+        let agent = start_stub(|_, _| Reply::NoReply).await;
         let ups = [one.address, two.address];
         let before = common::config_json(&ups, agent.address, &[]);
         let program = Program::start(&temp_dir("switch"), &before).await;
@@ -568,7 +572,8 @@
                 actix_rt::spawn(async move {
                     let mut ends = Vec::new();
                     while !stop.get() {
-                        let answer = ask(address, rpc("POST", "/pay", "Content-Length: 0\r\n")).await;
+                        let answer =
+                            send_and_read(address, rpc_head("POST", "/pay", "Content-Length: 0\r\n")).await;
                         ends.push(answer.status());
                     }
                     ends
@@ -577,26 +582,26 @@
             .collect();
         let put = "Idempotency-Key: k\r\nContent-Length: 0\r\n";
         let status = |verb: &'static str, path: &'static str, more: &'static str| async move {
-            ask(program.address, rpc(verb, path, more)).await.status()
+            send_and_read(program.address, rpc_head(verb, path, more)).await.status()
         };
         for turn in 0..3 {
             assert_eq!(status("POST", "/put", put).await, 200, "turn {turn}");
             assert_eq!(status("GET", "/other", "").await, 404, "turn {turn}");
             let after = changed_config(&ups, agent.address);
             program.reload(&after);
-            until(|| program.times("new settings are in effect") == 2 * turn + 1).await;
+            wait_until(|| program.log_count("new settings are in effect") == 2 * turn + 1).await;
             assert_eq!(status("GET", "/other", "").await, 200, "turn {turn}");
             assert_eq!(status("POST", "/put", put).await, 404, "turn {turn}");
             // A truncated file, and one with a value out of range.
             program.reload(&before[..before.len() / 2]);
-            until(|| program.times("nothing has changed") == 2 * turn + 1).await;
+            wait_until(|| program.log_count("nothing has changed") == 2 * turn + 1).await;
             program.reload(&after.replace(r#""cold-from":0.3"#, r#""cold-from":3"#));
-            until(|| program.times("out of range contract.cold-from") == turn + 1).await;
+            wait_until(|| program.log_count("out of range contract.cold-from") == turn + 1).await;
             assert_eq!(status("GET", "/other", "").await, 200, "turn {turn}");
             // Two in quick succession: the last one takes effect.
             program.reload(&after);
             program.reload(&before);
-            until(|| program.times("new settings are in effect") == 2 * turn + 2).await;
+            wait_until(|| program.log_count("new settings are in effect") == 2 * turn + 2).await;
         }
         stop.set(true);
         let mut ends = Vec::new();
@@ -604,7 +609,8 @@
             ends.extend(caller.await.expect("task completes"));
         }
         assert!(ends.len() > 20 && ends.iter().all(|end| *end == 200), "{ends:?}");
-        let seen = [&one, &two].map(|up| up.seen.borrow().iter().filter(|m| m.head.contains("/pay")).count());
+        let seen =
+            [&one, &two].map(|up| up.received.borrow().iter().filter(|m| m.head.contains("/pay")).count());
         assert_eq!(seen[0] + seen[1], ends.len(), "each RPC must run once");
         program.terminate();
         program.exits_cleanly().await;
--- a/crates/fernroute-server/tests/ready.rs
+++ b/crates/fernroute-server/tests/ready.rs
@@ -5,9 +5,11 @@
 #[path = "common/process.rs"]
 mod process;
 
-use common::{ask, config_json, is_ready, ok, rpc, run, stand_in, until, Deed, StandIn};
-use fernroute_test_support::process::addresses;
-use fernroute_test_support::stand_in::Held;
+use common::{
+    config_json, is_ready, ok, rpc_head, run, send_and_read, start_stub, wait_until, Reply, StubServer,
+};
+use fernroute_test_support::process::free_addresses;
+use fernroute_test_support::stub::FullBacklog;
 use futures_util::future::join_all;
 use process::{temp_dir, Program};
 use std::fs::File;
@@ -53,12 +55,12 @@
     }
 }
 
-async fn upstream() -> Rc<StandIn> {
-    stand_in(|_, message| if message.head.contains("/silent") { Deed::Silence } else { ok("whole") }).await
+async fn upstream() -> Rc<StubServer> {
+    start_stub(|_, message| if message.head.contains("/silent") { Reply::NoReply } else { ok("whole") }).await
 }
 
 /// A file with one upstream that is known, and an address that is the same at each start.
-fn file(listen: SocketAddr, up: &StandIn, discovery: SocketAddr) -> String {
+fn file(listen: SocketAddr, up: &StubServer, discovery: SocketAddr) -> String {
     let listen = format!(r#""listen":"{listen}""#);
     config_json(&[up.address], discovery, &[(r#""listen":"127.0.0.1:0""#, &listen)])
 }
@@ -72,7 +74,7 @@
     }
     println!("{:?} {:?}", std::thread::current().name().unwrap_or_default(), from.elapsed());
     assert!(from.elapsed() < READY, "{:?}", from.elapsed());
-    assert_eq!(ask(program.address, rpc("GET", "/look", "")).await.body, b"whole");
+    assert_eq!(send_and_read(program.address, rpc_head("GET", "/look", "")).await.body, b"whole");
     program
 }
 
@@ -83,9 +85,9 @@
     const BALANCERS: usize = 9;
     run(async {
         let up = upstream().await;
-        let silent = stand_in(|_, _| Deed::Silence).await.address;
-        let away = Held::new().await.expect("fill the accept queue");
-        let free = addresses(BALANCERS + 1).expect("reserve addresses");
+        let silent = start_stub(|_, _| Reply::NoReply).await.address;
+        let away = FullBacklog::new().await.expect("fill the accept queue");
+        let free = free_addresses(BALANCERS + 1).expect("reserve addresses");
         let discoveries = [silent, free[BALANCERS], away.address];
         let folders: Vec<_> = (0..BALANCERS).map(|n| temp_dir(&format!("ready-{n}"))).collect();
         let files: Vec<_> = (0..BALANCERS).map(|n| file(free[n], &up, discoveries[n % 3])).collect();
@@ -106,10 +108,10 @@
 #[test]
 fn of_a_fleet_without_stewards_it_is_ready() {
     run(async {
-        let (up, silent) = (upstream().await, stand_in(|_, _| Deed::Silence).await.address);
-        let away = Held::new().await.expect("fill the accept queue");
+        let (up, silent) = (upstream().await, start_stub(|_, _| Reply::NoReply).await.address);
+        let away = FullBacklog::new().await.expect("fill the accept queue");
         let folder = temp_dir("ready-fleet");
-        let listen = addresses(1).expect("local address")[0];
+        let listen = free_addresses(1).expect("local address")[0];
         let file = format!(
             "name = \"n0\"\nlisten = \"{listen}\"\ndiscovery = \"{silent}\"\nops = \"127.0.0.1:0\"\n\
              [place]\ninstances = 2\nnumber = 0\nzone = \"z\"\n[list]\nmode = \"push\"\n\
@@ -137,15 +139,15 @@
 #[test]
 fn beside_a_process_that_stands_still_or_ends_it_is_ready() {
     run(async {
-        let (up, silent) = (upstream().await, stand_in(|_, _| Deed::Silence).await.address);
+        let (up, silent) = (upstream().await, start_stub(|_, _| Reply::NoReply).await.address);
         let folders = [temp_dir("ready-still"), temp_dir("ready-ends")];
-        let free = addresses(2).expect("reserve addresses");
+        let free = free_addresses(2).expect("reserve addresses");
         let files = [file(free[0], &up, silent), file(free[1], &up, silent)];
         let still = Program::start(&folders[0], &files[0]).await;
         let ends = Program::start(&folders[1], &files[1]).await;
-        let _open = common::send(ends.address, rpc("GET", "/look/silent", "")).await;
-        until(|| up.seen.borrow().len() == 1).await;
-        still.stop();
+        let _open = common::send(ends.address, rpc_head("GET", "/look/silent", "")).await;
+        wait_until(|| up.received.borrow().len() == 1).await;
+        still.pause();
         ends.terminate();
         // From here on it waits for the answer to what is open, and for nobody else.
         while TcpStream::connect(ends.address).await.is_ok() {
@@ -154,7 +156,7 @@
         let beside_still = async {
             let from = Instant::now();
             let program = Program::start(&folders[0], &files[0]).await;
-            until(|| program.is_running() && program.says("serving on")).await;
+            wait_until(|| program.is_running() && program.log_contains("serving on")).await;
             println!("beside one that stands still {:?}", from.elapsed());
             // Callers that the machine gives to the other wait there: asked at the door.
             while !is_ready(program.ops_address).await {
@@ -176,11 +178,11 @@
 #[test]
 fn after_a_process_that_knows_nobody_it_serves_by_its_file() {
     run(async {
-        let (up, silent) = (upstream().await, stand_in(|_, _| Deed::Silence).await.address);
+        let (up, silent) = (upstream().await, start_stub(|_, _| Reply::NoReply).await.address);
         let folder = temp_dir("ready-knows");
-        let listen = addresses(1).expect("local address")[0];
+        let listen = free_addresses(1).expect("local address")[0];
         let file = file(listen, &up, silent);
-        let entry = common::entry("s-0", up.address, "z", "SERVING");
+        let entry = common::list_entry("s-0", up.address, "z", "SERVING");
         let known = format!(r#""known":{{"version":7,"full":true,"servers":[{entry}]}}"#);
         assert!(file.contains(&known));
         let old = Program::start(&folder, &file.replace(&known, r#""known":null"#)).await;
--- a/crates/fernroute-server/tests/schedules.rs
+++ b/crates/fernroute-server/tests/schedules.rs
@@ -7,10 +7,12 @@
 
 mod common;
 
-use common::{balancer_at, connect, decode_list, entry, request, rpc, rpc_id, run, until, until_reusable};
+use common::{
+    balancer_at, connect, decode_list, list_entry, request, rpc_head, rpc_id, run, until_reusable, wait_until,
+};
 use fernroute_server::program::instance::InstanceConfig;
 use fernroute_server::program::serve::RunningInstance;
-use fernroute_test_support::http::{answer, Message, Peer};
+use fernroute_test_support::http::{response, Connection, Message};
 use proptest::collection::vec;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestCaseError, TestRng, TestRunner};
@@ -136,15 +138,15 @@
         let _ = arrival.sender.take().map(|sender| sender.send(kind));
     }
 
-    async fn serve(self: Rc<Self>, upstream: usize, mut peer: Peer) {
+    async fn serve(self: Rc<Self>, upstream: usize, mut peer: Connection) {
         while let Ok(Some(message)) = peer.read().await {
             let id = message.header("req-id").unwrap_or("").to_owned();
             // A cancelled attempt's connection is closed: the answer then reaches nobody.
             let Ok(kind) = self.record_arrival(upstream, &id).await else { return };
             let bytes = match kind {
-                AnswerKind::Complete | AnswerKind::Twice => answer(200, "", &id),
-                AnswerKind::Errored => answer(500, "", ""),
-                AnswerKind::Declined => answer(503, "Srv-Declined: 1\r\n", ""),
+                AnswerKind::Complete | AnswerKind::Twice => response(200, "", &id),
+                AnswerKind::Errored => response(500, "", ""),
+                AnswerKind::Declined => response(503, "Srv-Declined: 1\r\n", ""),
                 AnswerKind::Close => return,
             };
             let from = Instant::now();
@@ -155,7 +157,7 @@
                 tokio::time::sleep(Duration::from_millis(3)).await;
                 // Later than that, the answer could not race with the reuse of the connection.
                 if from.elapsed() < Duration::from_millis(5) {
-                    let _ = peer.stream.try_write(&answer(200, "", "second answer"));
+                    let _ = peer.stream.try_write(&response(200, "", "second answer"));
                 }
             }
         }
@@ -192,7 +194,7 @@
             let model = Rc::clone(&model);
             spawn_local(async move {
                 while let Ok((stream, _)) = listener.accept().await {
-                    spawn_local(Rc::clone(&model).serve(n, Peer::new(stream)));
+                    spawn_local(Rc::clone(&model).serve(n, Connection::new(stream)));
                 }
             });
         }
@@ -203,7 +205,7 @@
     /// Waits until every attempt that was written has arrived at its upstream.
     async fn until_arrived(&self) {
         let written = || self.b.board.metrics().attempts as usize;
-        until(|| written() <= self.model.arrivals.borrow().len()).await;
+        wait_until(|| written() <= self.model.arrivals.borrow().len()).await;
     }
 
     fn set_upstream_state(&mut self, upstream: usize, state: &str) {
@@ -211,7 +213,7 @@
         let list = decode_list(
             self.version,
             false,
-            &[entry(&format!("s-{upstream}"), self.addresses[upstream], "z", state)],
+            &[list_entry(&format!("s-{upstream}"), self.addresses[upstream], "z", state)],
         );
         self.b.board.apply_list(&list, true);
         self.model.draining[upstream].set(state != "SERVING");
@@ -225,7 +227,7 @@
             _ => "Content-Length: 0\r\n",
         };
         let time = if short { "60" } else { "1000" };
-        let bytes = rpc(verb, &format!("/{name}"), more)
+        let bytes = rpc_head(verb, &format!("/{name}"), more)
             .replace("Req-Deadline-Ms: 4000", &format!("Req-Deadline-Ms: {time}"));
         let id = rpc_id(&bytes).to_owned();
         self.model.methods.borrow_mut().insert(id.clone(), method);
@@ -239,7 +241,7 @@
         let answer = CallerAnswer::default();
         let (received, answered_twice) = (Rc::clone(&answer), Rc::clone(&self.answered_twice));
         let reader = spawn_local(async move {
-            let mut peer = Peer::new(stream);
+            let mut peer = Connection::new(stream);
             let message = peer.read().await.ok().flatten();
             received.borrow_mut().replace((Instant::now(), message));
             // A second answer would be a violation.
@@ -264,7 +266,7 @@
     }
 
     async fn forbid_after_leave(&self, id: &str) {
-        until(|| self.b.board.open.borrow().get(id).is_none_or(|rpc| rpc.answer.is_none())).await;
+        wait_until(|| self.b.board.open.borrow().get(id).is_none_or(|rpc| rpc.answer.is_none())).await;
         self.until_arrived().await;
         self.model.forbidden.borrow_mut().insert(id.to_owned(), "sent on though its caller has left");
     }
@@ -390,7 +392,7 @@
                 && board.timers.count() == 0
                 && self.b.server.connections() == 0
         };
-        if tokio::time::timeout(Duration::from_secs(2), until(clear)).await.is_err() {
+        if tokio::time::timeout(Duration::from_secs(2), wait_until(clear)).await.is_err() {
             violations.push(format!(
                 "left behind: {:?} open, {} timers, {} callers",
                 board.open.borrow().keys().collect::<Vec<_>>(),
--- a/crates/fernroute-server/tests/termination_races.rs
+++ b/crates/fernroute-server/tests/termination_races.rs
@@ -4,13 +4,13 @@
 mod common;
 
 use common::{
-    ask, balancer, balancer_at, connect, decode_list, entry, ok, read, request, rpc, rpc_id, run, send,
-    stand_in, until, until_reusable, Deed,
+    balancer, balancer_at, connect, decode_list, list_entry, ok, read_message, request, rpc_head, rpc_id,
+    run, send, send_and_read, start_stub, until_reusable, wait_until, Reply,
 };
 use fernroute_server::program::serve::RunningInstance;
 use fernroute_server::protocol::answer::FinalAnswer;
-use fernroute_test_support::http::{answer, Peer};
-use fernroute_test_support::stand_in::Held;
+use fernroute_test_support::http::{response, Connection};
+use fernroute_test_support::stub::FullBacklog;
 use futures_util::FutureExt as _;
 use std::cell::{Cell, RefCell};
 use std::io::Write as _;
@@ -30,9 +30,9 @@
 
 /// Waits until no RPC, attempt or timer is left.
 async fn until_no_state_left(b: &RunningInstance) {
-    until(|| b.board.open.borrow().is_empty()).await;
+    wait_until(|| b.board.open.borrow().is_empty()).await;
     assert_eq!(b.board.metrics().outstanding, 0);
-    until(|| b.board.timers.count() == 0).await;
+    wait_until(|| b.board.timers.count() == 0).await;
 }
 
 fn attempt_count(b: &RunningInstance) -> usize {
@@ -40,7 +40,7 @@
 }
 
 fn post_rpc(headers: &str) -> String {
-    rpc("POST", "/pay", &format!("Content-Length: 0\r\n{headers}"))
+    rpc_head("POST", "/pay", &format!("Content-Length: 0\r\n{headers}"))
 }
 
 // ---------------------------------------------------------------------------------------- a caller leaves
@@ -51,22 +51,22 @@
 fn caller_leaving_before_upstream_connects_sends_nothing() {
     for resets in [false, true] {
         run(async move {
-            let held = Held::new().await.expect("fill the accept queue");
+            let held = FullBacklog::new().await.expect("fill the accept queue");
             let b = balancer_at(&[held.address], &SLOW_CONNECT_NO_CANCEL).await;
             let caller = send(b.address, post_rpc("")).await;
-            until(|| attempt_count(&b) == 1).await;
+            wait_until(|| attempt_count(&b) == 1).await;
             if resets {
                 caller.set_zero_linger().expect("set the socket option");
             }
             drop(caller);
-            until(|| b.board.metrics().outstanding == 0).await;
-            let up = held.let_go(|_, _| ok("whole"));
+            wait_until(|| b.board.metrics().outstanding == 0).await;
+            let up = held.release(|_, _| ok("whole"));
             // Longer than the second after which TCP retransmits a SYN.
             tokio::time::sleep(Duration::from_millis(1300)).await;
-            assert!(up.seen.borrow().is_empty());
+            assert!(up.received.borrow().is_empty());
             until_no_state_left(&b).await;
             // The upstream is still used.
-            assert_eq!(ask(b.address, post_rpc("")).await.status(), 200);
+            assert_eq!(send_and_read(b.address, post_rpc("")).await.status(), 200);
         });
     }
 }
@@ -76,17 +76,17 @@
 fn caller_leaving_after_last_byte_cancels_only_when_allowed() {
     for allowed in [false, true] {
         run(async move {
-            let up = stand_in(|_, _| Deed::Silence).await;
+            let up = start_stub(|_, _| Reply::NoReply).await;
             let b = balancer(&[&up], if allowed { &[] } else { &SLOW_CONNECT_NO_CANCEL[..1] }).await;
-            let caller = send(b.address, rpc("GET", "/look", "").replace("Ms: 4000", "Ms: 700")).await;
-            until(|| up.seen.borrow().len() == 1).await;
+            let caller = send(b.address, rpc_head("GET", "/look", "").replace("Ms: 4000", "Ms: 700")).await;
+            wait_until(|| up.received.borrow().len() == 1).await;
             drop(caller);
-            until(|| b.board.metrics().outstanding == 0).await;
-            assert!(allowed || up.left.get() == 0);
+            wait_until(|| b.board.metrics().outstanding == 0).await;
+            assert!(allowed || up.closed.get() == 0);
             // Closed by the cancellation, or else by the deadline.
-            until(|| up.left.get() == 1).await;
+            wait_until(|| up.closed.get() == 1).await;
             until_no_state_left(&b).await;
-            assert_eq!(up.seen.borrow().len(), 1);
+            assert_eq!(up.received.borrow().len(), 1);
         });
     }
 }
@@ -96,30 +96,30 @@
 #[test]
 fn caller_leaving_before_accept_sends_nothing() {
     run(async {
-        let up = stand_in(|_, _| ok("whole")).await;
+        let up = start_stub(|_, _| ok("whole")).await;
         let b = balancer(&[&up], &[]).await;
         // Leaves an idle upstream connection on which an RPC could be sent at once.
-        assert_eq!(ask(b.address, rpc("GET", "/look", "")).await.status(), 200);
+        assert_eq!(send_and_read(b.address, rpc_head("GET", "/look", "")).await.status(), 200);
         until_reusable().await;
         b.server.set_accepting(false);
-        until(|| b.server.connections() == 0).await;
+        wait_until(|| b.server.connections() == 0).await;
         for n in 0..40 {
             let mut caller = connect(b.address).await;
             let body = "x".repeat(if n % 4 == 3 { 40_000 } else { 3 });
-            let post =
-                rpc("POST", &format!("/pay?{n}"), &format!("Content-Length: {}\r\n", body.len())) + &body;
-            let whole = if n % 4 == 0 { rpc("GET", &format!("/look?{n}"), "") } else { post };
+            let post = rpc_head("POST", &format!("/pay?{n}"), &format!("Content-Length: {}\r\n", body.len()))
+                + &body;
+            let whole = if n % 4 == 0 { rpc_head("GET", &format!("/look?{n}"), "") } else { post };
             caller.write_all(whole.as_bytes()).await.expect("write to the socket");
             if n % 2 == 0 {
                 caller.set_zero_linger().expect("set the socket option");
             }
         }
         b.server.set_accepting(true);
-        let marked = ask(b.address, rpc("GET", "/look", "")).await;
+        let marked = send_and_read(b.address, rpc_head("GET", "/look", "")).await;
         assert_eq!(marked.status(), 200);
-        until(|| b.server.connections() == 0).await;
+        wait_until(|| b.server.connections() == 0).await;
         until_no_state_left(&b).await;
-        let seen: Vec<String> = up.seen.borrow().iter().map(|m| m.target.clone()).collect();
+        let seen: Vec<String> = up.received.borrow().iter().map(|m| m.target.clone()).collect();
         assert_eq!(seen.len(), 2, "none of the forty RPCs may be sent: {seen:?}");
     });
 }
@@ -128,18 +128,19 @@
 #[test]
 fn caller_leaving_with_pipelined_bytes_ends_its_rpc() {
     run(async {
-        let up = stand_in(|_, _| Deed::Silence).await;
+        let up = start_stub(|_, _| Reply::NoReply).await;
         let b = balancer(&[&up], &[]).await;
-        let long = rpc("GET", "/look", "").replace("Ms: 4000", "Ms: 90000");
-        for behind in [String::new(), "GET /lo".to_owned(), rpc("GET", "/look", ""), "x".repeat(20_000)] {
-            let seen = up.seen.borrow().len();
+        let long = rpc_head("GET", "/look", "").replace("Ms: 4000", "Ms: 90000");
+        for behind in [String::new(), "GET /lo".to_owned(), rpc_head("GET", "/look", ""), "x".repeat(20_000)]
+        {
+            let seen = up.received.borrow().len();
             let mut caller = send(b.address, &long).await;
-            until(|| up.seen.borrow().len() == seen + 1).await;
+            wait_until(|| up.received.borrow().len() == seen + 1).await;
             caller.write_all(behind.as_bytes()).await.expect("write to the socket");
             drop(caller);
             until_no_state_left(&b).await;
-            until(|| up.left.get() == seen + 1).await;
-            assert_eq!(up.seen.borrow().len(), seen + 1);
+            wait_until(|| up.closed.get() == seen + 1).await;
+            assert_eq!(up.received.borrow().len(), seen + 1);
         }
     });
 }
@@ -148,16 +149,16 @@
 #[test]
 fn caller_leaving_with_partial_message_sends_nothing() {
     run(async {
-        let up = stand_in(|_, _| ok("whole")).await;
+        let up = start_stub(|_, _| ok("whole")).await;
         let b = balancer(&[&up], &[]).await;
-        let whole = rpc("POST", "/pay", "Content-Length: 20\r\n") + "01234567890123456789";
+        let whole = rpc_head("POST", "/pay", "Content-Length: 20\r\n") + "01234567890123456789";
         for cut in (0..whole.len()).step_by(3) {
             drop(send(b.address, &whole[..cut]).await);
         }
-        until(|| b.server.connections() == 0).await;
+        wait_until(|| b.server.connections() == 0).await;
         until_no_state_left(&b).await;
-        assert!(up.seen.borrow().is_empty());
-        assert_eq!(ask(b.address, whole).await.status(), 200);
+        assert!(up.received.borrow().is_empty());
+        assert_eq!(send_and_read(b.address, whole).await.status(), 200);
     });
 }
 
@@ -165,16 +166,16 @@
 #[test]
 fn caller_leaving_while_its_rpc_is_queued_sends_nothing() {
     run(async {
-        let up = stand_in(|_, _| ok("whole")).await;
+        let up = start_stub(|_, _| ok("whole")).await;
         let b = balancer_at(&[], &[]).await;
-        let caller = send(b.address, rpc("GET", "/look", "")).await;
-        until(|| b.board.open.borrow().len() == 1).await;
+        let caller = send(b.address, rpc_head("GET", "/look", "")).await;
+        wait_until(|| b.board.open.borrow().len() == 1).await;
         drop(caller);
-        until(|| b.board.open.borrow().is_empty()).await;
-        b.board.apply_list(&decode_list(8, true, &[entry("s-0", up.address, "z", "SERVING")]), true);
-        assert_eq!(ask(b.address, rpc("GET", "/look", "")).await.status(), 200);
+        wait_until(|| b.board.open.borrow().is_empty()).await;
+        b.board.apply_list(&decode_list(8, true, &[list_entry("s-0", up.address, "z", "SERVING")]), true);
+        assert_eq!(send_and_read(b.address, rpc_head("GET", "/look", "")).await.status(), 200);
         until_no_state_left(&b).await;
-        assert_eq!(up.seen.borrow().len(), 1);
+        assert_eq!(up.received.borrow().len(), 1);
     });
 }
 
@@ -186,27 +187,27 @@
 fn unstarted_attempt_does_not_start_at_removed_upstream() {
     for state in ["DRAINING", "DELETED", "elsewhere", "not named"] {
         run(async move {
-            let held = Held::new().await.expect("fill the accept queue");
-            let other = stand_in(|_, _| ok("whole")).await;
+            let held = FullBacklog::new().await.expect("fill the accept queue");
+            let other = start_stub(|_, _| ok("whole")).await;
             let b = balancer_at(&[held.address], &SLOW_CONNECT_NO_CANCEL).await;
             let mut caller = send(b.address, post_rpc("")).await;
-            until(|| attempt_count(&b) == 1).await;
+            wait_until(|| attempt_count(&b) == 1).await;
             let from = Instant::now();
-            let mut entries = vec![entry("s-1", other.address, "z", "SERVING")];
+            let mut entries = vec![list_entry("s-1", other.address, "z", "SERVING")];
             match state {
-                "elsewhere" => entries.push(entry("s-0", other.address, "z", "SERVING")),
+                "elsewhere" => entries.push(list_entry("s-0", other.address, "z", "SERVING")),
                 "not named" => {}
-                state => entries.push(entry("s-0", held.address, "z", state)),
+                state => entries.push(list_entry("s-0", held.address, "z", state)),
             }
             b.board.apply_list(&decode_list(8, state == "not named", &entries), true);
-            let answer = read(&mut caller).await.expect("read the answer");
+            let answer = read_message(&mut caller).await.expect("read the answer");
             assert_eq!((answer.status(), answer.body), (200, b"whole".to_vec()), "{state}");
             // TCP retransmits a SYN after a second; the RPC did not wait for that.
             assert!(from.elapsed() < Duration::from_millis(900), "{state} {:?}", from.elapsed());
             until_no_state_left(&b).await;
-            let up = held.let_go(|_, _| ok("late"));
+            let up = held.release(|_, _| ok("late"));
             tokio::time::sleep(Duration::from_millis(1300)).await;
-            assert!(up.seen.borrow().is_empty() && other.seen.borrow().len() == 1, "{state}");
+            assert!(up.received.borrow().is_empty() && other.received.borrow().len() == 1, "{state}");
         });
     }
 }
@@ -215,17 +216,18 @@
 #[test]
 fn drain_in_the_same_poll_precedes_the_send() {
     run(async {
-        let (one, two) = (stand_in(|_, _| ok("one")).await, stand_in(|_, _| ok("two")).await);
+        let (one, two) = (start_stub(|_, _| ok("one")).await, start_stub(|_, _| ok("two")).await);
         let b = balancer(&[&one], &[]).await;
         // Leaves an idle connection, which would be written to at once.
-        assert_eq!(ask(b.address, rpc("GET", "/look", "")).await.body, b"one");
+        assert_eq!(send_and_read(b.address, rpc_head("GET", "/look", "")).await.body, b"one");
         until_reusable().await;
         let mut asked = pin!(b.board.admit(request(&b, "turn", "look", "4000"), None));
         assert!(asked.as_mut().now_or_never().is_none() && attempt_count(&b) == 1);
-        let entries = [entry("s-0", one.address, "z", "DRAINING"), entry("s-1", two.address, "z", "SERVING")];
+        let entries =
+            [list_entry("s-0", one.address, "z", "DRAINING"), list_entry("s-1", two.address, "z", "SERVING")];
         b.board.apply_list(&decode_list(8, false, &entries), true);
         let Ok(FinalAnswer::Completed(last)) = asked.await else { panic!("the RPC must complete") };
-        assert_eq!((&last.body[..], one.seen.borrow().len()), (&b"two"[..], 1));
+        assert_eq!((&last.body[..], one.received.borrow().len()), (&b"two"[..], 1));
         until_no_state_left(&b).await;
     });
 }
@@ -238,10 +240,10 @@
         let up = notified_upstream(Rc::clone(&go)).await;
         let b = balancer_at(&[up], &[]).await;
         let mut caller = send(b.address, post_rpc("")).await;
-        until(|| b.board.metrics().attempts == 1).await;
-        b.board.apply_list(&decode_list(8, false, &[entry("s-0", up, "z", "DRAINING")]), true);
+        wait_until(|| b.board.metrics().attempts == 1).await;
+        b.board.apply_list(&decode_list(8, false, &[list_entry("s-0", up, "z", "DRAINING")]), true);
         go.notify_one();
-        assert_eq!(read(&mut caller).await.expect("read the answer").status(), 200);
+        assert_eq!(read_message(&mut caller).await.expect("read the answer").status(), 200);
         until_no_state_left(&b).await;
     });
 }
@@ -254,10 +256,10 @@
         while let Ok((stream, _)) = listener.accept().await {
             let go = Rc::clone(&go);
             tokio::task::spawn_local(async move {
-                let mut peer = Peer::new(stream);
+                let mut peer = Connection::new(stream);
                 while let Ok(Some(_)) = peer.read().await {
                     go.notified().await;
-                    let _ = peer.write(&answer(200, "", "whole")).await;
+                    let _ = peer.write(&response(200, "", "whole")).await;
                 }
             });
         }
@@ -273,14 +275,14 @@
         // The connection of every other RPC gets a second answer when the next RPC arrives, on whichever connection.
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind a listener");
         let address = listener.local_addr().expect("local address");
-        let last_peer: Rc<RefCell<Option<Rc<RefCell<Peer>>>>> = Rc::default();
+        let last_peer: Rc<RefCell<Option<Rc<RefCell<Connection>>>>> = Rc::default();
         let (answered_at, races) = (Rc::new(Cell::new(Instant::now())), Rc::new(Cell::new(0)));
         let (last, when, counted) = (Rc::clone(&last_peer), Rc::clone(&answered_at), Rc::clone(&races));
         tokio::task::spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 let (last, when, counted) = (Rc::clone(&last), Rc::clone(&when), Rc::clone(&counted));
                 tokio::task::spawn_local(async move {
-                    let peer = Rc::new(RefCell::new(Peer::new(stream)));
+                    let peer = Rc::new(RefCell::new(Connection::new(stream)));
                     loop {
                         let next = std::future::poll_fn(|cx| {
                             let mut peer = peer.borrow_mut();
@@ -295,11 +297,11 @@
                             let within = when.get().elapsed() < Duration::from_millis(5);
                             counted.set(counted.get() + usize::from(within));
                             if within {
-                                let _ = late.borrow().stream.try_write(&answer(200, "", "second answer"));
+                                let _ = late.borrow().stream.try_write(&response(200, "", "second answer"));
                             }
-                            let _ = peer.borrow().stream.try_write(&answer(200, "", &id));
+                            let _ = peer.borrow().stream.try_write(&response(200, "", &id));
                         } else {
-                            let _ = peer.borrow().stream.try_write(&answer(200, "", &id));
+                            let _ = peer.borrow().stream.try_write(&response(200, "", &id));
                             when.set(Instant::now());
                             last.borrow_mut().replace(Rc::clone(&peer));
                         }
@@ -312,9 +314,9 @@
         // Repeated until the race occurred often enough, since a busy machine may be too slow for it.
         while races.get() < 20 {
             for _ in 0..2 {
-                let bytes = rpc("GET", "/look", "");
+                let bytes = rpc_head("GET", "/look", "");
                 caller.write_all(bytes.as_bytes()).await.expect("write to the socket");
-                let last = read(&mut caller).await.expect("read the answer");
+                let last = read_message(&mut caller).await.expect("read the answer");
                 assert_eq!((last.status(), last.body), (200, rpc_id(&bytes).as_bytes().to_vec()));
             }
             until_reusable().await;
@@ -334,7 +336,7 @@
         let caller_gone = Rc::clone(&gone);
         tokio::task::spawn_local(async move {
             let (stream, _) = listener.accept().await.expect("accept a connection");
-            let mut peer = Peer::new(stream);
+            let mut peer = Connection::new(stream);
             peer.read().await.expect("valid RPC");
             let _ = peer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await;
             while peer.write(b"1\r\nx\r\n").await.is_ok() {
@@ -344,14 +346,14 @@
         });
         let b = balancer_at(&[address], &[]).await;
         let from = Instant::now();
-        let mut caller = send(b.address, rpc("GET", "/look", "").replace("Ms: 4000", "Ms: 1500")).await;
+        let mut caller = send(b.address, rpc_head("GET", "/look", "").replace("Ms: 4000", "Ms: 1500")).await;
         let mut heard = Vec::new();
         while from.elapsed() < Duration::from_millis(2500) {
             assert!(caller.read_buf(&mut heard).await.expect("read from the socket") > 0, "{heard:?}");
         }
         assert!(heard.starts_with(b"HTTP/1.1 200") && !gone.get());
         drop(caller);
-        until(|| gone.get()).await;
+        wait_until(|| gone.get()).await;
         until_no_state_left(&b).await;
     });
 }
@@ -361,19 +363,19 @@
 #[test]
 fn idle_connection_closed_by_upstream_fails_no_rpc() {
     run(async {
-        let up = stand_in(|n, _| match n % 2 {
-            0 => Deed::SayAndClose(answer(200, "", "and it closes")),
+        let up = start_stub(|n, _| match n % 2 {
+            0 => Reply::SendAndClose(response(200, "", "and it closes")),
             _ => ok("whole"),
         });
         let up = up.await;
         let b = balancer(&[&up], &[]).await;
         for n in 0..20 {
             until_reusable().await;
-            until(|| up.left.get() >= n / 2).await;
-            let verb = if n % 3 == 0 { rpc("GET", "/look", "") } else { post_rpc("") };
-            assert_eq!(ask(b.address, verb).await.status(), 200, "{n}");
+            wait_until(|| up.closed.get() >= n / 2).await;
+            let verb = if n % 3 == 0 { rpc_head("GET", "/look", "") } else { post_rpc("") };
+            assert_eq!(send_and_read(b.address, verb).await.status(), 200, "{n}");
         }
-        assert_eq!(up.seen.borrow().len(), 20);
+        assert_eq!(up.received.borrow().len(), 20);
         until_no_state_left(&b).await;
     });
 }
@@ -385,12 +387,12 @@
 #[test]
 fn reused_rpc_id_gets_no_outcome_of_the_previous_rpc() {
     run(async {
-        let up = stand_in(|n, _| if n == 0 { Deed::Silence } else { ok("whole") }).await;
+        let up = start_stub(|n, _| if n == 0 { Reply::NoReply } else { ok("whole") }).await;
         let b = balancer(&[&up], &[]).await;
         {
             let mut asked = Box::pin(b.board.admit(request(&b, "twice", "look", "4000"), None));
             assert!(asked.as_mut().now_or_never().is_none());
-            until(|| up.seen.borrow().len() == 1).await;
+            wait_until(|| up.received.borrow().len() == 1).await;
             drop(asked);
         }
         // In the same poll: no other task has run since.
@@ -412,12 +414,12 @@
         let b = balancer_at(&[up], &[("\"max-transmissions\":3", "\"max-transmissions\":1")]).await;
         for n in 0..20 {
             let mut caller = send(b.address, post_rpc("").replace("Ms: 4000", "Ms: 30")).await;
-            until(|| b.board.metrics().attempts == n + 1).await;
+            wait_until(|| b.board.metrics().attempts == n + 1).await;
             // The answer arrives and the deadline passes while this thread is blocked.
             go.notify_one();
             tokio::task::yield_now().await;
             std::thread::sleep(Duration::from_millis(35));
-            let last = read(&mut caller).await.expect("read the answer");
+            let last = read_message(&mut caller).await.expect("read the answer");
             assert!([200, 502].contains(&last.status()), "{}", last.head);
             drop(caller);
             until_no_state_left(&b).await;
@@ -431,15 +433,15 @@
 #[test]
 fn new_connection_is_served_during_shutdown() {
     run(async {
-        let up = stand_in(|_, _| ok("whole")).await;
+        let up = start_stub(|_, _| ok("whole")).await;
         let b = balancer(&[&up], &[]).await;
         let mut new = connect(b.address).await;
-        until(|| b.server.connections() == 1).await;
+        wait_until(|| b.server.connections() == 1).await;
         let server = b.server.clone();
         let end = actix_rt::spawn(async move { server.shut_down().await });
-        until(|| b.server.listener().is_none()).await;
-        new.write_all(rpc("GET", "/look", "").as_bytes()).await.expect("write to the socket");
-        assert_eq!(read(&mut new).await.expect("read the answer").status(), 200);
+        wait_until(|| b.server.listener().is_none()).await;
+        new.write_all(rpc_head("GET", "/look", "").as_bytes()).await.expect("write to the socket");
+        assert_eq!(read_message(&mut new).await.expect("read the answer").status(), 200);
         drop(new);
         end.await.expect("task completes");
         // A connection without an RPC is not waited for.
@@ -451,13 +453,13 @@
 #[test]
 fn callers_in_accept_queue_at_shutdown_are_answered() {
     run(async {
-        let up = stand_in(|_, _| ok("whole")).await;
+        let up = start_stub(|_, _| ok("whole")).await;
         let b = balancer(&[&up], &[]).await;
         // The balancer's task is not polled from here until its shutdown has begun.
         let mut waiting = Vec::new();
         for _ in 0..50 {
             let mut caller = std::net::TcpStream::connect(b.address).expect("connect to the balancer");
-            caller.write_all(rpc("GET", "/look", "").as_bytes()).expect("write to the socket");
+            caller.write_all(rpc_head("GET", "/look", "").as_bytes()).expect("write to the socket");
             waiting.push(caller);
         }
         let server = b.server.clone();
@@ -465,7 +467,7 @@
         for caller in waiting {
             caller.set_nonblocking(true).expect("set non-blocking mode");
             let mut caller = TcpStream::from_std(caller).expect("convert the stream");
-            assert_eq!(read(&mut caller).await.expect("read the answer").status(), 200);
+            assert_eq!(read_message(&mut caller).await.expect("read the answer").status(), 200);
         }
         end.await.expect("task completes");
         until_no_state_left(&b).await;
@@ -476,18 +478,18 @@
 #[test]
 fn rpc_completed_after_shutdown_answers_is_exhausted() {
     run(async {
-        let up = stand_in(|_, _| Deed::Silence).await;
+        let up = start_stub(|_, _| Reply::NoReply).await;
         let b = balancer(&[&up], &[]).await;
         let whole = post_rpc("").replace("Ms: 4000", "Ms: 90000");
         let (first, rest) = whole.split_at(40);
         let mut slow = send(b.address, first).await;
-        until(|| b.server.connections() == 1).await;
+        wait_until(|| b.server.connections() == 1).await;
         b.board.update_phase(|phase, now| phase.shut_down(now - 90_000));
         b.board.fail_all();
         slow.write_all(rest.as_bytes()).await.expect("write to the socket");
-        let last = read(&mut slow).await.expect("read the answer");
+        let last = read_message(&mut slow).await.expect("read the answer");
         assert_eq!((last.status(), last.header("connection")), (503, Some("close")));
-        assert!(up.seen.borrow().is_empty());
+        assert!(up.received.borrow().is_empty());
         until_no_state_left(&b).await;
     });
 }
@@ -498,21 +500,21 @@
 #[test]
 fn message_completed_before_the_sweep_is_not_evicted() {
     run(async {
-        let up = stand_in(|_, _| ok("whole")).await;
+        let up = start_stub(|_, _| ok("whole")).await;
         let b = balancer(&[&up], &[]).await;
-        let whole = rpc("GET", "/look", "");
+        let whole = rpc_head("GET", "/look", "");
         let mut caller = connect(b.address).await;
         caller.write_all(&whole.as_bytes()[..40]).await.expect("write to the socket");
-        until(|| b.server.connections() == 1).await;
+        wait_until(|| b.server.connections() == 1).await;
         tokio::time::sleep(Duration::from_millis(50)).await;
         // Blocks this thread until the message's time limit has passed; the rest arrives meanwhile.
         std::thread::sleep(Duration::from_millis(2700));
         assert_eq!(caller.try_write(&whole.as_bytes()[40..]).expect("write to the socket"), whole.len() - 40);
         b.server.sweep(false);
-        assert_eq!(read(&mut caller).await.expect("read the answer").status(), 200);
+        assert_eq!(read_message(&mut caller).await.expect("read the answer").status(), 200);
         // A message that is never completed gets 408.
         caller.write_all(&whole.as_bytes()[..40]).await.expect("write to the socket");
-        assert_eq!(read(&mut caller).await.expect("read the answer").status(), 408);
+        assert_eq!(read_message(&mut caller).await.expect("read the answer").status(), 408);
         until_no_state_left(&b).await;
     });
 }
@@ -521,19 +523,19 @@
 #[test]
 fn caller_evicted_as_its_next_rpc_arrives_is_answered() {
     run(async {
-        let up = stand_in(|_, _| ok("whole")).await;
+        let up = start_stub(|_, _| ok("whole")).await;
         let b = balancer(&[&up], &[("\"sockets\":1024", "\"sockets\":64")]).await;
         let mut kept = connect(b.address).await;
         for _ in 0..10 {
-            kept.write_all(rpc("GET", "/look", "").as_bytes()).await.expect("write to the socket");
-            assert_eq!(read(&mut kept).await.expect("read the answer").status(), 200);
-            until(|| b.board.open.borrow().is_empty()).await;
-            let next = rpc("GET", "/look", "");
+            kept.write_all(rpc_head("GET", "/look", "").as_bytes()).await.expect("write to the socket");
+            assert_eq!(read_message(&mut kept).await.expect("read the answer").status(), 200);
+            wait_until(|| b.board.open.borrow().is_empty()).await;
+            let next = rpc_head("GET", "/look", "");
             assert_eq!(kept.try_write(next.as_bytes()).expect("write to the socket"), next.len());
             // In the same poll, the connection limit shrinks.
             b.server.set_max_connections(0);
             b.server.set_max_connections(10);
-            assert_eq!(read(&mut kept).await.expect("read the answer").status(), 200);
+            assert_eq!(read_message(&mut kept).await.expect("read the answer").status(), 200);
             kept = connect(b.address).await;
         }
         until_no_state_left(&b).await;
@@ -546,7 +548,7 @@
 #[test]
 fn malformed_input_leaves_no_state() {
     run(async {
-        let up = stand_in(|_, _| ok("whole")).await;
+        let up = start_stub(|_, _| ok("whole")).await;
         let b = balancer(&[&up], &[]).await;
         let two_lengths = "POST /pay HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n";
         let bad = [
@@ -554,7 +556,7 @@
             "GET /look HTTP/1.1\r\nno header\r\n\r\n".to_owned(),
             two_lengths.to_owned(),
             post_rpc("").replace("Req-Deadline-Ms: 4000", "Req-Deadline-Ms: soon"),
-            rpc("POST", "/pay", "Content-Length: -1\r\n"),
+            rpc_head("POST", "/pay", "Content-Length: -1\r\n"),
         ];
         for (n, text) in bad.iter().enumerate() {
             match n % 3 {
@@ -567,13 +569,13 @@
                 waiting.push(send(b.address, &text[..cut]).await);
             }
             let mut last = waiting.pop().expect("complete message");
-            if let Some(told) = read(&mut last).await {
+            if let Some(told) = read_message(&mut last).await {
                 assert!((400..500).contains(&told.status()), "{}", told.head);
             }
             drop(waiting);
         }
-        until(|| b.server.connections() == 0).await;
+        wait_until(|| b.server.connections() == 0).await;
         until_no_state_left(&b).await;
-        assert!(up.seen.borrow().is_empty());
+        assert!(up.received.borrow().is_empty());
     });
 }
--- a/crates/fernroute-testbed/src/beside.rs
+++ b/crates/fernroute-testbed/src/beside.rs
@@ -1,10 +1,10 @@
 //! One balancer on this machine with all that it needs beside it: stand-ins for the upstreams and the discovery that
 //! its file names, at the addresses that it names.
 
-use crate::processes::{Fleet, Shape};
+use crate::processes::{Fleet, FleetConfig};
 use fernroute_server::program::instance::InstanceConfig;
-use fernroute_test_support::http::answer;
-use fernroute_test_support::stand_in::{entry, serve, Deed, Discovery};
+use fernroute_test_support::http::response;
+use fernroute_test_support::stub::{list_entry, serve_stub, Reply, StubDiscovery};
 use std::path::Path;
 use std::process::Command;
 use std::time::Duration;
@@ -28,22 +28,22 @@
     let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
     LocalSet::new().block_on(&runtime, async {
         let folder = std::env::temp_dir().join(format!("fernroute-fleet-{}", std::process::id()));
-        let fleet = Fleet::start(program, folder, Shape::new(3, 4, WHOLE)).await?;
+        let fleet = Fleet::start(program, folder, FleetConfig::new(3, 4, WHOLE)).await?;
         let mut int = signal(SignalKind::interrupt()).map_err(|e| format!("signals: {e}"))?;
         let mut term = signal(SignalKind::terminate()).map_err(|e| format!("signals: {e}"))?;
         for look in 0usize.. {
             let busy = look * 2 / 5 % 4;
             let rates: Vec<u64> = (0..4).map(|n| if n == busy { 220 } else { 10 }).collect();
-            fleet.rates(&rates);
+            fleet.set_rates(&rates);
             tokio::select! {
                 _ = int.recv() => return Ok(()),
                 _ = term.recv() => return Ok(()),
                 () = sleep(Duration::from_secs(2)) => {}
             }
-            fleet.forget();
-            let (ran, broken) = (fleet.ran.within(Duration::from_secs(1)), fleet.broken());
+            fleet.discard_old();
+            let (ran, broken) = (fleet.executions.count_within(Duration::from_secs(1)), fleet.violation());
             println!("\nb{busy} is asked for 220 a second, the others for 10; {ran} ran in the last second, {WHOLE} are the whole");
-            for at in &fleet.steward_addresses {
+            for at in &fleet.coordinator_addresses {
                 let status = Command::new(program).args(["steward-status", &at.to_string()]).output();
                 match status {
                     Ok(said) if said.status.success() => {
@@ -68,12 +68,12 @@
     for (upstream, at) in upstreams {
         let id = upstream.id.clone();
         let said =
-            move |_: &_| Deed::Say(answer(200, "Srv-Load: util=0.10\r\n", &format!("served by {id}\n")));
-        serve(at, said).await.map_err(|e| format!("a stand-in upstream at {at}: {e}"))?;
+            move |_: &_| Reply::Send(response(200, "Srv-Load: util=0.10\r\n", &format!("served by {id}\n")));
+        serve_stub(at, said).await.map_err(|e| format!("a stand-in upstream at {at}: {e}"))?;
         eprintln!("a stand-in upstream, {}, serves on {at}", upstream.id);
-        list.push(entry(&upstream.id, at, &upstream.zone, "SERVING"));
+        list.push(list_entry(&upstream.id, at, &upstream.zone, "SERVING"));
     }
-    let discovery = Discovery::start(station.discovery, list.join(",")).await;
+    let discovery = StubDiscovery::start(station.discovery, list.join(",")).await;
     discovery.map_err(|e| format!("a stand-in for discovery at {}: {e}", station.discovery))?;
     eprintln!("a stand-in for discovery serves on {}", station.discovery);
     // From here on neither ends this program: the balancer is to answer what it has taken.
