--- a/crates/fernroute-server/tests/forms.rs
+++ b/crates/fernroute-server/tests/message_forms.rs
@@ -1,4 +1,4 @@
-//! All forms that HTTP/1.1 knows, on either side, and large bodies both ways.
+//! HTTP/1.1 message forms accepted from callers and upstreams, and large bodies in both directions.
 
 mod common;
 
@@ -11,15 +11,15 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Everything up to the end of the connection.
-async fn to_the_end(stream: &mut TcpStream) -> Vec<u8> {
+/// Reads until the end of the connection.
+async fn read_to_end(stream: &mut TcpStream) -> Vec<u8> {
     let mut all = Vec::new();
     let _ = stream.read_to_end(&mut all).await;
     all
 }
 
 #[test]
-fn callers_may_write_an_rpc_in_any_form() {
+fn requests_are_accepted_in_every_valid_form() {
     run(async {
         let up = start_stub(|_, message| {
             ok(if message.head.starts_with("GET /look") && message.body.is_empty() { "whole" } else { "odd" })
@@ -51,23 +51,23 @@
         ];
         for bytes in cases {
             let mut stream = connect(b.address).await;
-            // Byte by byte, as the poorest line would.
+            // Byte by byte, to exercise every partial read.
             for byte in bytes.as_bytes() {
-                stream.write_all(&[*byte]).await.expect("it reads");
+                stream.write_all(&[*byte]).await.expect("write to the socket");
             }
-            let mut answer = read_message(&mut stream).await.expect("an answer");
+            let mut answer = read_message(&mut stream).await.expect("read the answer");
             if answer.status() == 100 {
-                answer = read_message(&mut stream).await.expect("an answer");
+                answer = read_message(&mut stream).await.expect("read the answer");
             }
             assert_eq!((answer.status(), answer.body.as_slice()), (200, &b"whole"[..]), "{bytes}");
         }
     });
 }
 
-/// An upstream that takes whatever comes, answers with these bytes, and ends the connection.
-async fn plain_upstream(answer: Vec<u8>) -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("an address");
+/// An upstream that answers each first message with these bytes and closes the connection.
+async fn raw_upstream(answer: Vec<u8>) -> SocketAddr {
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind a listener");
+    let address = listener.local_addr().expect("local address");
     actix_rt::spawn(async move {
         while let Ok((mut stream, _)) = listener.accept().await {
             let answer = answer.clone();
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn upstreams_may_write_an_answer_in_any_form() {
+fn answers_are_accepted_in_every_valid_form() {
     run(async {
         let cases = [
             "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwhole",
@@ -94,19 +94,19 @@
             "HTTP/1.0 200 OK\r\nContent-Length: 5\r\n\r\nwhole",
         ];
         for answer in cases {
-            let b = balancer_at(&[plain_upstream(answer.as_bytes().to_vec()).await], &[]).await;
+            let b = balancer_at(&[raw_upstream(answer.as_bytes().to_vec()).await], &[]).await;
             let got = send_and_read(b.address, rpc_head("GET", "/look", "")).await;
             assert_eq!((got.status(), got.body.as_slice()), (200, &b"whole"[..]), "{answer}");
             assert!(got.header("x-one").is_none() && got.header("connection").is_none(), "{}", got.head);
         }
-        // Nothing tells where these end, or they end too early: never an answer.
+        // The end of these is not defined, or they end too early: never an answer.
         for answer in [
             "HTTP/1.1 200 OK\r\n\r\nwhole",
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nwhole\r\n",
             "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nwhole",
             "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nwhole\r\n0\r\n\r\n",
         ] {
-            let b = balancer_at(&[plain_upstream(answer.as_bytes().to_vec()).await], &[]).await;
+            let b = balancer_at(&[raw_upstream(answer.as_bytes().to_vec()).await], &[]).await;
             let got = send_and_read(b.address, rpc_head("POST", "/pay", "Content-Length: 0\r\n")).await;
             assert_eq!(got.status(), 502, "{answer}");
         }
@@ -119,7 +119,7 @@
     (0..length).map(|i| (i % 251) as u8).collect()
 }
 
-fn in_chunks(body: &[u8], size: usize) -> Vec<u8> {
+fn encode_chunked(body: &[u8], size: usize) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(body.len() * 2);
     for chunk in body.chunks(size) {
         bytes.extend_from_slice(format!("{:x}\r\n", chunk.len()).as_bytes());
@@ -130,8 +130,8 @@
     bytes
 }
 
-/// The body of a message in chunks.
-fn out_of_chunks(mut bytes: &[u8]) -> Option<Vec<u8>> {
+/// Decodes a chunked body.
+fn decode_chunked(mut bytes: &[u8]) -> Option<Vec<u8>> {
     let mut body = Vec::new();
     loop {
         let line = bytes.iter().position(|b| *b == b'\n')?;
@@ -145,7 +145,7 @@
     }
 }
 
-/// Sends bytes and reads to the end at the same time.
+/// Sends bytes while reading to the end of the connection. Returns the head and the rest.
 async fn exchange(at: SocketAddr, bytes: Vec<u8>) -> (String, Vec<u8>) {
     let stream = connect(at).await;
     let (mut from, mut to) = stream.into_split();
@@ -160,18 +160,18 @@
     (String::from_utf8_lossy(&all[..head]).into_owned(), all.split_off(head))
 }
 
-/// Guards against bodies that are held back, cut, mixed up or kept in memory: 32 MB both ways, of stated length and in
-/// chunks down to a few bytes.
+/// Guards against bodies that are held back, truncated, mixed up or kept in memory: 32 MiB in both directions, with a
+/// Content-Length and in chunks down to a few bytes.
 #[test]
-fn large_bodies_go_both_ways_whole() {
+fn large_bodies_are_forwarded_completely() {
     run(async {
         let body = pattern(LARGE);
         for (size, answer_in) in [(None, Some(7)), (Some(1 << 16), None)] {
-            let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-            let address = listener.local_addr().expect("an address");
+            let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind a listener");
+            let address = listener.local_addr().expect("local address");
             let (sized, sent) = (size.is_none(), body.clone());
             actix_rt::spawn(async move {
-                let (mut stream, _) = listener.accept().await.expect("a call");
+                let (mut stream, _) = listener.accept().await.expect("accept a call");
                 let mut all = Vec::new();
                 while !(all.ends_with(b"0\r\n\r\n")
                     || sized && all.len() > LARGE + 100 && {
@@ -179,16 +179,19 @@
                         all.len() - head == LARGE
                     })
                 {
-                    assert!(stream.read_buf(&mut all).await.expect("more") > 0);
+                    assert!(stream.read_buf(&mut all).await.expect("read more bytes") > 0);
                 }
-                let head = all.windows(4).position(|w| w == b"\r\n\r\n").expect("a head") + 4;
-                let came =
-                    if sized { all[head..].to_vec() } else { out_of_chunks(&all[head..]).expect("whole") };
-                assert!(came == sent, "{} bytes came", came.len());
+                let head = all.windows(4).position(|w| w == b"\r\n\r\n").expect("message head") + 4;
+                let received = if sized {
+                    all[head..].to_vec()
+                } else {
+                    decode_chunked(&all[head..]).expect("complete chunked body")
+                };
+                assert!(received == sent, "{} bytes received", received.len());
                 let answer = match answer_in {
                     Some(size) => [
                         &b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"[..],
-                        &in_chunks(&sent, size)[..],
+                        &encode_chunked(&sent, size)[..],
                     ]
                     .concat(),
                     None => {
@@ -196,7 +199,7 @@
                             .concat()
                     }
                 };
-                stream.write_all(&answer).await.expect("it reads");
+                stream.write_all(&answer).await.expect("write to the socket");
                 let _ = stream.read(&mut [0; 1]).await;
             });
             let b = balancer_at(&[address], &[]).await;
@@ -204,7 +207,7 @@
                 Some(size) => {
                     let head =
                         rpc_head("POST", "/pay", "Transfer-Encoding: chunked\r\nConnection: close\r\n");
-                    [head.as_bytes(), &in_chunks(&body, size)].concat()
+                    [head.as_bytes(), &encode_chunked(&body, size)].concat()
                 }
                 None => {
                     let head = rpc_head(
@@ -218,21 +221,21 @@
             let (head, got) = exchange(b.address, request).await;
             assert!(head.starts_with("HTTP/1.1 200"), "{head}");
             let got =
-                if head.to_ascii_lowercase().contains("chunked") { out_of_chunks(&got) } else { Some(got) };
+                if head.to_ascii_lowercase().contains("chunked") { decode_chunked(&got) } else { Some(got) };
             assert!(got.is_some_and(|got| got == body));
-            let told = b.board.metrics();
-            assert_eq!((told.ends["pay"].completed, told.outstanding, told.attempts), (1, 0, 1));
+            let metrics = b.board.metrics();
+            assert_eq!((metrics.ends["pay"].completed, metrics.outstanding, metrics.attempts), (1, 0, 1));
         }
     });
 }
 
-/// Guards against a long answer that is held back until it is whole, that a time-out cuts while the upstream still
-/// gives, whose cut end passes for whole, or that is sent for again.
+/// Guards against a long answer that is held back until it is complete, that a time-out cuts off while the upstream is still
+/// sending, that passes for complete though truncated, or that is requested again.
 #[test]
-fn a_long_answer_is_handed_on_as_it_comes() {
+fn long_answer_is_streamed() {
     run(async {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let address = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind a listener");
+        let address = listener.local_addr().expect("local address");
         let half = pattern(100_000);
         let sent = half.clone();
         let calls = std::rc::Rc::new(std::cell::Cell::new(0));
@@ -242,51 +245,51 @@
         actix_rt::spawn(async move {
             while let Ok((mut stream, _)) = listener.accept().await {
                 counted.set(counted.get() + 1);
-                read_message(&mut stream).await.expect("a message");
+                read_message(&mut stream).await.expect("read the message");
                 let head = "HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n";
-                stream.write_all(&[head.as_bytes(), &sent].concat()).await.expect("it reads");
+                stream.write_all(&[head.as_bytes(), &sent].concat()).await.expect("write to the socket");
                 going.notified().await;
                 if counted.get() == 1 {
-                    stream.write_all(&sent).await.expect("it reads");
+                    stream.write_all(&sent).await.expect("write to the socket");
                 }
             }
         });
         let b = balancer_at(&[address], &[]).await;
-        for whole in [true, false] {
+        for complete in [true, false] {
             let mut caller = send(b.address, rpc_head("GET", "/look", "").replace("4000", "300")).await;
             let mut first = vec![0; 100_000];
-            caller.read_exact(&mut first).await.expect("it has begun");
+            caller.read_exact(&mut first).await.expect("read the start of the answer");
             assert_eq!(b.board.metrics().outstanding, 1);
-            // Long past its deadline it is still open.
+            // Still open long after its deadline.
             actix_rt::time::sleep(Duration::from_millis(600)).await;
             go.notify_one();
-            let rest = if whole {
+            let rest = if complete {
                 let mut rest = vec![0; 100_000 - 1000];
-                caller.read_exact(&mut rest).await.expect("all of it");
+                caller.read_exact(&mut rest).await.expect("read the rest of the answer");
                 rest
             } else {
-                to_the_end(&mut caller).await
+                read_to_end(&mut caller).await
             };
-            assert_eq!(rest.len() > 50_000, whole, "{}", rest.len());
+            assert_eq!(rest.len() > 50_000, complete, "{}", rest.len());
             wait_until(|| b.board.metrics().outstanding == 0).await;
         }
-        let told = b.board.metrics().ends["look"];
-        assert_eq!((told.completed, told.errored, calls.get()), (1, 1, 2));
+        let results = b.board.metrics().ends["look"];
+        assert_eq!((results.completed, results.errored, calls.get()), (1, 1, 2));
     });
 }
 
-/// Guards against an upload that is answered only after its last byte, that runs on an upstream that never had it whole,
-/// or that is held on to for who stopped to send it.
+/// Guards against an upload that is answered only after its last byte, that runs on an upstream which did not receive all of it,
+/// or that stays open after its caller stopped sending.
 #[test]
-fn an_upload_ends_early_where_it_can_come_to_nothing() {
+fn failed_upload_ends_early() {
     run(async {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let address = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind a listener");
+        let address = listener.local_addr().expect("local address");
         actix_rt::spawn(async move {
             while let Ok((mut stream, _)) = listener.accept().await {
                 actix_rt::spawn(async move {
                     let mut some = [0; 4096];
-                    let n = stream.read(&mut some).await.expect("a head");
+                    let n = stream.read(&mut some).await.expect("message head");
                     if String::from_utf8_lossy(&some[..n]).contains("/early") {
                         let _ = stream
                             .write_all(b"HTTP/1.1 503 Full\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n")
@@ -298,22 +301,22 @@
         });
         let b = balancer_at(&[address], &[]).await;
         let head = |path: &str| rpc_head("POST", path, "Content-Length: 9000000\r\n");
-        // Turned away by the upstream while it comes: refused at once, and the rest is no RPC.
+        // Declined by the upstream during the upload: answered at once, and the rest is not read as an RPC.
         let mut early = send(b.address, [head("/pay/early").as_bytes(), &pattern(200_000)].concat()).await;
-        assert_eq!(read_message(&mut early).await.expect("an answer").status(), 503);
-        // Its caller stops: told so in time, and nothing has run.
+        assert_eq!(read_message(&mut early).await.expect("read the answer").status(), 503);
+        // The caller stops sending: it gets an error in time, and nothing has run.
         let mut stops = send(b.address, [head("/pay").as_bytes(), &pattern(200_000)].concat()).await;
         let from = std::time::Instant::now();
-        let told = read_message(&mut stops).await.expect("an answer").status();
-        assert!(told >= 400 && from.elapsed() < Duration::from_secs(3), "{told} {:?}", from.elapsed());
-        // Its caller goes.
+        let status = read_message(&mut stops).await.expect("read the answer").status();
+        assert!(status >= 400 && from.elapsed() < Duration::from_secs(3), "{status} {:?}", from.elapsed());
+        // The caller leaves.
         drop(send(b.address, [head("/pay").as_bytes(), &pattern(200_000)].concat()).await);
         wait_until(|| b.board.metrics().left == 1 && b.board.open.borrow().is_empty()).await;
-        // More than any RPC may hold, said or not.
+        // Larger than the limit, with and without a Content-Length.
         let (said, _) =
             exchange(b.address, rpc_head("POST", "/pay", "Content-Length: 33554433\r\n").into_bytes()).await;
         assert!(said.starts_with("HTTP/1.1 413"), "{said}");
-        let chunks = in_chunks(&pattern(LARGE + 1), 1 << 20);
+        let chunks = encode_chunked(&pattern(LARGE + 1), 1 << 20);
         let request =
             [rpc_head("POST", "/pay", "Transfer-Encoding: chunked\r\n").as_bytes(), &chunks].concat();
         let (said, _) = exchange(b.address, request).await;
@@ -322,9 +325,9 @@
     });
 }
 
-/// Guards against a caller that is cut off because it is slow, and one that holds a connection without an end.
+/// Guards against cutting off a slow caller that makes progress, and against a deadline that starts before the last byte.
 #[test]
-fn a_slow_upload_is_judged_by_its_progress_and_its_deadline_counts_from_its_last_byte() {
+fn slow_upload_is_limited_by_progress_and_deadline_starts_at_last_byte() {
     run(async {
         let up =
             start_stub(|_, message| if message.body.len() == 100_000 { ok("whole") } else { Reply::NoReply })
@@ -334,10 +337,10 @@
         let head = rpc_head("POST", "/pay", "Content-Length: 100000\r\n").replace("4000", "500");
         let mut caller = send(b.address, head).await;
         for part in body.chunks(10_000) {
-            caller.write_all(part).await.expect("it reads");
+            caller.write_all(part).await.expect("write to the socket");
             actix_rt::time::sleep(Duration::from_millis(100)).await;
         }
-        let answer = read_message(&mut caller).await.expect("an answer");
+        let answer = read_message(&mut caller).await.expect("read the answer");
         assert_eq!((answer.status(), answer.body.as_slice()), (200, &b"whole"[..]));
     });
 }
--- a/crates/fernroute-server/tests/relay.rs
+++ b/crates/fernroute-server/tests/relay.rs
@@ -1,10 +1,10 @@
-//! An RPC's way through the balancer, between stand-ins on loopback.
+//! Forwarding of RPCs and answers between stand-in callers and upstreams on loopback.
 
 mod common;
 
 use common::{
-    balancer, balancer_at, ok, read_message, rested, rpc_head, run, send, send_and_read, start_stub,
-    status_reply, wait_until, Reply,
+    balancer, balancer_at, ok, read_message, rpc_head, run, send, send_and_read, start_stub, status_reply,
+    until_reusable, wait_until, Reply,
 };
 use fernroute_server::protocol::answer::FinalAnswer;
 use fernroute_server::transport::outbound::{AttemptProgress, AttemptState, CURRENT_ATTEMPT};
@@ -16,7 +16,7 @@
 use tokio::net::{TcpListener, TcpSocket};
 
 #[test]
-fn passes_on_what_belongs_to_both_ends_and_nothing_else() {
+fn end_to_end_headers_are_forwarded_and_hop_by_hop_are_not() {
     run(async {
         let up = start_stub(|_, _| {
             let text = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nX-Answer: kept\r\nSrv-Load: util=0.5\r\n\
@@ -40,25 +40,26 @@
             assert_eq!(seen[0].header(name), Some(value));
         }
         assert!(seen[0].header("x-drop").is_none(), "{}", seen[0].head);
-        let left: u64 = seen[0].header("req-deadline-ms").and_then(|v| v.parse().ok()).expect("a deadline");
+        let left: u64 =
+            seen[0].header("req-deadline-ms").and_then(|v| v.parse().ok()).expect("Req-Deadline-Ms header");
         assert!((2000..=4000).contains(&left), "{left}");
     });
 }
 
-/// Guards against a long body that the client library stops writing before its end, against a limit that is a byte
-/// off, and against answers longer than agreed that would end RPCs: chunked in, sized out, an upstream that reads late.
+/// Guards against a long body that the HTTP client stops writing before its end, against an off-by-one limit, and against
+/// rejecting long answers. The request is chunked, the answer has a Content-Length, and the upstream starts to read late.
 #[test]
-fn the_longest_body_goes_both_ways() {
+fn long_body_is_forwarded_in_both_directions() {
     run(async {
-        let socket = TcpSocket::new_v4().expect("a socket");
-        socket.set_recv_buffer_size(4096).expect("a small buffer");
-        socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
-        let listener = socket.listen(8).expect("it listens");
-        let address = listener.local_addr().expect("an address");
+        let socket = TcpSocket::new_v4().expect("create a socket");
+        socket.set_recv_buffer_size(4096).expect("set the receive buffer size");
+        socket.bind("127.0.0.1:0".parse().expect("local address")).expect("bind a listener");
+        let listener = socket.listen(8).expect("listen on the socket");
+        let address = listener.local_addr().expect("local address");
         actix_rt::spawn(async move {
             while let Ok((mut stream, _)) = listener.accept().await {
                 actix_rt::time::sleep(Duration::from_millis(100)).await;
-                let message = read_message(&mut stream).await.expect("a whole message");
+                let message = read_message(&mut stream).await.expect("read the complete message");
                 let body = message.body.repeat(16);
                 let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
                 let _ = stream.write_all(&[head.as_bytes(), &body].concat()).await;
@@ -80,7 +81,7 @@
 }
 
 #[test]
-fn what_is_no_rpc_is_told_so_and_reaches_no_upstream() {
+fn invalid_requests_are_rejected_and_reach_no_upstream() {
     run(async {
         let up = start_stub(|_, _| ok("never")).await;
         let b = balancer(&[&up], &[]).await;
@@ -123,10 +124,10 @@
     });
 }
 
-/// Guards against an RPC hidden behind a message that was turned away before its end, and against a reset that
-/// overtakes the answer while the caller still sends.
+/// Guards against request smuggling behind a message that was rejected before its end, and against a reset that overtakes the
+/// answer while the caller is still sending.
 #[test]
-fn what_follows_a_message_that_was_turned_away_is_not_read() {
+fn bytes_after_a_rejected_message_are_not_read() {
     run(async {
         let up = start_stub(|_, _| ok("never")).await;
         let b = balancer(&[&up], &[]).await;
@@ -141,42 +142,42 @@
         ];
         for (bytes, status) in cases {
             let mut stream = send(b.address, bytes + &hidden).await;
-            let answer = read_message(&mut stream).await.expect("an answer");
+            let answer = read_message(&mut stream).await.expect("read the answer");
             assert_eq!((answer.status(), answer.header("connection")), (status, Some("close")));
-            assert_eq!(stream.read(&mut [0; 1]).await.expect("an orderly end"), 0);
+            assert_eq!(stream.read(&mut [0; 1]).await.expect("close without a reset"), 0);
         }
         assert!(up.received.borrow().is_empty());
     });
 }
 
-/// Guards against callers that hold connections with nothing, or with half an RPC, for good.
+/// Guards against callers that hold connections forever while sending nothing or only part of an RPC.
 #[test]
-fn who_says_nothing_or_half_is_not_waited_for() {
+fn silent_and_partial_callers_are_timed_out() {
     run(async {
         let b = balancer(&[], &[]).await;
         let from = Instant::now();
         let mut silent = common::connect(b.address).await;
         let mut half = send(b.address, rpc_head("POST", "/pay", "Content-Length: 9\r\n") + "half").await;
         let mut head = send(b.address, "GET /look HT").await;
-        assert_eq!(silent.read(&mut [0; 1]).await.expect("an orderly end"), 0);
+        assert_eq!(silent.read(&mut [0; 1]).await.expect("close without a reset"), 0);
         for slow in [&mut half, &mut head] {
-            assert_eq!(read_message(slow).await.expect("an answer").status(), 408);
-            assert_eq!(slow.read(&mut [0; 1]).await.expect("an orderly end"), 0);
+            assert_eq!(read_message(slow).await.expect("read the answer").status(), 408);
+            assert_eq!(slow.read(&mut [0; 1]).await.expect("close without a reset"), 0);
         }
         assert!(from.elapsed() < Duration::from_secs(3), "{:?}", from.elapsed());
     });
 }
 
-type ToDeed = fn(Vec<u8>) -> Reply;
+type MakeDeed = fn(Vec<u8>) -> Reply;
 
-/// What may have run is not sent again, and is no exhaustion; what never ran is sent again.
+/// An attempt that may have run is not sent again and does not count as exhausted; one that never ran is sent again.
 #[test]
-fn outcomes_of_a_non_retriable_rpc() {
+fn non_retriable_rpc_outcomes() {
     run(async {
         let raw = |text: &str| text.as_bytes().to_vec();
         let declined =
             |status: &str| raw(&format!("HTTP/1.1 {status}\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"));
-        let cases: Vec<(ToDeed, Vec<u8>, u16, usize)> = vec![
+        let cases: Vec<(MakeDeed, Vec<u8>, u16, usize)> = vec![
             (Reply::Send, declined("503 No"), 200, 2),
             (Reply::Send, declined("504 No"), 200, 2),
             (Reply::Send, raw("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), 502, 1),
@@ -193,7 +194,7 @@
                 502,
                 1,
             ),
-            // An answer of 3 GB, one that has several lengths or none, one that is only announced on and on.
+            // A 3 GB answer, answers with invalid, several or no lengths, endless interim responses, and an oversized head.
             (Reply::Send, raw("HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nand on"), 502, 1),
             (Reply::Send, raw("HTTP/1.1 200 OK\r\nContent-Length: -5\r\n\r\nwhole"), 502, 1),
             (
@@ -235,10 +236,10 @@
     });
 }
 
-/// Guards against an announcement that passes for the answer, and against what follows an answer, with it or
-/// while its connection stands idle, passing for that of the next RPC.
+/// Guards against an interim response that is taken for the answer, and against bytes after an answer, sent with it or on the
+/// idle connection, that are taken for the next RPC's answer.
 #[test]
-fn an_answer_is_its_own_rpcs_whatever_comes_round_it() {
+fn interim_responses_and_stray_bytes_do_not_shift_answers() {
     run(async {
         let up = start_stub(|n, _| {
             let whole = format!("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{n:02}");
@@ -254,33 +255,32 @@
         let up = up.await;
         let b = balancer(&[&up], &[]).await;
         for n in 0..8 {
-            rested().await;
+            until_reusable().await;
             let answer = send_and_read(b.address, rpc_head("GET", "/look", "")).await;
             assert_eq!((answer.status(), answer.body), (200, format!("{n:02}").into_bytes()));
         }
-        // A connection with more on it than its answer is of no further use.
+        // A connection with bytes beyond its answer is closed.
         assert_eq!(up.connections.get(), 4);
         wait_until(|| up.closed.get() == 3).await;
     });
 }
 
-/// Guards against non-retriable RPCs that are lost because an upstream ends its kept connections whenever it likes:
-/// what was written then may have run.
+/// Guards against failing non-retriable RPCs when an upstream closes a kept connection: an RPC written to it may have run.
 #[test]
-fn what_must_not_run_twice_gets_a_connection_of_its_own() {
+fn non_retriable_rpcs_use_new_connections() {
     run(async {
         let up = start_stub(|n, message| match message.header("connection") {
             Some("close") => {
                 Reply::SendAndClose(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nonce".to_vec())
             }
-            // A kept connection is good for one answer, and resets under the next.
+            // Kept connections serve three RPCs in all, and close on the next one.
             _ if n < 3 => ok("kept"),
             _ => Reply::SendAndClose(Vec::new()),
         });
         let up = up.await;
         let b = balancer(&[&up], &[]).await;
         for _ in 0..3 {
-            rested().await;
+            until_reusable().await;
             assert_eq!(send_and_read(b.address, rpc_head("GET", "/look", "")).await.body, b"kept");
         }
         for _ in 0..5 {
@@ -292,10 +292,14 @@
 }
 
 #[test]
-fn a_refused_connection_never_ran() {
+fn refused_connection_counts_as_never_run() {
     run(async {
         let up = start_stub(|_, _| ok("whole")).await;
-        let shut = TcpListener::bind("127.0.0.1:0").await.expect("a port").local_addr().expect("an address");
+        let shut = TcpListener::bind("127.0.0.1:0")
+            .await
+            .expect("bind a listener")
+            .local_addr()
+            .expect("local address");
         let b = balancer_at(&[shut, up.address], &[]).await;
         for _ in 0..8 {
             assert_eq!(
@@ -307,7 +311,7 @@
 }
 
 #[test]
-fn a_silent_upstream_costs_the_deadline_and_its_connection() {
+fn silent_upstream_ends_at_the_deadline_and_closes_its_connection() {
     run(async {
         let up = start_stub(|_, _| Reply::NoReply).await;
         let b = balancer(&[&up], &[]).await;
@@ -321,11 +325,11 @@
 }
 
 #[test]
-fn a_caller_that_leaves_ends_its_transmission() {
+fn caller_leaving_ends_its_attempt() {
     run(async {
         let up = start_stub(|_, _| Reply::NoReply).await;
         let b = balancer(&[&up], &[]).await;
-        // The deadline lies past the end of the test.
+        // The deadline is later than the test's time limit.
         let stream = send(b.address, rpc_head("GET", "/look", "").replace("4000", "90000")).await;
         wait_until(|| up.received.borrow().len() == 1).await;
         drop(stream);
@@ -334,85 +338,85 @@
     });
 }
 
-/// Guards against RPCs that end as a reset because the upstream closes as they are written.
+/// Guards against RPCs that fail with a reset because the upstream closes the kept connection as they are written.
 #[test]
-fn connections_are_kept_but_not_until_the_other_side_closes_them() {
+fn connections_are_kept_for_less_than_the_keepalive_time() {
     run(async {
         let up = start_stub(|_, _| ok("whole")).await;
         let b = balancer(&[&up], &[("\"keepalive-s\":30.0", "\"keepalive-s\":1.2")]).await;
         for _ in 0..2 {
-            rested().await;
+            until_reusable().await;
             send_and_read(b.address, rpc_head("GET", "/look", "")).await;
         }
         assert_eq!(up.connections.get(), 1);
-        // Passed over by the next call.
+        // The next call skips the connection.
         actix_rt::time::sleep(Duration::from_millis(250)).await;
         send_and_read(b.address, rpc_head("GET", "/look", "")).await;
         assert_eq!(up.connections.get(), 2);
         wait_until(|| up.closed.get() == 1).await;
-        // And closed where there is no next call.
+        // Without a next call the connection is closed.
         wait_until(|| up.closed.get() == 2).await;
     });
 }
 
-/// Guards against a body that the client library stops writing before its end where the socket takes it in
-/// pieces: the connection takes all of it at once, and it counts as written when its last byte is out.
+/// Guards against a body that the HTTP client stops writing before its end when the socket accepts it in parts: the connection
+/// buffers all of it at once, and it counts as written when its last byte has been sent.
 #[test]
-fn a_body_counts_as_written_with_its_last_byte() {
+fn body_counts_as_written_after_its_last_byte() {
     run(async {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind a listener");
         let attempt = Rc::<AttemptState>::default();
         let body = vec![b'x'; 32 << 20];
         let write = async {
             let mut out = ConnectionTable::new(1, 0)
-                .connect(listener.local_addr().expect("an address"), Weak::new())
+                .connect(listener.local_addr().expect("local address"), Weak::new())
                 .await
-                .expect("room");
-            assert_eq!(out.write(&body).await.expect("it takes bytes"), body.len());
+                .expect("free connection slot");
+            assert_eq!(out.write(&body).await.expect("write to the connection"), body.len());
             let early = tokio::time::timeout(Duration::from_millis(50), out.flush()).await;
             assert!(early.is_err() && attempt.progress() == AttemptProgress::Connected);
-            let (mut reader, _) = listener.accept().await.expect("a connection");
+            let (mut reader, _) = listener.accept().await.expect("accept a connection");
             let read = actix_rt::spawn(async move { reader.read_exact(&mut vec![0; 32 << 20]).await });
-            out.flush().await.expect("it is read");
+            out.flush().await.expect("complete transfer");
             assert_eq!(attempt.progress(), AttemptProgress::RequestWritten);
-            read.await.expect("it reads").expect("all of it");
+            read.await.expect("write to the socket").expect("read the rest of the answer");
         };
         CURRENT_ATTEMPT.scope(Rc::clone(&attempt), write).await;
     });
 }
 
 #[test]
-fn idle_callers_make_room_for_new_ones() {
+fn idle_callers_are_evicted_for_new_ones() {
     run(async {
         let up = start_stub(|_, _| ok("whole")).await;
         let b = balancer(&[&up], &[("\"sockets\":1024", "\"sockets\":64")]).await;
         let mut idle = Vec::new();
         for _ in 0..30 {
             let mut stream = send(b.address, rpc_head("GET", "/look", "")).await;
-            assert_eq!(read_message(&mut stream).await.expect("an answer").status(), 200);
+            assert_eq!(read_message(&mut stream).await.expect("read the answer").status(), 200);
             idle.push(stream);
         }
-        // The first to come stood idle for the longest.
-        assert_eq!(idle[0].read(&mut [0; 1]).await.expect("an orderly end"), 0);
+        // The first caller has been idle for the longest.
+        assert_eq!(idle[0].read(&mut [0; 1]).await.expect("close without a reset"), 0);
     });
 }
 
 #[test]
-fn a_panic_in_the_decisions_costs_one_rpc() {
+fn panic_in_decisions_fails_one_rpc() {
     run(async {
         let up = start_stub(|n, _| if n == 0 { Reply::NoReply } else { ok("whole") }).await;
         let b = balancer(&[&up], &[]).await;
         let mut stream = send(b.address, rpc_head("GET", "/look", "")).await;
         wait_until(|| up.received.borrow().len() == 1).await;
-        let id = b.board.open.borrow().keys().next().cloned().expect("it is open");
+        let id = b.board.open.borrow().keys().next().cloned().expect("open connection or RPC");
         b.board.decide(Some(&id), |_, _| panic!("on purpose"));
-        assert_eq!(read_message(&mut stream).await.expect("an answer").status(), 502);
+        assert_eq!(read_message(&mut stream).await.expect("read the answer").status(), 502);
         assert_eq!(send_and_read(b.address, rpc_head("GET", "/look", "")).await.status(), 200);
     });
 }
 
 #[test]
-fn an_id_in_use_is_no_new_rpc() {
+fn rpc_id_in_use_is_rejected() {
     run(async {
         let up = start_stub(|_, _| Reply::NoReply).await;
         let b = balancer(&[&up], &[]).await;
@@ -425,7 +429,7 @@
 }
 
 #[test]
-fn exhaustion_says_when_to_come_back() {
+fn exhausted_answer_has_retry_after() {
     let answer = FinalAnswer::Exhausted(12_345).encode();
     assert_eq!(answer.status().as_u16(), 503);
     assert_eq!(answer.headers().get("retry-after").and_then(|v| v.to_str().ok()), Some("1.2345"));
@@ -434,7 +438,8 @@
         let b = balancer(&[&up], &[("\"max-transmissions\":3", "\"max-transmissions\":1")]).await;
         let answer = send_and_read(b.address, rpc_head("GET", "/look", "")).await;
         assert_eq!(answer.status(), 503);
-        let wait: f64 = answer.header("retry-after").and_then(|v| v.parse().ok()).expect("a wait");
+        let wait: f64 =
+            answer.header("retry-after").and_then(|v| v.parse().ok()).expect("Retry-After header");
         assert!(wait > 0.0 && wait <= 2.0, "{wait}");
     });
 }
