--- a/crates/fernroute-testbed/src/live/fleet.rs
+++ b/crates/fernroute-testbed/src/live/fleet.rs
@@ -2,11 +2,11 @@
 //! of a fleet's balancers. These files use the project's own format, since the platform's format has no
 //! fleet section.
 
-use crate::player::Post;
+use crate::policy::BalancerPosition;
 use crate::processes::status;
 use crate::scenario::{zone_name, Effect, Group, Scenario};
 use fernroute_test_support::link::Link;
-use fernroute_test_support::process::{addresses, Process};
+use fernroute_test_support::process::{free_addresses, Process};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -37,7 +37,7 @@
         folder: &Path,
     ) -> Result<Self, String> {
         let f = &scenario.fleet;
-        let all = addresses(f.stewards).map_err(|e| e.to_string())?;
+        let all = free_addresses(f.stewards).map_err(|e| e.to_string())?;
         let mut shared_sections = String::new();
         for (n, at) in all.iter().enumerate() {
             let _ = writeln!(shared_sections, "[[steward]]\nname = \"s{n}\"\naddress = \"{at}\"");
@@ -122,21 +122,21 @@
     pub(super) fn cut(&self, position: usize, cut: bool) {
         let links = self.links.borrow();
         let links = links.get(&position).into_iter().flatten();
-        links.for_each(|link| if cut { link.refuse() } else { link.mend() });
+        links.for_each(|link| if cut { link.refuse_connections() } else { link.restore() });
     }
 
     /// The configuration file of the balancer at this position. It keeps its identity over a restart.
     pub(super) async fn balancer_file(
         &self,
         scenario: &Scenario,
-        post: Post,
+        post: BalancerPosition,
         discovery: SocketAddr,
         seed: u64,
         known: &[(String, SocketAddr, usize, usize)],
     ) -> Result<String, String> {
         let mut links = Vec::new();
         for at in &self.addresses {
-            links.push(Link::to(*at).await.map_err(|e| e.to_string())?);
+            links.push(Link::start(*at).await.map_err(|e| e.to_string())?);
         }
         let to: Vec<String> = links.iter().map(|link| format!("\"{}\"", link.address)).collect();
         self.links.borrow_mut().insert(post.number, links);
--- a/crates/fernroute-testbed/src/processes.rs
+++ b/crates/fernroute-testbed/src/processes.rs
@@ -6,12 +6,12 @@
 
 use fernroute::{RETRY_BUDGET, TRIAL_BUDGET};
 use fernroute_coordinator::replica::Status;
-use fernroute_test_support::caller::rpc;
-use fernroute_test_support::http::{answer, read};
+use fernroute_test_support::caller::rpc_head;
+use fernroute_test_support::http::{read_message, response};
 use fernroute_test_support::link::Link;
-use fernroute_test_support::process::{addresses, Process};
-use fernroute_test_support::stand_in::{entry, ok, serve, Deed, Discovery};
-use fernroute_test_support::until;
+use fernroute_test_support::process::{free_addresses, Process};
+use fernroute_test_support::stub::{list_entry, ok, serve_stub, Reply, StubDiscovery};
+use fernroute_test_support::wait_until;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -182,7 +182,7 @@
     pub unexpected_answers: Rc<RefCell<Vec<String>>>,
     /// Number of RPCs without any answer.
     pub unanswered: Rc<Cell<usize>>,
-    _discovery: Rc<Discovery>,
+    _discovery: Rc<StubDiscovery>,
 }
 
 impl Fleet {
@@ -192,7 +192,7 @@
         let io_error = |e: std::io::Error| e.to_string();
         let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
         std::fs::create_dir_all(&folder).map_err(io_error)?;
-        let at = addresses(coordinators).map_err(io_error)?;
+        let at = free_addresses(coordinators).map_err(io_error)?;
         let (mut coordinator_links, mut coordinator_files) = (BTreeMap::new(), Vec::new());
         for n in 0..coordinators {
             let mut list = String::new();
@@ -200,7 +200,7 @@
                 let at = if m == n {
                     *target
                 } else {
-                    let link = Link::to(*target).await.map_err(io_error)?;
+                    let link = Link::start(*target).await.map_err(io_error)?;
                     coordinator_links.insert((n, m), Rc::clone(&link));
                     link.address
                 };
@@ -231,13 +231,13 @@
         for n in 0..config.upstreams {
             let (executions, attempts, behaviors) =
                 (Rc::clone(&executions), Rc::clone(&attempts), Rc::clone(&behaviors));
-            let upstream = serve(any_port, move |request| {
+            let upstream = serve_stub(any_port, move |request| {
                 let rpc = request.header("req-id").unwrap_or_default().to_owned();
                 attempts.borrow_mut().push(ReceivedAttempt { at: Instant::now(), upstream: n, rpc });
                 match behaviors[n].get() {
-                    UpstreamBehavior::Fails => return Deed::SayAndClose(Vec::new()),
+                    UpstreamBehavior::Fails => return Reply::SendAndClose(Vec::new()),
                     UpstreamBehavior::RejectsHalf if attempts.borrow().len() % 2 == 0 => {
-                        return Deed::Say(answer(503, "Srv-Declined: 1\r\n", ""));
+                        return Reply::Send(response(503, "Srv-Declined: 1\r\n", ""));
                     }
                     UpstreamBehavior::Healthy | UpstreamBehavior::RejectsHalf => {}
                 }
@@ -245,10 +245,10 @@
                 ok("whole")
             });
             let at = upstream.await.map_err(io_error)?;
-            list.push(entry(&format!("u{n}"), at, "a", "SERVING"));
+            list.push(list_entry(&format!("u{n}"), at, "a", "SERVING"));
             upstreams.push(format!("[[upstream]]\nid = \"u{n}\"\naddress = \"{at}\"\nzone = \"a\"\n"));
         }
-        let discovery = Discovery::start(any_port, list.join(",")).await.map_err(io_error)?;
+        let discovery = StubDiscovery::start(any_port, list.join(",")).await.map_err(io_error)?;
         let rates: Rc<Vec<Cell<u64>>> = Rc::new((0..balancers).map(|_| Cell::new(0)).collect());
         let mut fleet = Fleet {
             program: program.to_owned(),
@@ -260,7 +260,7 @@
             coordinator_links,
             balancers: Vec::new(),
             addresses: Vec::new(),
-            ops_addresses: addresses(balancers).map_err(io_error)?,
+            ops_addresses: free_addresses(balancers).map_err(io_error)?,
             balancer_links: Vec::new(),
             balancer_files: Vec::new(),
             executions,
@@ -274,7 +274,7 @@
         for n in 0..balancers {
             let mut links = Vec::new();
             for at in &fleet.coordinator_addresses {
-                links.push(Link::to(*at).await.map_err(io_error)?);
+                links.push(Link::start(*at).await.map_err(io_error)?);
             }
             let to: Vec<String> = links.iter().map(|link| format!("\"{}\"", link.address)).collect();
             let text = format!(
@@ -322,11 +322,11 @@
         self.coordinator_links
             .iter()
             .filter(|((n, m), _)| separated(n, m))
-            .for_each(|(_, link)| link.refuse());
+            .for_each(|(_, link)| link.refuse_connections());
         for (n, links) in self.balancer_links.iter().enumerate() {
             let separated =
                 links.iter().enumerate().filter(|(m, _)| balancers.contains(&n) != coordinators.contains(m));
-            separated.for_each(|(_, link)| link.refuse());
+            separated.for_each(|(_, link)| link.refuse_connections());
         }
     }
 
@@ -335,7 +335,7 @@
         self.coordinator_links
             .values()
             .chain(self.balancer_links.iter().flatten())
-            .for_each(|link| link.mend());
+            .for_each(|link| link.restore());
     }
 
     /// Starts another process with the same balancer name in a folder of its own, as a balancer on
@@ -344,7 +344,7 @@
         let folder = self.folder.join(format!("elsewhere{n}"));
         std::fs::create_dir_all(&folder).map_err(|e| e.to_string())?;
         let process = launch(&self.program, "balancer", &folder, &format!("b{n}"), &self.balancer_files[n])?;
-        let at = process.address_after("serving on ", START_TIMEOUT).await?;
+        let at = process.logged_address("serving on ", START_TIMEOUT).await?;
         Ok((process, at))
     }
 
@@ -357,7 +357,7 @@
     pub async fn start_balancer(&mut self, n: usize) -> Result<(), String> {
         let process =
             launch(&self.program, "balancer", &self.folder, &format!("b{n}"), &self.balancer_files[n])?;
-        let at = process.address_after("serving on ", START_TIMEOUT).await?;
+        let at = process.logged_address("serving on ", START_TIMEOUT).await?;
         if n < self.balancers.len() {
             (self.balancers[n], self.addresses[n]) = (process, at);
         } else {
@@ -373,7 +373,7 @@
     pub async fn upgrade(&mut self, n: usize) -> Result<Process, String> {
         let name = format!("b{n}");
         let new = launch(&self.program, "balancer", &self.folder, &name, &self.balancer_files[n])?;
-        new.address_after("serving on ", START_TIMEOUT).await?;
+        new.logged_address("serving on ", START_TIMEOUT).await?;
         Ok(std::mem::replace(&mut self.balancers[n], new))
     }
 
@@ -397,9 +397,9 @@
                 spawn_local(async move {
                     let count_unanswered = || unanswered.set(unanswered.get() + 1);
                     let Ok(mut stream) = TcpStream::connect(at).await else { return count_unanswered() };
-                    let request = rpc("GET", "/look", "Req-Owner: acme\r\nConnection: close\r\n");
+                    let request = rpc_head("GET", "/look", "Req-Owner: acme\r\nConnection: close\r\n");
                     let _ = stream.write_all(request.as_bytes()).await;
-                    match timeout(Duration::from_secs(4), read(&mut stream)).await {
+                    match timeout(Duration::from_secs(4), read_message(&mut stream)).await {
                         Ok(Some(answer)) if matches!(answer.status(), 200 | 503) => {}
                         Ok(Some(answer)) => unexpected_answers.borrow_mut().push(answer.head),
                         // Happens when the balancer was killed or stopped; the test that did so judges
@@ -422,7 +422,7 @@
 
     /// Waits until at least so many RPCs were executed within a second.
     pub async fn wait_until_rate(&self, min: usize) {
-        until(|| self.executions.count_within(Duration::from_secs(1)) >= min).await;
+        wait_until(|| self.executions.count_within(Duration::from_secs(1)) >= min).await;
     }
 
     /// Waits for a coordinator that reports itself leader.
@@ -467,7 +467,7 @@
     let request = "GET /-/status HTTP/1.1\r\nHost: s\r\nConnection: close\r\n\r\n";
     let mut stream = TcpStream::connect(at).await.ok()?;
     stream.write_all(request.as_bytes()).await.ok()?;
-    let answer = timeout(START_TIMEOUT, read(&mut stream)).await.ok()??;
+    let answer = timeout(START_TIMEOUT, read_message(&mut stream)).await.ok()??;
     serde_json::from_slice(&answer.body).ok()
 }
 
--- a/crates/fernroute-testbed/src/processes/configuration.rs
+++ b/crates/fernroute-testbed/src/processes/configuration.rs
@@ -8,9 +8,9 @@
 use fernroute_fleet::configuration::rollout::MemberRollout;
 use fernroute_fleet::configuration::{content_hash, Scope, Version};
 use fernroute_fleet::message::{Envelope, PROTOCOL_VERSION};
-use fernroute_test_support::caller::rpc;
-use fernroute_test_support::http::read;
-use fernroute_test_support::process::{ignoring_limits, Process};
+use fernroute_test_support::caller::rpc_head;
+use fernroute_test_support::http::read_message;
+use fernroute_test_support::process::{ignoring_file_size_signal, Process};
 use rustix::process::Signal;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -38,7 +38,7 @@
         format!("POST {path} HTTP/1.1\r\nHost: s\r\nConnection: close\r\nContent-Length: {length}\r\n\r\n");
     let mut stream = TcpStream::connect(at).await.ok()?;
     stream.write_all((head + &body).as_bytes()).await.ok()?;
-    let answer = timeout(START_TIMEOUT, read(&mut stream)).await.ok()??;
+    let answer = timeout(START_TIMEOUT, read_message(&mut stream)).await.ok()??;
     serde_json::from_slice(&answer.body).ok()
 }
 
@@ -117,9 +117,9 @@
     /// Status of the answer to an RPC of this method, if there is one.
     pub async fn request_status(&self, n: usize, method: &str) -> Option<u16> {
         let mut stream = TcpStream::connect(self.addresses[n]).await.ok()?;
-        let request_bytes = rpc("GET", &format!("/{method}"), "Connection: close\r\n");
+        let request_bytes = rpc_head("GET", &format!("/{method}"), "Connection: close\r\n");
         stream.write_all(request_bytes.as_bytes()).await.ok()?;
-        Some(timeout(START_TIMEOUT, read(&mut stream)).await.ok()??.status())
+        Some(timeout(START_TIMEOUT, read_message(&mut stream)).await.ok()??.status())
     }
 
     /// Versions this balancer logged as applied, in order.
@@ -155,8 +155,8 @@
         let path = self.folder.join(format!("b{n}.toml"));
         command.args(["balancer", "--config"]).arg(path).env("TMPDIR", &self.folder);
         command.env_remove("FERNROUTE_LOG").env_remove("NODE_OPS");
-        let process = Process::launch(ignoring_limits(&command)).map_err(|e| e.to_string())?;
-        self.addresses[n] = process.address_after("serving on ", START_TIMEOUT).await?;
+        let process = Process::launch(ignoring_file_size_signal(&command)).map_err(|e| e.to_string())?;
+        self.addresses[n] = process.logged_address("serving on ", START_TIMEOUT).await?;
         self.balancers[n] = process;
         Ok(())
     }
@@ -166,7 +166,7 @@
         self.balancers[n].kill();
         let process =
             launch(&self.program, "balancer", &self.folder, &format!("b{n}"), &self.balancer_files[n])?;
-        self.addresses[n] = process.address_after("serving on ", START_TIMEOUT).await?;
+        self.addresses[n] = process.logged_address("serving on ", START_TIMEOUT).await?;
         self.balancers[n] = process;
         Ok(())
     }
--- a/crates/fernroute-testbed/src/scale/faults.rs
+++ b/crates/fernroute-testbed/src/scale/faults.rs
@@ -7,7 +7,7 @@
 use super::load::Load;
 use crate::processes::status;
 use fernroute_test_support::process::Process;
-use fernroute_test_support::Counted;
+use fernroute_test_support::Traffic;
 use serde::Serialize;
 use std::cell::RefCell;
 use std::collections::{BTreeSet, VecDeque};
@@ -146,11 +146,11 @@
                 let number = fleet.real.borrow().len() - 1;
                 let at = fleet.wait_for_real().await?[number];
                 self.load.remove_balancer(number);
-                fleet.real.borrow()[&place].stop();
+                fleet.real.borrow()[&place].pause();
                 sleep(duration).await;
                 // The others are answered all the while.
                 let others = self.settle_time(all - 1).await;
-                fleet.real.borrow()[&place].go_on();
+                fleet.real.borrow()[&place].resume();
                 let result = settled(self.settle_time(all).await);
                 self.load.add_balancer(number, at);
                 Ok(FaultResult { cut_settled_s: others, ..result })
@@ -179,7 +179,7 @@
         let reachable = fleet.layout.members.iter().filter(|m| of(&m.zone) == larger).count();
         let outside: BTreeSet<usize> =
             (0..fleet.coordinator_addresses.len()).filter(|n| region_of_coordinator(*n) != larger).collect();
-        cut.iter().for_each(|link| link.refuse());
+        cut.iter().for_each(|link| link.refuse_connections());
         let from = Instant::now();
         let cut_settled_s = self.settle_time_since(from, reachable, &outside).await;
         // Changes on both sides: one is entered, the other has no majority.
@@ -196,7 +196,7 @@
             }
         }
         sleep(duration.saturating_sub(from.elapsed())).await;
-        cut.iter().for_each(|link| link.mend());
+        cut.iter().for_each(|link| link.restore());
         let healed = Instant::now();
         let settled_s = self.settle_time_since(healed, fleet.layout.members.len(), &BTreeSet::new()).await;
         let change_in_force_s = match version {
@@ -290,7 +290,7 @@
     ) -> Option<f64> {
         const WINDOW: Duration = Duration::from_secs(1);
         let fleet = self.fleet;
-        let mut samples: VecDeque<(Instant, Vec<Counted>)> = VecDeque::new();
+        let mut samples: VecDeque<(Instant, Vec<Traffic>)> = VecDeque::new();
         // Since when one leads by its own word. Guards against calls that followers turn away: they are counted, too.
         let mut leads: Option<usize> = None;
         while from.elapsed() < SETTLE_TIMEOUT {
