--- a/crates/fernroute-testbed/src/experiment.rs
+++ b/crates/fernroute-testbed/src/experiment.rs
@@ -40,11 +40,11 @@
         let file: ExperimentFile = toml::from_str(&text).map_err(|e| error_at(e.message().to_owned()))?;
         if file.scenarios.is_empty() || file.variants.is_empty() || file.seeds.is_empty() {
             return Err(error_at(
-                "scenarios, variants and seeds: there must be one of each at the least".to_owned(),
+                "scenarios, variants and seeds: at least one of each is required".to_owned(),
             ));
         }
         if file.seeds.iter().collect::<BTreeSet<_>>().len() < file.seeds.len() {
-            return Err(error_at("seeds: one is there twice".to_owned()));
+            return Err(error_at("seeds: one appears twice".to_owned()));
         }
         let variants: Result<Vec<Variant>, String> =
             file.variants.iter().map(|v| Variant::from_name(v)).collect();
@@ -54,7 +54,7 @@
             let path = folder.join(scenario_file);
             let (scenario, text) = Scenario::read_with_text(&path)?;
             if scenarios.iter().any(|(other, _)| other.name == scenario.name) {
-                return Err(error_at(format!("scenarios: {} is there twice", scenario.name)));
+                return Err(error_at(format!("scenarios: {} appears twice", scenario.name)));
             }
             scenarios.push((scenario, text));
         }
@@ -72,11 +72,11 @@
             .flat_map(|s| self.variants.iter().map(move |v| (s, *v)))
             .flat_map(|(s, v)| self.seeds.iter().map(move |seed| (s, v, *seed)))
             .collect();
-        let play = |(s, variant, seed): (usize, Variant, u64)| {
+        let run_one = |(s, variant, seed): (usize, Variant, u64)| {
             let scenario = &self.scenarios[s].0;
             Row::of(scenario, variant, seed, &run::run(scenario, variant, seed))
         };
-        all.into_par_iter().map(play).collect()
+        all.into_par_iter().map(run_one).collect()
     }
 }
 
@@ -114,8 +114,8 @@
         let metrics = &run.metrics;
         let at = |q: f64| metrics.latencies.value_at_quantile(q) as f64 / 10.0;
         let mut violations = BTreeMap::new();
-        for breach in &run.violations {
-            *violations.entry(breach.rule).or_insert(0) += 1;
+        for violation in &run.violations {
+            *violations.entry(violation.rule).or_insert(0) += 1;
         }
         let sum = |what: fn(&crate::metrics::SecondMetrics) -> u64| metrics.seconds.iter().map(what).sum();
         let share = |m: &crate::metrics::MethodMetrics| {
@@ -339,6 +339,6 @@
     std::fs::create_dir_all(folder).map_err(io_error)?;
     match std::fs::read_dir(folder).map_err(io_error)?.next() {
         None => Ok(()),
-        Some(_) => Err(format!("{}: holds something already", folder.display())),
+        Some(_) => Err(format!("{}: the folder is not empty", folder.display())),
     }
 }
--- a/crates/fernroute-testbed/src/experiment/cold.rs
+++ b/crates/fernroute-testbed/src/experiment/cold.rs
@@ -59,12 +59,14 @@
         let scenarios = scenarios.collect::<Result<Vec<Scenario>, String>>()?;
         let fleets = file.fleets;
         if scenarios.is_empty() || fleets.is_empty() || file.seeds == 0 {
-            return Err(error_at("scenarios, fleets and seeds: one of each at the least".to_owned()));
+            return Err(error_at("scenarios, fleets and seeds: at least one of each is required".to_owned()));
         }
         if let Some((n, times)) =
             fleets.iter().find(|(n, times)| *n == 0 || !(0.0..=*n as f64).contains(times))
         {
-            return Err(error_at(format!("{n} balancers, one at {times} times the mean: that can't be")));
+            return Err(error_at(format!(
+                "fleets: one of {n} balancers cannot have {times} times the mean load"
+            )));
         }
         Ok(Experiment { scenarios, fleets, seeds: file.seeds })
     }
--- a/crates/fernroute-testbed/src/main.rs
+++ b/crates/fernroute-testbed/src/main.rs
@@ -19,7 +19,7 @@
 
 /// Simulates fleets of fernroute balancers in virtual time.
 #[derive(FromArgs)]
-struct Line {
+struct Arguments {
     #[argh(subcommand)]
     command: Command,
 }
@@ -29,22 +29,22 @@
 enum Command {
     Check(Check),
     Run(RunOne),
-    Experiment(Compare),
-    Cold(CountCold),
+    Experiment(RunExperiment),
+    Cold(RunCold),
     Depth(MeasureDepth),
     Figures(CompareFigures),
     Live(Live),
-    Balancer(RealOne),
+    Balancer(ServeBalancer),
     Beside(Beside),
-    Steward(RealSteward),
-    StewardStatus(AskSteward),
+    Coordinator(ServeCoordinator),
+    CoordinatorStatus(CoordinatorStatus),
     Fleet(RunFleet),
     MeasureFleet(MeasureFleet),
     Scale(RunScale),
     ScaleFit(FitScale),
     Hollow(Hollow),
     ScaleStand(ScaleStand),
-    StewardChange(ChangeStewards),
+    CoordinatorChange(ChangeCoordinators),
 }
 
 /// Validate scenario files.
@@ -77,7 +77,7 @@
 /// Play scenarios, variants and seeds, and write tables and charts.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "experiment")]
-struct Compare {
+struct RunExperiment {
     /// experiment file
     #[argh(positional)]
     experiment: PathBuf,
@@ -90,7 +90,7 @@
 /// rule on cold upstreams was broken.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "cold")]
-struct CountCold {
+struct RunCold {
     /// experiment file: scenarios, fleets, seeds
     #[argh(positional)]
     experiment: PathBuf,
@@ -148,7 +148,7 @@
 /// Run as a real balancer, as `fernroute serve` does.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "balancer")]
-struct RealOne {
+struct ServeBalancer {
     /// configuration file of the balancer
     #[argh(option)]
     config: String,
@@ -169,7 +169,7 @@
 /// Run as a real coordinator, as `fernroute-coordinator serve --first` does.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "steward")]
-struct RealSteward {
+struct ServeCoordinator {
     /// configuration file of the coordinator
     #[argh(option)]
     config: String,
@@ -178,7 +178,7 @@
 /// Print the status of a coordinator, as `fernroute-coordinator status` does.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "steward-status")]
-struct AskSteward {
+struct CoordinatorStatus {
     /// address of a coordinator
     #[argh(positional)]
     at: String,
@@ -247,7 +247,7 @@
 /// Change the set of coordinators, as `fernroute-coordinator change` does.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "steward-change")]
-struct ChangeStewards {
+struct ChangeCoordinators {
     /// configuration file of a coordinator
     #[argh(option)]
     config: String,
@@ -259,7 +259,7 @@
 
 fn main() -> ExitCode {
     let arguments: Vec<String> = std::env::args().collect();
-    let line: Line = match commands::parse_arguments(NAME, &arguments) {
+    let line: Arguments = match commands::parse_arguments(NAME, &arguments) {
         Ok(line) => line,
         Err(code) => return code,
     };
@@ -269,7 +269,7 @@
             println!("{}: {}, {} tiers, {} faults", path.display(), s.name, s.tier.len(), s.fault.len());
             Ok(())
         }),
-        Command::Run(one) => match play(&one) {
+        Command::Run(one) => match run_simulation(&one) {
             Ok(true) => Ok(()),
             Ok(false) => return ExitCode::FAILURE,
             Err(why) => Err(why),
@@ -300,21 +300,22 @@
             Ok(code) => return code,
             Err(why) => Err(why),
         },
-        Command::Live(one) => match play_live(&one) {
+        Command::Live(one) => match run_live(&one) {
             Ok(code) => return ExitCode::from(code),
             Err(why) => Err(why),
         },
         Command::Beside(one) => {
-            match balancer_words(one.program.as_deref()).and_then(|words| beside::run(&one.config, &words)) {
+            match balancer_command(one.program.as_deref()).and_then(|words| beside::run(&one.config, &words))
+            {
                 Ok(code) => return ExitCode::from(code),
                 Err(why) => Err(why),
             }
         }
-        Command::Steward(one) => {
+        Command::Coordinator(one) => {
             let words = ["fernroute-coordinator", "serve", "--first", "--config", &one.config];
             return fernroute_coordinator::commands::run(&words.map(str::to_owned));
         }
-        Command::StewardStatus(ask) => {
+        Command::CoordinatorStatus(ask) => {
             return fernroute_coordinator::commands::run(
                 &["fernroute-coordinator", "status", &ask.at].map(str::to_owned),
             );
@@ -325,7 +326,7 @@
             Ok(())
         }
         Command::MeasureFleet(_) => own_program().and_then(|program| measure::run(&program)),
-        Command::Scale(one) => match play_scale(&one) {
+        Command::Scale(one) => match run_scale(&one) {
             Ok(code) => return ExitCode::from(code),
             Err(why) => Err(why),
         },
@@ -335,7 +336,7 @@
         }),
         Command::Hollow(one) => scale::hollow::run(&one.folder),
         Command::ScaleStand(one) => scale::stand_in::run(&one.config),
-        Command::StewardChange(change) => {
+        Command::CoordinatorChange(change) => {
             let words = ["fernroute-coordinator", "change", "--config", &change.config];
             return fernroute_coordinator::commands::run(&words.map(str::to_owned));
         }
@@ -365,7 +366,7 @@
 }
 
 /// Returns whether all rules were kept.
-fn play(one: &RunOne) -> Result<bool, String> {
+fn run_simulation(one: &RunOne) -> Result<bool, String> {
     let (scenario, variant) = (Scenario::read(&one.scenario)?, Variant::from_name(&one.variant)?);
     let make = |s: &Scenario, position, desk, now, seed| variant.policy(s, position, desk, now, seed);
     let result = match &one.trace {
@@ -407,7 +408,7 @@
 }
 
 /// The command that starts a balancer: the given one, or this program.
-fn balancer_words(named: Option<&str>) -> Result<Vec<String>, String> {
+fn balancer_command(named: Option<&str>) -> Result<Vec<String>, String> {
     if let Some(words) = named {
         return Ok(words.split_whitespace().map(str::to_owned).collect());
     }
@@ -415,9 +416,9 @@
 }
 
 /// Returns the exit code.
-fn play_live(one: &Live) -> Result<u8, String> {
+fn run_live(one: &Live) -> Result<u8, String> {
     let scenario = Scenario::read(&one.scenario)?;
-    let program = balancer_words(one.program.as_deref())?;
+    let program = balancer_command(one.program.as_deref())?;
     let folder = one
         .keep
         .clone()
@@ -451,7 +452,7 @@
 }
 
 /// Returns the exit code.
-fn play_scale(one: &RunScale) -> Result<u8, String> {
+fn run_scale(one: &RunScale) -> Result<u8, String> {
     let layout = scale::prepare(&one.file, one.factor)?;
     // Kept short, because the length of socket paths is limited.
     let folder = std::env::temp_dir().join(format!("fernroute-scale-{}", std::process::id()));
--- a/crates/fernroute-testbed/src/measure.rs
+++ b/crates/fernroute-testbed/src/measure.rs
@@ -23,39 +23,39 @@
 const ROUNDS: usize = 10;
 
 /// The heartbeat interval.
-const BEAT_EVERY: Duration = Duration::from_millis(250);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
 
 pub fn run(program: &Path) -> Result<(), String> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
     LocalSet::new().block_on(&runtime, async {
-        losses(program).await?;
-        members(program, 300).await?;
+        measure_recovery(program).await?;
+        measure_heartbeats(program, 300).await?;
         measure_leader();
         Ok(())
     })
 }
 
-fn spread(what: &str, mut of: Vec<f64>) {
+fn print_spread(what: &str, mut of: Vec<f64>) {
     of.sort_by(f64::total_cmp);
     let at = |part: f64| of[((of.len() - 1) as f64 * part) as usize];
     println!("{what}: median {:.3}, from {:.3} to {:.3}, {} times", at(0.5), at(0.0), at(1.0), of.len());
 }
 
 /// Measures the time to a new leader, and the time until other balancers use the share of a killed one.
-async fn losses(program: &Path) -> Result<(), String> {
-    const WHOLE: usize = 120;
+async fn measure_recovery(program: &Path) -> Result<(), String> {
+    const LIMIT: usize = 120;
     let folder = std::env::temp_dir().join(format!("fernroute-measure-{}", std::process::id()));
-    let mut fleet = Fleet::start(program, folder, FleetConfig::new(3, 3, WHOLE)).await?;
+    let mut fleet = Fleet::start(program, folder, FleetConfig::new(3, 3, LIMIT)).await?;
     fleet.set_rates(&[150, 2, 2]);
     fleet.wait_until_limit_used().await;
-    let (mut led, mut least) = (Vec::new(), WHOLE);
+    let (mut recovery_s, mut least) = (Vec::new(), LIMIT);
     for _ in 0..ROUNDS {
         let leader = fleet.leader().await;
         let from = Instant::now();
         fleet.coordinators[leader].kill();
         fleet.leader().await;
-        led.push(from.elapsed().as_secs_f64());
+        recovery_s.push(from.elapsed().as_secs_f64());
         while from.elapsed() < Duration::from_secs(3) {
             sleep(Duration::from_millis(50)).await;
             least = least.min(fleet.executions.count_within(Duration::from_secs(1)));
@@ -63,9 +63,9 @@
         fleet.start_coordinator(leader)?;
         sleep(Duration::from_secs(1)).await;
     }
-    spread("seconds until another steward leads after the leader was killed", led);
-    println!("RPCs run in the worst second of all these, of {WHOLE} that are the whole: {least}");
-    let mut used = Vec::new();
+    print_spread("seconds until another coordinator leads after the leader was killed", recovery_s);
+    println!("RPCs run in the worst second of these, with a limit of {LIMIT}: {least}");
+    let mut reuse_s = Vec::new();
     for n in 0..ROUNDS {
         let (dead, other) = (n % 2, (n + 1) % 2);
         let mut rates = [2, 2, 2];
@@ -79,22 +79,22 @@
         // Waits until RPCs from before the kill have left the window; the recovery time is the start of the first half second
         // in which 95% of the budget is in use.
         sleep(Duration::from_millis(600)).await;
-        while fleet.executions.count_within(Duration::from_millis(500)) * 2 * 20 < WHOLE * 19 {
+        while fleet.executions.count_within(Duration::from_millis(500)) * 2 * 20 < LIMIT * 19 {
             sleep(Duration::from_millis(5)).await;
         }
-        used.push(from.elapsed().as_secs_f64() - 0.5);
+        reuse_s.push(from.elapsed().as_secs_f64() - 0.5);
         fleet.start_balancer(dead).await?;
     }
-    spread("seconds until a killed balancer's part was in use, shares held for 3 s", used);
-    println!("beyond the whole: {}", fleet.violation().unwrap_or_else(|| "never".to_owned()));
+    print_spread("seconds until a killed balancer's share was in use, shares held for 3 s", reuse_s);
+    println!("limit exceeded: {}", fleet.violation().unwrap_or_else(|| "never".to_owned()));
     Ok(())
 }
 
 /// A member that sends heartbeats on its own connection.
-async fn beats(n: usize, to: Rc<Cell<std::net::SocketAddr>>, bytes: Rc<Cell<(u64, u64)>>) -> Option<()> {
+async fn run_member(n: usize, to: Rc<Cell<std::net::SocketAddr>>, bytes: Rc<Cell<(u64, u64)>>) -> Option<()> {
     let mut member = Member::new(&format!("n{n}"), n as u64 + 1, 0);
     let mut peer = Connection::new(TcpStream::connect(to.get()).await.ok()?);
-    sleep(BEAT_EVERY.mul_f64(n as f64 / 300.0 % 1.0)).await;
+    sleep(HEARTBEAT_INTERVAL.mul_f64(n as f64 / 300.0 % 1.0)).await;
     for turn in 0u64.. {
         // One member in thirty requests ten times as much as the others; which one changes every four seconds.
         let wants = 800 + 7_200 * ((turn / 16 + n as u64) % 30 / 29);
@@ -108,18 +108,18 @@
         let answer = peer.read().await.ok()??;
         let (sent, count) = bytes.get();
         bytes.set((sent + (head.len() + body.len() + answer.to_bytes().len()) as u64, count + 1));
-        let said: Result<fernroute_fleet::message::HeartbeatReply, HeartbeatError> =
+        let reply: Result<fernroute_fleet::message::HeartbeatReply, HeartbeatError> =
             serde_json::from_slice(&answer.body).ok()?;
-        if let Ok(answer) = said {
-            member.on_reply(now(), &answer);
+        if let Ok(reply) = reply {
+            member.on_reply(now(), &reply);
         }
-        sleep(BEAT_EVERY).await;
+        sleep(HEARTBEAT_INTERVAL).await;
     }
     Some(())
 }
 
-async fn members(program: &Path, count: usize) -> Result<(), String> {
-    const FOR: Duration = Duration::from_secs(20);
+async fn measure_heartbeats(program: &Path, count: usize) -> Result<(), String> {
+    const MEASURE_FOR: Duration = Duration::from_secs(20);
     let folder = std::env::temp_dir().join(format!("fernroute-measure-{}", std::process::id()));
     let shape = FleetConfig { max_members: count, ..FleetConfig::new(3, 0, count) };
     let fleet = Fleet::start(program, folder, shape).await?;
@@ -130,7 +130,7 @@
     for n in 0..count {
         let (to, bytes, ended) = (Rc::clone(&to), Rc::clone(&bytes), Rc::clone(&ended));
         spawn_local(async move {
-            beats(n, to, bytes).await;
+            run_member(n, to, bytes).await;
             *ended.borrow_mut() += 1;
         });
     }
@@ -143,13 +143,13 @@
     let (cpu, at, first) =
         (fleet.coordinators[leader].cpu_ms(), bytes.get(), epoch(fleet.status(leader).await));
     let from = Instant::now();
-    sleep(FOR).await;
+    sleep(MEASURE_FOR).await;
     let (took, last) = (from.elapsed().as_secs_f64(), epoch(fleet.status(leader).await));
     let spent = fleet.coordinators[leader].cpu_ms() - cpu;
     let now = bytes.get();
     println!(
-        "a leading steward with {count} members: {:.0} beats a second, {:.0} bytes a second both ways, {:.1} steps a second, \
-         {:.1}% of a processor, {} kB of memory; members that ended: {}",
+        "a leading coordinator with {count} members: {:.0} heartbeats/s, {:.0} bytes/s both ways, {:.1} transitions/s, \
+         {:.1}% of a core, {} kB of memory; members that ended: {}",
         (now.1 - at.1) as f64 / took,
         (now.0 - at.0) as f64 / took,
         (last - first) as f64 / took,
@@ -165,36 +165,38 @@
 pub fn measure_leader() {
     const MEMBERS: u64 = 1_200;
     for budgets in [1, 10, 50, 190] {
-        decisions(MEMBERS, budgets, false, 60);
+        measure_decisions(MEMBERS, budgets, false, 60);
     }
     for members in [150, 300, 600] {
-        decisions(members, 190, false, 60);
+        measure_decisions(members, 190, false, 60);
     }
     // Shorter runs, because these cases would take too long.
     for (budgets, seconds) in [(10, 20), (50, 6)] {
-        decisions(MEMBERS, budgets, true, seconds);
+        measure_decisions(MEMBERS, budgets, true, seconds);
     }
 }
 
 /// Members send heartbeats every quarter of a second for this many seconds; each names all budgets or one of them.
-fn decisions(members: u64, budgets: u64, all_named: bool, seconds: u64) {
-    const EVERY: u64 = SECOND / 4;
+fn measure_decisions(members: u64, budgets: u64, all_named: bool, seconds: u64) {
+    const HEARTBEAT_INTERVAL: u64 = SECOND / 4;
     let names: Vec<String> = (0..budgets).map(|n| format!("service{n}")).collect();
     let mut ledger = Ledger::default();
     // Ten RPCs per second for each member that names the budget.
     let naming = if all_named { members } else { members.div_ceil(budgets) };
-    let whole = Budget::new(10.0 * naming as f64, 0.2, naming as usize);
-    let all = names.iter().map(|name| (name.clone(), whole.clone())).collect();
+    let budget = Budget::new(10.0 * naming as f64, 0.2, naming as usize);
+    let all = names.iter().map(|name| (name.clone(), budget.clone())).collect();
     if ledger.apply(&Entry::Budgets(all)).is_err() {
         return;
     }
     let lease = |length| Lease { duration: length, drift_ppm: 1000 };
     let mut leader = Leader::new(0, &ledger, lease(2 * SECOND), lease(60 * SECOND), members as usize);
     let mut all: Vec<Member> = (0..members).map(|n| Member::new(&format!("n{n}"), n + 1, 0)).collect();
-    let (mut bytes, mut beats, mut steps, mut late) = (0, 0u64, 0u64, 0u64);
+    let (mut bytes, mut beats, mut transitions, mut late) = (0, 0u64, 0u64, 0u64);
     let mut spent = Duration::ZERO;
     for now in 0..seconds * SECOND {
-        for n in (0..members).filter(|n| (now + n * EVERY / members).is_multiple_of(EVERY)) {
+        for n in (0..members)
+            .filter(|n| (now + n * HEARTBEAT_INTERVAL / members).is_multiple_of(HEARTBEAT_INTERVAL))
+        {
             let want = 5_000 + 15_000 * ((now / (4 * SECOND) + n) % 30 / 29);
             let named = names.iter().enumerate().filter(|(b, _)| all_named || *b as u64 == n % budgets);
             let wants: BudgetAmounts = named.map(|(_, name)| (name.clone(), want)).collect();
@@ -217,8 +219,8 @@
         }
         if now.is_multiple_of(SECOND / 40) {
             let from = Instant::now();
-            if let Some(step) = leader.next_transition(now, &ledger) {
-                steps += u64::from(ledger.apply(&Entry::Transition(step)).is_ok());
+            if let Some(transition) = leader.next_transition(now, &ledger) {
+                transitions += u64::from(ledger.apply(&Entry::Transition(transition)).is_ok());
                 leader.transition_done();
             }
             spent += from.elapsed();
@@ -227,13 +229,13 @@
     let per = |of: f64| of / seconds as f64;
     let held: u64 = names.iter().map(|name| ledger.total_allocated(name)).sum();
     println!(
-        "simulated, {members} members, {budgets} budgets, each member names {}: {:.1}% of a processor for the leader's decisions, \
-         {:.2} KB of JSON a second for each member, {:.1} steps a second; {late} of {beats} beats without a grant; held {:.3} of \
-         all wholes at the end",
+        "simulated, {members} members, {budgets} budgets, each member names {}: {:.1}% of a core for the leader's decisions, \
+         {:.2} KB of JSON per second and member, {:.1} transitions/s; {late} of {beats} heartbeats without a grant; held {:.3} of \
+         all limits at the end",
         if all_named { "all" } else { "one" },
         per(spent.as_secs_f64()) * 100.0,
         per(bytes as f64) / members as f64 / 1000.0,
-        per(steps as f64),
-        held as f64 / (whole.limit * budgets) as f64,
+        per(transitions as f64),
+        held as f64 / (budget.limit * budgets) as f64,
     );
 }
--- a/crates/fernroute-testbed/src/scenario.rs
+++ b/crates/fernroute-testbed/src/scenario.rs
@@ -376,76 +376,76 @@
 
     fn check(&self) -> Result<(), String> {
         /// Checks that a number is finite and within these bounds.
-        fn within(place: &str, value: f64, least: f64, most: f64) -> Result<(), String> {
-            if value.is_finite() && (least..=most).contains(&value) {
+        fn within(place: &str, value: f64, min: f64, max: f64) -> Result<(), String> {
+            if value.is_finite() && (min..=max).contains(&value) {
                 return Ok(());
             }
-            Err(format!("{place}: {value} is not between {least} and {most}"))
+            Err(format!("{place}: {value} is not between {min} and {max}"))
         }
         const DAY: f64 = 86_400.0;
-        const MOST: f64 = 1e6;
+        const LARGE: f64 = 1e6;
         within("seconds", self.seconds, 1.0, DAY)?;
-        within("load.rate", self.load.rate, 0.001, MOST)?;
-        within("load.backoff_ms", self.load.backoff_ms, 0.0, MOST)?;
+        within("load.rate", self.load.rate, 0.001, LARGE)?;
+        within("load.backoff_ms", self.load.backoff_ms, 0.0, LARGE)?;
         within("load.impatient", self.load.impatient, 0.0, 1.0)?;
         if self.method.is_empty() || self.tier.is_empty() {
-            return Err("method and tier: there must be one of each at the least".to_owned());
+            return Err("method and tier: at least one of each is required".to_owned());
         }
         for (i, m) in self.method.iter().enumerate() {
             let at = |what: &str| format!("method[{i}].{what}");
             if self.method[..i].iter().any(|other| other.name == m.name) {
-                return Err(format!("{}: {} is there twice", at("name"), m.name));
+                return Err(format!("{}: {} appears twice", at("name"), m.name));
             }
-            within(&at("share"), m.share, 0.0, MOST)?;
-            within(&at("work_ms"), m.work_ms, 0.001, MOST)?;
+            within(&at("share"), m.share, 0.0, LARGE)?;
+            within(&at("work_ms"), m.work_ms, 0.001, LARGE)?;
             within(&at("cv"), m.cv, 0.0, 100.0)?;
-            within(&at("soft_ms"), m.soft_ms, 0.1, MOST)?;
-            within(&at("hard_ms"), m.hard_ms, m.soft_ms, MOST)?;
-            within(&at("gain"), m.gain, 0.0, MOST)?;
+            within(&at("soft_ms"), m.soft_ms, 0.1, LARGE)?;
+            within(&at("hard_ms"), m.hard_ms, m.soft_ms, LARGE)?;
+            within(&at("gain"), m.gain, 0.0, LARGE)?;
             within(&at("window_s"), m.window_s, 0.0, DAY)?;
         }
         let (n, f) = (self.tier[0].balancers as f64, &self.fleet);
         for (i, t) in self.tenant.iter().enumerate() {
             let at = |what: &str| format!("tenant[{i}].{what}");
             if self.tenant[..i].iter().any(|other| other.name == t.name) {
-                return Err(format!("{}: {} is there twice", at("name"), t.name));
+                return Err(format!("{}: {} appears twice", at("name"), t.name));
             }
-            within(&at("rate"), t.rate, 0.001, MOST)?;
-            within(&at("share"), t.share, 0.0, MOST)?;
+            within(&at("rate"), t.rate, 0.001, LARGE)?;
+            within(&at("share"), t.share, 0.0, LARGE)?;
             within(&at("busiest"), t.busiest, 0.0, n.max(1.0))?;
         }
         if !self.tenant.is_empty() {
-            within("tenant: the sum of share", self.tenant.iter().map(|t| t.share).sum(), 0.001, MOST)?;
+            within("tenant: the sum of share", self.tenant.iter().map(|t| t.share).sum(), 0.001, LARGE)?;
         }
         if !matches!(f.stewards, 0 | 1 | 3 | 5) {
-            return Err(format!("fleet.stewards: {} is none of 0, 1, 3 and 5", f.stewards));
+            return Err(format!("fleet.stewards: {} must be 0, 1, 3 or 5", f.stewards));
         }
-        within("fleet.beat_ms", f.beat_ms, 1.0, MOST)?;
-        within("fleet.shares_for_ms", f.shares_for_ms, 3.0 * f.beat_ms, MOST)?;
+        within("fleet.beat_ms", f.beat_ms, 1.0, LARGE)?;
+        within("fleet.shares_for_ms", f.shares_for_ms, 3.0 * f.beat_ms, LARGE)?;
         within("fleet.floors_for_s", f.floors_for_s, f.shares_for_ms / 1000.0, DAY)?;
         within("fleet.floors", f.floors, 0.0, 1.0)?;
         within("fleet.drift_ppm", f64::from(f.drift_ppm), 0.0, 100_000.0)?;
-        within("fleet.confirm_ms", f.confirm_ms, 0.0, MOST)?;
-        within("method: the sum of share", self.method.iter().map(|m| m.share).sum(), 0.001, MOST)?;
+        within("fleet.confirm_ms", f.confirm_ms, 0.0, LARGE)?;
+        within("method: the sum of share", self.method.iter().map(|m| m.share).sum(), 0.001, LARGE)?;
         for (i, t) in self.tier.iter().enumerate() {
             let at = |what: &str| format!("tier[{i}].{what}");
             if self.tier[..i].iter().any(|other| other.name == t.name) {
-                return Err(format!("{}: {} is there twice", at("name"), t.name));
+                return Err(format!("{}: {} appears twice", at("name"), t.name));
             }
             within(&at("upstreams"), t.upstreams as f64, 1.0, 10_000.0)?;
             let least = if i == 0 { 1.0 } else { 0.0 };
             within(&at("balancers"), t.balancers as f64, least, if i == 0 { 10_000.0 } else { 0.0 })?;
             within(&at("cores"), t.cores as f64, 1.0, 10_000.0)?;
-            within(&at("slots"), t.slots as f64, t.cores as f64, MOST)?;
-            within(&at("work"), t.work, 0.0001, MOST)?;
+            within(&at("slots"), t.slots as f64, t.cores as f64, LARGE)?;
+            within(&at("work"), t.work, 0.0001, LARGE)?;
             within(&at("calls"), t.calls, 0.0, 100.0)?;
             within(&at("unlike"), t.unlike, 0.0, 0.9)?;
             within(&at("zones"), t.zones as f64, 1.0, 100.0)?;
             within(&at("cell"), t.cell as f64, 1.0, 10_000.0)?;
-            within(&at("report_ms"), t.report_ms, 1.0, MOST)?;
-            within(&at("report_late_ms"), t.report_late_ms, 0.0, MOST)?;
+            within(&at("report_ms"), t.report_ms, 1.0, LARGE)?;
+            within(&at("report_late_ms"), t.report_late_ms, 0.0, LARGE)?;
             if let Some(c) = &t.choke {
-                within(&at("choke.at"), c.at, 0.1, MOST)?;
+                within(&at("choke.at"), c.at, 0.1, LARGE)?;
                 within(&at("choke.over_s"), c.over_s, 0.0, DAY)?;
                 within(&at("choke.slower"), c.slower, 1.0, 1000.0)?;
                 within(&at("choke.below"), c.below, 0.0, 1.0)?;
@@ -464,7 +464,7 @@
             ("rules.answer_slack_ms", r.answer_slack_ms),
             ("rules.max_stay_away_ms", r.max_stay_away_ms),
         ] {
-            within(place, value, 0.0, MOST)?;
+            within(place, value, 0.0, LARGE)?;
         }
         within("rules.max_transmissions", r.max_transmissions as f64, 1.0, 100.0)?;
         within("rules.cold_from", r.cold_from, 0.001, 1.0)?;
@@ -477,7 +477,7 @@
             within(&at("for_s"), f.for_s, 0.0, DAY)?;
             within(&at("part"), f.part, 0.0, 1.0)?;
             within(&at("every_s"), f.every_s, 0.01, DAY)?;
-            let (least, most) = match f.kind {
+            let (min, max) = match f.kind {
                 FaultKind::Slow => (1.0, 1000.0),
                 FaultKind::Surge => (0.0, 1000.0),
                 FaultKind::FastErrors => (0.0, 1.0),
@@ -488,7 +488,7 @@
                 }
                 _ => (0.0, 0.0),
             };
-            within(&at("size"), f.size, least, most)?;
+            within(&at("size"), f.size, min, max)?;
             if let Some(name) = &f.tier {
                 if !self.tier.iter().any(|t| t.name == *name) {
                     return Err(format!("{}: there is no tier {name}", at("tier")));
--- a/crates/fernroute-testbed/tests/cold.rs
+++ b/crates/fernroute-testbed/tests/cold.rs
@@ -18,14 +18,14 @@
 
 /// Upstream 7 starts cold at 10 s. Half a second later it receives `rpcs` RPCs of this work, `told` of them from balancer 1,
 /// which knows of the start. Returns the referee's violations and the worst window.
-fn judged(rpcs: usize, told: usize, work: f64) -> (Vec<Rule>, Option<ColdWindow>) {
+fn judge(rpcs: usize, told: usize, work: f64) -> (Vec<Rule>, Option<ColdWindow>) {
     let scenario = scenario("cold-join-short");
-    let (mut referee, began) = (Referee::new(&scenario), seconds(10.0));
+    let (mut referee, started) = (Referee::new(&scenario), seconds(10.0));
     let start = Event::Started { upstream: 7, zone: 0, cell: 0, rate: 5.0, cold: true };
-    referee.observe(began, &start);
-    referee.observe(began, &Event::Heard { balancer: 1, upstream: 7, told: EndpointState::Ready });
+    referee.observe(started, &start);
+    referee.observe(started, &Event::Heard { balancer: 1, upstream: 7, told: EndpointState::Ready });
     for n in 0..rpcs {
-        let (at, balancer): (Time, usize) = (began + seconds(0.5), if n < told { 1 } else { 2 });
+        let (at, balancer): (Time, usize) = (started + seconds(0.5), if n < told { 1 } else { 2 });
         let rpc: Rc<str> = Rc::from(format!("r{n}"));
         referee.observe(
             at,
@@ -35,37 +35,37 @@
         referee.observe(at, &Event::CallerLeft { rpc });
     }
     let rules = referee.violations.iter().map(|b| b.rule).collect();
-    referee.finish(began + seconds(1.0));
+    referee.finish(started + seconds(1.0));
     (rules, referee.cold_starts.first().copied())
 }
 
 /// Guards against a referee that misses an overload as the operators define it, or blames balancers that were not told of
 /// the start.
 #[test]
-fn a_cold_upstream_falls_beyond_what_is_allowed_and_two_roots_and_two() {
+fn the_overload_threshold_is_the_allowed_work_plus_two_square_roots_and_two() {
     // In the middle of the window the capacity is 13% plus a quarter of a second of a 24 s ramp over 87%: N is 2.78, and the
     // threshold is 8.1.
     let allowed = 4.0 * 5.0 * (0.13 + 0.87 * 0.25 / 24.0);
     assert!((8.0..9.0).contains(&fall_threshold(allowed)), "{}", fall_threshold(allowed));
-    let (rules, worst) = judged(8, 8, 1.0);
+    let (rules, worst) = judge(8, 8, 1.0);
     assert_eq!(rules, []);
     let worst = worst.expect("the upstream received RPCs");
     assert!((worst.allowed - allowed).abs() < 1e-9 && worst.rpcs == 8 && !worst.fell(), "{worst:?}");
-    assert_eq!(judged(9, 9, 1.0).0, [Rule::ColdSpared], "reported once, at the overload");
-    assert_eq!(judged(20, 20, 1.0).0, [Rule::ColdSpared], "not reported again");
+    assert_eq!(judge(9, 9, 1.0).0, [Rule::ColdSpared], "reported once, at the overload");
+    assert_eq!(judge(20, 20, 1.0).0, [Rule::ColdSpared], "not reported again");
     // RPCs count by their work.
-    assert_eq!(judged(5, 5, 2.0).0, [Rule::ColdSpared]);
-    assert_eq!(judged(16, 16, 0.5).0, []);
+    assert_eq!(judge(5, 5, 2.0).0, [Rule::ColdSpared]);
+    assert_eq!(judge(16, 16, 0.5).0, []);
     // Six of nine are exactly two thirds: an overload, but no violation.
-    let (rules, worst) = judged(9, 6, 1.0);
+    let (rules, worst) = judge(9, 6, 1.0);
     assert!(rules.is_empty() && worst.is_some_and(|w| w.fell()), "{worst:?}");
-    assert_eq!(judged(9, 7, 1.0).0, [Rule::ColdSpared]);
+    assert_eq!(judge(9, 7, 1.0).0, [Rule::ColdSpared]);
 }
 
 /// Guards against shares of many balancers that together overload a cold upstream, above all while others are full or dead.
 /// `docs/lab/cold.md` has the full experiment with fifty seeds.
 #[test]
-fn no_cold_upstream_falls_under_four_twenty_or_thirty_balancers() {
+fn no_cold_upstream_is_overloaded_by_four_twenty_or_thirty_balancers() {
     for name in ["cold-join-short", "cold-return-short", "cold-last-short", "cold-last-long"] {
         for fleet in [(4, 1.0), (20, 1.0), (20, 5.0), (30, 1.0), (30, 5.0)] {
             let mut scenario = with_balancers(&scenario(name), fleet);
@@ -81,7 +81,7 @@
 /// Guards against overload by real processes that the simulation does not show: twenty balancers share the load that eight
 /// of ten upstreams may receive after they restart cold at the same time.
 #[test]
-fn twenty_real_balancers_push_no_cold_upstream_over() {
+fn twenty_real_balancers_overload_no_cold_upstream() {
     let files = Folder::new("cold-live");
     let own = env!("CARGO_BIN_EXE_fernroute-testbed");
     let [program, steward] = ["balancer", "steward"].map(|role| [own.to_owned(), role.to_owned()]);
@@ -97,12 +97,12 @@
 part = 0.8\n\
          [[fault]]\nkind = \"fast_errors\"\nat_s = 2\nfor_s = 4\npart = 0.1\nsize = 0.7\n",
     );
-    let report = live::run(&scenario, 1, &program, &steward, &files.0).expect("it plays");
+    let report = live::run(&scenario, 1, &program, &steward, &files.0).expect("the run completes");
     assert_eq!(report.violations, []);
     let starts = &report.cold_starts;
     for w in starts {
         println!(
-            "upstream {}: {} RPCs in its worst window, N {:.1}, {:.1} are borne",
+            "upstream {}: {} RPCs in its worst window, N {:.1}, threshold {:.1}",
             w.upstream,
             w.rpcs,
             w.allowed,
--- a/crates/fernroute-testbed/tests/common/mod.rs
+++ b/crates/fernroute-testbed/tests/common/mod.rs
@@ -49,13 +49,13 @@
 impl Folder {
     pub fn new(name: &str) -> Self {
         let path = std::env::temp_dir().join(format!("fernroute-testbed-{}-{name}", std::process::id()));
-        std::fs::create_dir_all(&path).expect("a folder");
+        std::fs::create_dir_all(&path).expect("the folder is created");
         Folder(path)
     }
 
     pub fn put(&self, name: &str, text: &str) -> PathBuf {
         let path = self.0.join(name);
-        std::fs::write(&path, text).expect("it is written");
+        std::fs::write(&path, text).expect("the file is written");
         path
     }
 }
@@ -77,7 +77,7 @@
 /// All shipped scenarios.
 pub fn shipped() -> Vec<Scenario> {
     let files = std::fs::read_dir(folder()).expect("the folder of scenarios");
-    let mut paths: Vec<PathBuf> = files.map(|f| f.expect("a file").path()).collect();
+    let mut paths: Vec<PathBuf> = files.map(|f| f.expect("a directory entry").path()).collect();
     paths.sort();
     paths.iter().map(|p| Scenario::read(p).expect("a valid scenario")).collect()
 }
--- a/crates/fernroute-testbed/tests/depth.rs
+++ b/crates/fernroute-testbed/tests/depth.rs
@@ -13,14 +13,14 @@
 fn errors_at_the_last_of_thirteen_tiers_do_not_multiply() {
     let mut scenario = Scenario::read(&folder().join("thirteen-deep.toml")).expect("a valid scenario");
     scenario.seconds = 12.0;
-    for (share, most) in [(0.0, 1.1), (0.05, 1.5)] {
+    for (share, max) in [(0.0, 1.1), (0.05, 1.5)] {
         let result = run(&with_errors(&scenario, share), Variant::Fernroute, 1);
         let metrics = &result.metrics;
         assert_eq!((metrics.tiers.len(), metrics.ends.arrived), (13, metrics.ends.sum()));
         assert_eq!(result.violations, []);
         assert!(metrics.tiers[0].rpcs > 500, "{:?}", metrics.tiers[0]);
         let at_last = attempts_per_rpc(metrics, 12);
-        assert!((0.8..most).contains(&at_last), "{at_last} with {share}");
+        assert!((0.8..max).contains(&at_last), "{at_last} with {share}");
         // Each tier has less time left than the one above it.
         let left = |tier: usize| metrics.tiers[tier].total_time_left / u128::from(metrics.tiers[tier].rpcs);
         assert!((1..13).all(|tier| left(tier) < left(tier - 1)), "{:?}", metrics.tiers);
--- a/crates/fernroute-testbed/tests/files.rs
+++ b/crates/fernroute-testbed/tests/files.rs
@@ -26,7 +26,7 @@
 "#;
 
 #[test]
-fn what_will_not_do_is_named_with_its_place() {
+fn errors_in_a_scenario_are_reported_with_their_place() {
     assert!(Scenario::decode(GOOD).is_ok());
     for (old, new, place) in [
         ("seconds = 5", "seconds = -5", "seconds: -5"),
@@ -47,7 +47,7 @@
             "slots = 4\n[[fault]]\nkind = \"hang\"\nat_s = 1\nfor_s = 1\ntier = \"none\"",
             "fault[0].tier: there is no tier none",
         ),
-        ("[[tier]]", "[[method]]\nname = \"look\"\neffect = \"retriable\"\nshare = 1\nwork_ms = 1\nsoft_ms = 1\nhard_ms = 1\n[[tier]]", "method[1].name: look is there twice"),
+        ("[[tier]]", "[[method]]\nname = \"look\"\neffect = \"retriable\"\nshare = 1\nwork_ms = 1\nsoft_ms = 1\nhard_ms = 1\n[[tier]]", "method[1].name: look appears twice"),
         ("name = \"good\"", "name = ", "line 1:"),
     ] {
         assert!(GOOD.contains(old), "{old}");
@@ -56,11 +56,11 @@
     }
 }
 
-fn lab(words: &[&Path]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_fernroute-testbed")).args(words).output().expect("it runs")
+fn testbed(words: &[&Path]) -> Output {
+    Command::new(env!("CARGO_BIN_EXE_fernroute-testbed")).args(words).output().expect("the program runs")
 }
 
-fn refused(output: &Output, what: &str) {
+fn assert_rejected(output: &Output, what: &str) {
     let text = String::from_utf8_lossy(&output.stderr).into_owned();
     assert_eq!(output.status.code(), Some(2), "{text}");
     assert!(
@@ -70,15 +70,15 @@
 }
 
 #[test]
-fn the_program_says_in_one_line_what_will_not_do_and_writes_nothing() {
+fn the_program_reports_errors_in_one_line_and_writes_nothing() {
     let folder = Folder::new("bad");
     let good = folder.put("good.toml", GOOD);
     let bad = folder.put("bad.toml", &GOOD.replace("rate = 20", "rate = 0"));
-    assert!(lab(&[Path::new("check"), &good]).status.success());
-    refused(&lab(&[Path::new("check"), &good, &bad]).clone_without_output(), "bad.toml: load.rate");
-    refused(&lab(&[Path::new("run"), &folder.0.join("none.toml")]), "none.toml");
-    refused(
-        &lab(&[Path::new("run"), &good, Path::new("--variant"), Path::new("best")]),
+    assert!(testbed(&[Path::new("check"), &good]).status.success());
+    assert_rejected(&testbed(&[Path::new("check"), &good, &bad]).without_stdout(), "bad.toml: load.rate");
+    assert_rejected(&testbed(&[Path::new("run"), &folder.0.join("none.toml")]), "none.toml");
+    assert_rejected(
+        &testbed(&[Path::new("run"), &good, Path::new("--variant"), Path::new("best")]),
         "there is no variant best",
     );
     let out = folder.0.join("out");
@@ -87,31 +87,31 @@
     };
     for (text, what) in [
         (page("\"best\"", "1"), "there is no variant best"),
-        (page("\"random\"", ""), "at the least"),
+        (page("\"random\"", ""), "at least one"),
         (page("\"random\"", "1, 1"), "twice"),
         (page("\"random\"", "1").replace("good", "none"), "none.toml"),
         (page("\"random\"", "1").replace("seeds", "seed"), "unknown field"),
     ] {
         let file = folder.put("e.toml", &text);
-        refused(&lab(&[Path::new("experiment"), &file, Path::new("--out"), &out]), what);
+        assert_rejected(&testbed(&[Path::new("experiment"), &file, Path::new("--out"), &out]), what);
         assert!(!out.exists(), "{what}");
     }
 }
 
-trait Quiet {
-    fn clone_without_output(self) -> Output;
+trait WithoutStdout {
+    fn without_stdout(self) -> Output;
 }
 
-impl Quiet for Output {
+impl WithoutStdout for Output {
     /// `check` reports valid files before the first invalid one.
-    fn clone_without_output(mut self) -> Output {
+    fn without_stdout(mut self) -> Output {
         self.stdout.clear();
         self
     }
 }
 
 #[test]
-fn an_experiment_writes_all_its_results_once_and_the_same_again() {
+fn an_experiment_writes_reproducible_results_and_never_overwrites_them() {
     let folder = Folder::new("good");
     folder.put("good.toml", GOOD);
     let file = folder.put(
@@ -119,9 +119,12 @@
         "name = \"e\"\nscenarios = [\"good.toml\"]\nvariants = [\"fernroute\", \"random\"]\nseeds = [1, 2, 3]\n",
     );
     let (out, again) = (folder.0.join("out"), folder.0.join("again"));
-    assert!(lab(&[Path::new("experiment"), &file, Path::new("--out"), &out]).status.success());
-    refused(&lab(&[Path::new("experiment"), &file, Path::new("--out"), &out]), "holds something already");
-    assert!(lab(&[Path::new("experiment"), &file, Path::new("--out"), &again]).status.success());
+    assert!(testbed(&[Path::new("experiment"), &file, Path::new("--out"), &out]).status.success());
+    assert_rejected(
+        &testbed(&[Path::new("experiment"), &file, Path::new("--out"), &out]),
+        "the folder is not empty",
+    );
+    assert!(testbed(&[Path::new("experiment"), &file, Path::new("--out"), &again]).status.success());
     let text = |folder: &Path, name: &str| std::fs::read_to_string(folder.join(name)).expect(name);
     for name in ["results.csv", "comparison.svg", "good-course.svg", "good-times.svg"] {
         assert_eq!(text(&out, name), text(&again, name), "{name}");
@@ -130,7 +133,7 @@
     assert_eq!(results.lines().count(), 7, "{results}");
     // Two upstreams that are mostly idle: the variants do not differ measurably.
     assert!(text(&out, "README.md").contains("no difference shown"), "{}", text(&out, "README.md"));
-    let manifest: serde_json::Value = serde_json::from_str(&text(&out, "manifest.json")).expect("it is JSON");
+    let manifest: serde_json::Value = serde_json::from_str(&text(&out, "manifest.json")).expect("valid JSON");
     assert_eq!(manifest["seeds"], serde_json::json!([1, 2, 3]));
     assert_eq!(manifest["scenarios"][0], GOOD);
 }
--- a/crates/fernroute-testbed/tests/referee.rs
+++ b/crates/fernroute-testbed/tests/referee.rs
@@ -14,40 +14,40 @@
 use std::rc::Rc;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Rogue {
-    Honest,
+enum Misbehavior {
+    None,
     AnswersTwice,
-    ResendsWhatMayHaveRun,
+    RetriesWhatMayHaveRun,
     ExhaustsWhatMayHaveRun,
     LeavesTheGroup,
-    SendsIntoDrains,
-    FloodsTheCold,
+    SendsToDraining,
+    OverloadsColdUpstreams,
     NeverAnswers,
     AnswersLate,
     SendsAfterItsAnswer,
 }
 
 /// Sends each RPC once, to the next upstream, and fails those that do not complete, apart from its deliberate fault.
-struct Plain {
-    how: Rogue,
+struct FaultyPolicy {
+    how: Misbehavior,
     host: ActionQueue,
     upstreams: BTreeMap<Rc<str>, EndpointUpdate>,
     /// Method, hard deadline, and the upstreams tried so far.
     rpcs: BTreeMap<String, (String, Time, Vec<Rc<str>>)>,
-    turn: usize,
+    next_index: usize,
 }
 
-impl Plain {
+impl FaultyPolicy {
     fn next(&mut self, not: &[Rc<str>]) -> Option<Rc<str>> {
-        self.turn += 1;
-        let drains = self.how == Rogue::SendsIntoDrains;
+        self.next_index += 1;
+        let drains = self.how == Misbehavior::SendsToDraining;
         let usable = |e: &&EndpointUpdate| {
             e.state == EndpointState::Ready || drains && e.state == EndpointState::Drains
         };
         let all: Vec<&EndpointUpdate> =
             self.upstreams.values().filter(usable).filter(|e| !not.contains(&e.name)).collect();
-        let cold = all.iter().find(|e| self.how == Rogue::FloodsTheCold && e.started > 0);
-        let next = cold.or_else(|| all.get(self.turn % all.len().max(1)));
+        let cold = all.iter().find(|e| self.how == Misbehavior::OverloadsColdUpstreams && e.started > 0);
+        let next = cold.or_else(|| all.get(self.next_index % all.len().max(1)));
         next.map(|e| Rc::clone(&e.name))
     }
 
@@ -55,13 +55,13 @@
         let Some((_, hard, before)) = self.rpcs.get(rpc).cloned() else { return false };
         let Some(to) = self.next(&before) else { return false };
         self.rpcs.get_mut(rpc).into_iter().for_each(|r| r.2.push(Rc::clone(&to)));
-        let room = if self.how == Rogue::AnswersLate { 2 * seconds(1.0) } else { 0 };
-        self.host.start_attempt(rpc, &to, (hard - now).max(1) + room, None);
+        let extra_time = if self.how == Misbehavior::AnswersLate { 2 * seconds(1.0) } else { 0 };
+        self.host.start_attempt(rpc, &to, (hard - now).max(1) + extra_time, None);
         true
     }
 }
 
-impl Policy for Plain {
+impl Policy for FaultyPolicy {
     fn update_endpoints(&mut self, _: Time, _: bool, entries: &[EndpointUpdate]) {
         for e in entries {
             self.upstreams.insert(Rc::clone(&e.name), e.clone());
@@ -78,22 +78,22 @@
     fn attempt_ended(&mut self, now: Time, rpc: &str, _: usize, end: Outcome, _: Time, over: bool, _: f64) {
         let Some((method, _, before)) = self.rpcs.get(rpc).cloned() else { return };
         let ran = !end.never_ran();
-        let again = match self.how {
-            Rogue::SendsAfterItsAnswer => over && before.len() < 2,
-            Rogue::ResendsWhatMayHaveRun => !over && ran && method == "pay" && before.len() < 2,
-            Rogue::LeavesTheGroup => !over && ran && method == "put" && before.len() < 3,
+        let retry = match self.how {
+            Misbehavior::SendsAfterItsAnswer => over && before.len() < 2,
+            Misbehavior::RetriesWhatMayHaveRun => !over && ran && method == "pay" && before.len() < 2,
+            Misbehavior::LeavesTheGroup => !over && ran && method == "put" && before.len() < 3,
             _ => false,
         };
-        if again && self.send(now, rpc) {
+        if retry && self.send(now, rpc) {
             return;
         }
         match self.how {
-            Rogue::AnswersTwice if over => self.host.fail(rpc),
-            Rogue::ExhaustsWhatMayHaveRun if !over && ran => {
+            Misbehavior::AnswersTwice if over => self.host.fail(rpc),
+            Misbehavior::ExhaustsWhatMayHaveRun if !over && ran => {
                 self.rpcs.remove(rpc);
                 return self.host.reject(rpc, 0);
             }
-            Rogue::NeverAnswers if !over => {
+            Misbehavior::NeverAnswers if !over => {
                 self.rpcs.remove(rpc);
                 return;
             }
@@ -109,9 +109,9 @@
     fn timer_fired(&mut self, _: Time, _: &Timer) {}
 }
 
-fn judged(scenario: &Scenario, how: Rogue) -> Vec<Violation> {
+fn violations_of(scenario: &Scenario, how: Misbehavior) -> Vec<Violation> {
     let make = |_: &Scenario, _, host: ActionQueue, _, _| -> Box<dyn Policy> {
-        Box::new(Plain { how, host, upstreams: BTreeMap::new(), rpcs: BTreeMap::new(), turn: 0 })
+        Box::new(FaultyPolicy { how, host, upstreams: BTreeMap::new(), rpcs: BTreeMap::new(), next_index: 0 })
     };
     run_with_policy(scenario, 1, &make, &mut NoObserver).violations
 }
@@ -122,35 +122,35 @@
 const RETURN: &str = "[[fault]]\nkind = \"crash\"\nat_s = 2\nfor_s = 3\npart = 0.25\n";
 
 #[test]
-fn each_fault_of_a_balancer_is_caught_by_its_rule_and_moment() {
+fn each_misbehavior_is_reported_with_its_rule_and_time() {
     for (how, faults, rule, from, to) in [
-        (Rogue::AnswersTwice, "", Rule::OneAnswer, 0.0, 1.0),
-        (Rogue::SendsAfterItsAnswer, "", Rule::OneAnswer, 0.0, 1.0),
+        (Misbehavior::AnswersTwice, "", Rule::OneAnswer, 0.0, 1.0),
+        (Misbehavior::SendsAfterItsAnswer, "", Rule::OneAnswer, 0.0, 1.0),
         // The first RPC hangs at 4 s; its deadline is a second later, and the time-out is two seconds too long.
-        (Rogue::AnswersLate, HANG, Rule::OneAnswer, 7.0, 7.5),
-        (Rogue::ResendsWhatMayHaveRun, ERRORS, Rule::NoSecondEffect, 4.0, 5.0),
-        (Rogue::ExhaustsWhatMayHaveRun, ERRORS, Rule::NoSecondEffect, 4.0, 5.0),
-        (Rogue::LeavesTheGroup, ERRORS, Rule::NoSecondEffect, 4.0, 5.0),
+        (Misbehavior::AnswersLate, HANG, Rule::OneAnswer, 7.0, 7.5),
+        (Misbehavior::RetriesWhatMayHaveRun, ERRORS, Rule::NoSecondEffect, 4.0, 5.0),
+        (Misbehavior::ExhaustsWhatMayHaveRun, ERRORS, Rule::NoSecondEffect, 4.0, 5.0),
+        (Misbehavior::LeavesTheGroup, ERRORS, Rule::NoSecondEffect, 4.0, 5.0),
         // Discovery delivers the update a second later; the grace period is 0.3 s.
-        (Rogue::SendsIntoDrains, DRAIN, Rule::DrainsKept, 5.3, 6.0),
+        (Misbehavior::SendsToDraining, DRAIN, Rule::DrainsKept, 5.3, 6.0),
         // The upstream restarts at 5 s; discovery delivers the update a second later.
-        (Rogue::FloodsTheCold, RETURN, Rule::ColdSpared, 6.0, 8.5),
+        (Misbehavior::OverloadsColdUpstreams, RETURN, Rule::ColdSpared, 6.0, 8.5),
     ] {
         let mut scenario = small(faults);
-        scenario.load.rate = if how == Rogue::FloodsTheCold { 300.0 } else { 100.0 };
-        let found = judged(&scenario, how);
-        let first = found.first().unwrap_or_else(|| panic!("{how:?} was not caught"));
+        scenario.load.rate = if how == Misbehavior::OverloadsColdUpstreams { 300.0 } else { 100.0 };
+        let found = violations_of(&scenario, how);
+        let first = found.first().unwrap_or_else(|| panic!("{how:?} was not reported"));
         assert!(found.iter().all(|b| b.rule == rule), "{how:?}: {found:?}");
         assert!((seconds(from)..=seconds(to)).contains(&first.at), "{how:?}: {first:?}");
         // In the same scenario, neither the policy without its fault nor the real balancer breaks a rule.
-        assert_eq!(judged(&small(faults), Rogue::Honest), [], "{how:?}");
+        assert_eq!(violations_of(&small(faults), Misbehavior::None), [], "{how:?}");
         assert_eq!(run(&scenario, Variant::Fernroute, 1).violations, [], "{how:?}");
     }
 }
 
 #[test]
-fn who_never_answers_is_found_out_at_the_end() {
-    let found = judged(&small(ERRORS), Rogue::NeverAnswers);
+fn missing_answers_are_reported_at_the_end() {
+    let found = violations_of(&small(ERRORS), Misbehavior::NeverAnswers);
     assert!(found.len() > 20);
     assert!(
         found.iter().all(|b| b.rule == Rule::OneAnswer && b.description.ends_with("was never answered")),
--- a/crates/fernroute-testbed/tests/simulator.rs
+++ b/crates/fernroute-testbed/tests/simulator.rs
@@ -26,14 +26,14 @@
 }
 
 #[test]
-fn erlangs_formula_itself_is_right_where_the_answer_is_plain() {
+fn the_erlang_c_formula_is_right_for_one_and_two_servers() {
     // One server: work / (1 - load). Two servers: work / (1 - load²/4).
     assert!((time_in_system(5.0, 0.1, 1) - 0.2).abs() < 1e-12);
     assert!((time_in_system(10.0, 0.1, 2) - 0.1 / 0.75).abs() < 1e-12);
 }
 
 #[test]
-fn one_upstream_waits_as_queues_of_one_and_more_servers_do() {
+fn waiting_times_match_queues_with_one_and_more_servers() {
     for (rate, work_ms, cores, long) in
         [(12.0, 50.0, 1, 900.0), (30.0, 50.0, 2, 600.0), (140.0, 40.0, 8, 120.0)]
     {
@@ -57,14 +57,14 @@
 
 /// Integrates the number of RPCs in the system over time.
 #[derive(Default)]
-struct InSystem {
+struct OccupancyIntegral {
     now: u64,
     last: Time,
     area: u128,
     arrived: u64,
 }
 
-impl Observer for InSystem {
+impl Observer for OccupancyIntegral {
     fn observe(&mut self, at: Time, event: &Event) {
         self.area += u128::from(self.now) * u128::from(at - self.last);
         self.last = at;
@@ -77,10 +77,11 @@
 }
 
 #[test]
-fn littles_law_holds_between_what_was_counted_apart() {
+fn littles_law_holds_between_independent_counts() {
     let scenario = queue(32.0, 50.0, 2, 600.0);
-    let make = |s: &Scenario, post, desk, now, seed| Variant::Random.policy(s, post, desk, now, seed);
-    let mut seen = InSystem::default();
+    let make =
+        |s: &Scenario, position, actions, now, seed| Variant::Random.policy(s, position, actions, now, seed);
+    let mut seen = OccupancyIntegral::default();
     let metrics = run_with_policy(&scenario, 3, &make, &mut seen).metrics;
     let long = seen.last as f64;
     let (mean_number, rate) = (seen.area as f64 / long, seen.arrived as f64 / long);
@@ -90,7 +91,7 @@
 }
 
 #[test]
-fn every_arrival_has_exactly_one_end_in_every_scenario_that_ships() {
+fn every_arrival_has_exactly_one_end_in_all_shipped_scenarios() {
     let all = shipped();
     assert!(all.len() >= 8);
     for scenario in &all {
@@ -103,7 +104,7 @@
 }
 
 #[test]
-fn the_balancer_keeps_all_rules_in_every_scenario_that_ships() {
+fn the_balancer_keeps_all_rules_in_all_shipped_scenarios() {
     for scenario in &shipped() {
         for seed in [1, 2] {
             let result = run(scenario, Variant::Fernroute, seed);
@@ -121,20 +122,20 @@
 }
 
 fn trace(scenario: &Scenario, variant: Variant, seed: u64) -> Vec<(Time, String)> {
-    let make = |s: &Scenario, post, desk, now, seed| variant.policy(s, post, desk, now, seed);
+    let make = |s: &Scenario, position, actions, now, seed| variant.policy(s, position, actions, now, seed);
     let mut lines: Vec<(Time, String)> = Vec::new();
     run_with_policy(scenario, seed, &make, &mut lines);
     lines
 }
 
-const TROUBLES: &str = "[[fault]]\nkind = \"crash\"\nat_s = 3\nfor_s = 3\npart = 0.5\n\
+const FAULTS: &str = "[[fault]]\nkind = \"crash\"\nat_s = 3\nfor_s = 3\npart = 0.5\n\
     [[fault]]\nkind = \"surge\"\nat_s = 4\nfor_s = 2\nsize = 3\n\
     [[fault]]\nkind = \"balancer_restart\"\nat_s = 5\nfor_s = 2\n\
     [[fault]]\nkind = \"replace\"\nat_s = 7\nfor_s = 2\npart = 0.5\n";
 
 #[test]
-fn one_seed_gives_one_course_however_many_run_at_once() {
-    let scenario = small(TROUBLES);
+fn equal_seeds_give_equal_traces_in_parallel_runs() {
+    let scenario = small(FAULTS);
     for variant in [Variant::Fernroute, Variant::TwoChoices] {
         let alone = trace(&scenario, variant, 9);
         let beside: Vec<_> = std::thread::scope(|scope| {
@@ -146,7 +147,7 @@
                     })
                 })
                 .collect();
-            all.into_iter().map(|t| t.join().expect("it ends")).collect()
+            all.into_iter().map(|t| t.join().expect("the thread completes")).collect()
         });
         assert!(alone.len() > 1000);
         assert!(alone == beside[1], "the same seed beside others");
@@ -156,10 +157,10 @@
 
 /// Demand does not depend on the variant: comparisons are paired by seed.
 #[test]
-fn callers_ask_the_same_of_every_variant() {
+fn demand_is_the_same_for_every_variant() {
     #[derive(Default)]
-    struct Asked(Vec<(Time, usize)>);
-    impl Observer for Asked {
+    struct ArrivalRecorder(Vec<(Time, usize)>);
+    impl Observer for ArrivalRecorder {
         fn observe(&mut self, at: Time, event: &Event) {
             if let Event::Arrived { rpc, method, .. } = event {
                 if rpc.ends_with(".0") {
@@ -168,10 +169,11 @@
             }
         }
     }
-    let scenario = small(TROUBLES);
+    let scenario = small(FAULTS);
     let asked = Variant::ALL.map(|variant| {
-        let make = |s: &Scenario, post, desk, now, seed| variant.policy(s, post, desk, now, seed);
-        let mut seen = Asked::default();
+        let make =
+            |s: &Scenario, position, actions, now, seed| variant.policy(s, position, actions, now, seed);
+        let mut seen = ArrivalRecorder::default();
         run_with_policy(&scenario, 4, &make, &mut seen);
         seen.0
     });
@@ -179,7 +181,7 @@
 }
 
 #[test]
-fn what_is_held_does_not_grow_with_the_rpcs_that_were_played() {
+fn memory_does_not_grow_with_the_number_of_rpcs() {
     // Time-outs stay scheduled until they are due; short ones let a short run reach the steady state.
     let mut quick = queue(200.0, 5.0, 2, 20.0);
     quick.method[0].soft_ms = 500.0;
@@ -192,7 +194,7 @@
 
 /// Guards against RPCs counted twice or not at all: callers that leave, RPCs open at the end of the run, and overload.
 #[test]
-fn odd_ends_are_counted_once() {
+fn abandoned_and_rejected_rpcs_are_counted_once() {
     let mut scenario = small("[[fault]]\nkind = \"surge\"\nat_s = 1\nfor_s = 11\nsize = 30\n");
     scenario.load.impatient = 0.3;
     scenario.load.retries = 2;
@@ -210,7 +212,7 @@
 }
 
 #[test]
-fn a_balancer_that_restarts_loses_what_it_held_and_nothing_else() {
+fn a_balancer_restart_loses_only_the_rpcs_it_held() {
     let ends =
         run(&small("[[fault]]\nkind = \"balancer_restart\"\nat_s = 5\nfor_s = 2\n"), Variant::Fernroute, 1);
     assert_eq!(ends.violations, []);
