--- a/crates/fernroute-server/tests/configuration_cache.rs
+++ b/crates/fernroute-server/tests/configuration_cache.rs
@@ -13,7 +13,7 @@
 /// Guards against a copy that an old process, or a disk that held a write up, puts over a newer one; against another balancer's
 /// copy under this one's name; and against half of a copy that stays for good.
 #[test]
-fn an_older_copy_never_replaces_a_newer_one() {
+fn older_cached_configuration_never_replaces_a_newer_one() {
     run(async {
         let folder = std::env::temp_dir().join(format!("fernroute-kept-{}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("access the test directory");
--- a/crates/fernroute-server/tests/connections.rs
+++ b/crates/fernroute-server/tests/connections.rs
@@ -1,4 +1,4 @@
-//! Connections to upstreams that are kept: each carries one RPC at a time, and its answer is that RPC's.
+//! Kept connections to upstreams: each carries one RPC at a time, and an answer belongs to that RPC.
 
 mod common;
 
@@ -18,10 +18,10 @@
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 use tokio::net::TcpListener;
 
-/// Longer than what is held of an answer before it is handed on, short enough that the machine takes it at once.
+/// Longer than the part of an answer that is buffered before it is forwarded, and short enough for the socket buffers.
 const LONG: usize = 150_000;
 
-/// An upstream takes so long over a short answer; other calls are made meanwhile.
+/// The time that an upstream takes for a short answer, during which other calls are made.
 const WORK: Duration = Duration::from_millis(150);
 
 /// Answers each RPC on its own connection in order: `/long` with a long body at once, others with their path after [`WORK`].
@@ -38,7 +38,7 @@
                     if body.len() < LONG {
                         tokio::time::sleep(WORK).await;
                     }
-                    // Whoever has closed it does not want it.
+                    // A peer that has closed the connection does not need the answer.
                     let _ = connection.write(&response(200, "", &body)).await;
                 }
             });
@@ -47,27 +47,27 @@
     address
 }
 
-async fn call(line: &UpstreamClient, path: &str) -> Result<UpstreamAnswer, UpstreamError> {
-    let uri = format!("http://{}{path}", line.address);
+async fn call(upstream_client: &UpstreamClient, path: &str) -> Result<UpstreamAnswer, UpstreamError> {
+    let uri = format!("http://{}{path}", upstream_client.address);
     let body = Body::Buffered(Bytes::new());
     let call =
         UpstreamRequest { method: Method::POST, uri, headers: HeaderMap::new(), body, new_connection: false };
-    line.send(call, &AttemptState::new(None, &Rc::default())).await
+    upstream_client.send(call, &AttemptState::new(None, &Rc::default())).await
 }
 
-async fn body_of(line: &UpstreamClient, path: &str) -> String {
-    let answered = call(line, path).await.unwrap_or_else(|why| panic!("{path}: {why}"));
+async fn answer_body(upstream_client: &UpstreamClient, path: &str) -> String {
+    let answered = call(upstream_client, path).await.unwrap_or_else(|error| panic!("{path}: {error}"));
     let (_, body) = answered.collect().await.expect("read the complete answer");
     String::from_utf8_lossy(&body).into_owned()
 }
 
-/// A long answer of which all bytes are taken, its end with the last of them.
-async fn long_answer(line: &UpstreamClient) -> AnswerStream {
-    let answered = call(line, "/long").await.unwrap_or_else(|why| panic!("{why}"));
+/// A long answer of which all bytes have been read, with its end pending after the last of them.
+async fn long_answer(upstream_client: &UpstreamClient) -> AnswerStream {
+    let answered = call(upstream_client, "/long").await.unwrap_or_else(|error| panic!("{error}"));
     let mut rest = answered.remaining.expect("body that continues after the first read");
     let mut came = answered.body_start.len();
     while came < LONG {
-        // What is there, its end with it.
+        // Time for the remaining bytes and the end to arrive.
         tokio::time::sleep(Duration::from_millis(20)).await;
         came += rest
             .next(2 * LONG)
@@ -79,54 +79,54 @@
     rest
 }
 
-/// Guards against one RPC's answer given to another, and against what follows from it: an RPC that is sent again since the
-/// answer to another one says that it was turned away. The end of a long answer comes with its last bytes; while a slow
-/// caller takes these, other RPCs are sent to the same upstream.
+/// Guards against delivering one RPC's answer to another, and so against repeating an RPC because another one was declined. The end
+/// of a long answer arrives with its last bytes; while a slow caller reads these, other RPCs are sent to the same upstream.
 #[test]
-fn what_is_sent_while_the_end_of_a_long_answer_is_handed_on_gets_its_own_answer() {
+fn rpc_sent_during_the_end_of_a_long_answer_gets_its_own_answer() {
     run(async {
         let client = Client::new(Duration::from_secs(1), Duration::from_secs(10), 8, 1 << 20);
-        let line = Rc::new(client.upstream(upstream().await));
-        let mut rest = long_answer(&line).await;
+        let upstream_client = Rc::new(client.upstream(upstream().await));
+        let mut rest = long_answer(&upstream_client).await;
         let second = actix_rt::spawn({
-            let line = Rc::clone(&line);
-            async move { body_of(&line, "/second").await }
+            let upstream_client = Rc::clone(&upstream_client);
+            async move { answer_body(&upstream_client, "/second").await }
         });
         tokio::time::sleep(WORK / 3).await;
         assert!(rest.next(LONG).await.expect("end of the answer").is_none());
-        // Past the rest that a connection has between two RPCs.
+        // Longer than the time for which a connection is not reused between two RPCs.
         tokio::time::sleep(WORK / 5).await;
-        assert_eq!(body_of(&line, "/third").await, "/third");
+        assert_eq!(answer_body(&upstream_client, "/third").await, "/third");
         assert_eq!(second.await.expect("second call completes"), "/second");
     });
 }
 
-/// Guards against a connection that is lost with an answer nobody takes to its end: its end has come, and the next RPC is
-/// sent on the same one.
+/// Guards against closing a connection because its answer was not read to the end: the end has arrived, and the next RPC must use
+/// the same connection.
 #[test]
-fn a_long_answer_whose_end_has_come_leaves_its_connection_to_the_next() {
+fn finished_long_answer_frees_its_connection() {
     run(async {
         let client = Client::new(Duration::from_secs(1), Duration::from_secs(10), 8, 1 << 20);
-        let line = client.upstream(upstream().await);
-        drop(long_answer(&line).await);
+        let upstream_client = client.upstream(upstream().await);
+        drop(long_answer(&upstream_client).await);
         tokio::time::sleep(WORK / 5).await;
-        assert_eq!(body_of(&line, "/next").await, "/next");
-        assert_eq!(client.connections(), 1, "the one that is kept");
+        assert_eq!(answer_body(&upstream_client, "/next").await, "/next");
+        assert_eq!(client.connections(), 1, "the kept connection must be reused");
     });
 }
 
-/// Longer than what the machine holds of an answer that its caller takes slowly; its end comes with its last bytes.
+/// Longer than the part of an answer that socket buffers hold for a slow caller; its end arrives with its last bytes.
 const SLOWLY_TAKEN: usize = 400_000;
 
-/// Slow callers, one after another at so many places.
-const PLACES: usize = 5;
-const EACH: usize = 8;
+/// The number of concurrent slow callers, and of answers that each reads in turn.
+const SLOW_CALLERS: usize = 5;
+const ANSWERS_EACH: usize = 8;
 
-/// What two upstreams had and did not turn away: the keys of RPCs that ran, by the upstream.
+/// The keys of RPCs that two upstreams ran, that is, did not decline, by upstream.
 type Ran = Rc<RefCell<[Vec<String>; 2]>>;
 
-/// One in a zone of its own: `/look/long` has a long answer, every other RPC is turned away at the one, and runs at the other.
-async fn zoned(n: usize, ran: Ran) -> SocketAddr {
+/// An upstream in its own zone: `/look/long` has a long answer. Upstream 0 declines every fourth other RPC and runs the rest;
+/// upstream 1 runs all of them.
+async fn zone_upstream(n: usize, ran: Ran) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind a listener");
     let address = listener.local_addr().expect("local address");
     let count = Rc::new(Cell::new(0_usize));
@@ -136,7 +136,7 @@
             actix_rt::spawn(async move {
                 let mut connection = Connection::new(stream);
                 while let Ok(Some(message)) = connection.read().await {
-                    let said = if message.target == "/look/long" {
+                    let reply = if message.target == "/look/long" {
                         response(200, "", &"x".repeat(SLOWLY_TAKEN))
                     } else {
                         tokio::time::sleep(WORK / 3).await;
@@ -149,7 +149,7 @@
                             response(200, "", &key)
                         }
                     };
-                    let _ = connection.write(&said).await;
+                    let _ = connection.write(&reply).await;
                 }
             });
         }
@@ -157,8 +157,8 @@
     address
 }
 
-/// Reads a long answer in small steps, at so many bytes each millisecond.
-async fn take_slowly(balancer: SocketAddr, step: usize) {
+/// Reads a long answer in steps of at most this many bytes each millisecond.
+async fn read_slowly(balancer: SocketAddr, step: usize) {
     let socket = tokio::net::TcpSocket::new_v4().expect("create a socket");
     socket.set_recv_buffer_size(16 * 1024).expect("set the socket buffer size");
     let mut stream = socket.connect(balancer).await.expect("connect to the balancer");
@@ -176,29 +176,29 @@
     assert!(came >= SLOWLY_TAKEN, "a whole answer");
 }
 
-/// Guards against the effect twice: where the connection goes to another RPC while the end of a long answer is handed on, an RPC
-/// that ran is told that it was turned away, as another one was, and runs again outside the group that drops its repeats.
+/// Guards against running an RPC twice: if a connection were reused while the end of a long answer is forwarded, an RPC that ran
+/// could get another RPC's declined answer, and would run again outside the group that drops its repeats.
 #[test]
-fn what_ran_beside_slow_callers_of_long_answers_is_not_sent_again_for_the_answer_of_another() {
+fn slow_readers_of_long_answers_cause_no_repeated_rpcs() {
     run(async {
         let ran: Ran = Rc::default();
-        let at = [zoned(0, Rc::clone(&ran)).await, zoned(1, Rc::clone(&ran)).await];
+        let at = [zone_upstream(0, Rc::clone(&ran)).await, zone_upstream(1, Rc::clone(&ran)).await];
         let b = balancer_at(&at, &[(r#""group":"all""#, r#""group":"zone""#)]).await;
         let zones = [list_entry("s-0", at[0], "z", "SERVING"), list_entry("s-1", at[1], "y", "SERVING")];
         b.board.apply_list(&decode_list(8, true, &zones), true);
-        // Accepted connections have the same: with the usual megabytes a slow caller holds up the end of few answers.
+        // Accepted connections inherit the small buffer: with the usual megabytes, a slow caller would delay the end of few answers.
         let listener = b.server.listener().expect("listen on the socket");
         rustix::net::sockopt::set_socket_send_buffer_size(&listener, 16 * 1024)
             .expect("set the socket buffer size");
-        let place = |place: usize| {
+        let slow_caller = |slow_caller: usize| {
             let address = b.address;
             actix_rt::spawn(async move {
-                for _ in 0..EACH {
-                    take_slowly(address, 1_500 + 500 * place).await;
+                for _ in 0..ANSWERS_EACH {
+                    read_slowly(address, 1_500 + 500 * slow_caller).await;
                 }
             })
         };
-        let slow: Vec<_> = (0..PLACES).map(place).collect();
+        let slow: Vec<_> = (0..SLOW_CALLERS).map(slow_caller).collect();
         let mut others = Vec::new();
         let mut n = 0;
         while !slow.iter().all(|task| task.is_finished()) {
@@ -206,10 +206,10 @@
             let (address, key) = (b.address, format!("k{n}"));
             others.push(actix_rt::spawn(async move {
                 let headers = format!("Idempotency-Key: {key}\r\nContent-Length: 0\r\nConnection: close\r\n");
-                let said = send_and_read(address, rpc_head("POST", "/put", &headers)).await;
+                let reply = send_and_read(address, rpc_head("POST", "/put", &headers)).await;
                 assert!(
-                    said.status() != 200 || said.body == key.as_bytes(),
-                    "{key} has the answer of another"
+                    reply.status() != 200 || reply.body == key.as_bytes(),
+                    "{key} got another RPC's answer"
                 );
             }));
             tokio::time::sleep(Duration::from_millis(3)).await;
@@ -219,7 +219,7 @@
         }
         let [one, two] = &*ran.borrow();
         let both: Vec<&String> = one.iter().filter(|key| two.contains(key)).collect();
-        assert!(both.is_empty(), "{both:?} ran twice, in two groups");
-        assert!(one.len() > 10, "{} ran at the one", one.len());
+        assert!(both.is_empty(), "{both:?} ran in both groups");
+        assert!(one.len() > 10, "only {} ran at upstream 0", one.len());
     });
 }
--- a/crates/fernroute-server/tests/descriptor_quota.rs
+++ b/crates/fernroute-server/tests/descriptor_quota.rs
@@ -5,7 +5,7 @@
 /// Guards against two processes that together hold more than one may, and against idle callers that are sent away
 /// while there is room for all.
 #[test]
-fn two_processes_hold_no_more_than_one_may() {
+fn two_processes_stay_within_the_limit_of_one() {
     for total in [128, 256, 384, 1024] {
         for has_ops in [false, true] {
             let alone = DescriptorQuota::new(total, has_ops);
--- a/crates/fernroute-server/tests/member_identity.rs
+++ b/crates/fernroute-server/tests/member_identity.rs
@@ -5,7 +5,7 @@
 
 /// Guards against two processes that spend one grant each, and against a restart under an identity that is new to the ledger.
 #[test]
-fn an_identity_belongs_to_one_process_at_a_time_and_outlives_it() {
+fn identity_is_held_by_one_process_and_survives_restarts() {
     let path = std::env::temp_dir().join(format!("fernroute-{}.member", std::process::id()));
     let first = lock_identity(&path)
         .expect("access the test file")
--- a/crates/fernroute-server/tests/public_interface.rs
+++ b/crates/fernroute-server/tests/public_interface.rs
@@ -27,7 +27,7 @@
 
 /// Guards against an upgrade between two versions that do not read each other's lines.
 #[test]
-fn the_lines_of_an_upgrade_stay_as_they_are() {
+fn handover_messages_are_unchanged() {
     for line in SUCCESSOR_LINES {
         let message: SuccessorMessage = decode(line.as_bytes()).expect("complete transfer");
         assert_eq!(encode(&message), format!("{line}\n").into_bytes());
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn headers_and_paths_stay_as_they_are() {
+fn headers_and_paths_are_unchanged() {
     let headers = [
         names::ID,
         names::METHOD,
@@ -150,7 +150,7 @@
 /// A balancer of a fleet with a stored identity sends a heartbeat of the known keys to the known path, goes by its reply, and
 /// shows both in its metrics.
 #[test]
-fn heartbeats_the_stored_identity_and_metrics_stay_as_they_are() {
+fn heartbeats_stored_identity_and_metrics_are_unchanged() {
     run(async {
         let heartbeats: Rc<RefCell<Vec<(String, serde_json::Value)>>> = Rc::default();
         let received = Rc::clone(&heartbeats);
@@ -231,7 +231,7 @@
 
 /// A copy that the program of before stored is read, with the same contents.
 #[test]
-fn a_stored_configuration_is_read_with_the_same_contents() {
+fn stored_configuration_is_read_unchanged() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/n0.configuration");
     let stored: serde_json::Value =
         serde_json::from_slice(&std::fs::read(&path).expect("read the fixture")).expect("valid JSON");
@@ -279,7 +279,7 @@
 ];
 
 #[test]
-fn a_bad_file_is_one_known_line_and_exit_code_2() {
+fn invalid_file_prints_the_known_line_and_exits_with_2() {
     let folder = temp_dir("interface-errors");
     for (old, new, expected) in ERRORS {
         assert!(FLEET.contains(old), "{old}");
@@ -295,7 +295,7 @@
 
 /// The platform reads these keys of the deploy file.
 #[test]
-fn the_deploy_file_keeps_its_keys() {
+fn deploy_file_keys_are_unchanged() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/balancer.toml");
     let text = std::fs::read_to_string(path).expect("read deploy/balancer.toml");
     let keys: Vec<&str> =
--- a/crates/fernroute-server/tests/ready.rs
+++ b/crates/fernroute-server/tests/ready.rs
@@ -81,7 +81,7 @@
 /// Guards against a start that waits for discovery: silent, refused, or away with its machine. More than a
 /// tenth of a fleet is killed and started at once, with all cores busy.
 #[test]
-fn killed_and_started_at_once_without_discovery_all_are_ready() {
+fn simultaneous_restarts_without_discovery_become_ready() {
     const BALANCERS: usize = 9;
     run(async {
         let up = upstream().await;
@@ -106,7 +106,7 @@
 
 /// Guards against a start that waits for stewards, or for the file that says who this balancer is to them.
 #[test]
-fn of_a_fleet_without_stewards_it_is_ready() {
+fn fleet_member_without_coordinators_becomes_ready() {
     run(async {
         let (up, silent) = (upstream().await, start_stub(|_, _| Reply::NoReply).await.address);
         let away = FullBacklog::new().await.expect("fill the accept queue");
@@ -137,7 +137,7 @@
 /// Guards against a start that waits for the process before it: one that stands still says nothing, one that
 /// ends hands nothing over any more.
 #[test]
-fn beside_a_process_that_stands_still_or_ends_it_is_ready() {
+fn process_beside_a_paused_or_ending_one_becomes_ready() {
     run(async {
         let (up, silent) = (upstream().await, start_stub(|_, _| Reply::NoReply).await.address);
         let folders = [temp_dir("ready-still"), temp_dir("ready-ends")];
@@ -176,7 +176,7 @@
 
 /// Guards against a process that takes over from one that knows nobody, and forgets whom its own file knows.
 #[test]
-fn after_a_process_that_knows_nobody_it_serves_by_its_file() {
+fn successor_of_a_process_without_upstreams_uses_its_file() {
     run(async {
         let (up, silent) = (upstream().await, start_stub(|_, _| Reply::NoReply).await.address);
         let folder = temp_dir("ready-knows");
--- a/crates/fernroute-server/tests/repeats.rs
+++ b/crates/fernroute-server/tests/repeats.rs
@@ -24,7 +24,7 @@
 /// Guards against an effect twice: the repeat is sent off within the window, and its connection comes up after it. Where the
 /// window is long the same repeat is sent on: it is the window alone that bars it.
 #[test]
-fn a_repeat_whose_connection_comes_up_after_the_window_does_not_begin() {
+fn repeat_connected_after_the_window_does_not_start() {
     for (window, status) in [(r#""window-s":2"#, 502), (r#""window-s":6"#, 200)] {
         run(async move {
             let held = FullBacklog::new().await.expect("fill the accept queue");
@@ -59,7 +59,7 @@
 /// Guards against an effect twice: an attempt counts once its last byte has come. A body that the upstream takes slowly begins
 /// within the window and would be whole after it; its last byte must not leave then. With time enough all of it does.
 #[test]
-fn an_attempt_whose_last_byte_would_leave_after_its_time_is_never_whole() {
+fn attempt_past_its_write_deadline_is_never_completed() {
     /// More than the machine takes for a connection that nobody reads.
     const BODY: usize = 16 << 20;
     const PAUSE: Duration = Duration::from_millis(600);
@@ -108,7 +108,7 @@
 /// Guards against an attempt that is whole at its upstream and passes for one that is not: all of it left in time, and the time
 /// was over when that was to be noted.
 #[test]
-fn an_attempt_that_has_left_whole_in_time_counts_as_written_when_its_time_is_over() {
+fn attempt_written_in_time_counts_as_written_after_its_deadline() {
     const LEFT: Duration = Duration::from_millis(100);
     run(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind a listener");
--- a/crates/fernroute-server/tests/sizes.rs
+++ b/crates/fernroute-server/tests/sizes.rs
@@ -19,7 +19,7 @@
 
 /// Guards against a bound on the list's bytes, or on its entries, that a large service meets.
 #[test]
-fn a_list_of_many_upstreams_is_taken_whole_in_an_indented_answer() {
+fn long_indented_list_is_applied_completely() {
     run(async {
         let indented =
             many("SERVING").join(",").replace(",\"", ",\n            \"").replace('{', "{\n            ");
@@ -38,7 +38,7 @@
 
 /// Guards against an upgrade that fails for the length of its list.
 #[test]
-fn a_list_of_many_upstreams_goes_over_to_the_next_process() {
+fn long_list_fits_the_handover() {
     run(async {
         let none: [SocketAddr; 0] = [];
         let b = balancer_at(&none, &[]).await;
