--- a/crates/fernroute-testbed/src/live/upstreams.rs
+++ b/crates/fernroute-testbed/src/live/upstreams.rs
@@ -2,7 +2,7 @@
 
 use super::Lab;
 use crate::scenario::{millis, seconds};
-use crate::trace::{Event, Final, Told};
+use crate::trace::{EndpointState, Event, FinalAnswer};
 use crate::upstream::{State, Upstream};
 use fernroute::{Outcome, Time};
 use fernroute_server::routing::clock::duration;
@@ -106,7 +106,7 @@
         stand_in.tasks.borrow_mut().push(accept.abort_handle());
         let model = stand_in.model.borrow();
         let (zone, cell, cold) = (model.zone, model.cell, model.cold);
-        let rate = self.scenario.rate(tier, model.speed);
+        let rate = self.scenario.warm_rate(tier, model.speed);
         self.record(&Event::Started { upstream: number, zone, cell, rate, cold });
         Ok(())
     }
@@ -164,19 +164,19 @@
             (*balancer, *attempts - 1)
         });
         let (balancer, attempt) = counted.unwrap_or((usize::MAX, 0));
-        self.books.borrow_mut().transmissions += 1;
-        let relative_work = self.scenario.in_means(work);
+        self.metrics.borrow_mut().attempts += 1;
+        let relative_work = self.scenario.in_mean_rpcs(work);
         self.record(&Event::Sent { rpc: Rc::clone(&rpc), attempt, balancer, upstream, work: relative_work });
         let ended = |outcome| self.record(&Event::Ended { rpc: Rc::clone(&rpc), attempt, outcome });
         let declined = |load: String| {
             ended(Outcome::Rejected);
             response(503, &format!("Srv-Declined: 1\r\n{load}"), "")
         };
-        if stand_in.model.borrow().hangs() {
+        if stand_in.model.borrow().is_hanging() {
             self.record(&Event::Ran { rpc: Rc::clone(&rpc), attempt });
             return std::future::pending().await;
         }
-        let errors = stand_in.model.borrow().errors();
+        let errors = stand_in.model.borrow().error_share();
         if errors > 0.0 && self.rng.borrow_mut().random::<f64>() < errors {
             self.record(&Event::Ran { rpc: Rc::clone(&rpc), attempt });
             ended(Outcome::Failed);
@@ -192,7 +192,7 @@
         if slot.is_err() || settings.drops && (caller_gone.get() || self.now() >= hard) {
             return declined(self.load(upstream));
         }
-        stand_in.model.borrow_mut().held += 1;
+        stand_in.model.borrow_mut().occupied_slots += 1;
         self.record(&Event::Ran { rpc: Rc::clone(&rpc), attempt });
         self.work(&stand_in, tier, work as f64 * settings.work).await;
         let mut outcome = Outcome::Completed;
@@ -208,7 +208,7 @@
                 break;
             }
         }
-        stand_in.model.borrow_mut().held -= 1;
+        stand_in.model.borrow_mut().occupied_slots -= 1;
         ended(outcome);
         let status = if outcome == Outcome::Completed { 200 } else { 500 };
         response(status, &self.load(upstream), &rpc)
@@ -225,7 +225,7 @@
             model.account(self.now());
             model.busy += 1;
             let warmth = model.warmth(self.now(), rules.cold_from, seconds(rules.warm_within_s));
-            model.takes(work, warmth, self.scenario.tier[tier].choke.as_ref())
+            model.service_time(work, warmth, self.scenario.tier[tier].choke.as_ref())
         };
         sleep(duration(duration_needed)).await;
         sleep(duration(pause())).await;
@@ -247,7 +247,7 @@
         self.calls.set(self.calls.get() + 1);
         let rpc: Rc<str> = Rc::from(format!("c{}", self.calls.get()));
         let last = self.send(balancer, &rpc, method, None, hard, work, calls).await;
-        matches!(last, Some((Final::Completed, _)))
+        matches!(last, Some((FinalAnswer::Completed, _)))
     }
 
     pub(super) fn load(&self, upstream: usize) -> String {
@@ -268,7 +268,7 @@
         let stand_in = self.stand_in(upstream);
         {
             let mut model = stand_in.model.borrow_mut();
-            model.end(self.now());
+            model.terminate(self.now());
             model.state = state;
         }
         stand_in.running_rpcs.borrow_mut().drain(..).for_each(|job| job.abort());
@@ -289,7 +289,7 @@
             Err(error) => Err(error),
         };
         match opened {
-            Ok(()) => self.announce(upstream, Told::Ready, self.scenario.discovery.late_ms),
+            Ok(()) => self.announce(upstream, EndpointState::Ready, self.scenario.discovery.late_ms),
             Err(error) => drop(self.error.replace(Some(error))),
         }
     }
--- a/crates/fernroute-testbed/src/player.rs
+++ b/crates/fernroute-testbed/src/policy.rs
@@ -1,7 +1,8 @@
-//! Whoever decides in a run: the real balancer, or a plain rule to compare it with. Baselines never enter the program.
+//! Load-balancing policies of a run: the real balancer, and baselines to compare it with. Baselines are not part of the
+//! shipped program.
 
 use crate::scenario::{seconds, zone_name, Effect, Group, Scenario};
-use crate::trace::Told;
+use crate::trace::EndpointState;
 use fernroute::action_queue::ActionQueue;
 use fernroute::{Balancer, Host as _, Outcome, Time, Timer};
 use fernroute_server::protocol::settings;
@@ -10,18 +11,18 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// One line of a list.
+/// An endpoint in a discovery update.
 #[derive(Clone, Debug)]
-pub struct Entry {
+pub struct EndpointUpdate {
     pub name: Rc<str>,
     pub zone: usize,
     pub cell: usize,
     pub started: Time,
-    pub told: Told,
+    pub state: EndpointState,
 }
 
-pub trait Player {
-    fn list(&mut self, now: Time, full: bool, entries: &[Entry]);
+pub trait Policy {
+    fn update_endpoints(&mut self, now: Time, full: bool, entries: &[EndpointUpdate]);
     fn rpc_arrived(&mut self, now: Time, rpc: &str, method: &str, tenant: &str, time_left: Time);
     #[allow(clippy::too_many_arguments)]
     fn attempt_ended(
@@ -36,20 +37,20 @@
     );
     fn rpc_abandoned(&mut self, now: Time, rpc: &str);
     fn timer_fired(&mut self, now: Time, timer: &Timer);
-    /// What the fleet grants; a plain rule knows of no tenants.
+    /// Applies budgets granted by the fleet. Baselines ignore tenants.
     fn set_budget_rates(&mut self, _: Time, _: &[(&str, [(f64, Time); 2])]) {}
 }
 
-impl Player for Balancer<ActionQueue> {
-    fn list(&mut self, now: Time, full: bool, entries: &[Entry]) {
+impl Policy for Balancer<ActionQueue> {
+    fn update_endpoints(&mut self, now: Time, full: bool, entries: &[EndpointUpdate]) {
         self.snapshot_started(now, full);
         for e in entries {
-            match e.told {
-                Told::Ready => {
+            match e.state {
+                EndpointState::Ready => {
                     self.upstream_ready(&e.name, &zone_name(e.zone), &e.cell.to_string(), "", e.started)
                 }
-                Told::Drains => self.upstream_draining(&e.name),
-                Told::Gone => self.upstream_removed(&e.name),
+                EndpointState::Drains => self.upstream_draining(&e.name),
+                EndpointState::Gone => self.upstream_removed(&e.name),
             }
         }
         self.snapshot_completed(true);
@@ -58,8 +59,8 @@
         Balancer::rpc_arrived(self, now, rpc, method, tenant, "", time_left);
     }
     fn set_budget_rates(&mut self, now: Time, of: &[(&str, [(f64, Time); 2])]) {
-        if let Err(bad) = Balancer::set_budget_rates(self, now, of) {
-            unreachable!("the grants of a run name its tenants: {bad}");
+        if let Err(error) = Balancer::set_budget_rates(self, now, of) {
+            unreachable!("grants only name tenants of the scenario: {error}");
         }
     }
     fn attempt_ended(
@@ -82,11 +83,11 @@
     }
 }
 
-/// How a run's balancers decide.
+/// The policy that the balancers of a run use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Variant {
     Fernroute,
-    /// The same, with tenants' shares divided by the fleet.
+    /// The real balancer, with tenants' budgets divided by the fleet.
     Fleet,
     Random,
     RoundRobin,
@@ -115,68 +116,69 @@
         }
     }
 
-    pub fn named(name: &str) -> Result<Self, String> {
+    pub fn from_name(name: &str) -> Result<Self, String> {
         let known = || Variant::ALL.map(Variant::name).join(", ");
         let found = Variant::ALL.into_iter().find(|v| v.name() == name);
         found.ok_or_else(|| format!("there is no variant {name}; there are {}", known()))
     }
 }
 
-/// Where a balancer of a run stands.
+/// The position of a balancer in the scenario.
 #[derive(Clone, Copy, Debug)]
-pub struct Post {
+pub struct BalancerPosition {
     pub tier: usize,
     pub number: usize,
     pub instances: usize,
     pub zone: usize,
 }
 
-/// Makes the balancers of a run.
-pub type Maker<'a> = dyn Fn(&Scenario, Post, ActionQueue, Time, u64) -> Box<dyn Player> + 'a;
+/// Creates the policies of a run.
+pub type PolicyFactory<'a> =
+    dyn Fn(&Scenario, BalancerPosition, ActionQueue, Time, u64) -> Box<dyn Policy> + 'a;
 
 impl Variant {
-    pub fn player(
+    pub fn policy(
         self,
         scenario: &Scenario,
-        post: Post,
-        desk: ActionQueue,
+        position: BalancerPosition,
+        actions: ActionQueue,
         now: Time,
         seed: u64,
-    ) -> Box<dyn Player> {
+    ) -> Box<dyn Policy> {
         if !matches!(self, Variant::Fernroute | Variant::Fleet) {
-            return Box::new(Baseline::new(scenario, self, desk, seed));
+            return Box::new(Baseline::new(scenario, self, actions, seed));
         }
-        let terms = settings::decode(&scenario.settings(post));
-        match Balancer::new(desk, now, seed, &terms) {
+        let settings = settings::decode(&scenario.settings(position));
+        match Balancer::new(actions, now, seed, &settings) {
             Ok(balancer) => Box::new(balancer),
-            Err(missing) => unreachable!("a scenario that was checked gives all terms: {missing}"),
+            Err(missing) => unreachable!("a validated scenario has all settings: {missing}"),
         }
     }
 }
 
-struct Known {
-    entry: Entry,
-    out: usize,
+struct KnownEndpoint {
+    entry: EndpointUpdate,
+    outstanding: usize,
 }
 
 struct Rpc {
     method: usize,
     hard: Time,
-    /// Where each transmission went, when, and how it ended.
-    txs: Vec<(Rc<str>, Time, Option<Outcome>)>,
+    /// Upstream, start and outcome of each attempt.
+    attempts: Vec<(Rc<str>, Time, Option<Outcome>)>,
 }
 
-/// Sends each RPC by one rule, and again as the methods allow, for as long as there is time.
+/// Selects upstreams by one simple rule, and retries as the methods allow until the hard deadline.
 pub struct Baseline {
     rule: Variant,
     host: ActionQueue,
     rng: ChaCha8Rng,
     methods: Vec<(String, Effect, Group, Time)>,
-    most: usize,
-    turn: usize,
-    /// Emptied by the list.
-    upstreams: BTreeMap<Rc<str>, Known>,
-    /// Emptied by final answers.
+    max_attempts: usize,
+    next_index: usize,
+    /// Entries are removed by discovery updates.
+    upstreams: BTreeMap<Rc<str>, KnownEndpoint>,
+    /// Entries are removed by final answers.
     rpcs: BTreeMap<Rc<str>, Rpc>,
 }
 
@@ -188,8 +190,8 @@
             host,
             rng: ChaCha8Rng::seed_from_u64(seed),
             methods: scenario.method.iter().map(method).collect(),
-            most: scenario.rules.max_transmissions,
-            turn: seed as usize % 1000,
+            max_attempts: scenario.rules.max_transmissions,
+            next_index: seed as usize % 1000,
             upstreams: BTreeMap::new(),
             rpcs: BTreeMap::new(),
         }
@@ -197,9 +199,9 @@
 
     fn pick(&mut self, now: Time, rpc: &Rpc) -> Option<Rc<str>> {
         let (_, effect, group, window) = &self.methods[rpc.method];
-        let first = rpc.txs.iter().find(|(_, _, end)| !end.is_some_and(Outcome::never_ran));
+        let first = rpc.attempts.iter().find(|(_, _, end)| !end.is_some_and(Outcome::never_ran));
         let first = first.map(|(name, sent, _)| (self.upstreams.get(name).map(|k| k.entry.clone()), *sent));
-        let fits = |e: &Entry| match (&first, effect) {
+        let fits = |e: &EndpointUpdate| match (&first, effect) {
             (None, _) | (_, Effect::Retriable) => true,
             (_, Effect::NonRetriable) => false,
             (Some((before, sent)), Effect::Deduped) => {
@@ -211,29 +213,29 @@
                 same && now < sent + window
             }
         };
-        let usable = |k: &&Known| k.entry.told == Told::Ready && fits(&k.entry);
-        let all: Vec<&Known> = self.upstreams.values().filter(usable).collect();
+        let usable = |k: &&KnownEndpoint| k.entry.state == EndpointState::Ready && fits(&k.entry);
+        let all: Vec<&KnownEndpoint> = self.upstreams.values().filter(usable).collect();
         if all.is_empty() {
             return None;
         }
         let any = self.rng.random_range(0..all.len());
         let chosen = match self.rule {
             Variant::RoundRobin => {
-                self.turn += 1;
-                all[self.turn % all.len()]
+                self.next_index += 1;
+                all[self.next_index % all.len()]
             }
             Variant::TwoChoices => {
                 let other = all[self.rng.random_range(0..all.len())];
-                if other.out < all[any].out {
+                if other.outstanding < all[any].outstanding {
                     other
                 } else {
                     all[any]
                 }
             }
             Variant::LeastOutstanding => {
-                // Ties by chance: all balancers would turn to the same one.
-                let turned = all[any..].iter().chain(&all[..any]);
-                turned.min_by_key(|k| k.out).copied().unwrap_or(all[any])
+                // Breaks ties at random; otherwise all balancers would choose the same upstream.
+                let rotated = all[any..].iter().chain(&all[..any]);
+                rotated.min_by_key(|k| k.outstanding).copied().unwrap_or(all[any])
             }
             Variant::Random | Variant::Fernroute | Variant::Fleet => all[any],
         };
@@ -242,11 +244,15 @@
 
     fn send(&mut self, now: Time, id: &str) -> bool {
         let Some((id, rpc)) = self.rpcs.remove_entry(id) else { return false };
-        let to = if rpc.txs.len() < self.most && now < rpc.hard { self.pick(now, &rpc) } else { None };
+        let to = if rpc.attempts.len() < self.max_attempts && now < rpc.hard {
+            self.pick(now, &rpc)
+        } else {
+            None
+        };
         let (hard, rpc) = (rpc.hard, self.rpcs.entry(Rc::clone(&id)).or_insert(rpc));
         let Some(to) = to else { return false };
-        rpc.txs.push((Rc::clone(&to), now, None));
-        self.upstreams.get_mut(&to).into_iter().for_each(|k| k.out += 1);
+        rpc.attempts.push((Rc::clone(&to), now, None));
+        self.upstreams.get_mut(&to).into_iter().for_each(|k| k.outstanding += 1);
         self.host.start_attempt(&id, &to, hard - now, None);
         true
     }
@@ -254,8 +260,8 @@
     fn finish(&mut self, id: &str) {
         let Some(rpc) = self.rpcs.remove(id) else { return };
         let (_, effect, group, _) = self.methods[rpc.method];
-        let harmless = effect == Effect::Retriable || effect == Effect::Deduped && group == Group::All;
-        if harmless || rpc.txs.iter().all(|(_, _, end)| end.is_some_and(Outcome::never_ran)) {
+        let safe_to_retry = effect == Effect::Retriable || effect == Effect::Deduped && group == Group::All;
+        if safe_to_retry || rpc.attempts.iter().all(|(_, _, end)| end.is_some_and(Outcome::never_ran)) {
             self.host.reject(id, 0);
         } else {
             self.host.fail(id);
@@ -263,18 +269,19 @@
     }
 }
 
-impl Player for Baseline {
-    fn list(&mut self, _: Time, full: bool, entries: &[Entry]) {
+impl Policy for Baseline {
+    fn update_endpoints(&mut self, _: Time, full: bool, entries: &[EndpointUpdate]) {
         if full {
             self.upstreams.retain(|name, _| entries.iter().any(|e| e.name == *name));
         }
         for entry in entries {
-            if entry.told == Told::Gone {
+            if entry.state == EndpointState::Gone {
                 self.upstreams.remove(&entry.name);
                 continue;
             }
-            let out = self.upstreams.get(&entry.name).map_or(0, |k| k.out);
-            self.upstreams.insert(Rc::clone(&entry.name), Known { entry: entry.clone(), out });
+            let outstanding = self.upstreams.get(&entry.name).map_or(0, |k| k.outstanding);
+            self.upstreams
+                .insert(Rc::clone(&entry.name), KnownEndpoint { entry: entry.clone(), outstanding });
         }
     }
 
@@ -282,7 +289,7 @@
         let Some(method) = self.methods.iter().position(|m| m.0 == method) else {
             return self.host.reject(rpc, 0);
         };
-        self.rpcs.insert(Rc::from(rpc), Rpc { method, hard: now + time_left, txs: Vec::new() });
+        self.rpcs.insert(Rc::from(rpc), Rpc { method, hard: now + time_left, attempts: Vec::new() });
         if !self.send(now, rpc) {
             self.finish(rpc);
         }
@@ -299,10 +306,10 @@
         _: f64,
     ) {
         let Some(open) = self.rpcs.get_mut(rpc) else { return };
-        if let Some((to, _, ended)) = open.txs.get_mut(attempt) {
+        if let Some((to, _, ended)) = open.attempts.get_mut(attempt) {
             *ended = Some(end);
             let known = self.upstreams.get_mut(to);
-            known.into_iter().for_each(|k| k.out = k.out.saturating_sub(1));
+            known.into_iter().for_each(|k| k.outstanding = k.outstanding.saturating_sub(1));
         }
         if over {
             self.rpcs.remove(rpc);
@@ -313,9 +320,12 @@
 
     fn rpc_abandoned(&mut self, _: Time, rpc: &str) {
         let Some(open) = self.rpcs.remove(rpc) else { return };
-        for (n, (to, _, end)) in open.txs.iter().enumerate() {
+        for (n, (to, _, end)) in open.attempts.iter().enumerate() {
             if end.is_none() {
-                self.upstreams.get_mut(to).into_iter().for_each(|k| k.out = k.out.saturating_sub(1));
+                self.upstreams
+                    .get_mut(to)
+                    .into_iter()
+                    .for_each(|k| k.outstanding = k.outstanding.saturating_sub(1));
                 self.host.cancel_attempt(rpc, n);
             }
         }
--- a/crates/fernroute-testbed/src/upstream.rs
+++ b/crates/fernroute-testbed/src/upstream.rs
@@ -1,4 +1,4 @@
-//! One simulated upstream: its places, cores, warmth, afflictions and reports. No I/O, no clock of its own.
+//! Model of one upstream: slots, cores, warm-up, faults and load reports. It has no I/O and no clock of its own.
 
 use crate::scenario::{self, seconds, Choke};
 use fernroute::Time;
@@ -8,11 +8,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
     Up,
-    /// Finishes what it has, and is told as draining.
+    /// Finishes the RPCs that it has; discovery lists it as draining.
     Draining,
-    /// Its process is gone: connections to it are refused.
+    /// The process is gone: connections are refused.
     Dead,
-    /// Its machine is gone: nothing is heard of it.
+    /// The machine is gone: packets get no answer.
     Silent,
 }
 
@@ -22,10 +22,10 @@
     }
 }
 
-/// Reports are kept for as long as the latest fault may delay them.
-pub const KEEP: f64 = 60.0;
+/// How long reports are kept, in seconds: as long as a fault may delay them.
+pub const REPORT_RETENTION_S: f64 = 60.0;
 
-/// One transmission, as the upstream has it.
+/// An attempt at its upstream.
 #[derive(Clone, Debug)]
 pub struct Job {
     pub rpc: Rc<str>,
@@ -33,19 +33,19 @@
     /// The balancer that sent it.
     pub node: usize,
     pub method: usize,
-    /// Work of one core over all tiers, and calls on each tier, as drawn with the request.
+    /// Work on one core over all tiers, and calls to each tier, as drawn for the request.
     pub work: Time,
     pub calls: Rc<[u32]>,
     pub hard: Time,
-    /// Calls on the tier below that are still to be made.
-    pub left: u32,
-    /// Its caller has given up.
-    pub void: bool,
+    /// Remaining calls to the tier below.
+    pub calls_left: u32,
+    /// The caller has given up.
+    pub cancelled: bool,
 }
 
-/// What befalls an upstream, by the number of the fault; taken off by its end.
+/// The effect of an active fault on an upstream.
 #[derive(Clone, Copy, Debug)]
-pub enum Affliction {
+pub enum FaultEffect {
     Slow(f64),
     Errors(f64),
     Hang,
@@ -63,22 +63,22 @@
     pub state: State,
     pub started: Time,
     pub cold: bool,
-    /// Counts lives: what was going on in an earlier one comes to nothing.
-    pub life: u32,
-    /// Its own balancer for the tier below.
+    /// Increases with each termination, so that pending events of an earlier process are ignored.
+    pub incarnation: u32,
+    /// The upstream's own balancer for the tier below.
     pub balancer: Option<usize>,
-    pub afflicted: BTreeMap<usize, Affliction>,
+    pub fault_effects: BTreeMap<usize, FaultEffect>,
     pub paused_until: Time,
-    /// In a place, waiting for one, waiting for a core.
-    pub held: usize,
+    /// Jobs that occupy a slot; `waiting` ones wait for a slot, `ready` ones for a core.
+    pub occupied_slots: usize,
     pub waiting: VecDeque<u64>,
     pub ready: VecDeque<u64>,
     pub busy: usize,
-    /// Core time used up to `as_of`, and up to the last report.
+    /// Core time used up to `as_of`; `used_at_report` is the value at the last report.
     pub used: u128,
     pub used_at_report: u128,
     pub as_of: Time,
-    /// Past reports, as old as the latest delay at most.
+    /// Past reports, for up to [`REPORT_RETENTION_S`].
     pub reports: VecDeque<(Time, f64)>,
     pub choked: bool,
     over_for: Time,
@@ -106,11 +106,11 @@
             state: State::Up,
             started: now,
             cold: now > 0,
-            life: 0,
+            incarnation: 0,
             balancer: None,
-            afflicted: BTreeMap::new(),
+            fault_effects: BTreeMap::new(),
             paused_until: 0,
-            held: 0,
+            occupied_slots: 0,
             waiting: VecDeque::new(),
             ready: VecDeque::new(),
             busy: 0,
@@ -124,18 +124,18 @@
         }
     }
 
-    /// Starts again from nothing, cold.
+    /// Restarts cold and without any jobs; active faults remain.
     pub fn restart(&mut self, now: Time) {
-        let afflicted = std::mem::take(&mut self.afflicted);
-        self.end(now);
-        (self.afflicted, self.state, self.started, self.cold) = (afflicted, State::Up, now, true);
+        let fault_effects = std::mem::take(&mut self.fault_effects);
+        self.terminate(now);
+        (self.fault_effects, self.state, self.started, self.cold) = (fault_effects, State::Up, now, true);
     }
 
-    /// All that it had is gone.
-    pub fn end(&mut self, now: Time) {
+    /// Drops all jobs and reports.
+    pub fn terminate(&mut self, now: Time) {
         self.account(now);
-        self.life += 1;
-        (self.held, self.busy, self.choked, self.over_for, self.rest_for) = (0, 0, false, 0, 0);
+        self.incarnation += 1;
+        (self.occupied_slots, self.busy, self.choked, self.over_for, self.rest_for) = (0, 0, false, 0, 0);
         self.waiting.clear();
         self.ready.clear();
         self.reports.clear();
@@ -146,13 +146,13 @@
         self.as_of = now;
     }
 
-    pub fn hangs(&self) -> bool {
-        self.afflicted.values().any(|a| matches!(a, Affliction::Hang))
+    pub fn is_hanging(&self) -> bool {
+        self.fault_effects.values().any(|a| matches!(a, FaultEffect::Hang))
     }
 
-    pub fn errors(&self) -> f64 {
-        let of = |a: &Affliction| if let Affliction::Errors(share) = a { *share } else { 0.0 };
-        self.afflicted.values().map(of).fold(0.0, f64::max)
+    pub fn error_share(&self) -> f64 {
+        let of = |a: &FaultEffect| if let FaultEffect::Errors(share) = a { *share } else { 0.0 };
+        self.fault_effects.values().map(of).fold(0.0, f64::max)
     }
 
     pub fn warmth(&self, now: Time, from: f64, within: Time) -> f64 {
@@ -162,26 +162,26 @@
         (from + (1.0 - from) * (now - self.started) as f64 / within.max(1) as f64).min(1.0)
     }
 
-    /// How long a core takes for this much work, if it begins now.
-    pub fn takes(&self, work: f64, warmth: f64, choke: Option<&Choke>) -> Time {
-        let slow = |a: &Affliction| if let Affliction::Slow(times) = a { *times } else { 1.0 };
-        let slower: f64 = self.afflicted.values().map(slow).product();
+    /// Time that a core needs for this work if it starts now.
+    pub fn service_time(&self, work: f64, warmth: f64, choke: Option<&Choke>) -> Time {
+        let slow = |a: &FaultEffect| if let FaultEffect::Slow(times) = a { *times } else { 1.0 };
+        let slower: f64 = self.fault_effects.values().map(slow).product();
         let choked = if self.choked { choke.map_or(1.0, |c| c.slower) } else { 1.0 };
         (work * slower * choked / (self.speed * warmth)).round().max(1.0) as Time
     }
 
-    /// Makes a report, and judges by it whether the upstream chokes or has recovered.
+    /// Adds a load report and updates whether the upstream is choked.
     pub fn report(&mut self, now: Time, period: Time, choke: Option<&Choke>) {
         self.account(now);
         let used = (self.used - self.used_at_report) as f64 / (period as f64 * self.cores as f64);
         self.used_at_report = self.used;
         self.reports.push_back((now, used.min(1.0)));
-        while self.reports.len() > 1 && self.reports[1].0 + seconds(KEEP) < now {
+        while self.reports.len() > 1 && self.reports[1].0 + seconds(REPORT_RETENTION_S) < now {
             self.reports.pop_front();
         }
         let Some(c) = choke else { return };
-        let hands = (self.held + self.waiting.len()) as f64;
-        self.over_for = if hands > c.at * self.cores as f64 { self.over_for + period } else { 0 };
+        let in_progress = (self.occupied_slots + self.waiting.len()) as f64;
+        self.over_for = if in_progress > c.at * self.cores as f64 { self.over_for + period } else { 0 };
         self.rest_for = if used < c.below { self.rest_for + period } else { 0 };
         if self.over_for > seconds(c.over_s) {
             self.choked = true;
@@ -190,7 +190,7 @@
         }
     }
 
-    /// The newest report that is at least this old; no number before the first.
+    /// The newest report that is at least `late` old; NaN before the first one.
     pub fn reported(&self, now: Time, late: Time) -> f64 {
         let old = self.reports.iter().rev().find(|(at, _)| at + late <= now);
         old.map_or(f64::NAN, |(_, used)| *used)
--- a/crates/fernroute-testbed/tests/referee.rs
+++ b/crates/fernroute-testbed/tests/referee.rs
@@ -1,15 +1,15 @@
-//! Balancers that are broken on purpose: each is caught, by the rule and the moment.
+//! Policies with deliberate faults: the referee reports each with the right rule and time.
 
 mod common;
 
 use common::small;
 use fernroute::action_queue::ActionQueue;
 use fernroute::{Host as _, Outcome, Time, Timer};
-use fernroute_testbed::player::{Entry, Player, Variant};
-use fernroute_testbed::referee::{Breach, Rule};
-use fernroute_testbed::run::{run, run_with, Nobody};
+use fernroute_testbed::policy::{EndpointUpdate, Policy, Variant};
+use fernroute_testbed::referee::{Rule, Violation};
+use fernroute_testbed::run::{run, run_with_policy, NoObserver};
 use fernroute_testbed::scenario::{seconds, Scenario};
-use fernroute_testbed::trace::Told;
+use fernroute_testbed::trace::EndpointState;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
@@ -27,12 +27,12 @@
     SendsAfterItsAnswer,
 }
 
-/// Sends each RPC to the next upstream, once; errors what does not complete. But for its one fault.
+/// Sends each RPC once, to the next upstream, and fails those that do not complete, apart from its deliberate fault.
 struct Plain {
     how: Rogue,
     host: ActionQueue,
-    upstreams: BTreeMap<Rc<str>, Entry>,
-    /// Method, hard deadline, upstreams so far.
+    upstreams: BTreeMap<Rc<str>, EndpointUpdate>,
+    /// Method, hard deadline, and the upstreams tried so far.
     rpcs: BTreeMap<String, (String, Time, Vec<Rc<str>>)>,
     turn: usize,
 }
@@ -41,8 +41,10 @@
     fn next(&mut self, not: &[Rc<str>]) -> Option<Rc<str>> {
         self.turn += 1;
         let drains = self.how == Rogue::SendsIntoDrains;
-        let usable = |e: &&Entry| e.told == Told::Ready || drains && e.told == Told::Drains;
-        let all: Vec<&Entry> =
+        let usable = |e: &&EndpointUpdate| {
+            e.state == EndpointState::Ready || drains && e.state == EndpointState::Drains
+        };
+        let all: Vec<&EndpointUpdate> =
             self.upstreams.values().filter(usable).filter(|e| !not.contains(&e.name)).collect();
         let cold = all.iter().find(|e| self.how == Rogue::FloodsTheCold && e.started > 0);
         let next = cold.or_else(|| all.get(self.turn % all.len().max(1)));
@@ -59,12 +61,12 @@
     }
 }
 
-impl Player for Plain {
-    fn list(&mut self, _: Time, _: bool, entries: &[Entry]) {
+impl Policy for Plain {
+    fn update_endpoints(&mut self, _: Time, _: bool, entries: &[EndpointUpdate]) {
         for e in entries {
             self.upstreams.insert(Rc::clone(&e.name), e.clone());
         }
-        self.upstreams.retain(|_, e| e.told != Told::Gone);
+        self.upstreams.retain(|_, e| e.state != EndpointState::Gone);
     }
     fn rpc_arrived(&mut self, now: Time, rpc: &str, method: &str, _: &str, time_left: Time) {
         self.rpcs.insert(rpc.to_owned(), (method.to_owned(), now + time_left, Vec::new()));
@@ -107,11 +109,11 @@
     fn timer_fired(&mut self, _: Time, _: &Timer) {}
 }
 
-fn judged(scenario: &Scenario, how: Rogue) -> Vec<Breach> {
-    let make = |_: &Scenario, _, host: ActionQueue, _, _| -> Box<dyn Player> {
+fn judged(scenario: &Scenario, how: Rogue) -> Vec<Violation> {
+    let make = |_: &Scenario, _, host: ActionQueue, _, _| -> Box<dyn Policy> {
         Box::new(Plain { how, host, upstreams: BTreeMap::new(), rpcs: BTreeMap::new(), turn: 0 })
     };
-    run_with(scenario, 1, &make, &mut Nobody).breaches
+    run_with_policy(scenario, 1, &make, &mut NoObserver).violations
 }
 
 const ERRORS: &str = "[[fault]]\nkind = \"fast_errors\"\nat_s = 4\nfor_s = 3\npart = 1\nsize = 0.5\n";
@@ -124,14 +126,14 @@
     for (how, faults, rule, from, to) in [
         (Rogue::AnswersTwice, "", Rule::OneAnswer, 0.0, 1.0),
         (Rogue::SendsAfterItsAnswer, "", Rule::OneAnswer, 0.0, 1.0),
-        // Two seconds later than a second after the first one is swallowed.
+        // The first RPC hangs at 4 s; its deadline is a second later, and the time-out is two seconds too long.
         (Rogue::AnswersLate, HANG, Rule::OneAnswer, 7.0, 7.5),
         (Rogue::ResendsWhatMayHaveRun, ERRORS, Rule::NoSecondEffect, 4.0, 5.0),
         (Rogue::ExhaustsWhatMayHaveRun, ERRORS, Rule::NoSecondEffect, 4.0, 5.0),
         (Rogue::LeavesTheGroup, ERRORS, Rule::NoSecondEffect, 4.0, 5.0),
-        // Told a second later, and 0.3 s of grace.
+        // Discovery delivers the update a second later; the grace period is 0.3 s.
         (Rogue::SendsIntoDrains, DRAIN, Rule::DrainsKept, 5.3, 6.0),
-        // Back at 5 s, told a second later.
+        // The upstream restarts at 5 s; discovery delivers the update a second later.
         (Rogue::FloodsTheCold, RETURN, Rule::ColdSpared, 6.0, 8.5),
     ] {
         let mut scenario = small(faults);
@@ -140,9 +142,9 @@
         let first = found.first().unwrap_or_else(|| panic!("{how:?} was not caught"));
         assert!(found.iter().all(|b| b.rule == rule), "{how:?}: {found:?}");
         assert!((seconds(from)..=seconds(to)).contains(&first.at), "{how:?}: {first:?}");
-        // The same day, and nothing to blame: neither the plain one without its fault nor the balancer.
+        // In the same scenario, neither the policy without its fault nor the real balancer breaks a rule.
         assert_eq!(judged(&small(faults), Rogue::Honest), [], "{how:?}");
-        assert_eq!(run(&scenario, Variant::Fernroute, 1).breaches, [], "{how:?}");
+        assert_eq!(run(&scenario, Variant::Fernroute, 1).violations, [], "{how:?}");
     }
 }
 
@@ -151,7 +153,7 @@
     let found = judged(&small(ERRORS), Rogue::NeverAnswers);
     assert!(found.len() > 20);
     assert!(
-        found.iter().all(|b| b.rule == Rule::OneAnswer && b.what.ends_with("was never answered")),
+        found.iter().all(|b| b.rule == Rule::OneAnswer && b.description.ends_with("was never answered")),
         "{found:?}"
     );
 }
