--- a/crates/fernroute-testbed/src/live/discovery.rs
+++ b/crates/fernroute-testbed/src/live/discovery.rs
@@ -3,10 +3,10 @@
 use super::balancers::BalancerProcess;
 use super::Lab;
 use crate::scenario::zone_name;
-use crate::trace::{Event, Told};
+use crate::trace::{EndpointState, Event};
 use crate::upstream::State;
 use fernroute_server::routing::clock::duration;
-use fernroute_test_support::http::{answer, Peer};
+use fernroute_test_support::http::{response, Connection};
 use rand::RngExt as _;
 use serde_json::{json, Value};
 use std::cell::RefCell;
@@ -23,7 +23,7 @@
 pub(super) struct DiscoveryAgent {
     pub(super) address: SocketAddr,
     /// Changes with their versions. A full list has the latest entry of each upstream.
-    pub(super) told: RefCell<Vec<(u64, usize, Told, Value)>>,
+    pub(super) told: RefCell<Vec<(u64, usize, EndpointState, Value)>>,
     pub(super) changed: Notify,
     pub(super) serving: AbortHandle,
 }
@@ -35,7 +35,7 @@
         let lab = Rc::clone(self);
         let serving = spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                spawn_local(Rc::clone(&lab).serve_list(balancer, Peer::new(stream)));
+                spawn_local(Rc::clone(&lab).serve_list(balancer, Connection::new(stream)));
             }
         });
         let (told, changed) = (RefCell::default(), Notify::new());
@@ -43,7 +43,7 @@
     }
 
     /// Answers list requests of one balancer.
-    pub(super) async fn serve_list(self: Rc<Self>, number: usize, mut peer: Peer) {
+    pub(super) async fn serve_list(self: Rc<Self>, number: usize, mut peer: Connection) {
         while let Ok(Some(message)) = peer.read().await {
             let query = |name: &str| {
                 let text = message.target.split_once('?')?.1;
@@ -71,7 +71,7 @@
             while self.now() < self.list_unavailable_until.get() {
                 sleep(duration(self.list_unavailable_until.get() - self.now())).await;
             }
-            let updates: Vec<(u64, usize, Told, Value)> = agent
+            let updates: Vec<(u64, usize, EndpointState, Value)> = agent
                 .told
                 .borrow()
                 .iter()
@@ -85,8 +85,12 @@
                     if stand_in.model.borrow().tier == balancer.tier
                         && stand_in.model.borrow().state == State::Up
                     {
-                        self.record(&Event::Heard { balancer: number, upstream: n, told: Told::Ready });
-                        entries.insert(n, self.entry(n, Told::Ready));
+                        self.record(&Event::Heard {
+                            balancer: number,
+                            upstream: n,
+                            told: EndpointState::Ready,
+                        });
+                        entries.insert(n, self.entry(n, EndpointState::Ready));
                     }
                 }
             }
@@ -98,30 +102,30 @@
             for (_, upstream, told, _) in updates {
                 self.record(&Event::Heard { balancer: number, upstream, told });
             }
-            if peer.write(&answer(200, "", &list.to_string())).await.is_err() {
+            if peer.write(&response(200, "", &list.to_string())).await.is_err() {
                 return;
             }
         }
     }
 
-    pub(super) fn entry(&self, upstream: usize, told: Told) -> Value {
+    pub(super) fn entry(&self, upstream: usize, told: EndpointState) -> Value {
         let stand_in = self.stand_in(upstream);
         let model = stand_in.model.borrow();
         let state = match told {
-            Told::Ready => "SERVING",
-            Told::Drains => "DRAINING",
-            Told::Gone => "DELETED",
+            EndpointState::Ready => "SERVING",
+            EndpointState::Drains => "DRAINING",
+            EndpointState::Gone => "DELETED",
         };
         let started = if model.cold { self.unix_ms + model.started / 10 } else { 0 };
         json!({"id": &*model.name, "addr": stand_in.address.get(), "zone": zone_name(model.zone),
             "cell": model.cell.to_string(), "state": state, "started_ms": started})
     }
 
-    pub(super) fn announce(self: &Rc<Self>, upstream: usize, told: Told, late_ms: f64) {
+    pub(super) fn announce(self: &Rc<Self>, upstream: usize, told: EndpointState, late_ms: f64) {
         let (tier, life) = {
             let stand_in = self.stand_in(upstream);
             let model = stand_in.model.borrow();
-            (model.tier, model.life)
+            (model.tier, model.incarnation)
         };
         let balancers: Vec<Rc<BalancerProcess>> =
             self.balancers.borrow().iter().filter(|n| n.tier == tier).cloned().collect();
@@ -131,7 +135,7 @@
             spawn_local(async move {
                 sleep(Duration::from_secs_f64((late_ms + spread) / 1000.0)).await;
                 // Skipped if the upstream has stopped or restarted since.
-                if lab.stand_in(upstream).model.borrow().life == life {
+                if lab.stand_in(upstream).model.borrow().incarnation == life {
                     let entry = lab.entry(upstream, told);
                     let mut all = balancer.agent.told.borrow_mut();
                     let version = all.last().map_or(0, |(version, ..)| *version) + 1;
--- a/crates/fernroute-testbed/src/live/upstreams.rs
+++ b/crates/fernroute-testbed/src/live/upstreams.rs
@@ -2,11 +2,11 @@
 
 use super::Lab;
 use crate::scenario::{millis, seconds};
-use crate::trace::{Event, Final, Told};
+use crate::trace::{EndpointState, Event, FinalAnswer};
 use crate::upstream::{State, Upstream};
 use fernroute::{Outcome, Time};
 use fernroute_server::routing::clock::duration;
-use fernroute_test_support::http::{answer, Message, Peer};
+use fernroute_test_support::http::{response, Connection, Message};
 use rand::RngExt as _;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -96,7 +96,7 @@
         let lab = Rc::clone(self);
         let accept = spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                let task = spawn_local(Rc::clone(&lab).connection(number, Peer::new(stream)));
+                let task = spawn_local(Rc::clone(&lab).connection(number, Connection::new(stream)));
                 let stand_in = lab.stand_in(number);
                 let mut tasks = stand_in.tasks.borrow_mut();
                 tasks.retain(|t| !t.is_finished());
@@ -106,12 +106,12 @@
         stand_in.tasks.borrow_mut().push(accept.abort_handle());
         let model = stand_in.model.borrow();
         let (zone, cell, cold) = (model.zone, model.cell, model.cold);
-        let rate = self.scenario.rate(tier, model.speed);
+        let rate = self.scenario.warm_rate(tier, model.speed);
         self.record(&Event::Started { upstream: number, zone, cell, rate, cold });
         Ok(())
     }
 
-    pub(super) async fn connection(self: Rc<Self>, upstream: usize, mut peer: Peer) {
+    pub(super) async fn connection(self: Rc<Self>, upstream: usize, mut peer: Connection) {
         while let Ok(Some(message)) = peer.read().await {
             let caller_gone = Rc::new(Cell::new(false));
             let handled = Rc::clone(&self).handle(upstream, message, Rc::clone(&caller_gone));
@@ -126,16 +126,16 @@
             }
             let bytes = tokio::select! {
                 bytes = &mut task => bytes,
-                () = peer.closed() => {
+                () = peer.wait_for_close() => {
                     caller_gone.set(true);
                     return;
                 }
             };
-            let Ok(bytes) = bytes else {
+            let Ok(to_bytes) = bytes else {
                 // The machine has vanished: it sends nothing, not even a close.
-                return peer.closed().await;
+                return peer.wait_for_close().await;
             };
-            if peer.write(&bytes).await.is_err() {
+            if peer.write(&to_bytes).await.is_err() {
                 return;
             }
         }
@@ -149,9 +149,9 @@
         caller_gone: Rc<Cell<bool>>,
     ) -> Vec<u8> {
         let received = self.now();
-        let Some(rpc) = message.header("req-id").map(Rc::<str>::from) else { return answer(404, "", "") };
-        let hard = received + message.number::<Time>("req-deadline-ms").unwrap_or(0) * 10;
-        let work: Time = message.number("lab-work").unwrap_or(1);
+        let Some(rpc) = message.header("req-id").map(Rc::<str>::from) else { return response(404, "", "") };
+        let hard = received + message.header_number::<Time>("req-deadline-ms").unwrap_or(0) * 10;
+        let work: Time = message.header_number("lab-work").unwrap_or(1);
         let calls = message.header("lab-calls").unwrap_or("").to_owned();
         let stand_in = self.stand_in(upstream);
         let tier = stand_in.model.borrow().tier;
@@ -164,23 +164,23 @@
             (*balancer, *attempts - 1)
         });
         let (balancer, attempt) = counted.unwrap_or((usize::MAX, 0));
-        self.books.borrow_mut().transmissions += 1;
-        let relative_work = self.scenario.in_means(work);
+        self.metrics.borrow_mut().attempts += 1;
+        let relative_work = self.scenario.in_mean_rpcs(work);
         self.record(&Event::Sent { rpc: Rc::clone(&rpc), attempt, balancer, upstream, work: relative_work });
         let ended = |outcome| self.record(&Event::Ended { rpc: Rc::clone(&rpc), attempt, outcome });
         let declined = |load: String| {
             ended(Outcome::Rejected);
-            answer(503, &format!("Srv-Declined: 1\r\n{load}"), "")
+            response(503, &format!("Srv-Declined: 1\r\n{load}"), "")
         };
-        if stand_in.model.borrow().hangs() {
+        if stand_in.model.borrow().is_hanging() {
             self.record(&Event::Ran { rpc: Rc::clone(&rpc), attempt });
             return std::future::pending().await;
         }
-        let errors = stand_in.model.borrow().errors();
+        let errors = stand_in.model.borrow().error_share();
         if errors > 0.0 && self.rng.borrow_mut().random::<f64>() < errors {
             self.record(&Event::Ran { rpc: Rc::clone(&rpc), attempt });
             ended(Outcome::Failed);
-            return answer(500, &self.load(upstream), "");
+            return response(500, &self.load(upstream), "");
         }
         let slots = Rc::clone(&stand_in.slots.borrow());
         if slots.available_permits() == 0 && stand_in.waiting.get() >= settings.queue {
@@ -192,7 +192,7 @@
         if slot.is_err() || settings.drops && (caller_gone.get() || self.now() >= hard) {
             return declined(self.load(upstream));
         }
-        stand_in.model.borrow_mut().held += 1;
+        stand_in.model.borrow_mut().occupied_slots += 1;
         self.record(&Event::Ran { rpc: Rc::clone(&rpc), attempt });
         self.work(&stand_in, tier, work as f64 * settings.work).await;
         let mut outcome = Outcome::Completed;
@@ -208,10 +208,10 @@
                 break;
             }
         }
-        stand_in.model.borrow_mut().held -= 1;
+        stand_in.model.borrow_mut().occupied_slots -= 1;
         ended(outcome);
         let status = if outcome == Outcome::Completed { 200 } else { 500 };
-        answer(status, &self.load(upstream), &rpc)
+        response(status, &self.load(upstream), &rpc)
     }
 
     pub(super) async fn work(&self, stand_in: &Rc<StandIn>, tier: usize, work: f64) {
@@ -225,7 +225,7 @@
             model.account(self.now());
             model.busy += 1;
             let warmth = model.warmth(self.now(), rules.cold_from, seconds(rules.warm_within_s));
-            model.takes(work, warmth, self.scenario.tier[tier].choke.as_ref())
+            model.service_time(work, warmth, self.scenario.tier[tier].choke.as_ref())
         };
         sleep(duration(duration_needed)).await;
         sleep(duration(pause())).await;
@@ -247,7 +247,7 @@
         self.calls.set(self.calls.get() + 1);
         let rpc: Rc<str> = Rc::from(format!("c{}", self.calls.get()));
         let last = self.send(balancer, &rpc, method, None, hard, work, calls).await;
-        matches!(last, Some((Final::Completed, _)))
+        matches!(last, Some((FinalAnswer::Completed, _)))
     }
 
     pub(super) fn load(&self, upstream: usize) -> String {
@@ -268,7 +268,7 @@
         let stand_in = self.stand_in(upstream);
         {
             let mut model = stand_in.model.borrow_mut();
-            model.end(self.now());
+            model.terminate(self.now());
             model.state = state;
         }
         stand_in.running_rpcs.borrow_mut().drain(..).for_each(|job| job.abort());
@@ -289,7 +289,7 @@
             Err(error) => Err(error),
         };
         match opened {
-            Ok(()) => self.announce(upstream, Told::Ready, self.scenario.discovery.late_ms),
+            Ok(()) => self.announce(upstream, EndpointState::Ready, self.scenario.discovery.late_ms),
             Err(error) => drop(self.error.replace(Some(error))),
         }
     }
--- a/crates/fernroute-testbed/src/scale/mod.rs
+++ b/crates/fernroute-testbed/src/scale/mod.rs
@@ -128,7 +128,7 @@
         }
         // What stewards say to each other is some hundred messages a second at the most: taken off as counted.
         let coordinator_links: u64 =
-            fleet.coordinator_links.values().map(|link| link.counted().messages).sum();
+            fleet.coordinator_links.values().map(|link| link.traffic().messages).sum();
         let whole: f64 = samples.iter().map(|s| s.seconds).sum::<f64>().max(1.0);
         let all = messages as f64 / time.max(1.0) - coordinator_links as f64 / whole;
         all / fleet.layout.members.len() as f64
