--- a/crates/fernroute-testbed/src/experiment.rs
+++ b/crates/fernroute-testbed/src/experiment.rs
@@ -196,12 +196,12 @@
     let of = |scenario: &str, variant: Variant| -> Vec<&Row> {
         rows.iter().filter(|r| r.scenario == scenario && r.variant == variant).collect()
     };
-    let first = rows.first().map(|r| r.variant);
+    let baseline = rows.first().map(|r| r.variant);
     let summary = |(scenario, variant): (String, Variant)| {
         let these = of(&scenario, variant);
         let values = |what: fn(&Row) -> f64| these.iter().map(|r| what(r)).collect::<Vec<f64>>();
         let paired = |what: fn(&Row) -> Option<f64>| {
-            let base = of(&scenario, first.filter(|first| *first != variant)?);
+            let base = of(&scenario, baseline.filter(|baseline| *baseline != variant)?);
             let pairs = these.iter().filter_map(|r| Some((base.iter().find(|b| b.seed == r.seed)?, r)));
             let differences: Option<Vec<f64>> = pairs.map(|(b, r)| Some(what(b)? - what(r)?)).collect();
             Some(Estimate::of(&differences?))
--- a/crates/fernroute-testbed/src/main.rs
+++ b/crates/fernroute-testbed/src/main.rs
@@ -28,7 +28,7 @@
 #[argh(subcommand)]
 enum Command {
     Check(Check),
-    Run(RunOne),
+    Run(RunScenario),
     Experiment(RunExperiment),
     Cold(RunCold),
     Depth(MeasureDepth),
@@ -59,7 +59,7 @@
 /// Simulate one scenario and print its figures; exits with 1 if a rule was broken.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "run")]
-struct RunOne {
+struct RunScenario {
     /// scenario file
     #[argh(positional)]
     scenario: PathBuf,
@@ -74,14 +74,14 @@
     trace: Option<PathBuf>,
 }
 
-/// Play scenarios, variants and seeds, and write tables and charts.
+/// Run scenarios with several variants and seeds, and write tables and charts.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "experiment")]
 struct RunExperiment {
     /// experiment file
     #[argh(positional)]
     experiment: PathBuf,
-    /// folder for the results; it must hold nothing
+    /// folder for the results; must be empty
     #[argh(option)]
     out: PathBuf,
 }
@@ -259,11 +259,11 @@
 
 fn main() -> ExitCode {
     let arguments: Vec<String> = std::env::args().collect();
-    let line: Arguments = match commands::parse_arguments(NAME, &arguments) {
+    let parsed: Arguments = match commands::parse_arguments(NAME, &arguments) {
         Ok(line) => line,
         Err(code) => return code,
     };
-    let done = match line.command {
+    let done = match parsed.command {
         Command::Check(check) => check.scenarios.iter().try_for_each(|path| {
             let s = Scenario::read(path)?;
             println!("{}: {}, {} tiers, {} faults", path.display(), s.name, s.tier.len(), s.fault.len());
@@ -366,15 +366,15 @@
 }
 
 /// Returns whether all rules were kept.
-fn run_simulation(one: &RunOne) -> Result<bool, String> {
-    let (scenario, variant) = (Scenario::read(&one.scenario)?, Variant::from_name(&one.variant)?);
+fn run_simulation(options: &RunScenario) -> Result<bool, String> {
+    let (scenario, variant) = (Scenario::read(&options.scenario)?, Variant::from_name(&options.variant)?);
     let make = |s: &Scenario, position, desk, now, seed| variant.policy(s, position, desk, now, seed);
-    let result = match &one.trace {
-        None => run::run(&scenario, variant, one.seed),
+    let result = match &options.trace {
+        None => run::run(&scenario, variant, options.seed),
         Some(path) => {
             let mut lines: Vec<(u64, String)> = Vec::new();
             let fleet = variant == Variant::Fleet;
-            let result = run::run_with_options(&scenario, one.seed, &make, fleet, &mut lines);
+            let result = run::run_with_options(&scenario, options.seed, &make, fleet, &mut lines);
             let text: String = lines
                 .iter()
                 .map(|(at, line)| format!("{}.{:04} {line}\n", at / 10_000, at % 10_000))
@@ -383,7 +383,7 @@
             result
         }
     };
-    println!("{} ({}, seed {})", scenario.name, variant.name(), one.seed);
+    println!("{} ({}, seed {})", scenario.name, variant.name(), options.seed);
     print(&result.metrics, &result.violations);
     Ok(result.violations.is_empty())
 }
@@ -416,25 +416,25 @@
 }
 
 /// Returns the exit code.
-fn run_live(one: &Live) -> Result<u8, String> {
-    let scenario = Scenario::read(&one.scenario)?;
-    let program = balancer_command(one.program.as_deref())?;
-    let folder = one
+fn run_live(options: &Live) -> Result<u8, String> {
+    let scenario = Scenario::read(&options.scenario)?;
+    let program = balancer_command(options.program.as_deref())?;
+    let folder = options
         .keep
         .clone()
         .unwrap_or_else(|| std::env::temp_dir().join(format!("fernroute-testbed-{}", std::process::id())));
     experiment::create_empty_folder(&folder)?;
-    let steward = match &one.steward {
+    let steward = match &options.steward {
         Some(words) => words.split_whitespace().map(str::to_owned).collect(),
         None => vec![own_program()?.display().to_string(), "steward".to_owned()],
     };
-    let report = live::run(&scenario, one.seed, &program, &steward, &folder);
-    if one.keep.is_none() {
+    let report = live::run(&scenario, options.seed, &program, &steward, &folder);
+    if options.keep.is_none() {
         // A leftover folder does no harm.
         let _ = std::fs::remove_dir_all(&folder);
     }
     let report = report?;
-    println!("{} (real processes, seed {})", scenario.name, one.seed);
+    println!("{} (real processes, seed {})", scenario.name, options.seed);
     print(&report.metrics, &report.violations);
     println!(
         "requests sent late {} of {}, by up to {} ms",
@@ -452,12 +452,12 @@
 }
 
 /// Returns the exit code.
-fn run_scale(one: &RunScale) -> Result<u8, String> {
-    let layout = scale::prepare(&one.file, one.factor)?;
+fn run_scale(options: &RunScale) -> Result<u8, String> {
+    let layout = scale::prepare(&options.file, options.factor)?;
     // Kept short, because the length of socket paths is limited.
     let folder = std::env::temp_dir().join(format!("fernroute-scale-{}", std::process::id()));
     experiment::create_empty_folder(&folder)?;
-    let report = scale::run(layout, one.factor, &own_program()?, &folder);
+    let report = scale::run(layout, options.factor, &own_program()?, &folder);
     // A leftover folder does no harm.
     let _ = std::fs::remove_dir_all(&folder);
     let report = match report {
@@ -468,7 +468,7 @@
         }
     };
     report.print();
-    if let Some(path) = &one.json {
+    if let Some(path) = &options.json {
         let text = serde_json::to_string_pretty(&report).map_err(|e| e.to_string())?;
         std::fs::write(path, text + "\n").map_err(|e| format!("{}: {e}", path.display()))?;
     }
--- a/crates/fernroute-testbed/src/policy.rs
+++ b/crates/fernroute-testbed/src/policy.rs
@@ -170,7 +170,7 @@
 
 /// Selects upstreams by one simple rule, and retries as the methods allow until the hard deadline.
 pub struct Baseline {
-    rule: Variant,
+    variant: Variant,
     host: ActionQueue,
     rng: ChaCha8Rng,
     methods: Vec<(String, Effect, Group, Time)>,
@@ -183,10 +183,10 @@
 }
 
 impl Baseline {
-    pub fn new(scenario: &Scenario, rule: Variant, host: ActionQueue, seed: u64) -> Self {
+    pub fn new(scenario: &Scenario, variant: Variant, host: ActionQueue, seed: u64) -> Self {
         let method = |m: &crate::scenario::Method| (m.name.clone(), m.effect, m.group, seconds(m.window_s));
         Baseline {
-            rule,
+            variant,
             host,
             rng: ChaCha8Rng::seed_from_u64(seed),
             methods: scenario.method.iter().map(method).collect(),
@@ -197,7 +197,7 @@
         }
     }
 
-    fn pick(&mut self, now: Time, rpc: &Rpc) -> Option<Rc<str>> {
+    fn select_upstream(&mut self, now: Time, rpc: &Rpc) -> Option<Rc<str>> {
         let (_, effect, group, window) = &self.methods[rpc.method];
         let first = rpc.attempts.iter().find(|(_, _, end)| !end.is_some_and(Outcome::never_ran));
         let first = first.map(|(name, sent, _)| (self.upstreams.get(name).map(|k| k.entry.clone()), *sent));
@@ -219,7 +219,7 @@
             return None;
         }
         let any = self.rng.random_range(0..all.len());
-        let chosen = match self.rule {
+        let chosen = match self.variant {
             Variant::RoundRobin => {
                 self.next_index += 1;
                 all[self.next_index % all.len()]
@@ -245,7 +245,7 @@
     fn send(&mut self, now: Time, id: &str) -> bool {
         let Some((id, rpc)) = self.rpcs.remove_entry(id) else { return false };
         let to = if rpc.attempts.len() < self.max_attempts && now < rpc.hard {
-            self.pick(now, &rpc)
+            self.select_upstream(now, &rpc)
         } else {
             None
         };
--- a/crates/fernroute-testbed/src/upstream.rs
+++ b/crates/fernroute-testbed/src/upstream.rs
@@ -81,8 +81,8 @@
     /// Past reports, for up to [`REPORT_RETENTION_S`].
     pub reports: VecDeque<(Time, f64)>,
     pub choked: bool,
-    over_for: Time,
-    rest_for: Time,
+    overloaded_for: Time,
+    idle_for: Time,
 }
 
 impl Upstream {
@@ -119,8 +119,8 @@
             as_of: now,
             reports: VecDeque::new(),
             choked: false,
-            over_for: 0,
-            rest_for: 0,
+            overloaded_for: 0,
+            idle_for: 0,
         }
     }
 
@@ -135,7 +135,8 @@
     pub fn terminate(&mut self, now: Time) {
         self.account(now);
         self.incarnation += 1;
-        (self.occupied_slots, self.busy, self.choked, self.over_for, self.rest_for) = (0, 0, false, 0, 0);
+        (self.occupied_slots, self.busy, self.choked, self.overloaded_for, self.idle_for) =
+            (0, 0, false, 0, 0);
         self.waiting.clear();
         self.ready.clear();
         self.reports.clear();
@@ -181,11 +182,12 @@
         }
         let Some(c) = choke else { return };
         let in_progress = (self.occupied_slots + self.waiting.len()) as f64;
-        self.over_for = if in_progress > c.at * self.cores as f64 { self.over_for + period } else { 0 };
-        self.rest_for = if used < c.below { self.rest_for + period } else { 0 };
-        if self.over_for > seconds(c.over_s) {
+        self.overloaded_for =
+            if in_progress > c.at * self.cores as f64 { self.overloaded_for + period } else { 0 };
+        self.idle_for = if used < c.below { self.idle_for + period } else { 0 };
+        if self.overloaded_for > seconds(c.over_s) {
             self.choked = true;
-        } else if self.choked && self.rest_for >= seconds(c.rest_s) {
+        } else if self.choked && self.idle_for >= seconds(c.rest_s) {
             self.choked = false;
         }
     }
