--- a/crates/fernroute-server/tests/descriptor_quota.rs
+++ b/crates/fernroute-server/tests/descriptor_quota.rs
@@ -1,9 +1,9 @@
-//! The descriptors of one balancer's processes during an upgrade.
+//! Sharing of file descriptors between a balancer's two processes during an upgrade.
 
 use fernroute_server::program::descriptor_quota::{ConnectionLimits, DescriptorQuota, RESERVED_DESCRIPTORS};
 
-/// Guards against two processes that together hold more than one may, and against idle callers that are sent away
-/// while there is room for all.
+/// Guards against two processes that together exceed the limit of one, and against evicting idle callers while there are enough
+/// descriptors.
 #[test]
 fn two_processes_stay_within_the_limit_of_one() {
     for total in [128, 256, 384, 1024] {
@@ -23,7 +23,7 @@
                     assert!(kept.callers + kept.upstreams >= connections, "{total} {connections}");
                     assert!(new.assigned >= total / 2);
                 }
-                // As the old one's connections end its successor gets more, and all at its end.
+                // As the old process's connections close, its successor gets more descriptors, and all of them when it exits.
                 old.handed_over = true;
                 new.assigned = old.available_to_successor(connections / 2);
                 assert!(new.assigned + old.in_use(connections / 2) <= total.max(old.in_use(0)));
--- a/crates/fernroute-server/tests/member_identity.rs
+++ b/crates/fernroute-server/tests/member_identity.rs
@@ -1,9 +1,9 @@
-//! The file with a balancer's identity in its fleet's ledger.
+//! The file that stores a balancer's identity as a fleet member.
 
 use fernroute_server::program::fleet::lock_identity;
 use std::path::Path;
 
-/// Guards against two processes that spend one grant each, and against a restart under an identity that is new to the ledger.
+/// Guards against two processes that each use a full grant, and against a restart under a new identity.
 #[test]
 fn identity_is_held_by_one_process_and_survives_restarts() {
     let path = std::env::temp_dir().join(format!("fernroute-{}.member", std::process::id()));
--- a/crates/fernroute-server/tests/public_interface.rs
+++ b/crates/fernroute-server/tests/public_interface.rs
@@ -1,5 +1,5 @@
-//! What operators and the processes of other versions see of a balancer: keys, paths, headers, exit codes and the texts of
-//! errors, as fixed texts.
+//! The interfaces that operators and processes of other versions rely on: keys, paths, headers, exit codes and error messages,
+//! compared with fixed texts.
 
 mod common;
 #[path = "common/process.rs"]
@@ -25,7 +25,7 @@
     r#""yours""#,
 ];
 
-/// Guards against an upgrade between two versions that do not read each other's lines.
+/// Guards against an upgrade between two versions that cannot decode each other's messages.
 #[test]
 fn handover_messages_are_unchanged() {
     for line in SUCCESSOR_LINES {
@@ -72,7 +72,7 @@
     }
 }
 
-/// All keys of a JSON value, with the path to each; the names of methods, budgets and duties stand for themselves.
+/// Collects the path of each key in a JSON value, including the names of methods, budgets and duties.
 fn keys(path: &str, value: &serde_json::Value, out: &mut Vec<String>) {
     let Some(object) = value.as_object() else { return };
     for (name, value) in object {
@@ -147,8 +147,8 @@
 cell = "0"
 "#;
 
-/// A balancer of a fleet with a stored identity sends a heartbeat of the known keys to the known path, goes by its reply, and
-/// shows both in its metrics.
+/// A fleet member with a stored identity sends a heartbeat with the known keys to the known path, applies the reply, and shows both
+/// in its metrics.
 #[test]
 fn heartbeats_stored_identity_and_metrics_are_unchanged() {
     run(async {
@@ -171,13 +171,13 @@
         .await;
         let discovery = start_stub(|_, _| Reply::NoReply).await;
         let folder = temp_dir("interface");
-        // The file's name is made of the balancer's name and the address of its file.
+        // The file name consists of the balancer's name and its configured listen address.
         std::fs::write(folder.join("fernroute-n0-127.0.0.1_0.member"), "00000000000000ff\n")
             .expect("access the test file");
-        let page = FLEET
+        let config = FLEET
             .replace("DISCOVERY", &discovery.address.to_string())
             .replace("COORDINATOR", &coordinator.address.to_string());
-        let program = Program::start(&folder, &page).await;
+        let program = Program::start(&folder, &config).await;
         let metrics = async || {
             let reply =
                 send_and_read(program.ops_address, "GET /-/metrics HTTP/1.1\r\nHost: n0\r\n\r\n").await;
@@ -229,7 +229,7 @@
     });
 }
 
-/// A copy that the program of before stored is read, with the same contents.
+/// A cached configuration that an earlier version stored is read with the same contents.
 #[test]
 fn stored_configuration_is_read_unchanged() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/n0.configuration");
@@ -248,7 +248,7 @@
     assert_eq!(serde_json::to_value(&snapshot).expect("valid JSON"), stored);
 }
 
-/// The exit code and what stands on standard error.
+/// Returns the exit code of `fernroute check` and its standard error.
 fn check(folder: &Path, name: &str, text: &str) -> (Option<i32>, String) {
     let path = folder.join(name);
     std::fs::write(&path, text).expect("access the test file");
@@ -262,7 +262,7 @@
     (output.status.code(), error)
 }
 
-/// A text of the file, what stands in its place, and the line that follows.
+/// A text in the file, its replacement, and the error that results.
 const ERRORS: &[(&str, &str, &str)] = &[
     ("beat_ms = 50", "beat_ms = 5", "fernroute: FILE: line 10: fleet.beat_ms: 5 is not between 10 and 10000\n"),
     ("beat_ms = 50", "beat = 50", "fernroute: FILE: line 10: fleet.beat: is not a known key\n"),
@@ -283,11 +283,11 @@
     let folder = temp_dir("interface-errors");
     for (old, new, expected) in ERRORS {
         assert!(FLEET.contains(old), "{old}");
-        let page = FLEET
+        let config = FLEET
             .replace("DISCOVERY", "127.0.0.1:8500")
             .replace("COORDINATOR", "127.0.0.1:7001")
             .replace(old, new);
-        let (code, error) = check(&folder, "bad.toml", &page);
+        let (code, error) = check(&folder, "bad.toml", &config);
         assert_eq!((code, error.as_str()), (Some(2), *expected));
     }
     let _ = std::fs::remove_dir_all(&folder);
--- a/crates/fernroute-server/tests/ready.rs
+++ b/crates/fernroute-server/tests/ready.rs
@@ -1,5 +1,5 @@
-//! A process is ready within ten seconds of its start, whatever is not there: discovery, stewards, the
-//! process before it, a free core. Real processes.
+//! A process is ready within ten seconds of its start, even without discovery, coordinators, a responsive predecessor or a free
+//! core. The tests run real processes.
 
 mod common;
 #[path = "common/process.rs"]
@@ -23,15 +23,15 @@
 use tokio::net::TcpStream;
 use tokio::time::sleep;
 
-const READY: Duration = Duration::from_secs(10);
+const READY_LIMIT: Duration = Duration::from_secs(10);
 
-/// Every core has something else to do while this is held.
-struct Busy {
+/// Keeps every core busy until dropped.
+struct CpuLoad {
     stop: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
 }
 
-impl Busy {
+impl CpuLoad {
     fn all_cores() -> Self {
         let stop = Arc::new(AtomicBool::new(false));
         let spin = || {
@@ -44,11 +44,11 @@
         };
         let cores = std::thread::available_parallelism().map_or(1, usize::from);
         let threads = (0..cores).map(|_| spin()).collect();
-        Busy { stop, threads }
+        CpuLoad { stop, threads }
     }
 }
 
-impl Drop for Busy {
+impl Drop for CpuLoad {
     fn drop(&mut self) {
         self.stop.store(true, Ordering::Relaxed);
         self.threads.drain(..).for_each(|thread| drop(thread.join()));
@@ -59,27 +59,27 @@
     start_stub(|_, message| if message.head.contains("/silent") { Reply::NoReply } else { ok("whole") }).await
 }
 
-/// A file with one upstream that is known, and an address that is the same at each start.
-fn file(listen: SocketAddr, up: &StubServer, discovery: SocketAddr) -> String {
+/// A configuration file with one known upstream and a fixed listen address.
+fn config_file(listen: SocketAddr, up: &StubServer, discovery: SocketAddr) -> String {
     let listen = format!(r#""listen":"{listen}""#);
     config_json(&[up.address], discovery, &[(r#""listen":"127.0.0.1:0""#, &listen)])
 }
 
-/// Started, it is ready in time and serves.
-async fn starts(folder: &Path, page: &str) -> Program {
+/// Starts a balancer and checks that it is ready in time and serves an RPC.
+async fn start_and_check(folder: &Path, config: &str) -> Program {
     let from = Instant::now();
-    let program = Program::start(folder, page).await;
+    let program = Program::start(folder, config).await;
     while !is_ready(program.address).await {
         sleep(Duration::from_millis(5)).await;
     }
     println!("{:?} {:?}", std::thread::current().name().unwrap_or_default(), from.elapsed());
-    assert!(from.elapsed() < READY, "{:?}", from.elapsed());
+    assert!(from.elapsed() < READY_LIMIT, "{:?}", from.elapsed());
     assert_eq!(send_and_read(program.address, rpc_head("GET", "/look", "")).await.body, b"whole");
     program
 }
 
-/// Guards against a start that waits for discovery: silent, refused, or away with its machine. More than a
-/// tenth of a fleet is killed and started at once, with all cores busy.
+/// Guards against a start that waits for discovery, which is silent, refuses connections, or is unreachable. Nine balancers are
+/// killed and started at once, more than a tenth of a fleet, with all cores busy.
 #[test]
 fn simultaneous_restarts_without_discovery_become_ready() {
     const BALANCERS: usize = 9;
@@ -87,12 +87,14 @@
         let up = upstream().await;
         let silent = start_stub(|_, _| Reply::NoReply).await.address;
         let away = FullBacklog::new().await.expect("fill the accept queue");
-        let free = free_addresses(BALANCERS + 1).expect("reserve addresses");
-        let discoveries = [silent, free[BALANCERS], away.address];
+        let listen_addresses = free_addresses(BALANCERS + 1).expect("reserve addresses");
+        let discoveries = [silent, listen_addresses[BALANCERS], away.address];
         let folders: Vec<_> = (0..BALANCERS).map(|n| temp_dir(&format!("ready-{n}"))).collect();
-        let files: Vec<_> = (0..BALANCERS).map(|n| file(free[n], &up, discoveries[n % 3])).collect();
-        let start = || join_all(folders.iter().zip(&files).map(|(folder, file)| starts(folder, file)));
-        let _busy = Busy::all_cores();
+        let files: Vec<_> =
+            (0..BALANCERS).map(|n| config_file(listen_addresses[n], &up, discoveries[n % 3])).collect();
+        let start =
+            || join_all(folders.iter().zip(&files).map(|(folder, file)| start_and_check(folder, file)));
+        let _load = CpuLoad::all_cores();
         let first = start().await;
         first.iter().for_each(|program| program.kill());
         let second = start().await;
@@ -104,7 +106,7 @@
     });
 }
 
-/// Guards against a start that waits for stewards, or for the file that says who this balancer is to them.
+/// Guards against a start that waits for coordinators, or for the lock on the balancer's identity file.
 #[test]
 fn fleet_member_without_coordinators_becomes_ready() {
     run(async {
@@ -123,50 +125,52 @@
              [[upstream]]\nid = \"s-0\"\naddress = \"{}\"\nzone = \"z\"\ncell = \"0\"\n",
             away.address, up.address,
         );
-        let first = starts(&folder, &file).await;
+        let first = start_and_check(&folder, &file).await;
         first.kill();
-        // Somebody else has its identity, and never gives it back.
+        // Another process holds the identity file's lock and never releases it.
         let member = folder.join(format!("fernroute-n0-{listen}.member").replace(':', "_"));
         let held = File::open(&member).expect("open the identity file");
         held.lock().expect("identity file not locked by another process");
-        drop(starts(&folder, &file).await);
+        drop(start_and_check(&folder, &file).await);
         std::fs::remove_dir_all(folder).expect("remove the test directory");
     });
 }
 
-/// Guards against a start that waits for the process before it: one that stands still says nothing, one that
-/// ends hands nothing over any more.
+/// Guards against a start that waits for its predecessor: a paused one does not answer, and one that is shutting down hands nothing
+/// over.
 #[test]
 fn process_beside_a_paused_or_ending_one_becomes_ready() {
     run(async {
         let (up, silent) = (upstream().await, start_stub(|_, _| Reply::NoReply).await.address);
         let folders = [temp_dir("ready-still"), temp_dir("ready-ends")];
-        let free = free_addresses(2).expect("reserve addresses");
-        let files = [file(free[0], &up, silent), file(free[1], &up, silent)];
-        let still = Program::start(&folders[0], &files[0]).await;
-        let ends = Program::start(&folders[1], &files[1]).await;
-        let _open = common::send(ends.address, rpc_head("GET", "/look/silent", "")).await;
+        let listen_addresses = free_addresses(2).expect("reserve addresses");
+        let files =
+            [config_file(listen_addresses[0], &up, silent), config_file(listen_addresses[1], &up, silent)];
+        let paused = Program::start(&folders[0], &files[0]).await;
+        let ending = Program::start(&folders[1], &files[1]).await;
+        let _open = common::send(ending.address, rpc_head("GET", "/look/silent", "")).await;
         wait_until(|| up.received.borrow().len() == 1).await;
-        still.pause();
-        ends.terminate();
-        // From here on it waits for the answer to what is open, and for nobody else.
-        while TcpStream::connect(ends.address).await.is_ok() {
+        paused.pause();
+        ending.terminate();
+        // From here on it accepts no connections and only waits for its open RPC.
+        while TcpStream::connect(ending.address).await.is_ok() {
             sleep(Duration::from_millis(20)).await;
         }
-        let beside_still = async {
+        let beside_paused = async {
             let from = Instant::now();
             let program = Program::start(&folders[0], &files[0]).await;
             wait_until(|| program.is_running() && program.log_contains("serving on")).await;
-            println!("beside one that stands still {:?}", from.elapsed());
-            // Callers that the machine gives to the other wait there: asked at the door.
+            println!("beside a paused process {:?}", from.elapsed());
+            // The kernel may assign callers to the paused process, so readiness is checked at the operators' address.
             while !is_ready(program.ops_address).await {
                 sleep(Duration::from_millis(5)).await;
             }
-            assert!(from.elapsed() < READY, "{:?}", from.elapsed());
+            assert!(from.elapsed() < READY_LIMIT, "{:?}", from.elapsed());
             program
         };
-        let (one, two) = futures_util::future::join(beside_still, starts(&folders[1], &files[1])).await;
-        still.kill();
+        let (one, two) =
+            futures_util::future::join(beside_paused, start_and_check(&folders[1], &files[1])).await;
+        paused.kill();
         drop((one, two));
         folders
             .into_iter()
@@ -174,20 +178,20 @@
     });
 }
 
-/// Guards against a process that takes over from one that knows nobody, and forgets whom its own file knows.
+/// Guards against a successor of a process without upstreams that drops the upstreams of its own file.
 #[test]
 fn successor_of_a_process_without_upstreams_uses_its_file() {
     run(async {
         let (up, silent) = (upstream().await, start_stub(|_, _| Reply::NoReply).await.address);
         let folder = temp_dir("ready-knows");
         let listen = free_addresses(1).expect("local address")[0];
-        let file = file(listen, &up, silent);
+        let file = config_file(listen, &up, silent);
         let entry = common::list_entry("s-0", up.address, "z", "SERVING");
         let known = format!(r#""known":{{"version":7,"full":true,"servers":[{entry}]}}"#);
         assert!(file.contains(&known));
         let old = Program::start(&folder, &file.replace(&known, r#""known":null"#)).await;
         assert!(!is_ready(old.address).await);
-        let new = starts(&folder, &file).await;
+        let new = start_and_check(&folder, &file).await;
         drop((old, new));
         std::fs::remove_dir_all(folder).expect("remove the test directory");
     });
