--- a/crates/fernroute-server/tests/caller_departures.rs
+++ b/crates/fernroute-server/tests/caller_departures.rs
@@ -35,7 +35,7 @@
     match how {
         End::Close => None,
         End::HalfClose => {
-            rustix::net::shutdown(&caller, rustix::net::Shutdown::Write).expect("open connection or RPC");
+            rustix::net::shutdown(&caller, rustix::net::Shutdown::Write).expect("shut down the write side");
             Some(caller)
         }
         End::Reset => {
@@ -136,8 +136,8 @@
             }
             wait_until(|| b.server.connections() == 200).await;
             for caller in &callers {
-                let whole = rpc_head("GET", "/look", "");
-                assert_eq!(caller.try_write(whole.as_bytes()).expect("write to the socket"), whole.len());
+                let message = rpc_head("GET", "/look", "");
+                assert_eq!(caller.try_write(message.as_bytes()).expect("write to the socket"), message.len());
             }
             // An upstream connection is up, and its RPC's first byte would be sent in the next poll.
             while up.silent_connections() == 0 {
@@ -201,11 +201,11 @@
 #[test]
 fn caller_leaving_behind_unread_bytes_while_queued_sends_nothing() {
     for how in ENDS {
-        for whole in [rpc_with_unread_bytes(), long_rpc()] {
+        for message in [rpc_with_unread_bytes(), long_rpc()] {
             run(async move {
                 let up = start_stub(|_, _| ok("whole")).await;
                 let b = balancer_at(&[], &[]).await;
-                let caller = send(b.address, whole).await;
+                let caller = send(b.address, message).await;
                 wait_until(|| b.board.open.borrow().len() == 1).await;
                 // The balancer has read as much as it will.
                 tokio::time::sleep(Duration::from_millis(100)).await;
@@ -232,10 +232,10 @@
         let late = [(r#""connect-timeout-s":0.25"#, r#""connect-timeout-s":5.0"#)];
         let mut waiting = Vec::new();
         for how in ENDS {
-            for whole in [rpc_with_unread_bytes(), long_rpc()] {
+            for message in [rpc_with_unread_bytes(), long_rpc()] {
                 let held = FullBacklog::new().await.expect("fill the accept queue");
                 let b = balancer_at(&[held.address], &late).await;
-                let caller = send(b.address, whole).await;
+                let caller = send(b.address, message).await;
                 wait_until(|| b.board.open.borrow().values().any(|rpc| rpc.attempts.len() == 1)).await;
                 tokio::time::sleep(Duration::from_millis(100)).await;
                 let half_closed = leave(caller, how);
--- a/crates/fernroute-server/tests/configuration.rs
+++ b/crates/fernroute-server/tests/configuration.rs
@@ -367,7 +367,7 @@
         coordinators.until_active(version).await;
         program.kill();
         coordinators.answers_heartbeats.set(false);
-        let (path, whole) = (
+        let (path, cached) = (
             cache_path(&folder),
             std::fs::read_to_string(cache_path(&folder)).expect("read the cached configuration"),
         );
@@ -382,9 +382,9 @@
         assert!(program.log_contains("no current configuration from the coordinators in time"));
         assert_eq!((status(&program, "kept").await, status(&program, "look").await), (200, 404));
         program.kill();
-        let cut = &whole[..whole.len() / 2];
-        let other = whole.replacen("kept", "cept", 1);
-        for damaged in [cut, "", "{}", &other, &whole.replace("\"z\"", "\"y\""), "\u{0}"] {
+        let cut = &cached[..cached.len() / 2];
+        let other = cached.replacen("kept", "cept", 1);
+        for damaged in [cut, "", "{}", &other, &cached.replace("\"z\"", "\"y\""), "\u{0}"] {
             std::fs::write(&path, damaged).expect("access the test file");
             let program = Program::start(&folder, &text).await;
             assert_eq!(program.log_count("cached configuration ignored: "), 1, "{:?}", program.log());
@@ -392,7 +392,7 @@
             program.kill();
         }
         // A valid cache that no longer matches the balancer's own file.
-        std::fs::write(&path, &whole).expect("access the test file");
+        std::fs::write(&path, &cached).expect("access the test file");
         let program =
             Program::start(&folder, &text.replace("zone = \"z\"\n[fleet]", "zone = \"x\"\n[fleet]")).await;
         assert_eq!(program.log_count("cached configuration ignored: not for balancer n0"), 1);
@@ -413,11 +413,11 @@
     run(async {
         let (up, coordinators) = (start_stub(|_, _| ok("whole")).await, Coordinators::start(1).await);
         let folder = temp_dir("disk");
-        let place = folder.join("gone");
+        let cache_folder = folder.join("gone");
         let text = config_toml(
             up.address,
             &coordinators.addresses,
-            &format!("{SHOP}\nfolder = \"{}\"", place.display()),
+            &format!("{SHOP}\nfolder = \"{}\"", cache_folder.display()),
         );
         let program = Program::start(&folder, &text).await;
         for n in 0..3 {
@@ -427,7 +427,7 @@
         }
         assert_eq!(program.log_count("in force but not cached"), 1, "{:?}", program.log());
         assert_eq!(metrics(&program).await["fleet"]["configuration"]["kept"], false);
-        std::fs::create_dir(&place).expect("access the test directory");
+        std::fs::create_dir(&cache_folder).expect("access the test directory");
         let version = coordinators.put(&method("last"));
         coordinators.until_active(version).await;
         assert_eq!(program.log_count("is cached, writes to the cache work again"), 1);
@@ -485,22 +485,22 @@
         let (up, coordinators) = (start_stub(|_, _| ok("whole")).await, Coordinators::start(1).await);
         let text = config_toml(up.address, &coordinators.addresses, SHOP);
         let program = Program::start(&temp_dir("tenants"), &text).await;
-        let asked = || -> Vec<String> {
+        let requested_tenants = || -> Vec<String> {
             let heartbeats = coordinators.heartbeats.borrow();
             heartbeats.last().map(|heartbeat| heartbeat.demand.keys().cloned().collect()).unwrap_or_default()
         };
-        wait_until(|| asked() == ["acme"]).await;
+        wait_until(|| requested_tenants() == ["acme"]).await;
         let tenant = |name: &str| format!("[[tenant]]\nname = \"{name}\"\nrate = 10\n");
         let version = coordinators.put(&(tenant("acme") + &tenant("bolt")));
         coordinators.until_active(version).await;
-        wait_until(|| asked() == ["acme", "bolt"]).await;
+        wait_until(|| requested_tenants() == ["acme", "bolt"]).await;
         coordinators.put(&tenant("bolt"));
-        wait_until(|| asked() == ["bolt"]).await;
+        wait_until(|| requested_tenants() == ["bolt"]).await;
         // The same by SIGHUP, once the fleet no longer sets tenants.
         coordinators.put("");
-        wait_until(|| asked() == ["acme"]).await;
+        wait_until(|| requested_tenants() == ["acme"]).await;
         program.reload(&text.replace("\"acme\"", "\"dart\""));
-        wait_until(|| asked() == ["dart"]).await;
+        wait_until(|| requested_tenants() == ["dart"]).await;
         let heartbeats = coordinators.heartbeats.borrow().len();
         wait_until(|| coordinators.heartbeats.borrow().len() > heartbeats + 3).await;
         assert!(!program.log_contains("nothing has changed"), "{:?}", program.log());
--- a/crates/fernroute-server/tests/long_lists.rs
+++ b/crates/fernroute-server/tests/long_lists.rs
@@ -26,7 +26,7 @@
             .replace(",\"", ",\n            \"")
             .replace('{', "{\n            ");
         let at = SocketAddr::from(([127, 0, 0, 1], 0));
-        let discovery = StubDiscovery::start(at, indented).await.expect("bind a listener");
+        let discovery = StubDiscovery::start(at, indented).await.expect("start discovery");
         let none: [SocketAddr; 0] = [];
         let b = serve::start(common::instance_config(&none, discovery.address, &[]))
             .await
@@ -50,7 +50,7 @@
         let known = HandoverList::of(discovery, Some(8), lines.values().map(|(entry, _)| entry));
         let line = encode(&known);
         assert!(line.len() * 4 < MAX_LINE_BYTES, "{} bytes", line.len());
-        let known: HandoverList = decode(&line).expect("complete transfer");
+        let known: HandoverList = decode(&line).expect("decodable handover");
         assert_eq!(known.list().entries.len(), ENTRIES);
     });
 }
--- a/crates/fernroute-server/tests/program.rs
+++ b/crates/fernroute-server/tests/program.rs
@@ -423,7 +423,7 @@
     let bare = file("bare", &format!("{start}{{}}}}"));
     let missing = folder.join("missing").to_str().expect("valid path").to_owned();
     let with_ops = |at: &str| {
-        let config = common::config_json(&[], "127.0.0.1:1".parse().expect("local address"), &[]);
+        let config = common::config_json(&[], "127.0.0.1:1".parse().expect("valid address"), &[]);
         config
             .replace("\"ops\":\"127.0.0.1:0\"", &format!("\"ops\":\"{at}\""))
             .replace("\"listen\":\"127.0.0.1:0\"", "\"listen\":\"127.0.0.1:9\"")
@@ -441,7 +441,7 @@
         (r#""cancel":true"#, r#""cancel":"maybe""#),
     ];
     let unusable = unusable.iter().enumerate().map(|(n, change)| {
-        let config = common::config_json(&[], "127.0.0.1:1".parse().expect("local address"), &[*change]);
+        let config = common::config_json(&[], "127.0.0.1:1".parse().expect("valid address"), &[*change]);
         file(&format!("unusable-{n}"), &config)
     });
     let unusable: Vec<String> = unusable.collect();
@@ -460,7 +460,7 @@
     let (good, taken) =
         (file("good", &with_ops("127.0.0.1:0")), TcpListener::bind("127.0.0.1:0").expect("bind a listener"));
     let taken = taken.local_addr().map(|at| (taken, at.to_string())).expect("local address");
-    let free = file("free", &common::config_json(&[], "127.0.0.1:1".parse().expect("local address"), &[]));
+    let free = file("free", &common::config_json(&[], "127.0.0.1:1".parse().expect("valid address"), &[]));
     for (command, path, named) in
         [("check", &good, "nowhere"), ("check", &good, "127.0.0.1:9"), ("serve", &free, taken.1.as_str())]
     {
@@ -490,14 +490,14 @@
         let calls = std::rc::Rc::new(std::cell::Cell::new(0));
         let counted = std::rc::Rc::clone(&calls);
         // The calls whose list was sent completely, each with the number of later calls made by then.
-        let whole = std::rc::Rc::<std::cell::RefCell<Vec<(i32, i32)>>>::default();
-        let came = std::rc::Rc::clone(&whole);
+        let completed = std::rc::Rc::<std::cell::RefCell<Vec<(i32, i32)>>>::default();
+        let noted = std::rc::Rc::clone(&completed);
         actix_rt::spawn(async move {
             let entry = r#"{"id":"s-9","addr":"127.0.0.1:1","state":"SERVING"}"#;
             let body = format!(r#"{{"version":9,"full":true,"servers":[{entry}]}}"#);
             while let Ok((mut stream, _)) = listener.accept().await {
                 let (body, counted) = (body.clone(), std::rc::Rc::clone(&counted));
-                let came = std::rc::Rc::clone(&came);
+                let noted = std::rc::Rc::clone(&noted);
                 actix_rt::spawn(async move {
                     while read_message(&mut stream).await.is_some() {
                         counted.set(counted.get() + 1);
@@ -516,7 +516,7 @@
                             let next = begun + n * Duration::from_millis(45);
                             actix_rt::time::sleep_until(next.into()).await;
                         }
-                        came.borrow_mut().push((call, counted.get() - call));
+                        noted.borrow_mut().push((call, counted.get() - call));
                     }
                 });
             }
@@ -529,8 +529,8 @@
         // The slow list takes longer than the time-out for silent discovery, and the first slow call is still read to its end. At
         // most two further calls are made meanwhile, so that a change after its start is learned before it is complete.
         assert!(from.elapsed() > Duration::from_millis(4000), "{:?}", from.elapsed());
-        wait_until(|| !whole.borrow().is_empty()).await;
-        let (first, beside) = whole.borrow()[0];
+        wait_until(|| !completed.borrow().is_empty()).await;
+        let (first, beside) = completed.borrow()[0];
         assert!(first == 2 && (1..=2).contains(&beside), "{first} {beside}");
     });
 }
@@ -570,13 +570,13 @@
             .map(|_| {
                 let (stop, address) = (std::rc::Rc::clone(&stop), program.address);
                 actix_rt::spawn(async move {
-                    let mut ends = Vec::new();
+                    let mut statuses = Vec::new();
                     while !stop.get() {
                         let answer =
                             send_and_read(address, rpc_head("POST", "/pay", "Content-Length: 0\r\n")).await;
-                        ends.push(answer.status());
+                        statuses.push(answer.status());
                     }
-                    ends
+                    statuses
                 })
             })
             .collect();
@@ -604,14 +604,14 @@
             wait_until(|| program.log_count("new settings are in effect") == 2 * turn + 2).await;
         }
         stop.set(true);
-        let mut ends = Vec::new();
+        let mut statuses = Vec::new();
         for caller in callers {
-            ends.extend(caller.await.expect("task completes"));
+            statuses.extend(caller.await.expect("task completes"));
         }
-        assert!(ends.len() > 20 && ends.iter().all(|end| *end == 200), "{ends:?}");
+        assert!(statuses.len() > 20 && statuses.iter().all(|status| *status == 200), "{statuses:?}");
         let seen =
             [&one, &two].map(|up| up.received.borrow().iter().filter(|m| m.head.contains("/pay")).count());
-        assert_eq!(seen[0] + seen[1], ends.len(), "each RPC must run once");
+        assert_eq!(seen[0] + seen[1], statuses.len(), "each RPC must run once");
         program.terminate();
         program.exits_cleanly().await;
     });
--- a/crates/fernroute-server/tests/public_interface.rs
+++ b/crates/fernroute-server/tests/public_interface.rs
@@ -29,11 +29,11 @@
 #[test]
 fn handover_messages_are_unchanged() {
     for line in SUCCESSOR_LINES {
-        let message: SuccessorMessage = decode(line.as_bytes()).expect("complete transfer");
+        let message: SuccessorMessage = decode(line.as_bytes()).expect("decodable message");
         assert_eq!(encode(&message), format!("{line}\n").into_bytes());
     }
     for line in PREDECESSOR_LINES {
-        let message: PredecessorMessage = decode(line.as_bytes()).expect("complete transfer");
+        let message: PredecessorMessage = decode(line.as_bytes()).expect("decodable message");
         assert_eq!(encode(&message), format!("{line}\n").into_bytes());
     }
 }
@@ -235,11 +235,11 @@
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/n0.configuration");
     let stored: serde_json::Value =
         serde_json::from_slice(&std::fs::read(&path).expect("read the fixture")).expect("valid JSON");
-    let place = serde_json::from_str(r#"{"name":"n0","service":"web","zone":"a"}"#).expect("bind the socket");
+    let target = serde_json::from_str(r#"{"name":"n0","service":"web","zone":"a"}"#).expect("valid target");
     let snapshot = ConfigurationCache::new(path)
-        .read(&place)
+        .read(&target)
         .expect("valid configuration")
-        .expect("connect to the socket");
+        .expect("present cached configuration");
     assert_eq!(snapshot.version, 9);
     assert_eq!(
         snapshot.contents().collect::<Vec<_>>(),
--- a/crates/fernroute-server/tests/ready.rs
+++ b/crates/fernroute-server/tests/ready.rs
@@ -113,7 +113,7 @@
         let (up, silent) = (upstream().await, start_stub(|_, _| Reply::NoReply).await.address);
         let away = FullBacklog::new().await.expect("fill the accept queue");
         let folder = temp_dir("ready-fleet");
-        let listen = free_addresses(1).expect("local address")[0];
+        let listen = free_addresses(1).expect("reserve an address")[0];
         let file = format!(
             "name = \"n0\"\nlisten = \"{listen}\"\ndiscovery = \"{silent}\"\nops = \"127.0.0.1:0\"\n\
              [place]\ninstances = 2\nnumber = 0\nzone = \"z\"\n[list]\nmode = \"push\"\n\
@@ -184,7 +184,7 @@
     run(async {
         let (up, silent) = (upstream().await, start_stub(|_, _| Reply::NoReply).await.address);
         let folder = temp_dir("ready-knows");
-        let listen = free_addresses(1).expect("local address")[0];
+        let listen = free_addresses(1).expect("reserve an address")[0];
         let file = config_file(listen, &up, silent);
         let entry = common::list_entry("s-0", up.address, "z", "SERVING");
         let known = format!(r#""known":{{"version":7,"full":true,"servers":[{entry}]}}"#);
--- a/crates/fernroute-server/tests/relay.rs
+++ b/crates/fernroute-server/tests/relay.rs
@@ -53,7 +53,7 @@
     run(async {
         let socket = TcpSocket::new_v4().expect("create a socket");
         socket.set_recv_buffer_size(4096).expect("set the receive buffer size");
-        socket.bind("127.0.0.1:0".parse().expect("local address")).expect("bind a listener");
+        socket.bind("127.0.0.1:0".parse().expect("valid address")).expect("bind a listener");
         let listener = socket.listen(8).expect("listen on the socket");
         let address = listener.local_addr().expect("local address");
         actix_rt::spawn(async move {
@@ -377,7 +377,7 @@
             assert!(early.is_err() && attempt.progress() == AttemptProgress::Connected);
             let (mut reader, _) = listener.accept().await.expect("accept a connection");
             let read = actix_rt::spawn(async move { reader.read_exact(&mut vec![0; 32 << 20]).await });
-            out.flush().await.expect("complete transfer");
+            out.flush().await.expect("flush the connection");
             assert_eq!(attempt.progress(), AttemptProgress::RequestWritten);
             read.await.expect("write to the socket").expect("read the rest of the answer");
         };
@@ -408,7 +408,7 @@
         let b = balancer(&[&up], &[]).await;
         let mut stream = send(b.address, rpc_head("GET", "/look", "")).await;
         wait_until(|| up.received.borrow().len() == 1).await;
-        let id = b.board.open.borrow().keys().next().cloned().expect("open connection or RPC");
+        let id = b.board.open.borrow().keys().next().cloned().expect("an open RPC");
         b.board.decide(Some(&id), |_, _| panic!("on purpose"));
         assert_eq!(read_message(&mut stream).await.expect("read the answer").status(), 502);
         assert_eq!(send_and_read(b.address, rpc_head("GET", "/look", "")).await.status(), 200);
--- a/crates/fernroute-server/tests/repeats.rs
+++ b/crates/fernroute-server/tests/repeats.rs
@@ -41,7 +41,7 @@
             let both =
                 [list_entry("s-0", at, "z", "DRAINING"), list_entry("s-1", held.address, "z", "SERVING")];
             b.board.apply_list(&decode_list(8, true, &both), true);
-            stream.write_all(&response(500, "", "")).await.expect("complete transfer");
+            stream.write_all(&response(500, "", "")).await.expect("write to the socket");
             wait_until(|| b.board.open.borrow().values().any(|rpc| rpc.attempts_started == 2)).await;
             assert!(
                 begun.elapsed() < WINDOW,
@@ -82,7 +82,7 @@
                         Ok(bytes) => received += bytes,
                     }
                 }
-                stream.write_all(&response(200, "", "whole")).await.expect("complete transfer");
+                stream.write_all(&response(200, "", "whole")).await.expect("write to the socket");
                 received
             });
             let client = Client::new(Duration::from_secs(1), Duration::from_secs(10), 8, BODY);
--- a/crates/fernroute-server/tests/schedules.rs
+++ b/crates/fernroute-server/tests/schedules.rs
@@ -41,28 +41,28 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    Ask {
+    Send {
         method: usize,
         short: bool,
     },
     /// Sends an RPC and closes the connection's write side at once.
-    AskAndLeave {
+    SendAndLeave {
         method: usize,
     },
     /// A waiting caller leaves, and an RPC with the same id is sent at once.
-    LeaveAndAskAgain,
+    LeaveAndReuseId,
     Leave(usize),
     Answer(usize, AnswerKind),
     Drain(usize),
     Ready(usize),
     /// An RPC is routed, and an upstream drains before any other task runs.
-    AskAndDrain {
+    SendAndDrain {
         method: usize,
         upstream: usize,
     },
     SetCancel(bool),
     WaitUntilReusable,
-    TimePasses,
+    WaitPastShortDeadline,
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -74,17 +74,17 @@
         1 => Just(AnswerKind::Close),
     ];
     prop_oneof![
-        6 => (0..3usize, prop::bool::weighted(0.2)).prop_map(|(method, short)| Step::Ask { method, short }),
-        2 => (0..3usize).prop_map(|method| Step::AskAndLeave { method }),
-        1 => Just(Step::LeaveAndAskAgain),
+        6 => (0..3usize, prop::bool::weighted(0.2)).prop_map(|(method, short)| Step::Send { method, short }),
+        2 => (0..3usize).prop_map(|method| Step::SendAndLeave { method }),
+        1 => Just(Step::LeaveAndReuseId),
         2 => (0..8usize).prop_map(Step::Leave),
         8 => (0..8usize, kind).prop_map(|(n, kind)| Step::Answer(n, kind)),
         1 => (0..UPSTREAMS).prop_map(Step::Drain),
         1 => (0..UPSTREAMS).prop_map(Step::Ready),
-        1 => (0..3usize, 0..UPSTREAMS).prop_map(|(method, upstream)| Step::AskAndDrain { method, upstream }),
+        1 => (0..3usize, 0..UPSTREAMS).prop_map(|(method, upstream)| Step::SendAndDrain { method, upstream }),
         1 => any::<bool>().prop_map(Step::SetCancel),
         1 => Just(Step::WaitUntilReusable),
-        1 => Just(Step::TimePasses),
+        1 => Just(Step::WaitPastShortDeadline),
     ]
 }
 
@@ -157,7 +157,7 @@
                 tokio::time::sleep(Duration::from_millis(3)).await;
                 // Later than that, the answer could not race with the reuse of the connection.
                 if from.elapsed() < Duration::from_millis(5) {
-                    let _ = peer.stream.try_write(&response(200, "", "second answer"));
+                    let _ = peer.stream.try_write(&response(200, "", "the one before's"));
                 }
             }
         }
@@ -273,11 +273,11 @@
 
     async fn apply(&mut self, step: &Step) {
         match *step {
-            Step::Ask { method, short } => {
+            Step::Send { method, short } => {
                 let (id, bytes) = self.new_rpc(method, short);
                 self.ask(id, &bytes, short).await;
             }
-            Step::AskAndLeave { method } => {
+            Step::SendAndLeave { method } => {
                 let (id, bytes) = self.new_rpc(method, false);
                 self.model
                     .forbidden
@@ -288,7 +288,7 @@
                 assert_eq!(stream.try_write(bytes.as_bytes()).expect("write to the socket"), bytes.len());
                 let _ = stream.shutdown().await;
             }
-            Step::LeaveAndAskAgain => {
+            Step::LeaveAndReuseId => {
                 let Some(i) = self.leave(0).await else { return };
                 let id = self.callers[i].id.clone();
                 // Whether or not the end of the first connection was read: at most one RPC with this id is open.
@@ -314,7 +314,7 @@
                 self.set_upstream_state(n, "DRAINING");
             }
             Step::Ready(n) => self.set_upstream_state(n, "SERVING"),
-            Step::AskAndDrain { method, upstream } => {
+            Step::SendAndDrain { method, upstream } => {
                 self.until_arrived().await;
                 let (id, _) = self.new_rpc(method, false);
                 let request = request(&self.b, &id, METHODS[method].0, "1000");
@@ -333,7 +333,7 @@
                 self.b.update_settings(&instance.settings).expect("valid settings");
             }
             Step::WaitUntilReusable => until_reusable().await,
-            Step::TimePasses => tokio::time::sleep(Duration::from_millis(65)).await,
+            Step::WaitPastShortDeadline => tokio::time::sleep(Duration::from_millis(65)).await,
         }
     }
 
--- a/crates/fernroute-server/tests/termination_races.rs
+++ b/crates/fernroute-server/tests/termination_races.rs
@@ -108,8 +108,8 @@
             let body = "x".repeat(if n % 4 == 3 { 40_000 } else { 3 });
             let post = rpc_head("POST", &format!("/pay?{n}"), &format!("Content-Length: {}\r\n", body.len()))
                 + &body;
-            let whole = if n % 4 == 0 { rpc_head("GET", &format!("/look?{n}"), "") } else { post };
-            caller.write_all(whole.as_bytes()).await.expect("write to the socket");
+            let message = if n % 4 == 0 { rpc_head("GET", &format!("/look?{n}"), "") } else { post };
+            caller.write_all(message.as_bytes()).await.expect("write to the socket");
             if n % 2 == 0 {
                 caller.set_zero_linger().expect("set the socket option");
             }
@@ -151,14 +151,14 @@
     run(async {
         let up = start_stub(|_, _| ok("whole")).await;
         let b = balancer(&[&up], &[]).await;
-        let whole = rpc_head("POST", "/pay", "Content-Length: 20\r\n") + "01234567890123456789";
-        for cut in (0..whole.len()).step_by(3) {
-            drop(send(b.address, &whole[..cut]).await);
+        let message = rpc_head("POST", "/pay", "Content-Length: 20\r\n") + "01234567890123456789";
+        for cut in (0..message.len()).step_by(3) {
+            drop(send(b.address, &message[..cut]).await);
         }
         wait_until(|| b.server.connections() == 0).await;
         until_no_state_left(&b).await;
         assert!(up.received.borrow().is_empty());
-        assert_eq!(send_and_read(b.address, whole).await.status(), 200);
+        assert_eq!(send_and_read(b.address, message).await.status(), 200);
     });
 }
 
@@ -221,12 +221,12 @@
         // Leaves an idle connection, which would be written to at once.
         assert_eq!(send_and_read(b.address, rpc_head("GET", "/look", "")).await.body, b"one");
         until_reusable().await;
-        let mut asked = pin!(b.board.admit(request(&b, "turn", "look", "4000"), None));
-        assert!(asked.as_mut().now_or_never().is_none() && attempt_count(&b) == 1);
+        let mut admission = pin!(b.board.admit(request(&b, "turn", "look", "4000"), None));
+        assert!(admission.as_mut().now_or_never().is_none() && attempt_count(&b) == 1);
         let entries =
             [list_entry("s-0", one.address, "z", "DRAINING"), list_entry("s-1", two.address, "z", "SERVING")];
         b.board.apply_list(&decode_list(8, false, &entries), true);
-        let Ok(FinalAnswer::Completed(last)) = asked.await else { panic!("the RPC must complete") };
+        let Ok(FinalAnswer::Completed(last)) = admission.await else { panic!("the RPC must complete") };
         assert_eq!((&last.body[..], one.received.borrow().len()), (&b"two"[..], 1));
         until_no_state_left(&b).await;
     });
@@ -297,7 +297,8 @@
                             let within = when.get().elapsed() < Duration::from_millis(5);
                             counted.set(counted.get() + usize::from(within));
                             if within {
-                                let _ = late.borrow().stream.try_write(&response(200, "", "second answer"));
+                                let _ =
+                                    late.borrow().stream.try_write(&response(200, "", "the one before's"));
                             }
                             let _ = peer.borrow().stream.try_write(&response(200, "", &id));
                         } else {
@@ -337,7 +338,7 @@
         tokio::task::spawn_local(async move {
             let (stream, _) = listener.accept().await.expect("accept a connection");
             let mut peer = Connection::new(stream);
-            peer.read().await.expect("valid RPC");
+            peer.read().await.expect("read the RPC");
             let _ = peer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await;
             while peer.write(b"1\r\nx\r\n").await.is_ok() {
                 tokio::time::sleep(Duration::from_millis(50)).await;
@@ -347,11 +348,11 @@
         let b = balancer_at(&[address], &[]).await;
         let from = Instant::now();
         let mut caller = send(b.address, rpc_head("GET", "/look", "").replace("Ms: 4000", "Ms: 1500")).await;
-        let mut heard = Vec::new();
+        let mut received = Vec::new();
         while from.elapsed() < Duration::from_millis(2500) {
-            assert!(caller.read_buf(&mut heard).await.expect("read from the socket") > 0, "{heard:?}");
+            assert!(caller.read_buf(&mut received).await.expect("read from the socket") > 0, "{received:?}");
         }
-        assert!(heard.starts_with(b"HTTP/1.1 200") && !gone.get());
+        assert!(received.starts_with(b"HTTP/1.1 200") && !gone.get());
         drop(caller);
         wait_until(|| gone.get()).await;
         until_no_state_left(&b).await;
@@ -390,14 +391,14 @@
         let up = start_stub(|n, _| if n == 0 { Reply::NoReply } else { ok("whole") }).await;
         let b = balancer(&[&up], &[]).await;
         {
-            let mut asked = Box::pin(b.board.admit(request(&b, "twice", "look", "4000"), None));
-            assert!(asked.as_mut().now_or_never().is_none());
+            let mut admission = Box::pin(b.board.admit(request(&b, "twice", "look", "4000"), None));
+            assert!(admission.as_mut().now_or_never().is_none());
             wait_until(|| up.received.borrow().len() == 1).await;
-            drop(asked);
+            drop(admission);
         }
         // In the same poll: no other task has run since.
-        let again = b.board.admit(request(&b, "twice", "look", "4000"), None).await;
-        assert!(again.is_err(), "the outcome of the old attempt is not recorded yet");
+        let second = b.board.admit(request(&b, "twice", "look", "4000"), None).await;
+        assert!(second.is_err(), "the outcome of the old attempt is not recorded yet");
         until_no_state_left(&b).await;
         let last = b.board.admit(request(&b, "twice", "look", "4000"), None).await;
         assert!(matches!(last, Ok(FinalAnswer::Completed(_))), "{last:?}");
@@ -480,8 +481,8 @@
     run(async {
         let up = start_stub(|_, _| Reply::NoReply).await;
         let b = balancer(&[&up], &[]).await;
-        let whole = post_rpc("").replace("Ms: 4000", "Ms: 90000");
-        let (first, rest) = whole.split_at(40);
+        let message = post_rpc("").replace("Ms: 4000", "Ms: 90000");
+        let (first, rest) = message.split_at(40);
         let mut slow = send(b.address, first).await;
         wait_until(|| b.server.connections() == 1).await;
         b.board.update_phase(|phase, now| phase.shut_down(now - 90_000));
@@ -502,18 +503,21 @@
     run(async {
         let up = start_stub(|_, _| ok("whole")).await;
         let b = balancer(&[&up], &[]).await;
-        let whole = rpc_head("GET", "/look", "");
+        let message = rpc_head("GET", "/look", "");
         let mut caller = connect(b.address).await;
-        caller.write_all(&whole.as_bytes()[..40]).await.expect("write to the socket");
+        caller.write_all(&message.as_bytes()[..40]).await.expect("write to the socket");
         wait_until(|| b.server.connections() == 1).await;
         tokio::time::sleep(Duration::from_millis(50)).await;
         // Blocks this thread until the message's time limit has passed; the rest arrives meanwhile.
         std::thread::sleep(Duration::from_millis(2700));
-        assert_eq!(caller.try_write(&whole.as_bytes()[40..]).expect("write to the socket"), whole.len() - 40);
+        assert_eq!(
+            caller.try_write(&message.as_bytes()[40..]).expect("write to the socket"),
+            message.len() - 40
+        );
         b.server.sweep(false);
         assert_eq!(read_message(&mut caller).await.expect("read the answer").status(), 200);
         // A message that is never completed gets 408.
-        caller.write_all(&whole.as_bytes()[..40]).await.expect("write to the socket");
+        caller.write_all(&message.as_bytes()[..40]).await.expect("write to the socket");
         assert_eq!(read_message(&mut caller).await.expect("read the answer").status(), 408);
         until_no_state_left(&b).await;
     });
@@ -569,8 +573,8 @@
                 waiting.push(send(b.address, &text[..cut]).await);
             }
             let mut last = waiting.pop().expect("complete message");
-            if let Some(told) = read_message(&mut last).await {
-                assert!((400..500).contains(&told.status()), "{}", told.head);
+            if let Some(answer) = read_message(&mut last).await {
+                assert!((400..500).contains(&answer.status()), "{}", answer.head);
             }
             drop(waiting);
         }
--- a/crates/fernroute-server/tests/upgrade.rs
+++ b/crates/fernroute-server/tests/upgrade.rs
@@ -140,7 +140,7 @@
         std::fs::write(&path, &text).expect("access the test file");
         let mut second = Command::new(env!("CARGO_BIN_EXE_fernroute"));
         second.args(["serve", "--config"]).arg(&path).env("TMPDIR", &folder).env_remove("NODE_OPS");
-        let mut second = second.stderr(Stdio::piped()).spawn().expect("start the balancer");
+        let mut second = second.stderr(Stdio::piped()).spawn().expect("start the second successor");
         wait_until(|| second.try_wait().expect("poll the process").is_some()).await;
         let out = second.wait_with_output().expect("collect the output");
         let text = String::from_utf8_lossy(&out.stderr).into_owned();
@@ -188,7 +188,7 @@
         let alone = Program::start(&foreign, &text).await;
         until_ready(alone.address).await;
         wait_until(|| alone.log_contains("no handover to a successor is possible")).await;
-        assert_eq!(std::fs::read(handover_socket(&foreign)).expect("connect to the socket"), b"somebody's");
+        assert_eq!(std::fs::read(handover_socket(&foreign)).expect("read the foreign file"), b"somebody's");
 
         let unresponsive = temp_dir("dumb");
         let silent = UnixListener::bind(handover_socket(&unresponsive)).expect("bind the socket");
@@ -297,12 +297,12 @@
         let listen = format!("\"listen\":\"{address}\"");
         let file = format!("fernroute-n0-{}.sock", address.to_string().replace(':', "_"));
         std::fs::write(folder.join(file), "somebody's").expect("access the test file");
-        let told = start_stub(list_once(up.address)).await;
+        let discovery = start_stub(list_once(up.address)).await;
         let silent = start_stub(|_, _| Reply::NoReply).await;
         let list_of = |discovery| {
             config_json(&[up.address], discovery, &[("\"listen\":\"127.0.0.1:0\"", listen.as_str())])
         };
-        let old = Program::start(&folder, &list_of(told.address)).await;
+        let old = Program::start(&folder, &list_of(discovery.address)).await;
         let new = Program::launch(&folder, &list_of(silent.address), Some(&folder)).await;
         let (mut asked, mut failures) = (0, Vec::new());
         while !new.log_contains("serving on ") {
--- a/crates/fernroute-server/tests/watches.rs
+++ b/crates/fernroute-server/tests/watches.rs
@@ -149,7 +149,7 @@
         tokio::task::spawn_local(async move {
             let (stream, _) = listener.accept().await.expect("accept a call");
             let mut peer = Connection::new(stream);
-            peer.read().await.expect("accept a call");
+            peer.read().await.expect("read the call");
             noted.set(true);
             notified.notified().await;
             let _ = peer.write(&response(200, "", &late)).await;
