--- a/crates/fernroute-server/tests/attempts.rs
+++ b/crates/fernroute-server/tests/attempts.rs
@@ -156,7 +156,7 @@
             let b = balancer_at(&[up.address], &[]).await;
             let mut caller = connect(b.address).await;
             let head = common::rpc_head("POST", "/pay", &format!("Content-Length: {BODY}\r\n"));
-            caller.write_all(head.as_bytes()).await.expect("complete transfer");
+            caller.write_all(head.as_bytes()).await.expect("write to the socket");
             let (mut answers, mut sends) = caller.split();
             let sending = async {
                 for piece in vec![b'x'; BODY].chunks(40_000) {
--- a/crates/fernroute-server/tests/connections.rs
+++ b/crates/fernroute-server/tests/connections.rs
@@ -65,11 +65,11 @@
 async fn long_answer(upstream_client: &UpstreamClient) -> AnswerStream {
     let answered = call(upstream_client, "/long").await.unwrap_or_else(|error| panic!("{error}"));
     let mut rest = answered.remaining.expect("body that continues after the first read");
-    let mut came = answered.body_start.len();
-    while came < LONG {
+    let mut received = answered.body_start.len();
+    while received < LONG {
         // Time for the remaining bytes and the end to arrive.
         tokio::time::sleep(Duration::from_millis(20)).await;
-        came += rest
+        received += rest
             .next(2 * LONG)
             .await
             .expect("next part of the answer")
@@ -162,18 +162,18 @@
     let socket = tokio::net::TcpSocket::new_v4().expect("create a socket");
     socket.set_recv_buffer_size(16 * 1024).expect("set the socket buffer size");
     let mut stream = socket.connect(balancer).await.expect("connect to the balancer");
-    let asked = rpc_head("GET", "/look/long", "Connection: close\r\n");
-    stream.write_all(asked.as_bytes()).await.expect("complete transfer");
+    let request = rpc_head("GET", "/look/long", "Connection: close\r\n");
+    stream.write_all(request.as_bytes()).await.expect("write to the socket");
     let mut piece = vec![0; step];
-    let mut came = 0;
+    let mut received = 0;
     while let Ok(bytes) = stream.read(&mut piece).await {
         if bytes == 0 {
             break;
         }
-        came += bytes;
+        received += bytes;
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
-    assert!(came >= SLOWLY_TAKEN, "a whole answer");
+    assert!(received >= SLOWLY_TAKEN, "the answer must be complete");
 }
 
 /// Guards against running an RPC twice: if a connection were reused while the end of a long answer is forwarded, an RPC that ran
--- a/crates/fernroute-server/tests/idle_callers.rs
+++ b/crates/fernroute-server/tests/idle_callers.rs
@@ -58,12 +58,12 @@
     async fn connect_and_idle(&self, at: SocketAddr, sent: Sent) -> std::io::Result<()> {
         let mut stream = TcpStream::connect(at).await?;
         self.connected.set(self.connected.get() + 1);
-        let whole = rpc_head("GET", "/look", "");
+        let message = rpc_head("GET", "/look", "");
         match sent {
             Sent::Nothing => {}
-            Sent::PartialHead => stream.write_all(&whole.as_bytes()[..40]).await?,
+            Sent::PartialHead => stream.write_all(&message.as_bytes()[..40]).await?,
             Sent::Rpc => {
-                stream.write_all(whole.as_bytes()).await?;
+                stream.write_all(message.as_bytes()).await?;
                 read_message(&mut stream).await;
             }
         }
@@ -98,7 +98,7 @@
 ) {
     run(async move {
         let (old, new) = (start_stub(|_, _| ok("old")).await, start_stub(|_, _| ok("new")).await);
-        let down = free_addresses(1).expect("bind a listener")[0];
+        let down = free_addresses(1).expect("reserve an address")[0];
         let sockets = format!(r#""sockets":{configured}"#);
         // Version 0, so that the first list of discovery is newer.
         let changes = [(r#""sockets":1024"#, sockets.as_str()), (r#""version":7"#, r#""version":0"#)];
@@ -106,7 +106,7 @@
         let folder = temp_dir(name);
         let b = Program::start_with(&folder, &text, if from_the_start { limit } else { 4096 }).await;
         if !from_the_start {
-            b.limit_descriptors(limit as u64).expect("set the socket option");
+            b.limit_descriptors(limit as u64).expect("set the descriptor limit");
         }
         let callers = IdleCallers::start(b.address, sent);
         // Each caller on average a second time, after its first eviction.
--- a/crates/fernroute-server/tests/message_forms.rs
+++ b/crates/fernroute-server/tests/message_forms.rs
@@ -313,14 +313,14 @@
         drop(send(b.address, [head("/pay").as_bytes(), &pattern(200_000)].concat()).await);
         wait_until(|| b.board.metrics().left == 1 && b.board.open.borrow().is_empty()).await;
         // Larger than the limit, with and without a Content-Length.
-        let (said, _) =
+        let (answer_head, _) =
             exchange(b.address, rpc_head("POST", "/pay", "Content-Length: 33554433\r\n").into_bytes()).await;
-        assert!(said.starts_with("HTTP/1.1 413"), "{said}");
+        assert!(answer_head.starts_with("HTTP/1.1 413"), "{answer_head}");
         let chunks = encode_chunked(&pattern(LARGE + 1), 1 << 20);
         let request =
             [rpc_head("POST", "/pay", "Transfer-Encoding: chunked\r\n").as_bytes(), &chunks].concat();
-        let (said, _) = exchange(b.address, request).await;
-        assert!(said.starts_with("HTTP/1.1 413"), "{said}");
+        let (answer_head, _) = exchange(b.address, request).await;
+        assert!(answer_head.starts_with("HTTP/1.1 413"), "{answer_head}");
         assert_eq!(b.board.metrics().attempts, 0);
     });
 }
