--- a/crates/fernroute-testbed/src/scale/faults.rs
+++ b/crates/fernroute-testbed/src/scale/faults.rs
@@ -23,7 +23,8 @@
     /// Seconds from the fault, or from the end of a lasting one, to the start of the first second in
     /// which one leader answered all balancers.
     pub settled_s: Option<f64>,
-    /// The same for the balancers on the larger side of a partition while it lasts.
+    /// The same for the balancers that stay connected during a partition, or while another balancer is
+    /// silent.
     pub cut_settled_s: Option<f64>,
     /// Seconds from the end of a partition until the change made on the larger side meanwhile was active
     /// everywhere.
@@ -36,7 +37,7 @@
     pub worst_second_processor_percent: Option<f64>,
 }
 
-/// Injects faults into a fleet and measures their effect.
+/// Injects faults into a fleet and measures their effects.
 pub struct FaultRunner<'a> {
     pub fleet: &'a Rc<Fleet>,
     pub load: &'a Load,
@@ -111,7 +112,7 @@
                 let hollow: Vec<usize> = (0..fleet.layout.hollow.len()).filter(hollow).collect();
                 let real = |n: &usize| fleet.layout.members[*n].zone == zone;
                 let real: BTreeSet<usize> = fleet.real.borrow().keys().copied().filter(real).collect();
-                let coordinator = fleet.layout.plan.coordinators.iter().position(|of| *of == zone);
+                let coordinator = fleet.layout.plan.coordinators.iter().position(|z| *z == zone);
                 // With a single coordinator nothing would be left to settle.
                 let coordinator = coordinator.filter(|_| fleet.coordinator_addresses.len() > 1);
                 coordinator.iter().for_each(|n| fleet.coordinators.borrow()[*n].kill());
@@ -125,9 +126,9 @@
             Kind::TenthRestarted => {
                 // Whole processes of all zones, until a tenth of the members is reached.
                 let (mut hollow, mut count) = (Vec::new(), 0);
-                let most = fleet.layout.hollow.len();
-                for n in 0..most {
-                    let n = n * 7 % most;
+                let processes = fleet.layout.hollow.len();
+                for n in 0..processes {
+                    let n = n * 7 % processes;
                     if count * 10 >= all {
                         break;
                     }
@@ -164,22 +165,22 @@
     async fn cut(&self, duration: Duration) -> Result<FaultResult, String> {
         let fleet = self.fleet;
         let regions = fleet.layout.plan.regions();
-        let of = |zone: &str| regions.get(zone).copied().unwrap_or(0);
-        let region_of_coordinator = |n: usize| of(&fleet.layout.plan.coordinators[n]);
+        let region_of = |zone: &str| regions.get(zone).copied().unwrap_or(0);
+        let region_of_coordinator = |n: usize| region_of(&fleet.layout.plan.coordinators[n]);
         let coordinator_links = fleet
             .coordinator_links
             .iter()
             .filter(|((n, m), _)| region_of_coordinator(*n) != region_of_coordinator(*m));
         let member_links = fleet.member_links.iter().flat_map(|((zone, _), links)| {
-            let apart = move |n: &usize| region_of_coordinator(*n) != of(zone);
-            (0..links.len()).filter(apart).map(|n| &links[n])
+            let other_region = move |n: &usize| region_of_coordinator(*n) != region_of(zone);
+            (0..links.len()).filter(other_region).map(|n| &links[n])
         });
         let cut: Vec<_> = coordinator_links.map(|(_, link)| link).chain(member_links).collect();
         // The side with most coordinators continues.
         let mut count = vec![0; fleet.layout.plan.region.len()];
         (0..fleet.coordinator_addresses.len()).for_each(|n| count[region_of_coordinator(n)] += 1);
         let larger = (0..count.len()).max_by_key(|n| count[*n]).unwrap_or(0);
-        let reachable = fleet.layout.members.iter().filter(|m| of(&m.zone) == larger).count();
+        let reachable = fleet.layout.members.iter().filter(|m| region_of(&m.zone) == larger).count();
         let outside: BTreeSet<usize> =
             (0..fleet.coordinator_addresses.len()).filter(|n| region_of_coordinator(*n) != larger).collect();
         cut.iter().for_each(|link| link.refuse_connections());
--- a/crates/fernroute-testbed/src/scale/load.rs
+++ b/crates/fernroute-testbed/src/scale/load.rs
@@ -49,6 +49,7 @@
 
 /// An RPC sent this long after it was due is late.
 const LATE_THRESHOLD: Duration = Duration::from_millis(10);
+/// Share of RPCs that may be late.
 const MAX_LATE_SHARE: f64 = 0.01;
 
 /// Most connections to one address, below the balancer's limit on caller connections. RPCs beyond it
@@ -59,7 +60,7 @@
 /// Longer than any deadline of these RPCs.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// Address of a balancer while it serves, and the number of its starts.
+/// Address of a balancer while it serves, and the number of times it started to serve.
 #[derive(Clone, Copy, Debug, Default)]
 struct Target {
     address: Option<SocketAddr>,
@@ -105,8 +106,8 @@
     stats: Mutex<LoadStats>,
 }
 
-fn lock<T>(of: &Mutex<T>) -> MutexGuard<'_, T> {
-    of.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 /// A stream of RPCs.
@@ -163,11 +164,11 @@
         let pacer = std::thread::spawn(move || pace(&pacer_state, &all, &schedule));
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
         let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
-        let request = Arc::clone(&shared);
+        let sender_state = Arc::clone(&shared);
         let sender = std::thread::spawn(move || {
             LocalSet::new().block_on(&runtime, async move {
-                let callers = Rc::new(Sender {
-                    shared: request,
+                let rpc_sender = Rc::new(Sender {
+                    shared: sender_state,
                     direct,
                     streams,
                     idle: RefCell::default(),
@@ -176,7 +177,7 @@
                 let mut number = 0u64;
                 while let Some((stream, due, phase)) = scheduled.recv().await {
                     number += 1;
-                    spawn_local(Rc::clone(&callers).call(stream, due, phase, number));
+                    spawn_local(Rc::clone(&rpc_sender).call(stream, due, phase, number));
                 }
             });
         });
@@ -203,8 +204,8 @@
         *target = Target { address: Some(at), generation: target.generation + 1 };
     }
 
-    pub fn with_stats<T>(&self, look: impl FnOnce(&LoadStats) -> T) -> T {
-        look(&lock(&self.shared.stats))
+    pub fn with_stats<T>(&self, read: impl FnOnce(&LoadStats) -> T) -> T {
+        read(&lock(&self.shared.stats))
     }
 }
 
