--- a/crates/fernroute-testbed/src/scale/changes.rs
+++ b/crates/fernroute-testbed/src/scale/changes.rs
@@ -53,12 +53,12 @@
         "[[method]]\nname = \"look\"\neffect = \"retriable\"\nsoft_ms = {}\nhard_ms = 3000\n",
         1000 + number % 1000
     );
-    let (hash, who) = (content_hash(&content), "scale".to_owned());
+    let (hash, author) = (content_hash(&content), "scale".to_owned());
     let result: Result<Version, RequestError> = request(
         CLUSTER,
         at,
         PUT_PATH,
-        &PutRequest { scope, base_version: base, content_hash: hash, content, author: who },
+        &PutRequest { scope, base_version: base, content_hash: hash, content, author },
     )
     .await?;
     result.ok()
--- a/crates/fernroute-testbed/src/scale/fleet.rs
+++ b/crates/fernroute-testbed/src/scale/fleet.rs
@@ -73,10 +73,10 @@
     program: &Path,
     folder: &Path,
     name: &str,
-    file: &StandInConfig,
+    config: &StandInConfig,
 ) -> Result<(Process, SocketAddr, BTreeMap<String, SocketAddr>), String> {
     let at = folder.join(format!("{name}.json"));
-    fs::write(&at, serde_json::to_string(file).map_err(|e| e.to_string())?).map_err(io_error(&at))?;
+    fs::write(&at, serde_json::to_string(config).map_err(|e| e.to_string())?).map_err(io_error(&at))?;
     let process = launch(program, "scale-stand", "--config", &at, folder)?;
     let address = process.logged_address(READY_PREFIX, START_TIMEOUT).await?;
     let out = at.with_extension("out");
@@ -106,19 +106,19 @@
             .flat_map(|service| layout.callable_upstreams(*service))
             .map(|(id, _)| id)
             .collect();
-        let file = StandInConfig::Upstreams {
+        let config = StandInConfig::Upstreams {
             ids: ids.into_iter().collect(),
             whole: layout.plan.whole,
             beside: 4 * layout.members.len().min(4 * layout.real_count()),
         };
         let (upstreams, upstreams_control, upstream_addresses) =
-            start_stand_in(program, folder, "upstreams", &file).await?;
+            start_stand_in(program, folder, "upstreams", &config).await?;
         let mut lists: BTreeMap<String, UpstreamList> = BTreeMap::new();
         for m in &layout.members {
             let list = lists.entry(layout.services[m.service].name.clone()).or_insert_with(|| {
-                let list_traffic = layout.callable_upstreams(m.service).into_iter();
+                let listed = layout.callable_upstreams(m.service).into_iter();
                 UpstreamList {
-                    upstreams: list_traffic.map(|(id, zone)| (id, zone.to_owned())).collect(),
+                    upstreams: listed.map(|(id, zone)| (id, zone.to_owned())).collect(),
                     kinds: Vec::new(),
                 }
             });
@@ -126,9 +126,9 @@
                 list.kinds.push(kind(m.real).to_owned());
             }
         }
-        let file = StandInConfig::Discovery { lists, places: upstream_addresses.clone() };
+        let config = StandInConfig::Discovery { lists, places: upstream_addresses.clone() };
         let (discovery, discovery_control, lists) =
-            start_stand_in(program, folder, "discovery", &file).await?;
+            start_stand_in(program, folder, "discovery", &config).await?;
         let coordinator_addresses =
             free_addresses(layout.plan.coordinators.len()).map_err(|e| e.to_string())?;
         let mut coordinator_links = BTreeMap::new();
@@ -177,9 +177,9 @@
             let process = fleet.launch_hollow(n)?;
             fleet.hollow.borrow_mut().push(process);
         }
-        let upstream_addresses: Vec<usize> =
+        let real: Vec<usize> =
             (0..fleet.layout.members.len()).filter(|n| fleet.layout.members[*n].real).collect();
-        for n in upstream_addresses {
+        for n in real {
             let process = fleet.launch_real(n)?;
             fleet.real.borrow_mut().insert(n, process);
         }
@@ -234,8 +234,8 @@
 
     pub fn launch_hollow(&self, n: usize) -> Result<Process, String> {
         let folder = self.folder.join(format!("h{n}"));
-        for place in &self.layout.hollow[n] {
-            self.write_file(&folder, &self.layout.members[*place].name, &self.balancer_file(*place))?;
+        for member in &self.layout.hollow[n] {
+            self.write_file(&folder, &self.layout.members[*member].name, &self.balancer_file(*member))?;
         }
         launch(&self.program, "hollow", "--folder", &folder, &folder)
     }
@@ -307,8 +307,8 @@
     /// An upstream that the first real balancer uses, too.
     pub fn direct(&self) -> Option<SocketAddr> {
         let first = self.layout.members.iter().find(|m| m.real)?;
-        let list_traffic = self.layout.callable_upstreams(first.service);
-        list_traffic.iter().find_map(|(id, _)| self.upstream_addresses.get(id).copied())
+        let listed = self.layout.callable_upstreams(first.service);
+        listed.iter().find_map(|(id, _)| self.upstream_addresses.get(id).copied())
     }
 
     /// The leader and its status; an error if there is none within the time-out.
--- a/crates/fernroute-testbed/src/scale/report.rs
+++ b/crates/fernroute-testbed/src/scale/report.rs
@@ -111,7 +111,7 @@
         );
         let format_value = |what: Option<f64>| what.map_or("-".to_owned(), |what| format!("{what:.2}"));
         println!(
-            "{:<18} {:>9} {:>9} {:>12} {:>12} {:>14}",
+            "{:<21} {:>9} {:>9} {:>12} {:>12} {:>14}",
             "each", "processor", "memory", "bytes/s", "messages/s", "worst second"
         );
         for (role, f) in [
@@ -122,7 +122,7 @@
             ("discovery", &self.discovery),
         ] {
             println!(
-                "{role:<18} {:>8}% {:>6} kB {:>12} {:>12} {:>14}",
+                "{role:<21} {:>8}% {:>6} kB {:>12} {:>12} {:>14}",
                 format_value(f.processor_percent),
                 f.memory_kb.map_or("-".to_owned(), |kb| kb.to_string()),
                 format_value(f.bytes_per_s),
