--- a/crates/fernroute-testbed/tests/live.rs
+++ b/crates/fernroute-testbed/tests/live.rs
@@ -70,7 +70,7 @@
 fn a_program_that_does_not_start_is_named_in_the_error() {
     let folder = Folder::new("none");
     for (word, what) in
-        [("/nonexistent/balancer", "/nonexistent/balancer"), ("true", "it ended before it said")]
+        [("/nonexistent/balancer", "/nonexistent/balancer"), ("true", "process ended before it logged")]
     {
         let error = run(&scenario_with(""), 1, &[word.to_owned()], &[], &folder.0).err().expect(word);
         assert!(error.contains(what), "{error}");
