--- a/crates/fernroute-server/src/program/configuration.rs
+++ b/crates/fernroute-server/src/program/configuration.rs
@@ -174,33 +174,33 @@
     /// effect, or none.
     pub async fn run<E: Display>(
         self: Rc<Self>,
-        board: Rc<Dispatcher>,
+        dispatcher: Rc<Dispatcher>,
         apply: impl Fn(Vec<Layer>) -> Result<(), E>,
     ) {
-        let coordinators = CoordinatorClient::new(&self.fleet, Rc::clone(&board));
+        let coordinators = CoordinatorClient::new(&self.fleet, Rc::clone(&dispatcher));
         let mut last_fetch_failed = false;
-        self.publish(&board);
+        self.publish(&dispatcher);
         loop {
-            let request = self.follower.borrow_mut().next_fetch(board.clock.now());
+            let request = self.follower.borrow_mut().next_fetch(dispatcher.clock.now());
             let Some(request) = request else {
                 if last_fetch_failed {
                     // In the backoff, which has no wake-up signal.
                     actix_rt::time::sleep(POLL_INTERVAL).await;
                 } else {
-                    self.publish(&board);
+                    self.publish(&dispatcher);
                     self.fetch_wanted.notified().await;
                 }
                 continue;
             };
-            let fetched = self.fetch(&coordinators, &board, &request).await;
+            let fetched = self.fetch(&coordinators, &dispatcher, &request).await;
             last_fetch_failed = fetched.is_none();
             match fetched {
                 Some(snapshot) => self.activate(snapshot, &apply).await,
                 None => {
-                    self.follower.borrow_mut().fetch_failed(board.clock.now(), random_fraction());
+                    self.follower.borrow_mut().fetch_failed(dispatcher.clock.now(), random_fraction());
                 }
             }
-            self.publish(&board);
+            self.publish(&dispatcher);
         }
     }
 
@@ -208,14 +208,14 @@
     async fn fetch(
         &self,
         coordinators: &CoordinatorClient,
-        board: &Dispatcher,
+        dispatcher: &Dispatcher,
         request: &FetchRequest,
     ) -> Option<ConfigurationSnapshot> {
         let addresses = &coordinators.addresses;
         let first = (random_fraction() * addresses.len() as f64) as usize;
         for offset in 0..addresses.len() {
             let coordinator = addresses[(first + offset) % addresses.len()];
-            board.update_fleet_status(|control| control.fetches += 1);
+            dispatcher.update_fleet_status(|status| status.fetches += 1);
             match self.fetch_from(coordinator, coordinators, request).await {
                 Ok(snapshot) => return Some(snapshot),
                 Err(error) => {
@@ -273,7 +273,7 @@
     }
 
     /// Publishes the state in the operators' metrics.
-    fn publish(&self, board: &Dispatcher) {
+    fn publish(&self, dispatcher: &Dispatcher) {
         let ConfigurationReport { active, rejected, .. } = self.report();
         let state = ops::ConfigurationStatus {
             in_force: active,
@@ -281,7 +281,7 @@
             refused: rejected,
             kept: self.is_cached.get(),
         };
-        board.update_fleet_status(|control| control.configuration = Some(state));
+        dispatcher.update_fleet_status(|status| status.configuration = Some(state));
     }
 }
 
--- a/crates/fernroute-server/src/program/coordinators.rs
+++ b/crates/fernroute-server/src/program/coordinators.rs
@@ -57,18 +57,18 @@
     /// All coordinators, in the order of the configuration file.
     pub addresses: Vec<SocketAddr>,
     client: Client,
-    board: Rc<Dispatcher>,
+    dispatcher: Rc<Dispatcher>,
 }
 
 impl CoordinatorClient {
-    /// Creates a client for the coordinators of `fleet`; traffic is counted in the metrics of `board`.
-    pub fn new(fleet: &FleetConfig, board: Rc<Dispatcher>) -> Self {
+    /// Creates a client for the coordinators of `fleet`; traffic is counted in the metrics of `dispatcher`.
+    pub fn new(fleet: &FleetConfig, dispatcher: Rc<Dispatcher>) -> Self {
         let client = Client::builder().disable_redirects().finish();
         CoordinatorClient {
             cluster: fleet.cluster.clone(),
             addresses: fleet.coordinators.clone(),
             client,
-            board,
+            dispatcher,
         }
     }
 
@@ -86,7 +86,7 @@
         let envelope =
             Envelope { cluster: self.cluster.clone(), version: PROTOCOL_VERSION, recipient: 0, message };
         let body = serde_json::to_vec(&envelope).map_err(CoordinatorError::Encode)?;
-        self.board.update_fleet_status(|control| control.sent_bytes += body.len() as u64);
+        self.dispatcher.update_fleet_status(|status| status.sent_bytes += body.len() as u64);
         let request = self.client.post(format!("http://{coordinator}{path}")).timeout(limits.timeout);
         let request = request.content_type("application/json").send_body(body);
         let exchange = async {
@@ -97,7 +97,7 @@
         // The client's own time-out covers only the head of the reply, while its body may never arrive.
         let exchange = actix_rt::time::timeout(limits.timeout, exchange).await;
         let (status, body) = exchange.map_err(|_| CoordinatorError::TimedOut)??;
-        self.board.update_fleet_status(|control| control.received_bytes += body.len() as u64);
+        self.dispatcher.update_fleet_status(|status| status.received_bytes += body.len() as u64);
         if !status.is_success() {
             let body = String::from_utf8_lossy(&body).into_owned();
             return Err(CoordinatorError::Status { status, body });
--- a/crates/fernroute-server/src/program/duties.rs
+++ b/crates/fernroute-server/src/program/duties.rs
@@ -11,7 +11,7 @@
 
 /// The duties of this balancer. Changes are logged and published in the operators' metrics.
 pub struct HeldDuties {
-    board: Rc<Dispatcher>,
+    dispatcher: Rc<Dispatcher>,
     /// Changed by heartbeats, their replies and the handover to a successor.
     duties: RefCell<MemberDuties>,
     /// Whether another process of this balancer serves in place of this one. Written only by [`HeldDuties::set_replaced`].
@@ -20,33 +20,37 @@
 
 impl HeldDuties {
     /// Begins without duties. `incarnation` is a random number of this process.
-    pub fn new(board: Rc<Dispatcher>, incarnation: u64) -> Self {
-        HeldDuties { board, duties: RefCell::new(MemberDuties::new(incarnation)), replaced: Cell::new(false) }
+    pub fn new(dispatcher: Rc<Dispatcher>, incarnation: u64) -> Self {
+        HeldDuties {
+            dispatcher,
+            duties: RefCell::new(MemberDuties::new(incarnation)),
+            replaced: Cell::new(false),
+        }
     }
 
     /// The current term of a duty; `None` where this balancer does not hold it. Callers must read it before each action under
     /// the duty, and send it with that action.
     pub fn term(&self, duty: &str) -> Option<Term> {
-        self.duties.borrow().term(self.board.clock.now(), duty)
+        self.duties.borrow().term(self.dispatcher.clock.now(), duty)
     }
 
     /// The report for the heartbeat with this number, which is about to be sent. A balancer that does not serve releases
     /// its duties first.
     pub fn report(&self, heartbeat_number: u64) -> DutyReport {
         self.release_unless_serving();
-        self.duties.borrow_mut().report(self.board.clock.now(), heartbeat_number)
+        self.duties.borrow_mut().report(self.dispatcher.clock.now(), heartbeat_number)
     }
 
     /// Applies the assignments in the reply to the heartbeat with this number.
     pub fn on_reply(&self, heartbeat_number: u64, assignments: Option<&DutyAssignments>) {
-        let now = self.board.clock.now();
+        let now = self.dispatcher.clock.now();
         let events = self.duties.borrow_mut().on_reply(now, heartbeat_number, assignments);
         self.publish(&events);
     }
 
     /// Drops duties whose lease has expired; needed while heartbeats get no reply.
     pub fn expire(&self) {
-        let events = self.duties.borrow_mut().expire(self.board.clock.now());
+        let events = self.duties.borrow_mut().expire(self.dispatcher.clock.now());
         self.publish(&events);
     }
 
@@ -57,7 +61,7 @@
     }
 
     fn release_unless_serving(&self) {
-        if self.board.is_ready() && !self.replaced.get() {
+        if self.dispatcher.is_ready() && !self.replaced.get() {
             return self.duties.borrow_mut().resume();
         }
         let events = self.duties.borrow_mut().release_all();
@@ -77,7 +81,7 @@
         let to_metrics =
             |(duty, term, until): (&str, Term, Time)| (duty.to_owned(), HeldDuty { term, until });
         let held = self.duties.borrow().held().map(to_metrics).collect();
-        self.board.update_fleet_status(|control: &mut FleetStatus| control.duties = held);
+        self.dispatcher.update_fleet_status(|status: &mut FleetStatus| status.duties = held);
     }
 }
 
--- a/crates/fernroute-server/src/program/fleet.rs
+++ b/crates/fernroute-server/src/program/fleet.rs
@@ -69,18 +69,18 @@
 
 /// Starts the task. Until the first grant arrives, the member has only those parts of the shared budgets that a predecessor
 /// handed over.
-pub fn join(board: Rc<Dispatcher>, membership: MembershipOptions<'_>) -> Rc<FleetMember> {
+pub fn join(dispatcher: Rc<Dispatcher>, membership: MembershipOptions<'_>) -> Rc<FleetMember> {
     let MembershipOptions { name, identity_path, fleet, settings, received, configuration } = membership;
-    let now = board.clock.now();
-    board.fleet_status.replace(Some(FleetStatus::default()));
+    let now = dispatcher.clock.now();
+    dispatcher.fleet_status.replace(Some(FleetStatus::default()));
     let member = received.map(|ReceivedHandover { handover, requested_at }| {
         let requested_at = now.saturating_sub(tenths(requested_at.elapsed()));
         Member::take_over(name, requested_at, first_heartbeat_number(), &handover)
     });
     let fleet_member = Rc::new(FleetMember {
-        coordinators: CoordinatorClient::new(fleet, Rc::clone(&board)),
-        duties: HeldDuties::new(Rc::clone(&board), random_identity()),
-        board,
+        coordinators: CoordinatorClient::new(fleet, Rc::clone(&dispatcher)),
+        duties: HeldDuties::new(Rc::clone(&dispatcher), random_identity()),
+        dispatcher,
         configuration,
         heartbeat_interval: duration(fleet.heartbeat_interval),
         name: name.to_owned(),
@@ -108,7 +108,7 @@
 
 /// This balancer as a member of its fleet.
 pub struct FleetMember {
-    board: Rc<Dispatcher>,
+    dispatcher: Rc<Dispatcher>,
     coordinators: CoordinatorClient,
     /// The duties that this balancer holds.
     pub duties: HeldDuties,
@@ -130,23 +130,23 @@
     /// Meters the demand of the tenants in these settings from now on. This keeps a new tenant from using an even part of a
     /// budget that was not granted, and a removed tenant from having the whole grant rejected.
     pub fn set_tenants(&self, settings: &Settings) {
-        let now = self.board.clock.now();
+        let now = self.dispatcher.clock.now();
         let count = settings.get("tenants.count").and_then(|count| count.parse().ok()).unwrap_or(0);
         let names =
             (0..count).filter_map(|index: usize| settings.get(&format!("tenants.{index}.name")).cloned());
-        let mut previous = self.board.tenant_demand.take().unwrap_or_default();
+        let mut previous = self.dispatcher.tenant_demand.take().unwrap_or_default();
         let with_meter = |name: String| {
             let meter = previous.remove(&name).unwrap_or_else(|| DemandMeter::new(now));
             (name, meter)
         };
-        self.board.tenant_demand.replace(Some(names.map(with_meter).collect()));
+        self.dispatcher.tenant_demand.replace(Some(names.map(with_meter).collect()));
         self.apply_grant();
     }
 
     /// Gives half of the grant to a successor process; `None` where there is no grant, or a predecessor still shares it.
     pub fn hand_over(&self) -> Option<MemberHandover> {
         self.duties.set_replaced(true);
-        let now = self.board.clock.now();
+        let now = self.dispatcher.clock.now();
         let handover = self.member.borrow_mut().as_mut()?.hand_over(now)?;
         self.handed_over.set(true);
         self.apply_grant();
@@ -194,7 +194,7 @@
                 logged_status = status;
             }
             // A balancer that begins to drain reports it at once, so that another one takes over its duties.
-            let phase_changed = self.board.phase_changed.notified();
+            let phase_changed = self.dispatcher.phase_changed.notified();
             let _ = actix_rt::time::timeout(self.heartbeat_interval, phase_changed).await;
         }
     }
@@ -218,7 +218,7 @@
 
     /// The next heartbeat; `None` while a successor sends the heartbeats.
     fn next_heartbeat(&self) -> Option<Heartbeat> {
-        let now = self.board.clock.now();
+        let now = self.dispatcher.clock.now();
         // Also measured while handed over, so that the meters stay up to date.
         let demand = self.measure_demand(now);
         if self.handed_over.get() {
@@ -249,7 +249,7 @@
             Ok(reply) => reply,
             Err(error) => return Some(format!("no grant from the fleet {cluster}: {error}")),
         };
-        let now = self.board.clock.now();
+        let now = self.dispatcher.clock.now();
         let status = self
             .member
             .borrow_mut()
@@ -271,7 +271,7 @@
 
     /// The demand for each shared budget, in thousandths per second.
     fn measure_demand(&self, now: Time) -> BudgetAmounts {
-        let mut tenants = self.board.tenant_demand.borrow_mut();
+        let mut tenants = self.dispatcher.tenant_demand.borrow_mut();
         let mut demand: BudgetAmounts =
             tenants.iter_mut().flatten().map(|(name, meter)| (name.clone(), meter.demand(now))).collect();
         for budget in &self.shared_budgets {
@@ -286,13 +286,13 @@
     }
 
     fn has_ejected_upstreams(&self) -> bool {
-        let (_, ejected) = self.board.upstream_counts();
+        let (_, ejected) = self.dispatcher.upstream_counts();
         ejected > 0
     }
 
     fn measure_retry_demand(&self, now: Time) -> u64 {
         let RetryDemand { meter, counted } = &mut *self.retry_demand.borrow_mut();
-        let wanted = self.board.retries_wanted();
+        let wanted = self.dispatcher.retries_wanted();
         for _ in *counted..wanted {
             meter.count(now);
         }
@@ -305,11 +305,11 @@
     fn apply_grant(&self) {
         let member = self.member.borrow();
         let rates = |name| member.as_ref().map(|member| member.rates(name)).unwrap_or_default();
-        let tenants = self.board.tenant_demand.borrow();
+        let tenants = self.dispatcher.tenant_demand.borrow();
         let tenant_names = tenants.iter().flat_map(|meters| meters.keys().map(String::as_str));
         let names = tenant_names.chain(self.shared_budgets.iter().copied());
         let budgets: Vec<(&str, [(f64, Time); 2])> = names.map(|name| (name, rates(name))).collect();
-        if let Err(error) = self.board.set_budget_rates(&budgets) {
+        if let Err(error) = self.dispatcher.set_budget_rates(&budgets) {
             tracing::warn!("grant rejected, nothing has changed: {error}");
         }
     }
@@ -326,7 +326,7 @@
         let mut failure = HeartbeatFailure::NoCoordinator;
         for _ in 0..=addresses.len() {
             let coordinator = addresses[*index % addresses.len()];
-            self.board.update_fleet_status(|control| control.beats += 1);
+            self.dispatcher.update_fleet_status(|status| status.beats += 1);
             let reply = self.coordinators.request(coordinator, HEARTBEAT_PATH, heartbeat, limits).await;
             match reply {
                 Ok(Ok(reply)) => return Ok(reply),
--- a/crates/fernroute-server/src/program/ops.rs
+++ b/crates/fernroute-server/src/program/ops.rs
@@ -17,42 +17,42 @@
 /// When listening on the address fails.
 pub async fn open(
     address: SocketAddr,
-    board: &Rc<Dispatcher>,
+    dispatcher: &Rc<Dispatcher>,
     server: &Rc<Server>,
 ) -> Result<SocketAddr, StartError> {
     let listen_error = |source| StartError::OpsListen { address, source };
     let listener = TcpListener::bind(address).await.map_err(listen_error)?;
     let local_address = listener.local_addr().map_err(listen_error)?;
-    let (board, server) = (Rc::clone(board), Rc::clone(server));
-    actix_rt::spawn(ops_server::run(listener, move |call| answer(&board, &server, call)));
+    let (dispatcher, server) = (Rc::clone(dispatcher), Rc::clone(server));
+    actix_rt::spawn(ops_server::run(listener, move |call| answer(&dispatcher, &server, call)));
     Ok(local_address)
 }
 
-fn answer(board: &Dispatcher, server: &Server, call: Call) -> Reply {
+fn answer(dispatcher: &Dispatcher, server: &Server, call: Call) -> Reply {
     match call {
-        Call::Ready if board.is_ready() => Reply::plain(StatusCode::OK, "ready"),
+        Call::Ready if dispatcher.is_ready() => Reply::plain(StatusCode::OK, "ready"),
         Call::Ready => Reply::plain(StatusCode::SERVICE_UNAVAILABLE, "not ready"),
-        Call::Metrics => Reply::metrics(&board.metrics()),
-        Call::Drain => drain(board),
-        Call::Resume => resume(board, server),
+        Call::Metrics => Reply::metrics(&dispatcher.metrics()),
+        Call::Drain => drain(dispatcher),
+        Call::Resume => resume(dispatcher, server),
     }
 }
 
-fn drain(board: &Dispatcher) -> Reply {
-    if board.update_phase(|phase, now| phase.drain(now)) {
+fn drain(dispatcher: &Dispatcher) -> Reply {
+    if dispatcher.update_phase(|phase, now| phase.drain(now)) {
         tracing::info!("draining on an operator's request");
     }
     Reply::plain(StatusCode::OK, "draining")
 }
 
 /// Ends a drain, but not one for a shutdown or an upgrade.
-fn resume(board: &Dispatcher, server: &Server) -> Reply {
-    if board.update_phase(|phase, _| phase.resume()) {
+fn resume(dispatcher: &Dispatcher, server: &Server) -> Reply {
+    if dispatcher.update_phase(|phase, _| phase.resume()) {
         tracing::info!("drain ended on an operator's request");
         // Swept now, since a caller may connect before the next sweep.
-        server.sweep(board.closing() >= Closing::Idle);
+        server.sweep(dispatcher.closing() >= Closing::Idle);
     }
-    let phase = board.phase.get();
+    let phase = dispatcher.phase.get();
     if phase.is_shutting_down() || phase.is_handing_over() {
         return Reply::plain(StatusCode::CONFLICT, "told to stop, or a successor serves");
     }
--- a/crates/fernroute-server/src/program/running.rs
+++ b/crates/fernroute-server/src/program/running.rs
@@ -24,7 +24,7 @@
 /// A running balancer. It is *waiting* or *serving* after its start; [`RunningInstance::start_serving`] moves it to *serving*.
 pub struct RunningInstance {
     /// The requests and the decisions.
-    pub board: Rc<Dispatcher>,
+    pub dispatcher: Rc<Dispatcher>,
     /// The callers' connections.
     pub server: Rc<Server>,
     /// The address for callers, with the actual port.
@@ -55,7 +55,7 @@
     /// arrives.
     pub fn set_discovery(&self, discovery: SocketAddr) {
         // Versions are specific to one discovery, so the whole list is requested from the new one, at once.
-        self.board.watch_wanted.notify_one();
+        self.dispatcher.watch_wanted.notify_one();
         self.watch_endpoints(discovery, None);
     }
 
@@ -64,7 +64,7 @@
     /// # Errors
     /// The setting that the decisions reject.
     pub fn update_settings(&self, settings: &Settings) -> Result<(), SettingError> {
-        self.board.update_settings(settings).map_err(SettingError)?;
+        self.dispatcher.update_settings(settings).map_err(SettingError)?;
         if let Some(member) = self.fleet_member() {
             member.set_tenants(settings);
         }
@@ -78,15 +78,15 @@
     /// Replaces the task that watches the endpoint list, beginning after this version of the list.
     pub(super) fn watch_endpoints(&self, discovery: SocketAddr, version: Option<u64>) {
         self.discovery.set(discovery);
-        self.board.list_version.set(version);
-        let board = Rc::clone(&self.board);
-        let poll_signal = self.decisions_start_polls.get().then(|| Rc::clone(&self.board.watch_wanted));
+        self.dispatcher.list_version.set(version);
+        let dispatcher = Rc::clone(&self.dispatcher);
+        let poll_signal = self.decisions_start_polls.get().then(|| Rc::clone(&self.dispatcher.watch_wanted));
         let watch = DiscoveryWatch::new(discovery).run(version, poll_signal, move |event| match event {
             Some(list) => {
-                board.list_version.set(Some(list.version));
-                board.apply_list(&list, true);
+                dispatcher.list_version.set(Some(list.version));
+                dispatcher.apply_list(&list, true);
             }
-            None => board.list_failed(),
+            None => dispatcher.list_failed(),
         });
         if let Some(previous) = self.endpoint_watch.replace(Some(actix_rt::spawn(watch))) {
             previous.abort();
@@ -103,14 +103,14 @@
             let address = self.address;
             self.server.listen(listener.map_err(|source| StartError::Listen { address, source })?);
         }
-        self.board.update_phase(|phase, _| phase.start_serving());
+        self.dispatcher.update_phase(|phase, _| phase.start_serving());
         self.server.set_accepting(true);
         self.log_serving();
         Ok(())
     }
 
     pub(super) fn log_serving(&self) {
-        let upstreams = self.board.upstreams.borrow().len();
+        let upstreams = self.dispatcher.upstreams.borrow().len();
         tracing::info!("serving on {}, {upstreams} upstreams known", self.address);
     }
 
@@ -129,17 +129,17 @@
 
     /// The current endpoint list of this process.
     pub fn endpoint_list(&self) -> HandoverList {
-        let upstreams = self.board.upstreams.borrow();
+        let upstreams = self.dispatcher.upstreams.borrow();
         HandoverList::of(
             self.discovery.get(),
-            self.board.list_version.get(),
+            self.dispatcher.list_version.get(),
             upstreams.values().map(|(entry, _)| entry),
         )
     }
 
     /// The number of open connections to callers and upstreams.
     pub fn connections(&self) -> usize {
-        self.server.connections() + self.board.client.connections()
+        self.server.connections() + self.dispatcher.client.connections()
     }
 
     /// The descriptor quota of this process.
@@ -154,8 +154,8 @@
         self.quota.set(quota);
         let limits = quota.connection_limits();
         self.server.set_max_connections(limits.callers);
-        self.board.client.set_max_connections(limits.upstreams);
-        self.board.windows.set_memory(quota.memory(self.memory_bytes));
+        self.dispatcher.client.set_max_connections(limits.upstreams);
+        self.dispatcher.windows.set_memory(quota.memory(self.memory_bytes));
     }
 }
 
--- a/crates/fernroute-server/src/program/serve.rs
+++ b/crates/fernroute-server/src/program/serve.rs
@@ -68,7 +68,7 @@
     if let Either::Right((Ok(Err(error)), _)) = end {
         return Err(error);
     }
-    shutdown::shut_down(&running.board, &running.server).await;
+    shutdown::shut_down(&running.dispatcher, &running.server).await;
     tracing::info!("all requests are answered, exiting");
     Ok(())
 }
@@ -99,10 +99,10 @@
     let mut predecessor = predecessor::find(&instance.name, instance.listen).await?;
     let running = Rc::new(start_after(&mut predecessor, instance, configuration.clone()).await?);
     if let Some(configuration) = &configuration {
-        let board = Rc::clone(&running.board);
+        let dispatcher = Rc::clone(&running.dispatcher);
         let (target, active) = (Rc::clone(&running), Rc::clone(&active));
         let apply = move |layers| active.apply_layers(&target, layers);
-        actix_rt::spawn(Rc::clone(configuration).run(board, apply));
+        actix_rt::spawn(Rc::clone(configuration).run(dispatcher, apply));
     }
     let handed_over = upgrade::run(Rc::clone(&running), predecessor, configuration.clone());
     let handed_over = actix_rt::spawn(handed_over);
@@ -126,17 +126,17 @@
 ) -> Result<RunningInstance, StartError> {
     let serves_at_once = matches!(predecessor, Predecessor::Absent) && configuration.is_none();
     let quota = initial_quota(&instance, predecessor);
-    let board = new_board(&instance, quota)?;
+    let dispatcher = new_dispatcher(&instance, quota)?;
     if !serves_at_once {
-        board.update_phase(|phase, _| phase.start_waiting());
+        dispatcher.update_phase(|phase, _| phase.start_waiting());
     }
     adopt_endpoint_list(&mut instance, predecessor);
     if let Some(known) = &instance.endpoint_list {
-        board.apply_list(known, false);
+        dispatcher.apply_list(known, false);
     }
-    let running = open_sockets(&instance, predecessor, board, quota).await?;
+    let running = open_sockets(&instance, predecessor, dispatcher, quota).await?;
     running.server.set_accepting(serves_at_once);
-    spawn_tasks(&running.board, &running.server);
+    spawn_tasks(&running.dispatcher, &running.server);
     if let Some(ops_address) = running.ops_address {
         tracing::info!("operators are answered on {ops_address}");
     }
@@ -153,7 +153,7 @@
 async fn open_sockets(
     instance: &InstanceConfig,
     predecessor: &mut Predecessor,
-    board: Rc<Dispatcher>,
+    dispatcher: Rc<Dispatcher>,
     quota: DescriptorQuota,
 ) -> Result<RunningInstance, StartError> {
     let listen_error = |source| StartError::Listen { address: instance.listen, source };
@@ -165,11 +165,11 @@
     };
     let server = Server::new(listener, quota.connection_limits().callers);
     let ops_address = match instance.ops {
-        Some(address) => Some(ops::open(address, &board, &server).await?),
+        Some(address) => Some(ops::open(address, &dispatcher, &server).await?),
         None => None,
     };
     Ok(RunningInstance {
-        board,
+        dispatcher,
         server,
         address,
         ops_address,
@@ -204,7 +204,7 @@
     configured.min(system_limit)
 }
 
-fn new_board(instance: &InstanceConfig, quota: DescriptorQuota) -> Result<Rc<Dispatcher>, SettingError> {
+fn new_dispatcher(instance: &InstanceConfig, quota: DescriptorQuota) -> Result<Rc<Dispatcher>, SettingError> {
     let connections = quota.connection_limits().upstreams;
     let memory = quota.memory(instance.memory_bytes);
     Dispatcher::new(&instance.settings, instance.seed, connections, memory).map_err(SettingError)
@@ -268,19 +268,20 @@
 }
 
 /// Starts the timers, the sweep of connections and the callers' server.
-fn spawn_tasks(board: &Rc<Dispatcher>, server: &Rc<Server>) {
-    actix_rt::spawn(Rc::clone(board).run_timers());
-    actix_rt::spawn(sweep_connections(Rc::clone(board), Rc::clone(server)));
-    let handler_board = Rc::clone(board);
-    let handle = move |message, connection| receive::handle(Rc::clone(&handler_board), message, connection);
+fn spawn_tasks(dispatcher: &Rc<Dispatcher>, server: &Rc<Server>) {
+    actix_rt::spawn(Rc::clone(dispatcher).run_timers());
+    actix_rt::spawn(sweep_connections(Rc::clone(dispatcher), Rc::clone(server)));
+    let handler_dispatcher = Rc::clone(dispatcher);
+    let handle =
+        move |message, connection| receive::handle(Rc::clone(&handler_dispatcher), message, connection);
     actix_rt::spawn(Rc::clone(server).run(handle));
 }
 
-async fn sweep_connections(board: Rc<Dispatcher>, server: Rc<Server>) {
+async fn sweep_connections(dispatcher: Rc<Dispatcher>, server: Rc<Server>) {
     loop {
         actix_rt::time::sleep(SWEEP_INTERVAL).await;
-        board.client.sweep();
-        server.sweep(board.closing() >= Closing::Idle);
+        dispatcher.client.sweep();
+        server.sweep(dispatcher.closing() >= Closing::Idle);
     }
 }
 
@@ -299,7 +300,7 @@
         received: predecessor.serving_mut().and_then(|serving| serving.member.take()),
         configuration,
     };
-    let member = fleet::join(Rc::clone(&running.board), membership);
+    let member = fleet::join(Rc::clone(&running.dispatcher), membership);
     running.fleet_member.replace(Some(member));
     Ok(())
 }
--- a/crates/fernroute-server/src/program/shutdown.rs
+++ b/crates/fernroute-server/src/program/shutdown.rs
@@ -30,28 +30,29 @@
 /// Drains and ends the server. The balancer is not ready from here on. It continues to serve while callers still connect and
 /// their requests can be answered in time, then closes each connection with its answer, so that no request is still open
 /// when the process is killed.
-pub async fn shut_down(board: &Rc<Dispatcher>, server: &Server) {
+pub async fn shut_down(dispatcher: &Rc<Dispatcher>, server: &Server) {
     tracing::info!("shutting down");
-    board.update_phase(|phase, now| phase.shut_down(now));
-    while !may_close_all(board, server) {
+    dispatcher.update_phase(|phase, now| phase.shut_down(now));
+    while !may_close_all(dispatcher, server) {
         actix_rt::time::sleep(POLL_INTERVAL).await;
     }
     let mut end = pin!(server.shut_down());
-    let deadline = pin!(wait_for_stage(board, Closing::OpenRpcs));
+    let deadline = pin!(wait_for_stage(dispatcher, Closing::OpenRpcs));
     if let Either::Right(_) = select(&mut end, deadline).await {
-        board.fail_all();
+        dispatcher.fail_all();
         end.await;
     }
 }
 
 /// Whether connections may be closed. No new caller connects to this process once a successor serves, so that it need not
 /// wait after the last connection has ended.
-fn may_close_all(board: &Dispatcher, server: &Server) -> bool {
-    board.closing() >= Closing::Idle || board.phase.get().is_handing_over() && server.connections() == 0
+fn may_close_all(dispatcher: &Dispatcher, server: &Server) -> bool {
+    dispatcher.closing() >= Closing::Idle
+        || dispatcher.phase.get().is_handing_over() && server.connections() == 0
 }
 
-async fn wait_for_stage(board: &Dispatcher, stage: Closing) {
-    while board.closing() < stage {
+async fn wait_for_stage(dispatcher: &Dispatcher, stage: Closing) {
+    while dispatcher.closing() < stage {
         actix_rt::time::sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/fernroute-server/src/program/successor.rs
+++ b/crates/fernroute-server/src/program/successor.rs
@@ -34,7 +34,7 @@
     loop {
         let connection = accept(&listener).await;
         if let Some(connection) = hand_over_exclusively(running, &listener, connection).await {
-            running.board.update_phase(|phase, now| phase.hand_over(now));
+            running.dispatcher.update_phase(|phase, now| phase.hand_over(now));
             running.server.set_accepting(false);
             running.update_quota(|quota| quota.handed_over = true);
             tracing::info!("a successor serves");
@@ -62,7 +62,7 @@
     let end = report_until_drained(running, connection).await;
     if end == DrainEnd::SuccessorEnded {
         tracing::warn!("the successor has ended, serving again");
-        running.board.update_phase(|phase, _| phase.cancel_hand_over());
+        running.dispatcher.update_phase(|phase, _| phase.cancel_hand_over());
         running.server.set_accepting(true);
         reclaim(running);
     }
--- a/crates/fernroute-server/src/program/upgrade.rs
+++ b/crates/fernroute-server/src/program/upgrade.rs
@@ -93,7 +93,7 @@
 
 /// Starts to serve, except in a process that is shutting down already.
 async fn start_serving_unless_stopping(running: &RunningInstance) -> Result<(), StartError> {
-    if running.board.phase.get().is_shutting_down() {
+    if running.dispatcher.phase.get().is_shutting_down() {
         return std::future::pending().await;
     }
     running.start_serving()
@@ -103,7 +103,7 @@
 /// upstreams that drain.
 async fn wait_for_discovery(running: &RunningInstance) {
     let started_at = Instant::now();
-    while !running.board.discovery_answered.get() && started_at.elapsed() < DISCOVERY_TIMEOUT {
+    while !running.dispatcher.discovery_answered.get() && started_at.elapsed() < DISCOVERY_TIMEOUT {
         actix_rt::time::sleep(POLL_INTERVAL).await;
     }
 }
@@ -117,7 +117,7 @@
     let descriptors = running.quota().assigned;
     tracing::info!("taking over from the process that serves, {descriptors} descriptors at the start");
     wait_until_prepared(running, &connection, configuration_current).await;
-    if running.board.phase.get().is_shutting_down() {
+    if running.dispatcher.phase.get().is_shutting_down() {
         return std::future::pending().await;
     }
     // Sent before this process accepts connections. A failure means that the predecessor has ended.
@@ -142,7 +142,7 @@
 ) {
     let prepared = pin!(async {
         configuration_current.await;
-        while running.board.upstreams.borrow().is_empty() {
+        while running.dispatcher.upstreams.borrow().is_empty() {
             actix_rt::time::sleep(POLL_INTERVAL).await;
         }
     });
--- a/crates/fernroute-server/tests/attempts.rs
+++ b/crates/fernroute-server/tests/attempts.rs
@@ -186,7 +186,7 @@
             assert!(!had_all || up.attempts.get() == 1 || matches!(end, End::TurnAway), "{told}");
             assert!(!had_all || !exhausted || matches!(end, End::TurnAway), "{told}");
             drop(caller);
-            wait_until(|| b.board.open.borrow().is_empty()).await;
+            wait_until(|| b.dispatcher.open.borrow().is_empty()).await;
         }
         assert!(whole > 0, "some were whole");
     });
--- a/crates/fernroute-server/tests/common/mod.rs
+++ b/crates/fernroute-server/tests/common/mod.rs
@@ -84,7 +84,7 @@
     for (name, value) in words.into_iter().chain(key) {
         head.headers.insert(HeaderName::from_static(name), value.parse().expect("valid header value"));
     }
-    Request::decode(&head, &b.board.methods.borrow()).expect("valid RPC")
+    Request::decode(&head, &b.dispatcher.methods.borrow()).expect("valid RPC")
 }
 
 /// The target list that the balancer decodes from a discovery response; `entries` as built by [`entry`].
--- a/crates/fernroute-server/tests/connections.rs
+++ b/crates/fernroute-server/tests/connections.rs
@@ -185,7 +185,7 @@
         let at = [zoned(0, Rc::clone(&ran)).await, zoned(1, Rc::clone(&ran)).await];
         let b = balancer_at(&at, &[(r#""group":"all""#, r#""group":"zone""#)]).await;
         let zones = [list_entry("s-0", at[0], "z", "SERVING"), list_entry("s-1", at[1], "y", "SERVING")];
-        b.board.apply_list(&decode_list(8, true, &zones), true);
+        b.dispatcher.apply_list(&decode_list(8, true, &zones), true);
         // Accepted connections have the same: with the usual megabytes a slow caller holds up the end of few answers.
         let listener = b.server.listener().expect("listen on the socket");
         rustix::net::sockopt::set_socket_send_buffer_size(&listener, 16 * 1024)
--- a/crates/fernroute-server/tests/crowds.rs
+++ b/crates/fernroute-server/tests/crowds.rs
@@ -232,7 +232,7 @@
             assert_eq!(read_message(&mut caller).await.expect("read the answer").status(), 200);
             kept.push(caller);
         }
-        wait_until(|| b.board.open.borrow().is_empty()).await;
+        wait_until(|| b.dispatcher.open.borrow().is_empty()).await;
         b.server.set_max_connections(5);
         wait_until(|| b.server.connections() == 5).await;
         // The last five are served on.
--- a/crates/fernroute-server/tests/daily.rs
+++ b/crates/fernroute-server/tests/daily.rs
@@ -61,7 +61,7 @@
         for (verb, path) in [("GET", "/-/metrics"), ("POST", "/-/drain"), ("POST", "/-/resume")] {
             assert_eq!(send_and_read(b.address, call(verb, path)).await.status(), 404, "{path}");
         }
-        assert!(b.board.is_ready());
+        assert!(b.dispatcher.is_ready());
     });
 }
 
@@ -135,11 +135,13 @@
             (number(&v["taken"]), ended + number(&v["left"]) + number(&v["outstanding"]))
         };
         assert_eq!(counts(&told).0, counts(&told).1, "{told}");
-        wait_until(|| b.board.open.borrow().values().filter(|rpc| !rpc.attempts.is_empty()).count() == 2)
-            .await;
+        wait_until(|| {
+            b.dispatcher.open.borrow().values().filter(|rpc| !rpc.attempts.is_empty()).count() == 2
+        })
+        .await;
         wait_until(|| up.received.borrow().len() >= 6).await;
         drop(leaver);
-        wait_until(|| b.board.open.borrow().len() == 1).await;
+        wait_until(|| b.dispatcher.open.borrow().len() == 1).await;
         let told = figures(&b).await;
         assert_eq!(told["outstanding"], 1);
         assert_eq!(told["left"], 1);
@@ -147,12 +149,12 @@
         assert_eq!((counts(&told).0, counts(&told).1), (6, 6), "{told}");
         assert_eq!(told["forwards"], up.received.borrow().len(), "{told}");
         drop(stayer);
-        wait_until(|| b.board.open.borrow().is_empty()).await;
-        b.board.apply_list(&Default::default(), true);
+        wait_until(|| b.dispatcher.open.borrow().is_empty()).await;
+        b.dispatcher.apply_list(&Default::default(), true);
         let told = figures(&b).await;
         assert_eq!((counts(&told).0, counts(&told).1, &told["discovered"]), (6, 6, &1.into()));
         let none = fernroute_server::protocol::list::List { full: true, ..Default::default() };
-        b.board.apply_list(&none, true);
+        b.dispatcher.apply_list(&none, true);
         assert_eq!(figures(&b).await["discovered"], 0);
     });
 }
@@ -206,7 +208,7 @@
             actix_rt::time::sleep(Duration::from_millis(300)).await;
         }
         // Told to stop it says so, and stays so.
-        b.board.update_phase(|phase, now| phase.shut_down(now));
+        b.dispatcher.update_phase(|phase, now| phase.shut_down(now));
         assert_eq!(tell(&b, "POST", "/-/drain").await, 200);
         assert_eq!(tell(&b, "POST", "/-/resume").await, 409);
         assert_eq!(tell(&b, "GET", "/-/ready").await, 503);
--- a/crates/fernroute-server/tests/departures.rs
+++ b/crates/fernroute-server/tests/departures.rs
@@ -103,9 +103,9 @@
 }
 
 async fn nothing_left(b: &RunningInstance) {
-    wait_until(|| b.board.open.borrow().is_empty()).await;
-    assert_eq!(b.board.metrics().outstanding, 0);
-    wait_until(|| b.board.timers.count() == 0).await;
+    wait_until(|| b.dispatcher.open.borrow().is_empty()).await;
+    assert_eq!(b.dispatcher.metrics().outstanding, 0);
+    wait_until(|| b.dispatcher.timers.count() == 0).await;
     wait_until(|| b.server.connections() == 0).await;
 }
 
@@ -204,13 +204,13 @@
                 let up = start_stub(|_, _| ok("whole")).await;
                 let b = balancer_at(&[], &[]).await;
                 let caller = send(b.address, whole).await;
-                wait_until(|| b.board.open.borrow().len() == 1).await;
+                wait_until(|| b.dispatcher.open.borrow().len() == 1).await;
                 // As much is read as ever will be.
                 tokio::time::sleep(Duration::from_millis(100)).await;
                 let half = leave(caller, how);
                 yield_now().await;
                 std::thread::sleep(TURN);
-                b.board.apply_list(
+                b.dispatcher.apply_list(
                     &decode_list(8, true, &[list_entry("s-0", up.address, "z", "SERVING")]),
                     true,
                 );
@@ -234,7 +234,7 @@
                 let held = FullBacklog::new().await.expect("fill the accept queue");
                 let b = balancer_at(&[held.address], &late).await;
                 let caller = send(b.address, whole).await;
-                wait_until(|| b.board.open.borrow().values().any(|rpc| rpc.attempts.len() == 1)).await;
+                wait_until(|| b.dispatcher.open.borrow().values().any(|rpc| rpc.attempts.len() == 1)).await;
                 tokio::time::sleep(Duration::from_millis(100)).await;
                 let half = leave(caller, how);
                 yield_now().await;
@@ -260,11 +260,11 @@
             let other = start_stub(|_, _| ok("whole")).await;
             let b = balancer_at(&[held.address], &[]).await;
             let caller = send(b.address, long()).await;
-            wait_until(|| b.board.open.borrow().values().any(|rpc| rpc.attempts.len() == 1)).await;
+            wait_until(|| b.dispatcher.open.borrow().values().any(|rpc| rpc.attempts.len() == 1)).await;
             tokio::time::sleep(Duration::from_millis(60)).await;
             let both = [held.address, other.address];
             let both = [0, 1].map(|n| list_entry(&format!("s-{n}"), both[n], "z", "SERVING"));
-            b.board.apply_list(&decode_list(8, true, &both), true);
+            b.dispatcher.apply_list(&decode_list(8, true, &both), true);
             let half = leave(caller, how);
             yield_now().await;
             // The first one's time is over by then.
--- a/crates/fernroute-server/tests/discovery_latency.rs
+++ b/crates/fernroute-server/tests/discovery_latency.rs
@@ -153,7 +153,7 @@
 }
 
 fn is_applied(b: &RunningInstance) -> bool {
-    let upstreams = b.board.upstreams.borrow();
+    let upstreams = b.dispatcher.upstreams.borrow();
     upstreams.contains_key("s-9") && !upstreams.contains_key("s-0")
 }
 
@@ -191,8 +191,8 @@
         .await;
         let b = balancer(discovery.address, None).await;
         let from = discovery.until_called(2).await;
-        assert!(b.board.is_ready());
-        holds_within(from, LEARN_LIMIT, || !b.board.is_ready()).await;
+        assert!(b.dispatcher.is_ready());
+        holds_within(from, LEARN_LIMIT, || !b.dispatcher.is_ready()).await;
     });
 }
 
@@ -265,7 +265,7 @@
         let b = balancer(discovery.address, None).await;
         discovery.until_called(2).await;
         two.set(true);
-        wait_until(|| b.board.list_version.get() == Some(8)).await;
+        wait_until(|| b.dispatcher.list_version.get() == Some(8)).await;
         done.set(true);
         let from = discovery.until_called(3).await;
         assert!(discovery.dead.get() >= 2);
@@ -345,7 +345,8 @@
         }
         let from = Instant::now();
         all.iter().for_each(|(b, new)| b.set_discovery(new.address));
-        holds_within(from, LEARN_LIMIT_AFTER_RELOAD, || all.iter().all(|(b, _)| !b.board.is_ready())).await;
+        holds_within(from, LEARN_LIMIT_AFTER_RELOAD, || all.iter().all(|(b, _)| !b.dispatcher.is_ready()))
+            .await;
     });
 }
 
--- a/crates/fernroute-server/tests/message_forms.rs
+++ b/crates/fernroute-server/tests/message_forms.rs
@@ -223,7 +223,7 @@
             let got =
                 if head.to_ascii_lowercase().contains("chunked") { decode_chunked(&got) } else { Some(got) };
             assert!(got.is_some_and(|got| got == body));
-            let metrics = b.board.metrics();
+            let metrics = b.dispatcher.metrics();
             assert_eq!((metrics.ends["pay"].completed, metrics.outstanding, metrics.attempts), (1, 0, 1));
         }
     });
@@ -259,7 +259,7 @@
             let mut caller = send(b.address, rpc_head("GET", "/look", "").replace("4000", "300")).await;
             let mut first = vec![0; 100_000];
             caller.read_exact(&mut first).await.expect("read the start of the answer");
-            assert_eq!(b.board.metrics().outstanding, 1);
+            assert_eq!(b.dispatcher.metrics().outstanding, 1);
             // Still open long after its deadline.
             actix_rt::time::sleep(Duration::from_millis(600)).await;
             go.notify_one();
@@ -271,9 +271,9 @@
                 read_to_end(&mut caller).await
             };
             assert_eq!(rest.len() > 50_000, complete, "{}", rest.len());
-            wait_until(|| b.board.metrics().outstanding == 0).await;
+            wait_until(|| b.dispatcher.metrics().outstanding == 0).await;
         }
-        let results = b.board.metrics().ends["look"];
+        let results = b.dispatcher.metrics().ends["look"];
         assert_eq!((results.completed, results.errored, calls.get()), (1, 1, 2));
     });
 }
@@ -311,7 +311,7 @@
         assert!(status >= 400 && from.elapsed() < Duration::from_secs(3), "{status} {:?}", from.elapsed());
         // The caller leaves.
         drop(send(b.address, [head("/pay").as_bytes(), &pattern(200_000)].concat()).await);
-        wait_until(|| b.board.metrics().left == 1 && b.board.open.borrow().is_empty()).await;
+        wait_until(|| b.dispatcher.metrics().left == 1 && b.dispatcher.open.borrow().is_empty()).await;
         // Larger than the limit, with and without a Content-Length.
         let (said, _) =
             exchange(b.address, rpc_head("POST", "/pay", "Content-Length: 33554433\r\n").into_bytes()).await;
@@ -321,7 +321,7 @@
             [rpc_head("POST", "/pay", "Transfer-Encoding: chunked\r\n").as_bytes(), &chunks].concat();
         let (said, _) = exchange(b.address, request).await;
         assert!(said.starts_with("HTTP/1.1 413"), "{said}");
-        assert_eq!(b.board.metrics().attempts, 0);
+        assert_eq!(b.dispatcher.metrics().attempts, 0);
     });
 }
 
--- a/crates/fernroute-server/tests/program.rs
+++ b/crates/fernroute-server/tests/program.rs
@@ -92,14 +92,14 @@
             let seen = discovery.received.borrow().len();
             // From the first list on there are upstreams, until an answer confirms that there are none.
             if (2..=6).contains(&seen) {
-                assert!(b.board.is_ready(), "after {seen} calls");
+                assert!(b.dispatcher.is_ready(), "after {seen} calls");
                 most = most.max(seen);
             }
             seen == 8
         })
         .await;
         assert!(most >= 5, "last observed after {most} calls");
-        wait_until(|| !b.board.is_ready()).await;
+        wait_until(|| !b.dispatcher.is_ready()).await;
         let asked: Vec<bool> =
             discovery.received.borrow().iter().map(|m| m.head.contains("?index=")).collect();
         assert_eq!(asked, [true, true, false, true, false, true, false, true]);
@@ -255,9 +255,9 @@
         wait_until(|| up.received.borrow().len() == 1).await;
         let mut open = send(b.address, rpc_head("GET", "/look", "").replace("4000", "90000")).await;
         wait_until(|| up.received.borrow().len() == 2).await;
-        let (board, server, from) = (b.board.clone(), b.server.clone(), Instant::now());
-        let end = actix_rt::spawn(async move { shutdown::shut_down(&board, &server).await });
-        wait_until(|| b.board.phase.get().is_shutting_down()).await;
+        let (dispatcher, server, from) = (b.dispatcher.clone(), b.server.clone(), Instant::now());
+        let end = actix_rt::spawn(async move { shutdown::shut_down(&dispatcher, &server).await });
+        wait_until(|| b.dispatcher.phase.get().is_shutting_down()).await;
         assert_eq!(send_and_read(b.address, READY).await.status(), 503);
         let late = send_and_read(b.address, rpc_head("GET", "/look", "")).await;
         assert!(late.status() == 200 && late.header("connection").is_none(), "{}", late.head);
@@ -279,8 +279,8 @@
         let up = start_stub(|_, _| ok("whole")).await;
         let b = balancer(&[&up], &[]).await;
         let mut kept = connect(b.address).await;
-        let (board, server, from) = (b.board.clone(), b.server.clone(), Instant::now());
-        let end = actix_rt::spawn(async move { shutdown::shut_down(&board, &server).await });
+        let (dispatcher, server, from) = (b.dispatcher.clone(), b.server.clone(), Instant::now());
+        let end = actix_rt::spawn(async move { shutdown::shut_down(&dispatcher, &server).await });
         let mut served = from.elapsed();
         // Until the balancer closes the connection.
         while kept.write_all(rpc_head("GET", "/look", "").as_bytes()).await.is_ok() {
@@ -525,7 +525,7 @@
         let b = serve::start(instance_config(&[], address, &[])).await.expect("start the balancer");
         wait_until(|| calls.get() >= 2).await;
         assert!(from.elapsed() < Duration::from_millis(2500), "{:?}", from.elapsed());
-        wait_until(|| b.board.is_ready()).await;
+        wait_until(|| b.dispatcher.is_ready()).await;
         // The slow list takes longer than the time-out for silent discovery, and the first slow call is still read to its end. At
         // most two further calls are made meanwhile, so that a change after its start is learned before it is complete.
         assert!(from.elapsed() > Duration::from_millis(4000), "{:?}", from.elapsed());
--- a/crates/fernroute-server/tests/relay.rs
+++ b/crates/fernroute-server/tests/relay.rs
@@ -120,7 +120,7 @@
         for (bytes, status) in cases {
             assert_eq!(send_and_read(b.address, &bytes).await.status(), status, "{bytes}");
         }
-        assert!(up.received.borrow().is_empty() && b.board.open.borrow().is_empty());
+        assert!(up.received.borrow().is_empty() && b.dispatcher.open.borrow().is_empty());
     });
 }
 
@@ -320,7 +320,7 @@
         assert_eq!(send_and_read(b.address, bytes).await.status(), 502);
         assert!(from.elapsed() >= Duration::from_millis(295), "{:?}", from.elapsed());
         wait_until(|| up.closed.get() == 1).await;
-        assert!(b.board.open.borrow().is_empty());
+        assert!(b.dispatcher.open.borrow().is_empty());
     });
 }
 
@@ -334,7 +334,7 @@
         wait_until(|| up.received.borrow().len() == 1).await;
         drop(stream);
         wait_until(|| up.closed.get() == 1).await;
-        wait_until(|| b.board.open.borrow().is_empty()).await;
+        wait_until(|| b.dispatcher.open.borrow().is_empty()).await;
     });
 }
 
@@ -408,8 +408,8 @@
         let b = balancer(&[&up], &[]).await;
         let mut stream = send(b.address, rpc_head("GET", "/look", "")).await;
         wait_until(|| up.received.borrow().len() == 1).await;
-        let id = b.board.open.borrow().keys().next().cloned().expect("open connection or RPC");
-        b.board.decide(Some(&id), |_, _| panic!("on purpose"));
+        let id = b.dispatcher.open.borrow().keys().next().cloned().expect("open connection or RPC");
+        b.dispatcher.decide(Some(&id), |_, _| panic!("on purpose"));
         assert_eq!(read_message(&mut stream).await.expect("read the answer").status(), 502);
         assert_eq!(send_and_read(b.address, rpc_head("GET", "/look", "")).await.status(), 200);
     });
@@ -424,7 +424,7 @@
         let _first = send(b.address, &bytes).await;
         wait_until(|| up.received.borrow().len() == 1).await;
         assert_eq!(send_and_read(b.address, &bytes).await.status(), 400);
-        assert_eq!(b.board.open.borrow().len(), 1);
+        assert_eq!(b.dispatcher.open.borrow().len(), 1);
     });
 }
 
--- a/crates/fernroute-server/tests/repeats.rs
+++ b/crates/fernroute-server/tests/repeats.rs
@@ -39,9 +39,9 @@
             // It may have run there. From here on there is only one whose connections come up late.
             let both =
                 [list_entry("s-0", at, "z", "DRAINING"), list_entry("s-1", held.address, "z", "SERVING")];
-            b.board.apply_list(&decode_list(8, true, &both), true);
+            b.dispatcher.apply_list(&decode_list(8, true, &both), true);
             stream.write_all(&response(500, "", "")).await.expect("complete transfer");
-            wait_until(|| b.board.open.borrow().values().any(|rpc| rpc.attempts_started == 2)).await;
+            wait_until(|| b.dispatcher.open.borrow().values().any(|rpc| rpc.attempts_started == 2)).await;
             assert!(begun.elapsed() < WINDOW, "too slow a machine: the repeat was to be sent off in time");
             tokio::time::sleep(WINDOW.saturating_sub(begun.elapsed())).await;
             let up = held.release(|_, _| ok("whole"));
@@ -51,7 +51,7 @@
                 (ended.status() == 200, up.received.borrow().len()),
                 (status == 200, (status == 200) as usize)
             );
-            wait_until(|| b.board.open.borrow().is_empty()).await;
+            wait_until(|| b.dispatcher.open.borrow().is_empty()).await;
         });
     }
 }
--- a/crates/fernroute-server/tests/schedules.rs
+++ b/crates/fernroute-server/tests/schedules.rs
@@ -204,7 +204,7 @@
 
     /// Waits until every attempt that was written has arrived at its upstream.
     async fn until_arrived(&self) {
-        let written = || self.b.board.metrics().attempts as usize;
+        let written = || self.b.dispatcher.metrics().attempts as usize;
         wait_until(|| written() <= self.model.arrivals.borrow().len()).await;
     }
 
@@ -215,7 +215,7 @@
             false,
             &[list_entry(&format!("s-{upstream}"), self.addresses[upstream], "z", state)],
         );
-        self.b.board.apply_list(&list, true);
+        self.b.dispatcher.apply_list(&list, true);
         self.model.draining[upstream].set(state != "SERVING");
     }
 
@@ -266,7 +266,7 @@
     }
 
     async fn forbid_after_leave(&self, id: &str) {
-        wait_until(|| self.b.board.open.borrow().get(id).is_none_or(|rpc| rpc.answer.is_none())).await;
+        wait_until(|| self.b.dispatcher.open.borrow().get(id).is_none_or(|rpc| rpc.answer.is_none())).await;
         self.until_arrived().await;
         self.model.forbidden.borrow_mut().insert(id.to_owned(), "sent on though its caller has left");
     }
@@ -318,8 +318,8 @@
                 self.until_arrived().await;
                 let (id, _) = self.new_rpc(method, false);
                 let request = request(&self.b, &id, METHODS[method].0, "1000");
-                let board = Rc::clone(&self.b.board);
-                let mut asked = Box::pin(async move { board.admit(request, None).await.is_ok() });
+                let dispatcher = Rc::clone(&self.b.dispatcher);
+                let mut asked = Box::pin(async move { dispatcher.admit(request, None).await.is_ok() });
                 let at_once = futures_util::FutureExt::now_or_never(asked.as_mut());
                 self.set_upstream_state(upstream, "DRAINING");
                 if at_once.is_none() {
@@ -345,7 +345,7 @@
         let waits = |c: &Caller| c.reader.is_some() && c.answer.borrow().is_none();
         let from = Instant::now();
         while from.elapsed() < Duration::from_secs(3)
-            && (self.callers.iter().any(waits) || !self.b.board.open.borrow().is_empty())
+            && (self.callers.iter().any(waits) || !self.b.dispatcher.open.borrow().is_empty())
         {
             self.model.answer_waiting(0, AnswerKind::Complete);
             tokio::time::sleep(Duration::from_millis(1)).await;
@@ -385,18 +385,18 @@
         for caller in &mut self.callers {
             caller.reader.take().into_iter().for_each(|reader| reader.abort());
         }
-        let board = &self.b.board;
+        let dispatcher = &self.b.dispatcher;
         let clear = || {
-            board.open.borrow().is_empty()
-                && board.metrics().outstanding == 0
-                && board.timers.count() == 0
+            dispatcher.open.borrow().is_empty()
+                && dispatcher.metrics().outstanding == 0
+                && dispatcher.timers.count() == 0
                 && self.b.server.connections() == 0
         };
         if tokio::time::timeout(Duration::from_secs(2), wait_until(clear)).await.is_err() {
             violations.push(format!(
                 "left behind: {:?} open, {} timers, {} callers",
-                board.open.borrow().keys().collect::<Vec<_>>(),
-                board.timers.count(),
+                dispatcher.open.borrow().keys().collect::<Vec<_>>(),
+                dispatcher.timers.count(),
                 self.b.server.connections()
             ));
         }
--- a/crates/fernroute-server/tests/sizes.rs
+++ b/crates/fernroute-server/tests/sizes.rs
@@ -29,10 +29,10 @@
         let b = serve::start(common::instance_config(&none, discovery.address, &[]))
             .await
             .expect("start the balancer");
-        wait_until(|| b.board.upstream_counts().0 == MANY).await;
-        assert_eq!(b.board.upstreams.borrow().len(), MANY);
+        wait_until(|| b.dispatcher.upstream_counts().0 == MANY).await;
+        assert_eq!(b.dispatcher.upstreams.borrow().len(), MANY);
         discovery.publish(many("DRAINING").join(","));
-        wait_until(|| b.board.upstreams.borrow().is_empty()).await;
+        wait_until(|| b.dispatcher.upstreams.borrow().is_empty()).await;
     });
 }
 
@@ -42,8 +42,8 @@
     run(async {
         let none: [SocketAddr; 0] = [];
         let b = balancer_at(&none, &[]).await;
-        b.board.apply_list(&decode_list(8, true, &many("SERVING")), true);
-        let lines = b.board.upstreams.borrow();
+        b.dispatcher.apply_list(&decode_list(8, true, &many("SERVING")), true);
+        let lines = b.dispatcher.upstreams.borrow();
         let discovery = SocketAddr::from(([127, 0, 0, 1], 1));
         let known = HandoverList::of(discovery, Some(8), lines.values().map(|(entry, _)| entry));
         let line = encode(&known);
--- a/crates/fernroute-server/tests/termination_races.rs
+++ b/crates/fernroute-server/tests/termination_races.rs
@@ -30,13 +30,13 @@
 
 /// Waits until no RPC, attempt or timer is left.
 async fn until_no_state_left(b: &RunningInstance) {
-    wait_until(|| b.board.open.borrow().is_empty()).await;
-    assert_eq!(b.board.metrics().outstanding, 0);
-    wait_until(|| b.board.timers.count() == 0).await;
+    wait_until(|| b.dispatcher.open.borrow().is_empty()).await;
+    assert_eq!(b.dispatcher.metrics().outstanding, 0);
+    wait_until(|| b.dispatcher.timers.count() == 0).await;
 }
 
 fn attempt_count(b: &RunningInstance) -> usize {
-    b.board.open.borrow().values().map(|rpc| rpc.attempts.len()).sum()
+    b.dispatcher.open.borrow().values().map(|rpc| rpc.attempts.len()).sum()
 }
 
 fn post_rpc(headers: &str) -> String {
@@ -59,7 +59,7 @@
                 caller.set_zero_linger().expect("set the socket option");
             }
             drop(caller);
-            wait_until(|| b.board.metrics().outstanding == 0).await;
+            wait_until(|| b.dispatcher.metrics().outstanding == 0).await;
             let up = held.release(|_, _| ok("whole"));
             // Longer than the second after which TCP retransmits a SYN.
             tokio::time::sleep(Duration::from_millis(1300)).await;
@@ -81,7 +81,7 @@
             let caller = send(b.address, rpc_head("GET", "/look", "").replace("Ms: 4000", "Ms: 700")).await;
             wait_until(|| up.received.borrow().len() == 1).await;
             drop(caller);
-            wait_until(|| b.board.metrics().outstanding == 0).await;
+            wait_until(|| b.dispatcher.metrics().outstanding == 0).await;
             assert!(allowed || up.closed.get() == 0);
             // Closed by the cancellation, or else by the deadline.
             wait_until(|| up.closed.get() == 1).await;
@@ -169,10 +169,11 @@
         let up = start_stub(|_, _| ok("whole")).await;
         let b = balancer_at(&[], &[]).await;
         let caller = send(b.address, rpc_head("GET", "/look", "")).await;
-        wait_until(|| b.board.open.borrow().len() == 1).await;
+        wait_until(|| b.dispatcher.open.borrow().len() == 1).await;
         drop(caller);
-        wait_until(|| b.board.open.borrow().is_empty()).await;
-        b.board.apply_list(&decode_list(8, true, &[list_entry("s-0", up.address, "z", "SERVING")]), true);
+        wait_until(|| b.dispatcher.open.borrow().is_empty()).await;
+        b.dispatcher
+            .apply_list(&decode_list(8, true, &[list_entry("s-0", up.address, "z", "SERVING")]), true);
         assert_eq!(send_and_read(b.address, rpc_head("GET", "/look", "")).await.status(), 200);
         until_no_state_left(&b).await;
         assert_eq!(up.received.borrow().len(), 1);
@@ -199,7 +200,7 @@
                 "not named" => {}
                 state => entries.push(list_entry("s-0", held.address, "z", state)),
             }
-            b.board.apply_list(&decode_list(8, state == "not named", &entries), true);
+            b.dispatcher.apply_list(&decode_list(8, state == "not named", &entries), true);
             let answer = read_message(&mut caller).await.expect("read the answer");
             assert_eq!((answer.status(), answer.body), (200, b"whole".to_vec()), "{state}");
             // TCP retransmits a SYN after a second; the RPC did not wait for that.
@@ -221,11 +222,11 @@
         // Leaves an idle connection, which would be written to at once.
         assert_eq!(send_and_read(b.address, rpc_head("GET", "/look", "")).await.body, b"one");
         until_reusable().await;
-        let mut asked = pin!(b.board.admit(request(&b, "turn", "look", "4000"), None));
+        let mut asked = pin!(b.dispatcher.admit(request(&b, "turn", "look", "4000"), None));
         assert!(asked.as_mut().now_or_never().is_none() && attempt_count(&b) == 1);
         let entries =
             [list_entry("s-0", one.address, "z", "DRAINING"), list_entry("s-1", two.address, "z", "SERVING")];
-        b.board.apply_list(&decode_list(8, false, &entries), true);
+        b.dispatcher.apply_list(&decode_list(8, false, &entries), true);
         let Ok(FinalAnswer::Completed(last)) = asked.await else { panic!("the RPC must complete") };
         assert_eq!((&last.body[..], one.received.borrow().len()), (&b"two"[..], 1));
         until_no_state_left(&b).await;
@@ -240,8 +241,8 @@
         let up = notified_upstream(Rc::clone(&go)).await;
         let b = balancer_at(&[up], &[]).await;
         let mut caller = send(b.address, post_rpc("")).await;
-        wait_until(|| b.board.metrics().attempts == 1).await;
-        b.board.apply_list(&decode_list(8, false, &[list_entry("s-0", up, "z", "DRAINING")]), true);
+        wait_until(|| b.dispatcher.metrics().attempts == 1).await;
+        b.dispatcher.apply_list(&decode_list(8, false, &[list_entry("s-0", up, "z", "DRAINING")]), true);
         go.notify_one();
         assert_eq!(read_message(&mut caller).await.expect("read the answer").status(), 200);
         until_no_state_left(&b).await;
@@ -390,16 +391,16 @@
         let up = start_stub(|n, _| if n == 0 { Reply::NoReply } else { ok("whole") }).await;
         let b = balancer(&[&up], &[]).await;
         {
-            let mut asked = Box::pin(b.board.admit(request(&b, "twice", "look", "4000"), None));
+            let mut asked = Box::pin(b.dispatcher.admit(request(&b, "twice", "look", "4000"), None));
             assert!(asked.as_mut().now_or_never().is_none());
             wait_until(|| up.received.borrow().len() == 1).await;
             drop(asked);
         }
         // In the same poll: no other task has run since.
-        let again = b.board.admit(request(&b, "twice", "look", "4000"), None).await;
+        let again = b.dispatcher.admit(request(&b, "twice", "look", "4000"), None).await;
         assert!(again.is_err(), "the outcome of the old attempt is not recorded yet");
         until_no_state_left(&b).await;
-        let last = b.board.admit(request(&b, "twice", "look", "4000"), None).await;
+        let last = b.dispatcher.admit(request(&b, "twice", "look", "4000"), None).await;
         assert!(matches!(last, Ok(FinalAnswer::Completed(_))), "{last:?}");
         until_no_state_left(&b).await;
     });
@@ -414,7 +415,7 @@
         let b = balancer_at(&[up], &[("\"max-transmissions\":3", "\"max-transmissions\":1")]).await;
         for n in 0..20 {
             let mut caller = send(b.address, post_rpc("").replace("Ms: 4000", "Ms: 30")).await;
-            wait_until(|| b.board.metrics().attempts == n + 1).await;
+            wait_until(|| b.dispatcher.metrics().attempts == n + 1).await;
             // The answer arrives and the deadline passes while this thread is blocked.
             go.notify_one();
             tokio::task::yield_now().await;
@@ -484,8 +485,8 @@
         let (first, rest) = whole.split_at(40);
         let mut slow = send(b.address, first).await;
         wait_until(|| b.server.connections() == 1).await;
-        b.board.update_phase(|phase, now| phase.shut_down(now - 90_000));
-        b.board.fail_all();
+        b.dispatcher.update_phase(|phase, now| phase.shut_down(now - 90_000));
+        b.dispatcher.fail_all();
         slow.write_all(rest.as_bytes()).await.expect("write to the socket");
         let last = read_message(&mut slow).await.expect("read the answer");
         assert_eq!((last.status(), last.header("connection")), (503, Some("close")));
@@ -529,7 +530,7 @@
         for _ in 0..10 {
             kept.write_all(rpc_head("GET", "/look", "").as_bytes()).await.expect("write to the socket");
             assert_eq!(read_message(&mut kept).await.expect("read the answer").status(), 200);
-            wait_until(|| b.board.open.borrow().is_empty()).await;
+            wait_until(|| b.dispatcher.open.borrow().is_empty()).await;
             let next = rpc_head("GET", "/look", "");
             assert_eq!(kept.try_write(next.as_bytes()).expect("write to the socket"), next.len());
             // In the same poll, the connection limit shrinks.
@@ -560,8 +561,8 @@
         ];
         for (n, text) in bad.iter().enumerate() {
             match n % 3 {
-                1 => drop(b.board.update_phase(|phase, now| phase.drain(now))),
-                2 => drop(b.board.update_phase(|phase, _| phase.resume())),
+                1 => drop(b.dispatcher.update_phase(|phase, now| phase.drain(now))),
+                2 => drop(b.dispatcher.update_phase(|phase, _| phase.resume())),
                 _ => {}
             }
             let mut waiting = Vec::new();
--- a/crates/fernroute-server/tests/watches.rs
+++ b/crates/fernroute-server/tests/watches.rs
@@ -48,7 +48,7 @@
         let gaps = calls[1..7].windows(2).map(|pair| pair[1] - pair[0]);
         // The shortest: a busy machine may stretch any one.
         assert!(gaps.min().expect("at least one gap") < Duration::from_millis(190));
-        wait_until(|| !b.board.is_ready()).await;
+        wait_until(|| !b.dispatcher.is_ready()).await;
         assert!(!served(&b).await && up.received.borrow().is_empty());
     });
 }
@@ -68,7 +68,7 @@
         let b = serve::start(instance_config(&[one.address, two.address], discovery.address, &[]))
             .await
             .expect("start the balancer");
-        wait_until(|| b.board.upstream_counts().1 == 1).await;
+        wait_until(|| b.dispatcher.upstream_counts().1 == 1).await;
         for _ in 0..20 {
             assert!(served(&b).await);
         }
@@ -121,7 +121,7 @@
             all.push((b, calls));
         }
         for (b, calls) in &all {
-            wait_until(|| b.board.is_ready()).await;
+            wait_until(|| b.dispatcher.is_ready()).await;
             // The first is answered; the second hangs; the third is the new watch.
             wait_until(|| calls.borrow().len() >= 3).await;
             let calls = calls.borrow().clone();
@@ -161,8 +161,8 @@
         // In the same turn: the call is out, its answer comes now.
         go.notify_one();
         wait_until(|| answered.get() && new.received.borrow().len() == 2).await;
-        assert!(b.board.is_ready() && served(&b).await);
-        assert_eq!(b.board.list_version.get(), Some(3));
+        assert!(b.dispatcher.is_ready() && served(&b).await);
+        assert_eq!(b.dispatcher.list_version.get(), Some(3));
     });
 }
 
@@ -196,7 +196,7 @@
         assert!(served(&b).await);
         let _open = send(b.address, "GET /lo").await;
         back.set(true);
-        wait_until(|| b.board.list_version.get() == Some(9)).await;
+        wait_until(|| b.dispatcher.list_version.get() == Some(9)).await;
         let before = one.received.borrow().len();
         for _ in 0..20 {
             assert!(served(&b).await);
