--- a/crates/fernroute-server/src/program/commands.rs
+++ b/crates/fernroute-server/src/program/commands.rs
@@ -87,7 +87,7 @@
 fn check(config: Option<PathBuf>) -> Result<(), CommandError> {
     let instance = InstanceConfig::read(&config_path(config)?)?;
     instance.check()?;
-    let upstreams = instance.endpoint_list.map_or(0, |known| known.entries.len());
+    let upstreams = instance.endpoint_list.map_or(0, |list| list.entries.len());
     println!("{}: {upstreams} upstreams known", instance.name);
     Ok(())
 }
--- a/crates/fernroute-server/src/program/configuration_cache.rs
+++ b/crates/fernroute-server/src/program/configuration_cache.rs
@@ -85,7 +85,7 @@
         Ok(Some(snapshot))
     }
 
-    /// Writes the snapshot on a separate thread, so that no request waits for the disk, and waits at most `limit` for the
+    /// Writes the snapshot on a separate thread, so that no RPC waits for the disk, and waits at most `limit` for the
     /// result.
     ///
     /// # Errors
--- a/crates/fernroute-server/src/program/descriptor_quota.rs
+++ b/crates/fernroute-server/src/program/descriptor_quota.rs
@@ -44,8 +44,8 @@
         DescriptorQuota { total, assigned: total, handed_over: false, reserved }
     }
 
-    /// The connection limits. Callers get the larger part: a request needs one connection on each side, and callers keep
-    /// theirs open between requests.
+    /// The connection limits. Callers get the larger part: an RPC needs one connection on each side, and callers keep
+    /// theirs open between RPCs.
     pub fn connection_limits(&self) -> ConnectionLimits {
         let connections = self.assigned.saturating_sub(self.reserved).max(MIN_CONNECTIONS);
         ConnectionLimits { callers: connections * 3 / 5, upstreams: connections * 2 / 5 }
--- a/crates/fernroute-server/src/program/fleet.rs
+++ b/crates/fernroute-server/src/program/fleet.rs
@@ -1,5 +1,5 @@
 //! The balancer's membership of a fleet: a background task that sends heartbeats with the demand for each shared budget and
-//! applies the grants in the replies. Requests never wait for it. It runs only where a fleet is configured.
+//! applies the grants in the replies. RPCs never wait for it. It runs only where a fleet is configured.
 //!
 //! The states of a member and their transitions:
 //! - *unidentified*: no identity in the ledger yet, no heartbeats, no shared budget. Ends once the identity file is locked.
--- a/crates/fernroute-server/src/program/identity.rs
+++ b/crates/fernroute-server/src/program/identity.rs
@@ -7,7 +7,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// The interval between attempts to lock the identity file while a predecessor process holds the lock.
+/// How often locking the identity file is tried while a predecessor process holds the lock.
 const IDENTITY_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A balancer's identity in the ledger, with its exclusive lock.
--- a/crates/fernroute-server/src/program/instance.rs
+++ b/crates/fernroute-server/src/program/instance.rs
@@ -244,7 +244,7 @@
 
     fn from_balancer_config(config: BalancerConfig) -> Self {
         let entries: Vec<Entry> = config.upstreams.into_iter().map(ready_entry).collect();
-        let known = (!entries.is_empty()).then_some(List { version: 0, full: true, entries });
+        let endpoint_list = (!entries.is_empty()).then_some(List { version: 0, full: true, entries });
         InstanceConfig {
             name: config.name,
             listen: config.listen,
@@ -253,7 +253,7 @@
             seed: config.seed.unwrap_or_else(seed_from_clock),
             descriptors: config.descriptors,
             memory_bytes: config.memory_mb << 20,
-            endpoint_list: known,
+            endpoint_list,
             list_version: None,
             fleet: config.fleet,
             settings: config.settings,
@@ -267,7 +267,7 @@
     pub fn decode_json(text: &str) -> Result<Self, DecodeError> {
         let raw: RawJsonConfig = serde_json::from_str(text)?;
         raw.limits.check()?;
-        let known = match raw.known {
+        let endpoint_list = match raw.known {
             Value::Null => None,
             known => Some(list::decode(&known).ok_or(DecodeError::EndpointList)?),
         };
@@ -279,8 +279,8 @@
             seed: u64::from_str_radix(&raw.seed, 16).map_err(DecodeError::Seed)?,
             descriptors: raw.limits.descriptors,
             memory_bytes: (raw.limits.memory_megabytes * (1 << 20) as f64) as usize,
-            list_version: known.as_ref().map(|known| known.version),
-            endpoint_list: known,
+            list_version: endpoint_list.as_ref().map(|list| list.version),
+            endpoint_list,
             fleet: None,
             settings: settings::decode(&raw.settings),
         })
--- a/crates/fernroute-server/src/program/ops.rs
+++ b/crates/fernroute-server/src/program/ops.rs
@@ -24,11 +24,11 @@
     let listener = TcpListener::bind(address).await.map_err(listen_error)?;
     let local_address = listener.local_addr().map_err(listen_error)?;
     let (dispatcher, server) = (Rc::clone(dispatcher), Rc::clone(server));
-    actix_rt::spawn(ops_server::run(listener, move |call| answer(&dispatcher, &server, call)));
+    actix_rt::spawn(ops_server::run(listener, move |call| reply(&dispatcher, &server, call)));
     Ok(local_address)
 }
 
-fn answer(dispatcher: &Dispatcher, server: &Server, call: Call) -> Reply {
+fn reply(dispatcher: &Dispatcher, server: &Server, call: Call) -> Reply {
     match call {
         Call::Ready if dispatcher.is_ready() => Reply::plain(StatusCode::OK, "ready"),
         Call::Ready => Reply::plain(StatusCode::SERVICE_UNAVAILABLE, "not ready"),
--- a/crates/fernroute-server/src/program/predecessor.rs
+++ b/crates/fernroute-server/src/program/predecessor.rs
@@ -13,11 +13,11 @@
 use tokio::net::TcpListener;
 use tokio::time::timeout;
 
-/// The time-out for messages of the other process: a new process must be ready within six seconds, whatever the old one
+/// The time-out for messages during a handover: a new process must be ready within six seconds, whatever its predecessor
 /// does.
 pub(super) const REPLY_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long to wait for a predecessor that is shutting down, which then has ended and released the operators' address.
+/// How long to wait for a predecessor that is shutting down, which then has ended and released the address for operators.
 const MAX_PREDECESSOR_SHUTDOWN: Duration = Duration::from_secs(5);
 
 /// The interval between requests to a predecessor that is shutting down.
--- a/crates/fernroute-server/src/program/reload.rs
+++ b/crates/fernroute-server/src/program/reload.rs
@@ -45,7 +45,7 @@
     }
 }
 
-/// The configuration in effect: the balancer's own file as last read, the fleet's layers over it, and the result of merging
+/// The active configuration: the balancer's own file as last read, the fleet's layers over it, and the result of merging
 /// both.
 pub struct ActiveConfiguration {
     path: PathBuf,
@@ -91,7 +91,7 @@
         Ok(())
     }
 
-    /// Reloads the file and applies the layers in effect over it.
+    /// Reloads the file and applies the active layers over it.
     fn reload(&self, running: &RunningInstance) -> Result<(), ReloadError> {
         let file_text = InstanceConfig::read_text(&self.path)?;
         let old_discovery = self.instance.borrow().discovery;
--- a/crates/fernroute-server/src/program/running.rs
+++ b/crates/fernroute-server/src/program/running.rs
@@ -23,7 +23,7 @@
 
 /// A running balancer. It is *waiting* or *serving* after its start; [`RunningInstance::start_serving`] moves it to *serving*.
 pub struct RunningInstance {
-    /// The requests and the decisions.
+    /// The open RPCs and the decisions.
     pub dispatcher: Rc<Dispatcher>,
     /// The callers' connections.
     pub server: Rc<Server>,
@@ -59,7 +59,7 @@
         self.watch_endpoints(discovery, None);
     }
 
-    /// Adopts all new settings, or none. Connections, circuit breakers and open requests are kept.
+    /// Adopts all new settings, or none. Connections, circuit breakers and open RPCs are kept.
     ///
     /// # Errors
     /// The setting that the decisions reject.
--- a/crates/fernroute-server/src/program/serve.rs
+++ b/crates/fernroute-server/src/program/serve.rs
@@ -77,7 +77,7 @@
 pub struct StartedInstance {
     /// The balancer.
     pub running: Rc<RunningInstance>,
-    /// The configuration in effect.
+    /// The active configuration.
     pub active: Rc<ActiveConfiguration>,
     /// The follower of the fleet's configuration, where there is one.
     pub configuration: Option<Rc<ConfigurationTask>>,
@@ -131,8 +131,8 @@
         dispatcher.update_phase(|phase, _| phase.start_waiting());
     }
     adopt_endpoint_list(&mut instance, predecessor);
-    if let Some(known) = &instance.endpoint_list {
-        dispatcher.apply_list(known, false);
+    if let Some(list) = &instance.endpoint_list {
+        dispatcher.apply_list(list, false);
     }
     let running = open_sockets(&instance, predecessor, dispatcher, quota).await?;
     running.server.set_accepting(serves_at_once);
--- a/crates/fernroute-server/src/program/shutdown.rs
+++ b/crates/fernroute-server/src/program/shutdown.rs
@@ -28,7 +28,7 @@
 }
 
 /// Drains and ends the server. The balancer is not ready from here on. It continues to serve while callers still connect and
-/// their requests can be answered in time, then closes each connection with its answer, so that no request is still open
+/// their RPCs can be answered in time, then closes each connection with its answer, so that no RPC is still open
 /// when the process is killed.
 pub async fn shut_down(dispatcher: &Rc<Dispatcher>, server: &Server) {
     tracing::info!("shutting down");
--- a/crates/fernroute-server/src/program/successor.rs
+++ b/crates/fernroute-server/src/program/successor.rs
@@ -1,9 +1,9 @@
-//! The old process of an upgrade: hands over to a successor that connects to the handover socket.
+//! The predecessor's side of an upgrade: hands over to a successor that connects to the handover socket.
 //!
-//! The old process is *serving*. A successor requests a handover and receives the listening socket, the endpoint list and a
-//! part of the descriptors. When the successor reports that it is ready, the old process is *draining*: it accepts no new
+//! The predecessor is *serving*. A successor requests a handover and receives the listening socket, the endpoint list and a
+//! part of the descriptors. When the successor reports that it is ready, the predecessor is *draining*: it accepts no new
 //! connections, closes each connection with its next answer, and reports the descriptors that become free. If the successor
-//! ends before the drain is complete, the old process takes everything back and is *serving* again.
+//! ends before the drain is complete, the predecessor takes everything back and is *serving* again.
 
 use super::predecessor::REPLY_TIMEOUT;
 use super::running::RunningInstance;
--- a/crates/fernroute-server/src/program/upgrade.rs
+++ b/crates/fernroute-server/src/program/upgrade.rs
@@ -1,9 +1,9 @@
-//! Upgrade: a new process of the balancer takes over from the old one without refusing connections.
+//! Upgrade: a new process of the balancer takes over from its predecessor without refusing connections.
 //!
 //! The new process is *waiting* after its start. It requests the listening socket, receives it with the endpoint list and a
-//! part of the descriptors, reports when it is ready, and is *serving* from then on. The old process *hands over* and then
+//! part of the descriptors, reports when it is ready, and is *serving* from then on. The predecessor *hands over* and then
 //! *drains*: it accepts no new connections, closes each connection with its next answer, reports the descriptors that become
-//! free, and ends. After any failure both continue: the new process opens its own listening socket, and the old one takes
+//! free, and ends. After any failure both continue: the new process opens its own listening socket, and the predecessor takes
 //! back what it handed over.
 
 use super::configuration::ConfigurationTask;
