--- a/crates/fernroute-server/src/program/successor.rs
+++ b/crates/fernroute-server/src/program/successor.rs
@@ -1,9 +1,9 @@
-//! The old process of an upgrade: hands over to a successor that connects to the handover socket.
+//! The predecessor's side of an upgrade: hands over to a successor that connects to the handover socket.
 //!
-//! The old process is *serving*. A successor requests a handover and receives the listening socket, the endpoint list and a
-//! part of the descriptors. When the successor reports that it is ready, the old process is *draining*: it accepts no new
+//! The predecessor is *serving*. A successor requests a handover and receives the listening socket, the endpoint list and a
+//! part of the descriptors. When the successor reports that it is ready, the predecessor is *draining*: it accepts no new
 //! connections, closes each connection with its next answer, and reports the descriptors that become free. If the successor
-//! ends before the drain is complete, the old process takes everything back and is *serving* again.
+//! ends before the drain is complete, the predecessor takes everything back and is *serving* again.
 
 use super::predecessor::REPLY_TIMEOUT;
 use super::running::RunningInstance;
@@ -34,7 +34,7 @@
     loop {
         let connection = accept(&listener).await;
         if let Some(connection) = hand_over_exclusively(running, &listener, connection).await {
-            running.board.update_phase(|phase, now| phase.hand_over(now));
+            running.dispatcher.update_phase(|phase, now| phase.hand_over(now));
             running.server.set_accepting(false);
             running.update_quota(|quota| quota.handed_over = true);
             tracing::info!("a successor serves");
@@ -62,7 +62,7 @@
     let end = report_until_drained(running, connection).await;
     if end == DrainEnd::SuccessorEnded {
         tracing::warn!("the successor has ended, serving again");
-        running.board.update_phase(|phase, _| phase.cancel_hand_over());
+        running.dispatcher.update_phase(|phase, _| phase.cancel_hand_over());
         running.server.set_accepting(true);
         reclaim(running);
     }
--- a/crates/fernroute-server/src/program/upgrade.rs
+++ b/crates/fernroute-server/src/program/upgrade.rs
@@ -1,9 +1,9 @@
-//! Upgrade: a new process of the balancer takes over from the old one without refusing connections.
+//! Upgrade: a new process of the balancer takes over from its predecessor without refusing connections.
 //!
 //! The new process is *waiting* after its start. It requests the listening socket, receives it with the endpoint list and a
-//! part of the descriptors, reports when it is ready, and is *serving* from then on. The old process *hands over* and then
+//! part of the descriptors, reports when it is ready, and is *serving* from then on. The predecessor *hands over* and then
 //! *drains*: it accepts no new connections, closes each connection with its next answer, reports the descriptors that become
-//! free, and ends. After any failure both continue: the new process opens its own listening socket, and the old one takes
+//! free, and ends. After any failure both continue: the new process opens its own listening socket, and the predecessor takes
 //! back what it handed over.
 
 use super::configuration::ConfigurationTask;
@@ -93,7 +93,7 @@
 
 /// Starts to serve, except in a process that is shutting down already.
 async fn start_serving_unless_stopping(running: &RunningInstance) -> Result<(), StartError> {
-    if running.board.phase.get().is_shutting_down() {
+    if running.dispatcher.phase.get().is_shutting_down() {
         return std::future::pending().await;
     }
     running.start_serving()
@@ -103,7 +103,7 @@
 /// upstreams that drain.
 async fn wait_for_discovery(running: &RunningInstance) {
     let started_at = Instant::now();
-    while !running.board.discovery_answered.get() && started_at.elapsed() < DISCOVERY_TIMEOUT {
+    while !running.dispatcher.discovery_answered.get() && started_at.elapsed() < DISCOVERY_TIMEOUT {
         actix_rt::time::sleep(POLL_INTERVAL).await;
     }
 }
@@ -117,7 +117,7 @@
     let descriptors = running.quota().assigned;
     tracing::info!("taking over from the process that serves, {descriptors} descriptors at the start");
     wait_until_prepared(running, &connection, configuration_current).await;
-    if running.board.phase.get().is_shutting_down() {
+    if running.dispatcher.phase.get().is_shutting_down() {
         return std::future::pending().await;
     }
     // Sent before this process accepts connections. A failure means that the predecessor has ended.
@@ -142,7 +142,7 @@
 ) {
     let prepared = pin!(async {
         configuration_current.await;
-        while running.board.upstreams.borrow().is_empty() {
+        while running.dispatcher.upstreams.borrow().is_empty() {
             actix_rt::time::sleep(POLL_INTERVAL).await;
         }
     });
--- a/crates/fernroute-server/tests/attempts.rs
+++ b/crates/fernroute-server/tests/attempts.rs
@@ -186,7 +186,7 @@
             assert!(!is_complete || up.attempts.get() == 1 || matches!(end, End::Decline), "{case_text}");
             assert!(!is_complete || !exhausted || matches!(end, End::Decline), "{case_text}");
             drop(caller);
-            wait_until(|| b.board.open.borrow().is_empty()).await;
+            wait_until(|| b.dispatcher.open.borrow().is_empty()).await;
         }
         assert!(complete > 0, "at least one RPC must be complete at its upstream");
     });
--- a/crates/fernroute-server/tests/caller_departures.rs
+++ b/crates/fernroute-server/tests/caller_departures.rs
@@ -103,9 +103,9 @@
 }
 
 async fn until_no_state_left(b: &RunningInstance) {
-    wait_until(|| b.board.open.borrow().is_empty()).await;
-    assert_eq!(b.board.metrics().outstanding, 0);
-    wait_until(|| b.board.timers.count() == 0).await;
+    wait_until(|| b.dispatcher.open.borrow().is_empty()).await;
+    assert_eq!(b.dispatcher.metrics().outstanding, 0);
+    wait_until(|| b.dispatcher.timers.count() == 0).await;
     wait_until(|| b.server.connections() == 0).await;
 }
 
@@ -206,13 +206,13 @@
                 let up = start_stub(|_, _| ok("whole")).await;
                 let b = balancer_at(&[], &[]).await;
                 let caller = send(b.address, message).await;
-                wait_until(|| b.board.open.borrow().len() == 1).await;
+                wait_until(|| b.dispatcher.open.borrow().len() == 1).await;
                 // The balancer has read as much as it will.
                 tokio::time::sleep(Duration::from_millis(100)).await;
                 let half_closed = leave(caller, how);
                 yield_now().await;
                 std::thread::sleep(BLOCK_TIME);
-                b.board.apply_list(
+                b.dispatcher.apply_list(
                     &decode_list(8, true, &[list_entry("s-0", up.address, "z", "SERVING")]),
                     true,
                 );
@@ -236,7 +236,7 @@
                 let held = FullBacklog::new().await.expect("fill the accept queue");
                 let b = balancer_at(&[held.address], &late).await;
                 let caller = send(b.address, message).await;
-                wait_until(|| b.board.open.borrow().values().any(|rpc| rpc.attempts.len() == 1)).await;
+                wait_until(|| b.dispatcher.open.borrow().values().any(|rpc| rpc.attempts.len() == 1)).await;
                 tokio::time::sleep(Duration::from_millis(100)).await;
                 let half_closed = leave(caller, how);
                 yield_now().await;
@@ -262,11 +262,11 @@
             let other = start_stub(|_, _| ok("whole")).await;
             let b = balancer_at(&[held.address], &[]).await;
             let caller = send(b.address, long_rpc()).await;
-            wait_until(|| b.board.open.borrow().values().any(|rpc| rpc.attempts.len() == 1)).await;
+            wait_until(|| b.dispatcher.open.borrow().values().any(|rpc| rpc.attempts.len() == 1)).await;
             tokio::time::sleep(Duration::from_millis(60)).await;
             let both = [held.address, other.address];
             let both = [0, 1].map(|n| list_entry(&format!("s-{n}"), both[n], "z", "SERVING"));
-            b.board.apply_list(&decode_list(8, true, &both), true);
+            b.dispatcher.apply_list(&decode_list(8, true, &both), true);
             let half_closed = leave(caller, how);
             yield_now().await;
             // By then the first attempt has timed out.
--- a/crates/fernroute-server/tests/connections.rs
+++ b/crates/fernroute-server/tests/connections.rs
@@ -185,7 +185,7 @@
         let at = [zone_upstream(0, Rc::clone(&ran)).await, zone_upstream(1, Rc::clone(&ran)).await];
         let b = balancer_at(&at, &[(r#""group":"all""#, r#""group":"zone""#)]).await;
         let zones = [list_entry("s-0", at[0], "z", "SERVING"), list_entry("s-1", at[1], "y", "SERVING")];
-        b.board.apply_list(&decode_list(8, true, &zones), true);
+        b.dispatcher.apply_list(&decode_list(8, true, &zones), true);
         // Accepted connections inherit the small buffer: with the usual megabytes, a slow caller would delay the end of few answers.
         let listener = b.server.listener().expect("listen on the socket");
         rustix::net::sockopt::set_socket_send_buffer_size(&listener, 16 * 1024)
--- a/crates/fernroute-server/tests/long_lists.rs
+++ b/crates/fernroute-server/tests/long_lists.rs
@@ -31,10 +31,10 @@
         let b = serve::start(common::instance_config(&none, discovery.address, &[]))
             .await
             .expect("start the balancer");
-        wait_until(|| b.board.upstream_counts().0 == ENTRIES).await;
-        assert_eq!(b.board.upstreams.borrow().len(), ENTRIES);
+        wait_until(|| b.dispatcher.upstream_counts().0 == ENTRIES).await;
+        assert_eq!(b.dispatcher.upstreams.borrow().len(), ENTRIES);
         discovery.publish(many_entries("DRAINING").join(","));
-        wait_until(|| b.board.upstreams.borrow().is_empty()).await;
+        wait_until(|| b.dispatcher.upstreams.borrow().is_empty()).await;
     });
 }
 
@@ -44,8 +44,8 @@
     run(async {
         let none: [SocketAddr; 0] = [];
         let b = balancer_at(&none, &[]).await;
-        b.board.apply_list(&decode_list(8, true, &many_entries("SERVING")), true);
-        let lines = b.board.upstreams.borrow();
+        b.dispatcher.apply_list(&decode_list(8, true, &many_entries("SERVING")), true);
+        let lines = b.dispatcher.upstreams.borrow();
         let discovery = SocketAddr::from(([127, 0, 0, 1], 1));
         let known = HandoverList::of(discovery, Some(8), lines.values().map(|(entry, _)| entry));
         let line = encode(&known);
--- a/crates/fernroute-server/tests/operations.rs
+++ b/crates/fernroute-server/tests/operations.rs
@@ -62,7 +62,7 @@
         for (verb, path) in [("GET", "/-/metrics"), ("POST", "/-/drain"), ("POST", "/-/resume")] {
             assert_eq!(send_and_read(b.address, ops_request(verb, path)).await.status(), 404, "{path}");
         }
-        assert!(b.board.is_ready());
+        assert!(b.dispatcher.is_ready());
     });
 }
 
@@ -137,11 +137,13 @@
             (number(&v["taken"]), ended + number(&v["left"]) + number(&v["outstanding"]))
         };
         assert_eq!(counts(&current).0, counts(&current).1, "{current}");
-        wait_until(|| b.board.open.borrow().values().filter(|rpc| !rpc.attempts.is_empty()).count() == 2)
-            .await;
+        wait_until(|| {
+            b.dispatcher.open.borrow().values().filter(|rpc| !rpc.attempts.is_empty()).count() == 2
+        })
+        .await;
         wait_until(|| up.received.borrow().len() >= 6).await;
         drop(leaver);
-        wait_until(|| b.board.open.borrow().len() == 1).await;
+        wait_until(|| b.dispatcher.open.borrow().len() == 1).await;
         let current = metrics(&b).await;
         assert_eq!(current["outstanding"], 1);
         assert_eq!(current["left"], 1);
@@ -152,12 +154,12 @@
         assert_eq!((counts(&current).0, counts(&current).1), (6, 6), "{current}");
         assert_eq!(current["forwards"], up.received.borrow().len(), "{current}");
         drop(stayer);
-        wait_until(|| b.board.open.borrow().is_empty()).await;
-        b.board.apply_list(&Default::default(), true);
+        wait_until(|| b.dispatcher.open.borrow().is_empty()).await;
+        b.dispatcher.apply_list(&Default::default(), true);
         let current = metrics(&b).await;
         assert_eq!((counts(&current).0, counts(&current).1, &current["discovered"]), (6, 6, &1.into()));
         let none = fernroute_server::protocol::list::List { full: true, ..Default::default() };
-        b.board.apply_list(&none, true);
+        b.dispatcher.apply_list(&none, true);
         assert_eq!(metrics(&b).await["discovered"], 0);
     });
 }
@@ -211,7 +213,7 @@
             actix_rt::time::sleep(Duration::from_millis(300)).await;
         }
         // During shutdown the balancer is not ready and cannot be resumed.
-        b.board.update_phase(|phase, now| phase.shut_down(now));
+        b.dispatcher.update_phase(|phase, now| phase.shut_down(now));
         assert_eq!(ops_status(&b, "POST", "/-/drain").await, 200);
         assert_eq!(ops_status(&b, "POST", "/-/resume").await, 409);
         assert_eq!(ops_status(&b, "GET", "/-/ready").await, 503);
--- a/crates/fernroute-server/tests/repeats.rs
+++ b/crates/fernroute-server/tests/repeats.rs
@@ -40,9 +40,9 @@
             // The RPC may have run there. From here on, connections to the only other upstream come up late.
             let both =
                 [list_entry("s-0", at, "z", "DRAINING"), list_entry("s-1", held.address, "z", "SERVING")];
-            b.board.apply_list(&decode_list(8, true, &both), true);
+            b.dispatcher.apply_list(&decode_list(8, true, &both), true);
             stream.write_all(&response(500, "", "")).await.expect("write to the socket");
-            wait_until(|| b.board.open.borrow().values().any(|rpc| rpc.attempts_started == 2)).await;
+            wait_until(|| b.dispatcher.open.borrow().values().any(|rpc| rpc.attempts_started == 2)).await;
             assert!(
                 begun.elapsed() < WINDOW,
                 "the machine is too slow: the repeat must be decided within the window"
@@ -55,7 +55,7 @@
                 (ended.status() == 200, up.received.borrow().len()),
                 (status == 200, (status == 200) as usize)
             );
-            wait_until(|| b.board.open.borrow().is_empty()).await;
+            wait_until(|| b.dispatcher.open.borrow().is_empty()).await;
         });
     }
 }
--- a/crates/fernroute-server/tests/watches.rs
+++ b/crates/fernroute-server/tests/watches.rs
@@ -48,7 +48,7 @@
         let gaps = calls[1..7].windows(2).map(|pair| pair[1] - pair[0]);
         // The shortest one counts, since a busy machine may delay any of them.
         assert!(gaps.min().expect("at least one gap") < Duration::from_millis(190));
-        wait_until(|| !b.board.is_ready()).await;
+        wait_until(|| !b.dispatcher.is_ready()).await;
         assert!(!is_served(&b).await && up.received.borrow().is_empty());
     });
 }
@@ -68,7 +68,7 @@
         let b = serve::start(instance_config(&[one.address, two.address], discovery.address, &[]))
             .await
             .expect("start the balancer");
-        wait_until(|| b.board.upstream_counts().1 == 1).await;
+        wait_until(|| b.dispatcher.upstream_counts().1 == 1).await;
         for _ in 0..20 {
             assert!(is_served(&b).await);
         }
@@ -124,7 +124,7 @@
             all.push((b, calls));
         }
         for (b, calls) in &all {
-            wait_until(|| b.board.is_ready()).await;
+            wait_until(|| b.dispatcher.is_ready()).await;
             // The first call is answered, the second hangs, and the third is the reopened watch.
             wait_until(|| calls.borrow().len() >= 3).await;
             let calls = calls.borrow().clone();
@@ -164,8 +164,8 @@
         // In the same poll, the old address answers the pending call.
         go.notify_one();
         wait_until(|| answered.get() && new.received.borrow().len() == 2).await;
-        assert!(b.board.is_ready() && is_served(&b).await);
-        assert_eq!(b.board.list_version.get(), Some(3));
+        assert!(b.dispatcher.is_ready() && is_served(&b).await);
+        assert_eq!(b.dispatcher.list_version.get(), Some(3));
     });
 }
 
@@ -198,7 +198,7 @@
         assert!(is_served(&b).await);
         let _open = send(b.address, "GET /lo").await;
         back.set(true);
-        wait_until(|| b.board.list_version.get() == Some(9)).await;
+        wait_until(|| b.dispatcher.list_version.get() == Some(9)).await;
         let before = one.received.borrow().len();
         for _ in 0..20 {
             assert!(is_served(&b).await);
